--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -7,12 +7,12 @@
 from __future__ import annotations
 
 import asyncio
-import os
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from quartzford.atomic_file import remove_leftovers, replace_file
 from quartzford.engine import Clock, Handle, Log
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.membership.snapshot import (
@@ -127,19 +127,7 @@
 
 def replace(path: str, snapshot: Snapshot) -> None:
     """The file is the old one or the new one, whenever the machine ends; OSError if it could not be."""
-    beside = f"{path}.{os.getpid()}"
-    try:
-        with open(beside, "wb") as file:
-            file.write(encode(snapshot))
-            file.flush()
-            os.fsync(file.fileno())
-        os.replace(beside, path)
-    except OSError:
-        with suppress(OSError):
-            os.unlink(beside)
-        raise
-    folder = os.open(str(Path(path).parent), os.O_RDONLY)
-    try:
-        os.fsync(folder)
-    finally:
-        os.close(folder)
+    data = encode(snapshot)
+    with suppress(OSError):
+        remove_leftovers(path)
+    replace_file(path, data, synced=True)
--- /dev/null
+++ b/tests/test_disk_faults.py
@@ -0,0 +1,152 @@
+"""Files on a disk that fails for a while, hangs, or is left behind by a kill in the middle of a write."""
+
+from __future__ import annotations
+
+import errno
+import os
+import random
+import subprocess
+import sys
+from collections.abc import Callable
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from quartzford import atomic_file
+from quartzford.membership.snapshot import Snapshot, SnapshotError, decode, encode
+from quartzford.membership.snapshot_writer import replace
+
+CALLS = ("open", "write", "fsync", "close", "replace", "unlink")
+ROW = {"host": "s0", "dial": "127.0.0.1:1", "site": "north", "class": "std", "block": 0, "health": "ready",
+       "share": 1.0, "born_ms": 0}  # fmt: skip
+
+
+def snapshot(version: int) -> Snapshot:
+    return Snapshot("127.0.0.1:8500", 1_000.0, {"seq": version, "whole": True, "hosts": [ROW]})
+
+
+class Killed(BaseException):
+    """The process ends here; no handler of its own runs any more."""
+
+
+class FaultyOs:
+    """The `os` module with calls that fail. fault: by the call's name, the error to raise or None."""
+
+    def __init__(self, fault: Callable[[str], BaseException | None]) -> None:
+        self.fault = fault
+        self.kept = 0  # bytes of a failing write that reach the file
+
+    def __getattr__(self, name: str) -> Any:
+        real = getattr(os, name)
+        return self._failing(name, real) if name in CALLS else real
+
+    def _failing(self, name: str, real: Any) -> Any:
+        def call(*arguments: Any) -> Any:
+            error = self.fault(name)
+            if error is None:
+                return real(*arguments)
+            if name == "close":  # on Linux the descriptor is gone all the same
+                real(*arguments)
+            if name == "write":
+                real(arguments[0], bytes(arguments[1])[: self.kept])
+            raise error
+
+        return call
+
+
+def fault_at(number: int, error: BaseException) -> Callable[[str], BaseException | None]:
+    """The call of this number fails, counted from 0, and no other."""
+    left = [number]
+
+    def fault(name: str) -> BaseException | None:
+        left[0] -= 1
+        return error if left[0] == -1 else None
+
+    return fault
+
+
+@pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
+@pytest.mark.parametrize("number", range(8))  # open, write, fsync, close, replace, and the folder's three
+def test_each_call_that_fails_leaves_a_whole_file_and_nothing_beside_it(
+    number: int, code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path = tmp_path / "last"
+    replace(str(path), snapshot(1))
+    descriptors = len(os.listdir("/proc/self/fd"))
+    faulty = FaultyOs(fault_at(number, OSError(code, os.strerror(code))))
+    faulty.kept = 7
+    monkeypatch.setattr(atomic_file, "os", faulty)
+    with pytest.raises(OSError):
+        replace(str(path), snapshot(2))
+    assert os.listdir(tmp_path) == ["last"]
+    assert decode(path.read_bytes()) == snapshot(1 if number < 5 else 2)
+    assert len(os.listdir("/proc/self/fd")) == descriptors
+
+
+def test_a_thousand_failures_leave_one_temporary_file_at_most_and_the_next_write_none(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path, rng, failed = tmp_path / "last", random.Random(9), 0
+    replace(str(path), snapshot(0))
+
+    def fault(name: str) -> OSError | None:
+        return OSError(rng.choice([errno.ENOSPC, errno.EIO]), "fails") if rng.random() < 0.4 else None
+
+    with monkeypatch.context() as patch:
+        faulty = FaultyOs(fault)
+        patch.setattr(atomic_file, "os", faulty)
+        while failed < 1_000:
+            faulty.kept = rng.randrange(100)
+            try:
+                replace(str(path), snapshot(failed))
+            except OSError:
+                failed += 1
+            assert len(os.listdir(tmp_path)) <= 2
+            decode(path.read_bytes())
+    replace(str(path), snapshot(7))
+    assert os.listdir(tmp_path) == ["last"] and decode(path.read_bytes()) == snapshot(7)
+
+
+def ended_process() -> int:
+    process = subprocess.Popen([sys.executable, "-c", ""])
+    process.wait()
+    return process.pid
+
+
+def test_a_kill_at_any_byte_leaves_the_old_file_and_half_a_one_is_refused(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path, data = tmp_path / "last", encode(snapshot(2))
+    replace(str(path), snapshot(1))
+    for kept in range(len(data)):
+        with monkeypatch.context() as patch:
+            faulty = FaultyOs(fault_at(1, Killed()))
+            faulty.kept = kept
+            patch.setattr(atomic_file, "os", faulty)
+            with pytest.raises(Killed):
+                replace(str(path), snapshot(2))
+        assert decode(path.read_bytes()) == snapshot(1)
+        half = Path(atomic_file.temporary_path(str(path))).read_bytes()
+        assert half == data[:kept]
+        with pytest.raises(SnapshotError, match="."):
+            decode(half)
+
+
+def test_kills_don_t_pile_up_files_and_those_of_running_processes_stay(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Two processes may write at once while one replaces the other; other files are nobody's business."""
+    path, ended = tmp_path / "last", ended_process()
+    for number in range(4):  # after open, write, fsync and close
+        with monkeypatch.context() as patch, suppress(Killed):
+            patch.setattr(atomic_file, "os", FaultyOs(fault_at(number + 1, Killed())))
+            patch.setattr(os, "getpid", lambda: ended)
+            replace(str(path), snapshot(1))
+        assert os.listdir(tmp_path) == [f"last.{ended}.tmp"]
+    others = {f"last.{os.getppid()}.tmp", "last.1", "last.old.tmp", f"list.{ended}.tmp"}
+    for name in others:
+        (tmp_path / name).write_bytes(b"")
+    replace(str(path), snapshot(2))
+    assert set(os.listdir(tmp_path)) == others | {"last"}
