--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -1,7 +1,8 @@
 """Writes the last list to a file, atomically and beside the loop, and reads it at a start.
 
 The file is replaced as a whole: written beside, flushed to the disk, renamed. A disk that is full or gone
-costs a log line, not the service. Only what is told within WRITE_INTERVAL_S goes into one write.
+costs a log line, not the service: the newest list is written as soon as the disk takes it. All changes within
+WRITE_INTERVAL_S go into one write.
 """
 
 from __future__ import annotations
@@ -26,6 +27,7 @@
 )
 
 WRITE_INTERVAL_S = 2.0
+MOST_RETRY_S = 16.0  # a disk that fails is tried again after WRITE_INTERVAL_S, doubled up to this
 REFRESH_INTERVAL_S = 30.0  # a list that goes on being confirmed is written with its new age so often
 
 
@@ -47,7 +49,9 @@
         self.clock, self.log, self.loop = clock, log, loop
         self.timer: Handle | None = None
         self.writing: asyncio.Future[None] | None = None
-        self.write_again = False  # the list changed while a write was on
+        self.owed = False  # the list as it stands has to be written yet
+        self.retry_s = WRITE_INTERVAL_S
+        self.failed = 0  # writes in a row
         self.last_error = ""
         self.written = 0
         self.stopped = False
@@ -81,13 +85,13 @@
     # ---- while it serves
 
     def list_changed(self) -> None:
-        """The list has changed."""
-        if self.stopped:
-            return
-        if self.writing is not None:
-            self.write_again = True
-        elif self.timer is None:
-            self.timer = self.clock.call_later(WRITE_INTERVAL_S, self._write)
+        """The list has changed: it is owed to the disk until a write of it has succeeded."""
+        self.owed = True
+        self._write_in(WRITE_INTERVAL_S)
+
+    def _write_in(self, delay_s: float) -> None:
+        if not self.stopped and self.timer is None and self.writing is None:
+            self.timer = self.clock.call_later(delay_s, self._write)
 
     def refresh_age(self) -> None:
         """So often the age of an unchanged list is brought up to now."""
@@ -99,8 +103,11 @@
 
     def _write(self) -> None:
         self.timer = None
-        if self.stopped or not self.confirmed():
+        if self.stopped:
             return
+        if not self.confirmed():
+            return self._write_in(WRITE_INTERVAL_S)
+        self.owed = False
         snapshot = Snapshot(self.service(), self.clock.unix_ms(), self.table())
         self.writing = self.loop.run_in_executor(None, replace, self.path, snapshot)
         self.writing.add_done_callback(self._written)
@@ -109,14 +116,27 @@
         self.writing = None
         error = done.exception() if not done.cancelled() else None
         if error is None:
-            self.written += 1
-            self.last_error = ""
-        elif (error_text := f"{self.path} can't be written: {error}") != self.last_error:
-            self.last_error = error_text
-            self.log.line("snapshot", error_text)
-        if self.write_again:
-            self.write_again = False
-            self.list_changed()
+            self._succeeded()
+        else:
+            self._fail(str(error))
+
+    def _succeeded(self) -> None:
+        if self.failed:
+            self.log.line("snapshot", f"{self.path} is written again, after {self.failed} failures")
+        self.written += 1
+        self.failed, self.last_error, self.retry_s = 0, "", WRITE_INTERVAL_S
+        if self.owed:
+            self._write_in(WRITE_INTERVAL_S)
+
+    def _fail(self, why: str) -> None:
+        """The list stays owed. Logged once until a write has succeeded, whatever the errors in between."""
+        self.failed += 1
+        self.last_error = f"{self.path} can't be written: {why}"
+        if self.failed == 1:
+            self.log.line("snapshot", self.last_error)
+        self.owed = True
+        self._write_in(self.retry_s)
+        self.retry_s = min(MOST_RETRY_S, 2.0 * self.retry_s)
 
     def stop(self) -> None:
         """Write nothing from now on; a write that is under way ends by itself."""
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import errno
 import os
 import random
@@ -13,10 +14,11 @@
 from typing import Any
 
 import pytest
+from peers import run, until
 
 from quartzford import atomic_file
-from quartzford.membership.snapshot import Snapshot, SnapshotError, decode, encode
-from quartzford.membership.snapshot_writer import replace
+from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
+from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
 
 CALLS = ("open", "write", "fsync", "close", "replace", "unlink")
 ROW = {"host": "s0", "dial": "127.0.0.1:1", "site": "north", "class": "std", "block": 0, "health": "ready",
@@ -150,3 +152,130 @@
         (tmp_path / name).write_bytes(b"")
     replace(str(path), snapshot(2))
     assert set(os.listdir(tmp_path)) == others | {"last"}
+
+
+class ManualClock:
+    """Time that the test moves."""
+
+    def __init__(self) -> None:
+        self.time = 0.0
+        self.timers: list[tuple[float, Callable[[], object]]] = []
+
+    def now(self) -> float:
+        return self.time
+
+    def unix_ms(self) -> float:
+        return self.time * 1000.0
+
+    def call_later(self, delay: float, callback: Callable[..., object], *arguments: Any) -> Any:
+        timer = (self.time + delay, lambda: callback(*arguments))
+        self.timers.append(timer)
+        return type("Timer", (), {"cancel": lambda _: self.timers.remove(timer)})()
+
+    def call_soon(self, callback: Callable[..., object], *arguments: Any) -> Any:
+        return self.call_later(0.0, callback, *arguments)
+
+    def advance(self, seconds: float) -> None:
+        self.time += seconds
+        due = [timer for timer in self.timers if timer[0] <= self.time]
+        self.timers = [timer for timer in self.timers if timer not in due]
+        for _, callback in due:
+            callback()
+
+
+class Lines:
+    """A log that is kept."""
+
+    def __init__(self) -> None:
+        self.lines: list[str] = []
+
+    def line(self, topic: str, text: str) -> None:
+        self.lines.append(f"{topic}: {text}")
+
+    def trouble(self, where: str) -> None:
+        self.lines.append(where)
+
+
+class Site:
+    """A snapshot writer over a list that the test sets, on a disk that the test breaks."""
+
+    def __init__(self, path: Path, patch: pytest.MonkeyPatch) -> None:
+        self.path, self.clock, self.log = path, ManualClock(), Lines()
+        self.table, self.confirmed = snapshot(1).table, True
+        self.error: OSError | None = None
+        patch.setattr(atomic_file, "os", FaultyOs(lambda name: self.error if name == "write" else None))
+        self.writer = SnapshotWriter(
+            str(path), Rule(3_600.0, 60.0), lambda: "s:1", lambda: self.table, lambda: self.confirmed,
+            self.clock, self.log, asyncio.get_running_loop(),
+        )  # fmt: skip
+
+    async def settle(self, seconds: float = 2.0) -> None:
+        """Let so much time pass, and a write that it starts come to its end."""
+        self.clock.advance(seconds)
+        await until(lambda: self.writer.writing is None)
+
+    def version(self) -> int:
+        return int(decode(self.path.read_bytes()).table["seq"])
+
+
+def test_the_newest_list_is_written_once_the_disk_is_well_without_a_further_change(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    @run
+    async def test() -> None:
+        site = Site(tmp_path / "last", monkeypatch)
+        site.error = OSError(errno.ENOSPC, "No space left on device")
+        site.writer.list_changed()
+        await site.settle()
+        site.table = snapshot(2).table
+        site.writer.list_changed()
+        for _ in range(20):
+            await site.settle()
+        assert not site.path.exists() and 4 <= site.writer.failed < 10
+        site.error = None
+        await site.settle(MOST_RETRY_S)
+        assert site.version() == 2 and not site.clock.timers
+        site.table = snapshot(3).table  # from then on as if nothing had been
+        site.writer.list_changed()
+        await site.settle()
+        assert site.version() == 3
+
+    test()
+
+
+def test_a_change_while_the_list_is_not_confirmed_is_written_when_it_is(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    @run
+    async def test() -> None:
+        site = Site(tmp_path / "last", monkeypatch)
+        site.confirmed = False
+        site.writer.list_changed()
+        await site.settle()
+        assert not site.path.exists()
+        site.confirmed = True
+        await site.settle()
+        assert site.version() == 1
+
+    test()
+
+
+def test_failures_in_a_row_are_one_line_whatever_their_errors(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    @run
+    async def test() -> None:
+        site = Site(tmp_path / "last", monkeypatch)
+        for number in range(100):
+            code = errno.EIO if number % 2 else errno.ENOSPC
+            site.error = OSError(code, os.strerror(code))
+            site.writer.list_changed()
+            await site.settle(MOST_RETRY_S)
+        assert len(site.log.lines) == 1 and site.writer.failed == 100
+        assert "can't be written" in site.log.lines[0] and "No space left" in site.log.lines[0]
+        site.error = None
+        await site.settle(MOST_RETRY_S)
+        assert len(site.log.lines) == 2 and "written again, after 100 failures" in site.log.lines[1]
+        assert os.listdir(tmp_path) == ["last"]
+
+    test()
