--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -8,6 +8,8 @@
 from __future__ import annotations
 
 import asyncio
+import math
+import threading
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
@@ -28,6 +30,7 @@
 
 WRITE_INTERVAL_S = 2.0
 MOST_RETRY_S = 16.0  # a disk that fails is tried again after WRITE_INTERVAL_S, doubled up to this
+HANG_S = 10.0
 REFRESH_INTERVAL_S = 30.0  # a list that goes on being confirmed is written with its new age so often
 
 
@@ -48,7 +51,8 @@
         self.path, self.rule, self.service, self.table, self.confirmed = path, rule, service, table, confirmed
         self.clock, self.log, self.loop = clock, log, loop
         self.timer: Handle | None = None
-        self.writing: asyncio.Future[None] | None = None
+        self.writing = False
+        self.write_started = self.hang_logged = -math.inf
         self.owed = False  # the list as it stands has to be written yet
         self.retry_s = WRITE_INTERVAL_S
         self.failed = 0  # writes in a row
@@ -90,7 +94,7 @@
         self._write_in(WRITE_INTERVAL_S)
 
     def _write_in(self, delay_s: float) -> None:
-        if not self.stopped and self.timer is None and self.writing is None:
+        if not self.stopped and self.timer is None and not self.writing:
             self.timer = self.clock.call_later(delay_s, self._write)
 
     def refresh_age(self) -> None:
@@ -99,8 +103,15 @@
             return
         if self.confirmed():
             self.list_changed()
+        self._check_for_hang()
         self.clock.call_later(REFRESH_INTERVAL_S, self.refresh_age)
 
+    def _check_for_hang(self) -> None:
+        taken_s = self.clock.now() - self.write_started
+        if self.writing and self.write_started > self.hang_logged and taken_s >= HANG_S:
+            self.hang_logged = self.write_started
+            self.log.line("snapshot", f"{self.path} has been written for {taken_s:.0f} s: the disk hangs")
+
     def _write(self) -> None:
         self.timer = None
         if self.stopped:
@@ -109,16 +120,32 @@
             return self._write_in(WRITE_INTERVAL_S)
         self.owed = False
         snapshot = Snapshot(self.service(), self.clock.unix_ms(), self.table())
-        self.writing = self.loop.run_in_executor(None, replace, self.path, snapshot)
-        self.writing.add_done_callback(self._written)
+        self.writing, self.write_started = True, self.clock.now()
+        # A thread of its own: the loop's executor is waited for at the end of the process, also where a write
+        # hangs in a disk that is gone.
+        thread = threading.Thread(target=self._replace, args=(snapshot,), name="snapshot", daemon=True)
+        try:
+            thread.start()
+        except RuntimeError as error:
+            self._written(str(error))
 
-    def _written(self, done: asyncio.Future[None]) -> None:
-        self.writing = None
-        error = done.exception() if not done.cancelled() else None
-        if error is None:
-            self._succeeded()
+    def _replace(self, snapshot: Snapshot) -> None:
+        """The thread: one write, whose outcome goes to the loop."""
+        why = ""
+        try:
+            replace(self.path, snapshot)
+        except Exception as error:  # whatever it is, the next write has to come
+            why = str(error) or repr(error)
+        with suppress(RuntimeError):  # the loop has ended meanwhile
+            self.loop.call_soon_threadsafe(self._written, why)
+
+    def _written(self, why: str) -> None:
+        """A write has come to its end. why: it failed; "" where it did not."""
+        self.writing = False
+        if why:
+            self._fail(why)
         else:
-            self._fail(str(error))
+            self._succeeded()
 
     def _succeeded(self) -> None:
         if self.failed:
@@ -139,7 +166,7 @@
         self.retry_s = min(MOST_RETRY_S, 2.0 * self.retry_s)
 
     def stop(self) -> None:
-        """Write nothing from now on; a write that is under way ends by itself."""
+        """Write nothing from now on; a write that is under way ends by itself, or with the process."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -8,6 +8,7 @@
 import random
 import subprocess
 import sys
+import threading
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
@@ -17,9 +18,11 @@
 from peers import run, until
 
 from quartzford import atomic_file
+from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
 
+ROOT = Path(__file__).resolve().parent.parent
 CALLS = ("open", "write", "fsync", "close", "replace", "unlink")
 ROW = {"host": "s0", "dial": "127.0.0.1:1", "site": "north", "class": "std", "block": 0, "health": "ready",
        "share": 1.0, "born_ms": 0}  # fmt: skip
@@ -212,7 +215,7 @@
     async def settle(self, seconds: float = 2.0) -> None:
         """Let so much time pass, and a write that it starts come to its end."""
         self.clock.advance(seconds)
-        await until(lambda: self.writer.writing is None)
+        await until(lambda: not self.writer.writing)
 
     def version(self) -> int:
         return int(decode(self.path.read_bytes()).table["seq"])
@@ -279,3 +282,58 @@
         assert os.listdir(tmp_path) == ["last"]
 
     test()
+
+
+HANGING = """
+import asyncio, threading, time, uvloop
+from quartzford import atomic_file
+from quartzford.engine import LoopClock, StderrLog
+from quartzford.membership import snapshot_writer
+
+hangs = threading.Event()
+
+def fsync(descriptor):
+    hangs.set()
+    time.sleep(1000.0)
+
+async def main():
+    loop = asyncio.get_running_loop()
+    clock = LoopClock(loop)
+    writer = snapshot_writer.SnapshotWriter(
+        "last", None, lambda: "s:1", lambda: {"hosts": []}, lambda: True, clock, StderrLog(clock.now), loop
+    )
+    writer.list_changed()
+    while not hangs.is_set():
+        await asyncio.sleep(0.001)
+    writer.list_changed()
+    writer.stop()
+
+atomic_file.os.fsync = fsync
+snapshot_writer.WRITE_INTERVAL_S = 0.0
+uvloop.run(main())
+print("ended")
+"""
+
+
+def test_a_write_that_hangs_holds_up_neither_the_loop_nor_the_end_of_the_process(tmp_path: Path) -> None:
+    done = subprocess.run(
+        [sys.executable, "-c", HANGING], cwd=tmp_path, env={**os.environ, "PYTHONPATH": str(ROOT)},
+        capture_output=True, timeout=20, check=True,
+    )  # fmt: skip
+    assert done.stdout == b"ended\n"
+
+
+def test_a_disk_that_hangs_is_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    @run
+    async def test() -> None:
+        site, well = Site(tmp_path / "last", monkeypatch), threading.Event()
+        monkeypatch.setattr(writing, "replace", lambda path, one: well.wait(20.0))
+        site.writer.refresh_age()
+        site.clock.advance(2.0)
+        for _ in range(4):
+            site.clock.advance(30.0)
+        assert len(site.log.lines) == 1 and "hangs" in site.log.lines[0]
+        well.set()
+        await until(lambda: not site.writer.writing)
+
+    test()
