--- a/quartzford/replacement/book.py
+++ b/quartzford/replacement/book.py
@@ -6,11 +6,13 @@
 
 from __future__ import annotations
 
-import os
 from collections.abc import Iterable
+from contextlib import suppress
 
 import msgspec
 
+from quartzford.atomic_file import remove_leftovers, replace_file
+
 MOST_BYTES = 1024 * 1024
 
 
@@ -32,8 +34,10 @@
 
 
 def write_book(path: str, names: Iterable[str]) -> None:
-    """Whole or not at all: a reader sees the page before or this one. OSError where it can't be written."""
-    data = msgspec.json.encode(Page(1, sorted(names)))
-    with open(f"{path}.new", "wb") as file:
-        file.write(data)
-    os.replace(f"{path}.new", path)
+    """Whole or not at all: a reader sees the page before or this one. OSError where it can't be written.
+
+    It is not waited for the disk: the file has to outlive the process, not the machine.
+    """
+    with suppress(OSError):
+        remove_leftovers(path)
+    replace_file(path, msgspec.json.encode(Page(1, sorted(names))), synced=False)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import pytest
 from peers import run, until
@@ -21,6 +21,7 @@
 from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
+from quartzford.replacement.book import read_book, write_book
 
 ROOT = Path(__file__).resolve().parent.parent
 CALLS = ("open", "write", "fsync", "close", "replace", "unlink")
@@ -157,12 +158,23 @@
     assert set(os.listdir(tmp_path)) == others | {"last"}
 
 
+class Timer(NamedTuple):
+    """A callback that is due at a time; cancelled, it stays without effect."""
+
+    due: float
+    callback: Callable[[], object]
+    timers: list[Timer]
+
+    def cancel(self) -> None:
+        self.timers[:] = [timer for timer in self.timers if timer is not self]
+
+
 class ManualClock:
     """Time that the test moves."""
 
     def __init__(self) -> None:
         self.time = 0.0
-        self.timers: list[tuple[float, Callable[[], object]]] = []
+        self.timers: list[Timer] = []
 
     def now(self) -> float:
         return self.time
@@ -171,19 +183,18 @@
         return self.time * 1000.0
 
     def call_later(self, delay: float, callback: Callable[..., object], *arguments: Any) -> Any:
-        timer = (self.time + delay, lambda: callback(*arguments))
-        self.timers.append(timer)
-        return type("Timer", (), {"cancel": lambda _: self.timers.remove(timer)})()
+        self.timers.append(Timer(self.time + delay, lambda: callback(*arguments), self.timers))
+        return self.timers[-1]
 
     def call_soon(self, callback: Callable[..., object], *arguments: Any) -> Any:
         return self.call_later(0.0, callback, *arguments)
 
     def advance(self, seconds: float) -> None:
         self.time += seconds
-        due = [timer for timer in self.timers if timer[0] <= self.time]
-        self.timers = [timer for timer in self.timers if timer not in due]
-        for _, callback in due:
-            callback()
+        due = [timer for timer in self.timers if timer.due <= self.time]
+        for timer in due:
+            timer.cancel()
+            timer.callback()
 
 
 class Lines:
@@ -337,3 +348,40 @@
         await until(lambda: not site.writer.writing)
 
     test()
+
+
+def test_a_kill_at_any_byte_of_the_book_leaves_the_page_before(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path, page = tmp_path / "out", b'{"format":1,"out":["s0","s1"]}'
+    write_book(str(path), {"s0"})
+    for kept in range(len(page)):
+        with monkeypatch.context() as patch:
+            disk = FaultyOs(fault_at(1, Killed()))
+            disk.kept = kept
+            patch.setattr(atomic_file, "os", disk)
+            with pytest.raises(Killed):
+                write_book(str(path), {"s0", "s1"})
+        assert read_book(str(path)) == ["s0"]
+        half = Path(atomic_file.temporary_path(str(path)))
+        assert half.read_bytes() == page[:kept] and read_book(str(half)) == []
+
+
+def test_two_processes_that_write_the_book_at_once_don_t_meet_in_one_file(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The old one's write is on when the successor's begins and ends."""
+    path, pids = tmp_path / "out", [os.getpid(), os.getppid()]
+
+    class Overtaken(FaultyOs):
+        def write(self, descriptor: int, data: bytes) -> int:
+            if len(pids) == 2:
+                monkeypatch.setattr(os, "getpid", lambda: pids[0])
+                pids.pop()
+                write_book(str(path), {"new"})
+            return os.write(descriptor, data)
+
+    monkeypatch.setattr(os, "getpid", lambda: pids[1])
+    monkeypatch.setattr(atomic_file, "os", Overtaken(lambda name: None))
+    write_book(str(path), {"of the old one"})
+    assert read_book(str(path)) == ["of the old one"] and os.listdir(tmp_path) == ["out"]
