--- a/quartzford/replacement/book.py
+++ b/quartzford/replacement/book.py
@@ -6,14 +6,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Set
 from contextlib import suppress
 
 import msgspec
 
 from quartzford.atomic_file import remove_leftovers, replace_file
+from quartzford.engine import Clock, Handle, Log
 
 MOST_BYTES = 1024 * 1024
+RETRY_S = 1.0
 
 
 class Page(msgspec.Struct):
@@ -23,6 +25,54 @@
     out: list[str]
 
 
+class Book:
+    """Keeps the file up to date for the time of one process."""
+
+    def __init__(self, path: str, clock: Clock, log: Log) -> None:
+        self.path, self.clock, self.log = path, clock, log
+        self.names: Set[str] = frozenset()
+        self.failed = 0  # writes in a row
+        self.timer: Handle | None = None
+        self.stopped = False
+
+    def read(self) -> list[str]:
+        """Names; none where there is no file, or one that can't be read."""
+        return read_book(self.path)
+
+    def note(self, names: Set[str]) -> None:
+        """Write the names, now and, where that fails, every RETRY_S as they are then."""
+        self.names = names
+        self._write()
+
+    def _write(self) -> None:
+        self._cancel_retry()
+        try:
+            write_book(self.path, self.names)
+        except OSError as error:
+            return self._fail(error)
+        if self.failed:
+            self.log.line("replacement", f"who is out by hand is on file, after {self.failed} failures")
+        self.failed = 0
+
+    def _fail(self, error: OSError) -> None:
+        self.failed += 1
+        if self.failed == 1:
+            self.log.line("replacement", f"who is out by hand could not go on file: {error}")
+        if not self.stopped:
+            self.timer = self.clock.call_later(RETRY_S, self._write)
+
+    def _cancel_retry(self) -> None:
+        if self.timer is not None:
+            self.timer.cancel()
+            self.timer = None
+
+    def stop(self) -> None:
+        """The process ends: what is still owed to the file is tried a last time."""
+        self.stopped = True
+        if self.timer is not None:
+            self._write()
+
+
 def read_book(path: str) -> list[str]:
     """Names; none where there is no file, or one that can't be read."""
     try:
--- a/quartzford/replacement/succession.py
+++ b/quartzford/replacement/succession.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple, Protocol
 
 from quartzford.engine import Clock, Log
-from quartzford.replacement.book import read_book, write_book
+from quartzford.replacement.book import Book
 from quartzford.replacement.channel import Channel, same_user
 from quartzford.replacement.phases import News, Phase, Phases, Step
 from quartzford.replacement.state import (
@@ -96,6 +96,7 @@
         self, node: Replaceable, path: str, clock: Clock, log: Log, loop: asyncio.AbstractEventLoop
     ) -> None:
         self.node, self.path, self.clock, self.log, self.loop = node, path, clock, log, loop
+        self.book = Book(path + ".out", clock, log)
         self.phases = Phases(self._carry_out)
         self.listener: socket.socket | None = None
         self.before: Channel | None = None  # to the process before
@@ -141,7 +142,7 @@
 
     def names_out(self) -> list[str]:
         """Who was out by hand, by the book."""
-        return read_book(self.path + ".out")
+        return self.book.read()
 
     def _beat(self) -> None:
         if self.before is not None and self.before.open:
@@ -297,19 +298,14 @@
         for channel in (self.before, self.after):
             if channel is not None:
                 channel.send(Hand(name, out))
-        self.note(names)
-
-    def note(self, names: set[str]) -> None:
-        try:
-            write_book(self.path + ".out", names)
-        except OSError as error:
-            self.log.line("replacement", f"who is out by hand could not go on file: {error}")
+        self.book.note(names)
 
     def terminate(self) -> None:
         self.phases.tell(News.TERM)
 
     def stop(self) -> None:
         """The end of this process."""
+        self.book.stop()
         if self.listener is not None:
             self.loop.remove_reader(self.listener)
             self.listener.close()
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -21,7 +21,7 @@
 from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
-from quartzford.replacement.book import read_book, write_book
+from quartzford.replacement.book import RETRY_S, Book, read_book, write_book
 
 ROOT = Path(__file__).resolve().parent.parent
 CALLS = ("open", "write", "fsync", "close", "replace", "unlink")
@@ -350,6 +350,52 @@
     test()
 
 
+def book_on(disk: Any, path: Path, patch: pytest.MonkeyPatch) -> tuple[Book, ManualClock, Lines]:
+    patch.setattr(atomic_file, "os", disk)
+    clock, log = ManualClock(), Lines()
+    return Book(str(path), clock, log), clock, log
+
+
+def test_who_is_out_by_hand_goes_on_file_once_the_disk_is_well(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    broken, rng = [True], random.Random(3)
+
+    def fault(name: str) -> OSError | None:
+        wanted = broken[0] and name in ("write", "replace")
+        return OSError(rng.choice([errno.ENOSPC, errno.EIO]), "fails") if wanted else None
+
+    book, clock, log = book_on(FaultyOs(fault), tmp_path / "out", monkeypatch)
+    names = {"s0"}
+    book.note(names)
+    for _ in range(100):
+        clock.advance(RETRY_S)
+    names.add("s1")  # told meanwhile by the other process, which keeps its own file of it
+    assert len(log.lines) == 1 and os.listdir(tmp_path) == []
+    broken[0] = False
+    clock.advance(RETRY_S)
+    assert book.read() == ["s0", "s1"] and len(log.lines) == 2 and not clock.timers
+    broken[0] = True
+    book.note({"s2"})
+    book.stop()
+    assert book.read() == ["s0", "s1"] and not clock.timers
+    broken[0] = False
+    book.note(set())
+    assert book.read() == []
+
+
+def test_a_book_that_is_owed_at_the_end_is_tried_a_last_time(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    errors: list[OSError | None] = [OSError(errno.EIO, "fails")]
+    disk = FaultyOs(lambda name: errors[0] if name == "write" else None)
+    book, _, _ = book_on(disk, tmp_path / "out", monkeypatch)
+    book.note({"s0"})
+    errors[0] = None
+    book.stop()
+    assert book.read() == ["s0"]
+
+
 def test_a_kill_at_any_byte_of_the_book_leaves_the_page_before(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
