--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -222,7 +222,8 @@
     async def _inherit(self, succession: Succession, known: Listing) -> tuple[Listing, socket.socket | None]:
         """The list and the listener of the process before, if it gives them; who is out is also on file."""
         given = await succession.ask()
-        names, state = set(succession.names_out()), given.state if given is not None else None
+        names = on_file = set(succession.names_out())
+        state = given.state if given is not None else None
         if state is not None:
             try:
                 known = read_listing(state.listing)
@@ -237,6 +238,8 @@
                 self.log.line("replacement", f"the list handed over can't be read: {error}")
         for name in names:
             self.engine.feed(io.ByHand(name, True))
+        if names != on_file:  # the process before could not write its file
+            succession.book.note(self.engine.balancer.by_hand)
         if given is None:
             return known, None
         self._configure(self.config)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -16,6 +16,7 @@
 
 import pytest
 from peers import run, until
+from test_replacement import Line, in_line
 
 from quartzford import atomic_file
 from quartzford.membership import snapshot_writer as writing
@@ -431,3 +432,18 @@
     monkeypatch.setattr(atomic_file, "os", Overtaken(lambda name: None))
     write_book(str(path), {"of the old one"})
     assert read_book(str(path)) == ["of the old one"] and os.listdir(tmp_path) == ["out"]
+
+
+@in_line
+async def test_a_ban_that_the_process_before_could_not_put_on_file_is_put_there_by_its_successor(
+    it: Line,
+) -> None:
+    assert (await it.call("PUT /maintenance/enter", "s1")).status == 200
+    (file,) = it.folder.glob("*.out")
+    file.unlink()  # as if it had never been written
+    await it.replace()
+    it.processes[-1].kill()
+    await it.processes[-1].wait()
+    await it.start()
+    await it.yes()
+    assert (await it.figures())["edge.upstreams_excluded"] == 1
