--- a/quartzford/replacement/succession.py
+++ b/quartzford/replacement/succession.py
@@ -15,6 +15,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple, Protocol
 
+from quartzford.atomic_file import remove_leftovers, temporary_path
 from quartzford.engine import Clock, Log
 from quartzford.replacement.book import Book
 from quartzford.replacement.channel import Channel, same_user
@@ -39,6 +40,8 @@
 OFFER_S = 1.5  # a successor that does not serve by then is lost
 SILENT_S = 3.0  # so is one that has said nothing for so long
 BEAT_S = 0.5
+LISTEN_RETRY_S = 1.0
+SUCCESSOR_BACKLOG = 4
 
 
 class Given(NamedTuple):
@@ -89,6 +92,27 @@
         os.close(folder)
 
 
+def listen_at(path: str) -> socket.socket:
+    """A listening socket that takes over the path: a stale file is no obstacle. OSError leaves nothing."""
+    own = temporary_path(path)
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    try:
+        sock.setblocking(False)
+        with contextlib.suppress(FileNotFoundError):
+            os.unlink(own)
+        with short(own) as address:
+            sock.bind(address)
+        os.chmod(own, 0o600)
+        sock.listen(SUCCESSOR_BACKLOG)
+        os.replace(own, path)
+    except OSError:
+        sock.close()
+        with contextlib.suppress(OSError):
+            os.unlink(own)
+        raise
+    return sock
+
+
 class Succession:
     """This process's place in the line of processes that are one balancer."""
 
@@ -99,6 +123,7 @@
         self.book = Book(path + ".out", clock, log)
         self.phases = Phases(self._carry_out)
         self.listener: socket.socket | None = None
+        self.listen_failed = self.stopped = False
         self.before: Channel | None = None  # to the process before
         self.after: Channel | None = None  # to the one that follows
         self.heard = 0.0
@@ -187,23 +212,23 @@
     # ---- the predecessor
 
     def _await_successor(self) -> None:
-        """Listen under a name of its own, then take over the path: a stale file is no obstacle."""
+        """Listen for a successor; where the folder fails, again until it works or the process ends."""
+        if self.stopped:
+            return
         path = self.path + ".sock"
+        with contextlib.suppress(OSError):
+            remove_leftovers(path)
         try:
-            sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            sock.setblocking(False)
-            own = f"{path}.{os.getpid()}"
-            with contextlib.suppress(FileNotFoundError):
-                os.unlink(own)
-            with short(own) as address:
-                sock.bind(address)
-            os.chmod(own, 0o600)
-            sock.listen(4)
-            os.replace(own, path)
+            self.listener = listen_at(path)
         except OSError as error:
-            return self.log.line("replacement", f"no successor can take over: {error}")
-        self.listener = sock
-        self.loop.add_reader(sock, self._successor)
+            if not self.listen_failed:
+                self.log.line("replacement", f"no successor can take over: {error}")
+            self.listen_failed = True
+            self.clock.call_later(LISTEN_RETRY_S, self._await_successor)
+            return
+        if self.listen_failed:
+            self.log.line("replacement", "a successor can take over again")
+        self.loop.add_reader(self.listener, self._successor)
 
     def _successor(self) -> None:
         assert self.listener is not None
@@ -305,6 +330,7 @@
 
     def stop(self) -> None:
         """The end of this process."""
+        self.stopped = True
         self.book.stop()
         if self.listener is not None:
             self.loop.remove_reader(self.listener)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -22,10 +22,12 @@
 from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
+from quartzford.replacement import succession as successions
 from quartzford.replacement.book import RETRY_S, Book, read_book, write_book
+from quartzford.replacement.succession import LISTEN_RETRY_S, Succession
 
 ROOT = Path(__file__).resolve().parent.parent
-CALLS = ("open", "write", "fsync", "close", "replace", "unlink")
+CALLS = ("open", "write", "fsync", "close", "replace", "unlink", "chmod")
 ROW = {"host": "s0", "dial": "127.0.0.1:1", "site": "north", "class": "std", "block": 0, "health": "ready",
        "share": 1.0, "born_ms": 0}  # fmt: skip
 
@@ -447,3 +449,45 @@
     await it.start()
     await it.yes()
     assert (await it.figures())["edge.upstreams_excluded"] == 1
+
+
+@pytest.mark.parametrize("name", ["open", "chmod", "replace"])
+def test_a_successor_can_come_once_the_folder_is_well(
+    name: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Failures in a row leave no descriptor and no file, and are one line."""
+    errors = [OSError(errno.ENOSPC, "No space left on device")]
+
+    @run
+    async def test() -> None:
+        faulty = FaultyOs(lambda call: errors[0] if errors and call == name else None)
+        monkeypatch.setattr(successions, "os", faulty)
+        clock, log, loop = ManualClock(), Lines(), asyncio.get_running_loop()
+        one = Succession(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
+        descriptors = len(os.listdir("/proc/self/fd"))
+        one.serves()
+        for _ in range(100):
+            clock.advance(LISTEN_RETRY_S)
+        assert len(os.listdir("/proc/self/fd")) == descriptors
+        assert os.listdir(tmp_path) == [] and len(log.lines) == 1
+        errors.clear()
+        clock.advance(LISTEN_RETRY_S)
+        assert os.listdir(tmp_path) == ["q.sock"] and one.listener is not None and len(log.lines) == 2
+        one.stop()
+        assert not clock.timers
+
+    test()
+
+
+def test_the_socket_of_a_process_killed_before_it_took_over_the_path_is_removed(tmp_path: Path) -> None:
+    (tmp_path / f"q.sock.{ended_process()}.tmp").write_bytes(b"")
+
+    @run
+    async def test() -> None:
+        clock, log, loop = ManualClock(), Lines(), asyncio.get_running_loop()
+        one = Succession(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
+        one.serves()
+        assert os.listdir(tmp_path) == ["q.sock"]
+        one.stop()
+
+    test()
