--- a/quartzford/__main__.py
+++ b/quartzford/__main__.py
@@ -9,6 +9,7 @@
 
 import uvloop
 
+from quartzford.engine import print_error
 from quartzford.node import Node, start_listening
 from quartzford.settings.platform import Config, ConfigError, load_config
 
@@ -98,7 +99,7 @@
         else:
             uvloop.run(run(load()))
     except ConfigError as error:
-        print(f"quartzford: {error}", file=sys.stderr)
+        print_error(f"quartzford: {error}")
         return 2
     return 0
 
--- a/quartzford/engine/__init__.py
+++ b/quartzford/engine/__init__.py
@@ -5,9 +5,9 @@
 from quartzford.engine.core import Engine
 from quartzford.engine.figures import Figures
 from quartzford.engine.flight import Attempt, Backend, Call
-from quartzford.engine.log import Log, StderrLog
+from quartzford.engine.log import Log, StderrLog, print_error
 
 __all__ = [
     "Attempt", "Backend", "Budget", "Call", "Clock", "Engine", "Figures", "Handle", "Log", "LoopClock",
-    "StderrLog",
+    "StderrLog", "print_error",
 ]  # fmt: skip
--- a/quartzford/engine/log.py
+++ b/quartzford/engine/log.py
@@ -5,11 +5,18 @@
 import sys
 import traceback
 from collections.abc import Callable
+from contextlib import suppress
 from typing import Protocol
 
 LOG_LINES_PER_S = 5.0
 
 
+def print_error(text: str) -> None:
+    """A line to standard error; lost where what lies behind that fails, which is no error of the caller's."""
+    with suppress(OSError):
+        print(text, file=sys.stderr, flush=True)
+
+
 class Log(Protocol):
     """Where a part says what operators should know."""
 
@@ -31,7 +38,7 @@
         self.at = now
         if self.tokens >= 1.0:
             self.tokens -= 1.0
-            print(f"{topic}: {text[:500]}", file=sys.stderr, flush=True)
+            print_error(f"{topic}: {text[:500]}")
 
     def trouble(self, where: str) -> None:
         """An exception at a boundary, from within its handler."""
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -6,6 +6,7 @@
 import errno
 import os
 import random
+import signal
 import subprocess
 import sys
 import threading
@@ -15,10 +16,13 @@
 from typing import Any, NamedTuple
 
 import pytest
-from peers import run, until
+import test_process
+import uvloop
+from peers import request, run, until
 from test_replacement import Line, in_line
 
 from quartzford import atomic_file
+from quartzford.engine import StderrLog
 from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
@@ -302,6 +306,7 @@
 import asyncio, threading, time, uvloop
 from quartzford import atomic_file
 from quartzford.engine import LoopClock, StderrLog
+from quartzford.engine import StderrLog
 from quartzford.membership import snapshot_writer
 
 hangs = threading.Event()
@@ -491,3 +496,32 @@
         one.stop()
 
     test()
+
+
+@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no device that is full")
+def test_a_full_disk_behind_the_log_costs_lines(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A reload goes on behind its line, and the exit status stays."""
+    monkeypatch.setattr(test_process, "COMMAND", f"{test_process.COMMAND} 2>/dev/full")
+
+    async def test() -> None:
+        async with test_process.program(tmp_path) as it:
+            it.process.send_signal(signal.SIGHUP)
+            assert (await it.ask(request())).status == 200
+            it.process.send_signal(signal.SIGTERM)
+            assert await asyncio.wait_for(it.process.wait(), 20) == 0
+        bad = await test_process.spawn("{", tmp_path / "bad.json")
+        assert await asyncio.wait_for(bad.wait(), 20) == 2
+
+    uvloop.run(test())
+
+
+@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no device that is full")
+def test_a_line_that_can_t_be_written_raises_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    clock, full = ManualClock(), open("/dev/full", "w", buffering=1)  # noqa: SIM115
+    monkeypatch.setattr(sys, "stderr", full)
+    log = StderrLog(clock.now)
+    for _ in range(100):
+        log.line("summary", "x" * 500)
+        clock.advance(1.0)
+    with pytest.raises(OSError):
+        full.close()
