--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -199,11 +199,15 @@
             self.front.stop_listening()
             self._end_when_quiet()
 
+    def exit_by(self) -> float:
+        """Until when a process told to end has to have done all, in seconds of its clock."""
+        deadline_s = min(MOST_DEADLINE_S, self.engine.longest_ms / 1000.0)
+        return self.draining_since + deadline_s + KILL_MARGIN_S - EXIT_S
+
     def _end_when_quiet(self) -> None:
         if self.front.draining:
             self.front.close_idle()
-        deadline_s = min(MOST_DEADLINE_S, self.engine.longest_ms / 1000.0)
-        limit = self.draining_since + deadline_s + KILL_MARGIN_S - EXIT_S
+        limit = self.exit_by()
         if self.clock.now() >= limit - (ANSWER_S - EXIT_S) and not self.engine.balancer.ending:
             self.engine.end_all()
         quiet = not self.front.clients and not self.front.accepting  # taken back, more may come for a moment
--- a/quartzford/recording.py
+++ b/quartzford/recording.py
@@ -21,6 +21,7 @@
 KEYS = ("hashed", "plain", "none")
 WAITING = 65_536  # lines that may wait for the disk
 FLUSH_S = 0.5
+CLOSE_S = 5.0
 
 
 class Recorder:
@@ -35,7 +36,7 @@
         self.begun = clock.now()
         self.count = self.bytes = 0
         self.trouble = ""  # why it ended before the service did
-        self.over = False
+        self.over = self.failure_logged = False
         self.lines: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._write, name="trace", daemon=True)
         self.thread.start()
@@ -73,16 +74,25 @@
                 self.log.line("trace", f"{why}; recording has ended with {self.count} requests")
 
     def _look(self) -> None:
-        if self.trouble and not self.over:
+        if self.trouble:
             self.over = True
-            self.log.line("trace", f"{self.trouble}; recording has ended")
+            return self._log_failure()
         if not self.over:
             self.clock.call_later(FLUSH_S, self._look)
 
-    def close(self) -> None:
-        """The service ends: what waits is written."""
+    def _log_failure(self) -> None:
+        if not self.failure_logged:
+            self.failure_logged = True
+            self.log.line("trace", f"{self.trouble}; recording has ended")
+
+    def close(self, within_s: float = CLOSE_S) -> None:
+        """The service ends: what waits is written, in so many seconds; a disk that hangs gets no more."""
         self._end("")
-        self.thread.join(5.0)
+        self.thread.join(within_s)
+        if self.thread.is_alive():
+            self.log.line("trace", f"not written to its end within {within_s:.1f} s: the disk hangs")
+        elif self.trouble:
+            self._log_failure()
 
     def _write(self) -> None:
         """The thread: lines in batches, until the end."""
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -22,6 +22,8 @@
 )
 from quartzford.settings.platform import Config, ConfigError, load_config
 
+LEAST_CLOSE_S = 0.05  # for the trace's last lines, however late it is
+
 
 def config_path(operator: OperatorSettings, path: str) -> str:
     """The platform-form file: EDGE_CONFIG, or what the operator's file names, seen from where that lies."""
@@ -134,7 +136,7 @@
             await self.extproc.stop()
         await self.node.finished
         if self.recorder is not None:
-            self.recorder.close()
+            self.recorder.close(max(LEAST_CLOSE_S, self.node.exit_by() - self.node.clock.now()))
 
 
 async def serve(path: str) -> None:
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -4,8 +4,10 @@
 
 import asyncio
 import errno
+import fcntl
 import os
 import random
+import re
 import signal
 import subprocess
 import sys
@@ -22,10 +24,13 @@
 from test_replacement import Line, in_line
 
 from quartzford import atomic_file
+from quartzford.decision import interface as io
 from quartzford.engine import StderrLog
+from quartzford.load.trace import TraceError, read_trace
 from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
+from quartzford.recording import Recorder
 from quartzford.replacement import succession as successions
 from quartzford.replacement.book import RETRY_S, Book, read_book, write_book
 from quartzford.replacement.succession import LISTEN_RETRY_S, Succession
@@ -306,7 +311,9 @@
 import asyncio, threading, time, uvloop
 from quartzford import atomic_file
 from quartzford.engine import LoopClock, StderrLog
+from quartzford.decision import interface as io
 from quartzford.engine import StderrLog
+from quartzford.load.trace import TraceError, read_trace
 from quartzford.membership import snapshot_writer
 
 hangs = threading.Event()
@@ -525,3 +532,75 @@
         clock.advance(1.0)
     with pytest.raises(OSError):
         full.close()
+
+
+def request_of(number: int) -> io.Request:
+    return io.Request(number, "consulta", 2000.0, "lima", "k" * 200)
+
+
+def recorder_at(path: Path) -> tuple[Recorder, Lines]:
+    log = Lines()
+    return Recorder(str(path), "plain", 10**9, ManualClock(), log), log
+
+
+def test_a_trace_whose_disk_hangs_is_not_waited_for_beyond_its_time(tmp_path: Path) -> None:
+    path = tmp_path / "trace"
+    os.mkfifo(path)
+    reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)  # which reads nothing
+    recorder, log = recorder_at(path)
+    for number in range(2_000):
+        recorder.take(request_of(number), 0)
+    recorder.close(0.05)
+    assert recorder.thread.is_alive() and recorder.thread.daemon
+    assert len(log.lines) == 1 and "hangs" in log.lines[0]
+    os.close(reader)
+    recorder.thread.join(20.0)
+
+
+def test_a_process_whose_trace_hangs_ends_in_its_time(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path, operator = tmp_path / "trace", tmp_path / "operator.toml"
+    operator.write_text('[trace]\nfile = "trace"\n')
+    os.mkfifo(path)
+    reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
+    fcntl.fcntl(reader, fcntl.F_SETPIPE_SZ, 4_096)
+    command = f"exec {sys.executable} -B -m quartzford serve --operator {operator}"
+    monkeypatch.setattr(test_process, "COMMAND", command)
+
+    async def test() -> None:
+        async with test_process.program(tmp_path) as it:
+            for _ in range(300):
+                assert (await it.ask(request())).status == 200
+            it.process.send_signal(signal.SIGTERM)
+            _, errors = await asyncio.wait_for(it.process.communicate(), 20)
+        assert it.process.returncode == 0
+        waited = re.search(rb"not written to its end within ([0-9.]+) s", errors)
+        assert waited is not None and float(waited[1]) <= 3.0 + 0.7
+
+    uvloop.run(test())
+    os.close(reader)
+
+
+@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no device that is full")
+@pytest.mark.parametrize("count", [1, 2_000])
+def test_a_trace_that_fails_in_its_last_lines_says_so_once(count: int) -> None:
+    recorder, log = recorder_at(Path("/dev/full"))
+    for number in range(count):
+        recorder.take(request_of(number), 0)
+    recorder.close()
+    recorder.close()
+    assert len(log.lines) == 1 and "No space left" in log.lines[0]
+
+
+def test_a_trace_cut_off_at_any_byte_is_refused(tmp_path: Path) -> None:
+    path = tmp_path / "trace"
+    recorder, _ = recorder_at(path)
+    for number in range(11):
+        recorder.take(request_of(number), 0)
+    recorder.close()
+    text = path.read_text()
+    assert len(list(read_trace(text.splitlines(keepends=True)))) == 11
+    for kept in range(len(text) - 1):
+        with pytest.raises(TraceError, match="line [0-9]+: "):
+            list(read_trace(text[:kept].splitlines(keepends=True)))
