--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -10,7 +10,7 @@
 import json
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from multiprocessing.connection import Connection
 from statistics import median
 from typing import Any, NamedTuple
@@ -96,8 +96,10 @@
         self.done: asyncio.Future[float] = node.loop.create_future()
         node.engine.listed = self._listed  # type: ignore[method-assign]
 
-    def _listed(self, how: str, entries: tuple[io.Entry, ...] = ()) -> None:
-        self.listed(how, entries)
+    def _listed(
+        self, how: str, entries: tuple[io.Entry, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
+    ) -> None:
+        self.listed(how, entries, starts)
         if not self.done.done() and self.condition():
             self.done.set_result(time.monotonic())
 
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -18,12 +18,13 @@
 from quartzford.membership.listing import Listing
 from quartzford.membership.pieces import Queue
 from quartzford.membership.registry import Registry
+from quartzford.membership.start_times import StartTimes
 from quartzford.membership.subset import Subset
 from quartzford.membership.watch import Watch
 from quartzford.settings.platform import Config
 
 if TYPE_CHECKING:
-    from quartzford.membership.snapshot_writer import SnapshotWriter
+    from quartzford.membership.snapshot_writer import SnapshotWriter, StoredList
 
 LISTS_PER_S = 50.0  # what a list service is taken to bear where no operator has said
 
@@ -51,9 +52,10 @@
         self.followers: list[Follower] = []
         self.pending = Queue()
         self.registry = Registry()
+        self.start_times = StartTimes()
         self.first_list_adopted = asyncio.Event()  # the first list or changes are in force
         self.snapshot_writer: SnapshotWriter | None = None  # of the last list, where there is a lasting disk
-        # The snapshot's list as written, where another is in force for its age.
+        # The snapshot's list, while its upstreams are presumed to have just started.
         self._snapshot_listing: Listing | None = None
 
     def policy(self, relays: Sequence[Address]) -> tuple[Calls, Addresses]:
@@ -80,8 +82,10 @@
 
         memory: of the process before, which had the list known; it may be followed from this version.
         """
-        if self.snapshot_writer is not None:
-            known = self._newer_of_snapshot(self.snapshot_writer, known)
+        stored = self._newer_of_snapshot(known)
+        if stored is not None:
+            known = stored.listing
+        self._date_first_list(known, stored is not None and stored.cold)
         self._adopt(self._in_subset(known), "stale")
         if memory is None:
             self.watch.version = known.version
@@ -90,14 +94,32 @@
             self.engine.inherit(memory)
         self.watch.start()
 
-    def _newer_of_snapshot(self, writer: SnapshotWriter, known: Listing) -> Listing:
-        """The snapshot's list, where it is not older than what the configuration knows."""
-        writer.refresh_age()
-        snapshot = writer.read()
-        if snapshot is None or (known.entries and snapshot.listing.version < known.version):
-            return known
-        self._snapshot_listing = snapshot.listing if snapshot.in_force is not snapshot.listing else None
-        return snapshot.in_force
+    def _newer_of_snapshot(self, known: Listing) -> StoredList | None:
+        """The snapshot's list, where there is one not older than what the configuration knows."""
+        if self.snapshot_writer is None:
+            return None
+        self.snapshot_writer.refresh_age()
+        stored = self.snapshot_writer.read()
+        if stored is None or (known.entries and stored.listing.version < known.version):
+            return None
+        return stored
+
+    def _date_first_list(self, known: Listing, cold: bool) -> None:
+        """Date the list that this process begins with. cold: its upstreams may have started just now."""
+        now_ms = self.clock.unix_ms()
+        if cold:
+            self._snapshot_listing = known
+            self.start_times.presume_started(known, now_ms)
+        else:
+            self.start_times.begin(known, now_ms)
+
+    def list_known_ms(self) -> float:
+        """When the list was last known to be the service's, on the engine's clock; minus infinity if never.
+
+        Each line of a watch says so, also an empty one.
+        """
+        since_line_ms = (self.clock.now() - self.watch.last_line_at) * 1000.0
+        return self.clock.unix_ms() - since_line_ms
 
     def reconfigure(self, config: Config) -> None:
         """A new configuration: what is in flight goes on, the list held stays until the next one."""
@@ -110,6 +132,7 @@
         elif isinstance(self.watch.calls, Agent):
             self.watch.calls.configure(config.settings.rules.drain_grace_ms / 1000.0)
         if moved:
+            self.start_times.source_changed()
             self.watch.follow()
 
     def stop(self) -> None:
@@ -125,12 +148,17 @@
         in_progress = self.pending.waiting()
         snapshot_listing, self._snapshot_listing = self._snapshot_listing, None
         if snapshot_listing is not None and not listing.whole:
-            # Changes to the list as it was written, not to what its age made of it.
-            self.pending.put(self._in_subset(snapshot_listing))
-        self.pending.put(self._in_subset(listing))
+            # The service has spoken: these are changes to the list as it was written.
+            self._take_up(snapshot_listing)
+        self._take_up(listing)
         if not in_progress:
             self._take_in()
 
+    def _take_up(self, listing: Listing) -> None:
+        """Date a line of the service, before it is reduced to the subset, and put it into the queue."""
+        self.start_times.learn(listing, self.list_known_ms(), self.clock.unix_ms())
+        self.pending.put(self._in_subset(listing))
+
     def _in_subset(self, listing: Listing) -> Listing:
         return listing if self.subset is None else self.subset.filter(listing)
 
@@ -153,7 +181,7 @@
         masked = self.registry.masked(listing, self.engine.balancer.by_hand)
         for follower in self.followers:
             follower.listed(masked)
-        self.engine.listed(how, listing.entries)
+        self.engine.listed(how, listing.entries, self.start_times.of(listing.entries))
 
     # ---- what operators set
 
--- a/quartzford/decision/eligibility.py
+++ b/quartzford/decision/eligibility.py
@@ -8,6 +8,7 @@
 
 import math
 import random
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
@@ -49,6 +50,7 @@
     entry: io.Entry
     fleet: Fleet
     at: int = -1
+    started_ms: float = 0.0  # when this incarnation started, on our clock; 0 for long ago
     cold_from: float = 0.0  # slow start counts from here; 0 for long ago
     failing: float = 0.0
     ejections: int = 0
@@ -115,8 +117,10 @@
 
     # ---- the list
 
-    def update(self, entries: tuple[io.Entry, ...], whole: bool) -> None:
-        """Changes, or the complete list."""
+    def update(
+        self, entries: tuple[io.Entry, ...], whole: bool, starts: Mapping[str, float] = io.NO_STARTS
+    ) -> None:
+        """Changes, or the complete list. starts: of incarnations, by server, on our clock."""
         self.shares = self.fit(self.shares, len(self.ready) + len(entries))
         self.shares.begin()
         self.units = None
@@ -125,7 +129,7 @@
             for name in [name for name in self.servers if name not in named]:
                 self._remove(name)
         for entry in entries:
-            self._entry(entry)
+            self._entry(entry, starts.get(entry.server))
         self._choose()
         self._commit()
         self.shares = self.fit(self.shares, len(self.ready))
@@ -181,15 +185,20 @@
             for at, server in enumerate(moved, first):
                 server.at = at
 
-    def _entry(self, entry: io.Entry) -> None:
+    def _entry(self, entry: io.Entry, started_ms: float | None) -> None:
+        """Take one row. started_ms: of its incarnation, on our clock; None if only the row itself says so."""
         if entry.state == "gone":
             return self._remove(entry.server)
         held = self.servers.get(entry.server)
-        if held is not None and entry.started_ms > held.entry.started_ms:
-            self._remove(entry.server)  # what is out at the life before says nothing of this one
+        if held is not None and entry.started_ms != held.entry.started_ms:
+            self._remove(entry.server)  # what is out at another incarnation says nothing of this one
         server = self.servers.get(entry.server)
         if server is None:
             server = self.servers[entry.server] = Server(entry, self)
+            server.started_ms = min(self.now, entry.started_ms)
+        dated = started_ms is not None and started_ms != server.started_ms
+        if started_ms is not None:
+            server.started_ms = min(self.now, started_ms)
         held_entry, server.entry = server.entry, entry
         if entry.state != "ready" or entry.server in self.by_hand:
             self._bar(server)
@@ -197,19 +206,25 @@
             self._leave(server)
             if self.working.put(entry.server, entry.cell):
                 self._join(server)
-        elif server.at >= 0 and entry != held_entry:
+        elif server.at >= 0 and (entry != held_entry or dated):
             self.shares.move(server.at, self._place(entry))
-            server.cold_from = max(entry.started_ms, self.back.get(entry.server, 0.0))
+            server.cold_from = self._cold_from(server)
             self.cold[server] = None
 
+    def _cold_from(self, server: Server) -> float:
+        """When slow start began: at its start, or its return from being out by hand.
+
+        What was out by hand was restarted meanwhile, whether the list knows or not.
+        """
+        return max(server.started_ms, self.back.get(server.entry.server, 0.0))
+
     def _join(self, server: Server) -> None:
         server.failing, server.ejections, server.ejected_until = 0.0, 0, -math.inf
         # Slow start: all balancers may hear of the newcomer at once, so budgets begin at a random phase.
         server.tokens, server.tokens_ms = self.rng.random(), self.now
         server.at = self.shares.join(self._place(server.entry), len(server.open))
         self.ready.append(server)
-        # What was out by hand was restarted meanwhile, whether the list knows or not: cold from its return.
-        server.cold_from = max(server.entry.started_ms, self.back.get(server.entry.server, 0.0))
+        server.cold_from = self._cold_from(server)
         if server.cold_from > 0:
             self.cold[server] = None
 
--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -5,7 +5,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field, fields
+from types import MappingProxyType
 from typing import NamedTuple
 
 EFFECTS = ("free", "keyed", "unsafe")
@@ -157,7 +159,11 @@
 
 
 class Entry(NamedTuple):
-    """One server as the list tells of it."""
+    """One server as the list tells of it.
+
+    started_ms names the incarnation: another value is another one. As a moment it is of the list's clock,
+    which need not be the caller's; 0 is long ago.
+    """
 
     server: str
     zone: str
@@ -168,11 +174,19 @@
     started_ms: float
 
 
+NO_STARTS: Mapping[str, float] = MappingProxyType({})
+
+
 class ListUpdate(NamedTuple):
-    """News of the servers. whole: the complete list; changes; stale: a complete list, maybe old; failed."""
+    """News of the servers. whole: the complete list; changes; stale: a complete list, maybe old; failed.
+
+    starts: by server, when its incarnation started, on the caller's clock. Where it is missing the list's
+    clock counts as the caller's.
+    """
 
     how: str
     entries: tuple[Entry, ...] = ()
+    starts: Mapping[str, float] = NO_STARTS
 
 
 class ByHand(NamedTuple):
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -293,4 +293,4 @@
             self.out.append(io.Wake(wait * self.rng.uniform(0.5, 1.0), WATCH))
         else:
             self.watch_failures = 0
-        self.fleet.update(update.entries, update.how in ("whole", "stale"))
+        self.fleet.update(update.entries, update.how in ("whole", "stale"), update.starts)
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -8,7 +8,7 @@
 
 import math
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
 from quartzford.decision import interface as io
@@ -237,8 +237,11 @@
 
     # ---- what the list tells
 
-    def listed(self, how: str, entries: tuple[io.Entry, ...] = ()) -> None:
-        self.feed(io.ListUpdate(how, entries))
+    def listed(
+        self, how: str, entries: tuple[io.Entry, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
+    ) -> None:
+        """The list, or its changes. starts: of incarnations, by server, in ms on the engine's clock."""
+        self.feed(io.ListUpdate(how, entries, starts))
 
     # ---- rule one
 
--- a/quartzford/membership/snapshot.py
+++ b/quartzford/membership/snapshot.py
@@ -113,9 +113,3 @@
     if age > rule.most_age:
         raise SnapshotError(f"it is {age:.0f} s old, over the {rule.most_age:g} allowed")
     return max(0.0, age)
-
-
-def aged(table: dict[str, Any], born_ms: float) -> dict[str, Any]:
-    """The list with every upstream as if it had started then, where it did not start later."""
-    hosts = [row | {"born_ms": max(born_ms, float(row.get("born_ms") or 0.0))} for row in table["hosts"]]
-    return table | {"hosts": hosts}
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -22,7 +22,6 @@
     Rule,
     Snapshot,
     SnapshotError,
-    aged,
     decode,
     encode,
     usable,
@@ -35,10 +34,10 @@
 
 
 class StoredList(NamedTuple):
-    """A snapshot's list, and what is in force of it at its age until the service has spoken."""
+    """A snapshot's list. cold: its upstreams count as just started until the service has spoken."""
 
     listing: Listing
-    in_force: Listing
+    cold: bool
 
 
 class SnapshotWriter:
@@ -78,13 +77,13 @@
             listing = read_listing(snapshot.table)
             if not listing.whole:
                 raise SnapshotError("it is not a whole list")
-            in_force = read_listing(aged(snapshot.table, now)) if self.rule.cold(age) else listing
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self.log.line("snapshot", f"{self.path} is not used: {error}")
             return None
-        how = ", its upstreams taken for cold" if self.rule.cold(age) else ""
+        cold = self.rule.cold(age)
+        how = ", its upstreams taken for cold" if cold else ""
         self.log.line("snapshot", f"{len(listing.entries)} upstreams of {age:.0f} s ago{how}")
-        return StoredList(listing, in_force)
+        return StoredList(listing, cold)
 
     # ---- while it serves
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -14,16 +14,17 @@
 from peers import Message, World, request, run, silent, until
 
 from quartzford.membership import snapshot_writer as writing
+from quartzford.membership.listing import read_listing
 from quartzford.membership.snapshot import (
     Rule,
     Snapshot,
     SnapshotError,
-    aged,
     decode,
     encode,
     usable,
 )
 from quartzford.membership.snapshot_writer import SnapshotWriter, replace
+from quartzford.membership.start_times import StartTimes
 
 RULE = Rule(most_age=3_600.0, fresh_age=60.0)
 ROW = {"host": "s0", "dial": "127.0.0.1:1", "site": "north", "class": "std", "block": 0, "health": "ready",
@@ -93,8 +94,11 @@
 
 def test_past_the_fresh_age_upstreams_count_as_just_started() -> None:
     assert [RULE.cold(age) for age in (0.0, 60.0, 60.1)] == [False, False, True]
-    assert [row["born_ms"] for row in aged(TABLE, 5_000.0)["hosts"]] == [5_000.0, 9_000_000]
-    assert TABLE["hosts"][0]["born_ms"] == 0
+    listing, times = read_listing(TABLE), StartTimes()
+    times.presume_started(listing, 5_000.0)
+    assert times.of(listing.entries) == {"s0": 5_000.0, "s1": 5_000.0}
+    times.learn(listing, 20_000.0, 9_100_000.0)  # the service confirms both incarnations
+    assert times.of(listing.entries) == {"s0": 0.0, "s1": 9_000_000.0}
 
 
 def kept(world: World, path: Path, rule: Rule = RULE) -> SnapshotWriter:
--- /dev/null
+++ b/tests/test_wall_clock.py
@@ -0,0 +1,233 @@
+"""Wall clocks that are wrong or stepped: slow start, replacement, snapshot, tokens, Retry-After, traces."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import time
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+from peers import SETTINGS, run
+from test_extproc_desk import FakeClock, Quiet
+
+from quartzford.control import ControlSide, assemble
+from quartzford.decision import interface as io
+from quartzford.engine import LoopClock
+from quartzford.fronts.extproc.token import Fault, Tokens
+from quartzford.membership import start_times
+from quartzford.membership.listing import Listing, read_listing
+from quartzford.membership.start_times import StartTimes
+from quartzford.recording import Recorder
+from quartzford.settings.platform import read_config
+
+HOUR_MS = 3_600_000.0
+UNIX_MS = 1_796_083_200_000.0
+COLD_MS = 8_000.0
+GUARANTEES = SETTINGS["guarantees"] | {"coldMs": COLD_MS, "startCapacity": 0.1}
+SKEWS = pytest.mark.parametrize("skew_ms", [0.0, -HOUR_MS, HOUR_MS], ids=["in step", "back", "ahead"])
+
+
+class AnchoredClock(FakeClock):
+    """As LoopClock: Unix time is read once, here from what the machine says at the start."""
+
+    def __init__(self, machine_ms: float = UNIX_MS) -> None:
+        super().__init__()
+        self.anchor_ms = machine_ms - self.at * 1000.0
+
+    def unix_ms(self) -> float:
+        return self.at * 1000.0 + self.anchor_ms
+
+
+def row(number: int, born_ms: float = 0.0, health: str = "ready") -> dict[str, Any]:
+    return {
+        "host": f"s{number}", "dial": f"10.0.0.1:{8000 + number}", "site": "north", "class": "std",
+        "block": number, "health": health, "share": 1.0, "born_ms": born_ms,
+    }  # fmt: skip
+
+
+def lines(version: int, *rows: dict[str, Any], whole: bool = False) -> Listing:
+    return read_listing({"seq": version, "whole": whole, "hosts": list(rows)})
+
+
+class Site:
+    """A control side whose watch is played by hand, and its traffic, on a clock that the test moves."""
+
+    def __init__(self, clock: AnchoredClock, loop: Any = None) -> None:
+        self.clock, self.requests = clock, 0
+        config = read_config(json.dumps({
+            "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "5",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {},
+            "settings": SETTINGS | {"guarantees": GUARANTEES},
+        }))  # fmt: skip
+        self.side: ControlSide = assemble(config, loop, clock, Quiet())
+        self.side.watch.start = lambda: None  # type: ignore[method-assign]
+        self.balancer = self.side.engine.balancer
+
+    def hears(self, listing: Listing) -> None:
+        self.side.listed(listing)
+        self.side.watch.last_line_at = self.clock.now()
+
+    def sends_to(self, name: str, seconds: float, rate: float = 150.0) -> int:
+        """Requests that reach this upstream; all are answered in 5 ms. The watch beats every 2 s."""
+        count = 0
+        for number in range(int(seconds * rate)):
+            self.clock.at += 1.0 / rate
+            if number % int(2 * rate) == 0:
+                self.side.watch.last_line_at = self.clock.now()
+            self.requests += 1
+            now = self.clock.unix_ms()
+            for action in self.balancer.handle(now, io.Request(self.requests, "read", 2_500.0)):
+                if isinstance(action, io.Send):
+                    count += action.server == name
+                    end = io.Outcome(self.requests, 0, action.server, "ok", 5.0, True)
+                    self.balancer.handle(now + 5.0, end)
+        return count
+
+    def age_ms(self, name: str) -> float:
+        """How long ago slow start began."""
+        return self.clock.unix_ms() - self.balancer.servers[name].cold_from
+
+
+def serving(skew_ms: float = 0.0) -> Site:
+    """Four old upstreams that have served for ten seconds."""
+    site = Site(AnchoredClock())
+    old = [row(n, 0.0 if n % 2 else UNIX_MS + skew_ms - 9 * HOUR_MS) for n in range(4)]
+    site.side.begin(lines(0, whole=True))
+    site.hears(lines(1, *old, whole=True))
+    site.sends_to("s0", 10.0)
+    return site
+
+
+# ---- slow start
+
+
+@SKEWS
+def test_a_newcomer_is_ramped_up_whatever_the_list_services_clock_says(skew_ms: float) -> None:
+    site = serving(skew_ms)
+    site.hears(lines(2, row(4, site.clock.unix_ms() + skew_ms)))
+    first, _, after = (site.sends_to("s4", seconds) for seconds in (2.0, 8.0, 4.0))
+    assert 0 < first <= 16 and 60 <= after <= 180, (first, after)
+    assert site.balancer.servers["s4"] not in site.balancer.fleet.cold
+
+
+@SKEWS
+@pytest.mark.parametrize(
+    "between",
+    [
+        [(row, 4, "draining"), (row, 4, "ready")],
+        [(row, 4, "ready"), (row, 4, "ready")],
+        [(row, 4, "gone"), (row, 4, "ready")],
+        ["whole"],
+        ["empty", "whole"],
+    ],
+    ids=["drained and back", "sent again", "gone and back", "told whole", "told whole after an empty list"],
+)
+def test_rows_told_again_neither_restart_slow_start_nor_skip_it(skew_ms: float, between: list[Any]) -> None:
+    site = serving(skew_ms)
+    born = site.clock.unix_ms() + skew_ms
+    site.hears(lines(2, row(4, born)))
+    site.sends_to("s4", 1.0)
+    old_born = UNIX_MS + skew_ms - 9 * HOUR_MS
+    whole = [*(row(n, 0.0 if n % 2 else old_born) for n in range(4)), row(4, born)]
+    for version, what in enumerate(between, 3):
+        if isinstance(what, str):
+            site.hears(lines(version, *(whole if what == "whole" else []), whole=True))
+        else:
+            site.hears(lines(version, row(4, born, what[2])))
+        site.clock.at += 1.0
+    expected = 1_000.0 + 1_000.0 * len(between)
+    assert site.age_ms("s4") == pytest.approx(expected, abs=1.0)
+    site.sends_to("s4", 0.1)
+    assert {server.entry.server for server in site.balancer.fleet.cold} == {"s4"}
+
+
+def test_another_incarnation_is_told_by_another_born_ms_though_it_is_an_earlier_one() -> None:
+    site = serving()
+    site.hears(lines(2, row(4, UNIX_MS + 5_000.0)))
+    site.sends_to("s4", 12.0)
+    assert site.balancer.servers["s4"] not in site.balancer.fleet.cold
+    site.hears(lines(3, row(4, UNIX_MS - HOUR_MS)))
+    assert site.age_ms("s4") == 0.0
+    assert 0 < site.sends_to("s4", 2.0) <= 16
+
+
+def test_after_a_long_time_without_the_list_born_ms_dates_within_that_time() -> None:
+    site = serving()
+    site.clock.at += 100.0
+    now = site.clock.unix_ms()
+    listing = lines(2, row(4, now - 50_000.0), row(5, now - HOUR_MS), row(6, now + HOUR_MS))
+    site.hears(listing)
+    assert site.side.start_times.of(listing.entries) == {"s4": now - 50_000.0, "s5": now, "s6": now}
+    assert site.balancer.servers["s4"].started_ms == now - 50_000.0
+
+
+@SKEWS
+def test_at_the_process_own_start_an_age_is_bounded_at_both_ends(skew_ms: float) -> None:
+    """Nothing but born_ms is known of the list's upstreams: one dated in the future is cold from now."""
+    site = Site(AnchoredClock())
+    site.side.begin(lines(1, row(0), row(1, UNIX_MS + skew_ms), whole=True))
+    site.hears(lines(1, row(0), row(1, UNIX_MS + skew_ms), whole=True))
+    site.clock.at += 1.0
+    site.hears(lines(2, row(1, UNIX_MS + skew_ms)))
+    assert site.age_ms("s1") == pytest.approx(1_000.0 + max(0.0, -skew_ms))
+    site.sends_to("s1", COLD_MS / 1000.0)
+    assert not site.balancer.fleet.cold
+
+
+def test_a_list_of_another_service_has_no_last_moment_without_its_upstreams() -> None:
+    times, now = StartTimes(), 100_000.0
+    times.learn(lines(1, row(0, 5.0), whole=True), -float("inf"), now)
+    times.source_changed()
+    other = lines(1, row(7, 10.0), row(8, now * 2), whole=True)
+    times.learn(other, now - 1_000.0, now)
+    assert times.of(other.entries) == {"s7": 10.0, "s8": now}
+    times.source_changed()
+    same = lines(2, row(7, 10.0), row(9, 10.0), whole=True)  # the same fleet at another address
+    times.learn(same, now - 1_000.0, now)
+    assert times.of(same.entries) == {"s7": 10.0, "s9": now}
+
+
+def test_incarnations_that_are_gone_are_forgotten_past_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(start_times, "MOST_GONE", 3)
+    times = StartTimes()
+    for number in range(10):
+        times.learn(lines(number, row(number, 5.0)), 50.0, 100.0)
+        times.learn(lines(number, row(number, 5.0, "gone")), 50.0, 100.0)
+    assert list(times._gone) == ["s7", "s8", "s9"]
+
+
+# ---- the clock itself, tokens, traces
+
+
+def step_machine_clock(monkeypatch: pytest.MonkeyPatch, by_ms: float) -> None:
+    """What starts from now on takes its anchor from a clock that was stepped."""
+    stepped = SimpleNamespace(time=lambda: time.time() + by_ms / 1000.0, monotonic=time.monotonic)
+    monkeypatch.setattr("quartzford.engine.clock.time", stepped)
+
+
+def test_a_step_after_the_start_moves_neither_clock_nor_token_nor_trace(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    @run
+    async def test() -> None:
+        clock = LoopClock(asyncio.get_running_loop())
+        tokens = Tokens(b"k" * 16, b"life-one")
+        recorder = Recorder(str(tmp_path / "trace"), "none", 10_000, clock, Quiet())
+        begun, text = clock.unix_ms(), tokens.make(7, "c1", clock.unix_ms() + 60_000.0)
+        for by_ms in (-HOUR_MS, HOUR_MS):
+            step_machine_clock(monkeypatch, by_ms)
+            recorder.take(io.Request(1, "read", 800.0), 0)
+            assert 0.0 <= clock.unix_ms() - begun < 30_000.0
+            assert tokens.read(text, "c1", clock.unix_ms()) == 7
+        assert tokens.read(text, "c1", clock.unix_ms() + 61_000.0) is Fault.STALE
+        recorder.close()
+        offsets = [
+            float(line.split()[0]) for line in (tmp_path / "trace").read_text().splitlines()
+            if line[:1].isdigit()
+        ]  # fmt: skip
+        assert len(offsets) == 2 and all(0.0 <= at < 30e6 for at in offsets)  # microseconds
+
+    test()
