--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -7,9 +7,10 @@
 from __future__ import annotations
 
 import asyncio
+import math
 import random
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from quartzford.decision import interface as io
 from quartzford.engine import Clock, Engine, Log
@@ -36,6 +37,16 @@
         """A list, or its changes, as whoever makes attempts is to see it."""
 
 
+class InheritedStarts(NamedTuple):
+    """What the predecessor knew of its list's starts, in milliseconds on this engine's clock.
+
+    known_ms: when the list was last known to be the service's; starts: of young incarnations, by name.
+    """
+
+    known_ms: float
+    starts: dict[str, float]
+
+
 class ControlSide:
     """What a balancer knows and by which policy it learns it. Made by `assemble`, which sets the watch."""
 
@@ -53,6 +64,7 @@
         self.pending = Queue()
         self.registry = Registry()
         self.start_times = StartTimes()
+        self._inherited_known_ms = -math.inf  # when the predecessor last knew the list
         self.first_list_adopted = asyncio.Event()  # the first list or changes are in force
         self.snapshot_writer: SnapshotWriter | None = None  # of the last list, where there is a lasting disk
         # The snapshot's list, while its upstreams are presumed to have just started.
@@ -77,15 +89,19 @@
 
     # ---- start, reload, end
 
-    def begin(self, known: Listing, version: int | None = None, memory: io.Memory | None = None) -> None:
+    def begin(
+        self, known: Listing, version: int | None = None, memory: io.Memory | None = None,
+        inherited: InheritedStarts | None = None,
+    ) -> None:  # fmt: skip
         """Adopt what is known and follow the list from there.
 
         memory: of the process before, which had the list known; it may be followed from this version.
+        inherited: when its upstreams started, as that process dated them.
         """
         stored = self._newer_of_snapshot(known)
         if stored is not None:
             known = stored.listing
-        self._date_first_list(known, stored is not None and stored.cold)
+        self._date_first_list(known, stored is not None and stored.cold, inherited)
         self._adopt(self._in_subset(known), "stale")
         if memory is None:
             self.watch.version = known.version
@@ -104,10 +120,13 @@
             return None
         return stored
 
-    def _date_first_list(self, known: Listing, cold: bool) -> None:
+    def _date_first_list(self, known: Listing, cold: bool, inherited: InheritedStarts | None) -> None:
         """Date the list that this process begins with. cold: its upstreams may have started just now."""
         now_ms = self.clock.unix_ms()
-        if cold:
+        if inherited is not None:
+            self._inherited_known_ms = min(inherited.known_ms, now_ms)
+            self.start_times.inherit(known, inherited.starts, now_ms)
+        elif cold:
             self._snapshot_listing = known
             self.start_times.presume_started(known, now_ms)
         else:
@@ -119,7 +138,7 @@
         Each line of a watch says so, also an empty one.
         """
         since_line_ms = (self.clock.now() - self.watch.last_line_at) * 1000.0
-        return self.clock.unix_ms() - since_line_ms
+        return max(self.clock.unix_ms() - since_line_ms, self._inherited_known_ms)
 
     def reconfigure(self, config: Config) -> None:
         """A new configuration: what is in flight goes on, the list held stays until the next one."""
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import replace
 from typing import Protocol
 
 from quartzford.decision import interface as io
@@ -74,7 +75,7 @@
         if server.failing > EJECT_ABOVE or server.ejected_until > now:
             fleet.trouble[server] = None
         server.tokens, server.tokens_ms = told.tokens, min(told.tokens_ms, now)
-        server.cold_from = max(server.cold_from, told.cold_from)
+        server.cold_from = min(told.cold_from, now)
         if server.cold_from > 0:
             fleet.cold[server] = None
     fleet.shares.recall(rows)
@@ -98,6 +99,40 @@
     admission.offers.extend(offer for offer in memory.offers if offer[1] in balancer.classes)
 
 
+def rebase(memory: io.Memory, by_ms: float) -> io.Memory:
+    """The same memory with its moments on another clock's scale, which is ahead by so many milliseconds.
+
+    0 stands for never, or long ago, on either scale.
+    """
+    return replace(
+        memory,
+        servers=tuple(_rebase_server(server, by_ms) for server in memory.servers),
+        back={name: _rebase_moment(at, by_ms) for name, at in memory.back.items()},
+        arrivals=_rebase_rate(memory.arrivals, by_ms),
+        answers=_rebase_rate(memory.answers, by_ms),
+        peaks=tuple((_rebase_moment(at, by_ms), latency) for at, latency in memory.peaks),
+        tenants={name: _rebase_rate(rate, by_ms) for name, rate in memory.tenants.items()},
+        shed_ms=_rebase_moment(memory.shed_ms, by_ms),
+    )
+
+
+def _rebase_server(server: io.ServerMemory, by_ms: float) -> io.ServerMemory:
+    return replace(
+        server,
+        ejected_until=_rebase_moment(server.ejected_until, by_ms),
+        tokens_ms=_rebase_moment(server.tokens_ms, by_ms),
+        cold_from=_rebase_moment(server.cold_from, by_ms),
+    )
+
+
+def _rebase_rate(rate: io.RateMemory, by_ms: float) -> io.RateMemory:
+    return replace(rate, start=_rebase_moment(rate.start, by_ms), last=_rebase_moment(rate.last, by_ms))
+
+
+def _rebase_moment(at_ms: float, by_ms: float) -> float:
+    return max(0.0, at_ms + by_ms) if at_ms > 0.0 else at_ms
+
+
 def _server(fleet: Fleet, server: Server) -> io.ServerMemory:
     shares, at = fleet.shares, server.at
     return io.ServerMemory(
--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -15,7 +15,7 @@
 
 import math
 from collections import OrderedDict
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
 from quartzford.decision import interface as io
@@ -64,6 +64,12 @@
         for entry in listing.entries:
             self._current[entry.server] = Incarnation(entry.started_ms, now_ms, presumed=True)
 
+    def inherit(self, listing: Listing, starts: Mapping[str, float], now_ms: float) -> None:
+        """Take over the predecessor's dates. starts: of the young incarnations; all others are old."""
+        for entry in listing.entries:
+            started_ms = min(starts.get(entry.server, LONG_AGO_MS), now_ms)
+            self._current[entry.server] = Incarnation(entry.started_ms, started_ms)
+
     def learn(self, listing: Listing, known_ms: float, now_ms: float) -> None:
         """Date the incarnations that a line of the list service names for the first time.
 
@@ -90,6 +96,14 @@
             if self._is_current(entry)
         }
 
+    def after(self, since_ms: float) -> dict[str, float]:
+        """The starts of the incarnations that are younger than this moment, by name."""
+        return {
+            name: incarnation.started_ms
+            for name, incarnation in self._current.items()
+            if incarnation.started_ms > since_ms
+        }
+
     def _is_current(self, entry: io.Entry) -> bool:
         incarnation = self._current.get(entry.server)
         return incarnation is not None and incarnation.born_ms == entry.started_ms
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -13,8 +13,9 @@
 
 from quartzford.backends.http1 import HttpBackend
 from quartzford.control import LISTS_PER_S as LISTS_PER_S
-from quartzford.control import assemble
+from quartzford.control import InheritedStarts, assemble
 from quartzford.decision import interface as io
+from quartzford.decision.memory import rebase
 from quartzford.engine import Budget, LoopClock, StderrLog
 from quartzford.fronts.http1 import HttpFront
 from quartzford.fronts.operations import OperationsFront
@@ -89,6 +90,7 @@
         self._listener: socket.socket | None = None  # the process before's
         self._memory: io.Memory | None = None  # the process before's, until the list is adopted
         self._version: int | None = None  # of its list, where it may be followed from there
+        self._inherited_starts: InheritedStarts | None = None  # of the upstreams of its list
 
     @property
     def config(self) -> Config:
@@ -163,8 +165,8 @@
         self._begun = True
         if self.succession is not None:
             known, self._listener = await self._inherit(self.succession, known)
-        self.control.begin(known, self._version, self._memory)
-        self._memory = None
+        self.control.begin(known, self._version, self._memory, self._inherited_starts)
+        self._memory = self._inherited_starts = None
         # Requests in the queue of a listener that stands count as taken: they can't wait, and the process
         # before served by the same list.
         if not self.control.asked and self._listener is None:
@@ -231,10 +233,11 @@
         if state is not None:
             try:
                 known = read_listing(state.listing)
-                self._memory, self.busy_before = state.memory, max(0, state.busy)
+                self.busy_before = max(0, state.busy)
                 # Another discovery counts its versions anew: changes since ours would leave out what differs.
                 same = state.discovery == list(self.config.discovery)
                 self._version = state.version if same else None
+                self._take_over_times(state, same)
                 names = set(state.memory.by_hand)
                 if state.heard:
                     self.ready_at = self.clock.now()
@@ -249,6 +252,23 @@
         self._configure(self.config)
         return known, given.listener
 
+    def _take_over_times(self, state: State, same_discovery: bool) -> None:
+        """What the predecessor knew, its moments moved to this process's scale by the monotonic clock."""
+        if state.anchor_ms is None:  # of an earlier version, which took the two scales for one
+            self._memory = state.memory
+            return
+        by_ms = self._anchor_ms() - state.anchor_ms
+        self._memory = rebase(state.memory, by_ms)
+        known_ms = -math.inf
+        if state.listed_ms is not None and same_discovery:
+            known_ms = state.listed_ms + by_ms
+        starts = {name: started_ms + by_ms for name, started_ms in state.starts.items()}
+        self._inherited_starts = InheritedStarts(known_ms, starts)
+
+    def _anchor_ms(self) -> float:
+        """The engine's scale less the monotonic clock, in milliseconds."""
+        return self.clock.unix_ms() - self.clock.now() * 1000.0
+
     def stand_down(self) -> tuple[socket.socket, State] | None:
         from quartzford.replacement.state import FORMAT, State
 
@@ -259,9 +279,12 @@
         self._configure(self.config)
         busy = sum(not client.idle() for client in self.front.clients)
         memory = self.engine.hand_over()
+        listed_ms = self.control.list_known_ms()
+        warm_before_ms = self.clock.unix_ms() - self.config.settings.rules.cold_ms
         return listener, State(
             FORMAT, self.registry.table(), self.watch.version, list(self.config.discovery),
-            self.watch.ever_answered, busy, memory,
+            self.watch.ever_answered, busy, memory, self._anchor_ms(),
+            listed_ms if math.isfinite(listed_ms) else None, self.control.start_times.after(warm_before_ms),
         )  # fmt: skip
 
     def take_back(self) -> None:
--- a/quartzford/replacement/state.py
+++ b/quartzford/replacement/state.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import math
 from typing import Any
 
 import msgspec
@@ -62,6 +63,11 @@
 class State(msgspec.Struct):
     """All that the successor is given. listing: in discovery's form; version: from which changes may follow,
     None if none may; discovery: host and port whose version that is; busy: clients with a request open.
+
+    Moments in it are milliseconds on the sender's scale. anchor_ms is that scale less the monotonic clock
+    that both processes share, so the receiver can move them to its own. listed_ms: when the list was last
+    known to be discovery's, None for never; starts: when young incarnations started, by host. A sender of an
+    earlier version leaves the last three out, a receiver of one passes over them.
     """
 
     format: int
@@ -71,6 +77,14 @@
     heard: bool
     busy: int
     memory: io.Memory
+    anchor_ms: float | None = None
+    listed_ms: float | None = None
+    starts: dict[str, float] = {}
+
+    def __post_init__(self) -> None:
+        moments = [self.anchor_ms, self.listed_ms, *self.starts.values()]
+        if not all(moment is None or math.isfinite(moment) for moment in moments):
+            raise ValueError("anchor_ms, listed_ms or starts is not finite")
 
 
 _encoder = msgspec.msgpack.Encoder()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -9,18 +9,23 @@
 from types import SimpleNamespace
 from typing import Any
 
+import msgspec
 import pytest
-from peers import SETTINGS, run
+from peers import SETTINGS, World, run, until
 from test_extproc_desk import FakeClock, Quiet
+from test_process import free_port
 
-from quartzford.control import ControlSide, assemble
+from quartzford.control import ControlSide, InheritedStarts, assemble
 from quartzford.decision import interface as io
+from quartzford.decision.memory import rebase
 from quartzford.engine import LoopClock
 from quartzford.fronts.extproc.token import Fault, Tokens
 from quartzford.membership import start_times
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.membership.start_times import StartTimes
+from quartzford.node import Node
 from quartzford.recording import Recorder
+from quartzford.replacement import state as wire
 from quartzford.settings.platform import read_config
 
 HOUR_MS = 3_600_000.0
@@ -196,10 +201,81 @@
     for number in range(10):
         times.learn(lines(number, row(number, 5.0)), 50.0, 100.0)
         times.learn(lines(number, row(number, 5.0, "gone")), 50.0, 100.0)
-    assert list(times._gone) == ["s7", "s8", "s9"]
+    assert list(times._gone) == ["s7", "s8", "s9"] and not times.after(0.0)
 
 
-# ---- the clock itself, tokens, traces
+# ---- replacement
+
+
+def test_what_is_handed_over_is_moved_to_the_receivers_scale() -> None:
+    rate = io.RateMemory(1_000.0, 2_000.0, 3.0)
+    server = io.ServerMemory("s0", 9.0, 0.5, 1.0, 1.0, 0.0, 0.1, 1, 2_500.0, False, 0.3, 1_900.0, 1_500.0)
+    warm = io.ServerMemory("s1", 0.0, 0.5, 1.0, 1.0, 0.0)
+    memory = io.Memory(
+        servers=(server, warm), back={"s2": 1_200.0}, arrivals=rate, peaks=((1_700.0, 30.0),),
+        tenants={"acme": rate}, shed_ms=1_800.0, offers=((1.0, "read"),),
+    )  # fmt: skip
+    moved = rebase(memory, HOUR_MS)
+    first, second = moved.servers
+    assert (first.ejected_until, first.tokens_ms, first.cold_from) == tuple(
+        at + HOUR_MS for at in (2_500.0, 1_900.0, 1_500.0)
+    )
+    assert (first.started_ms, second) == (9.0, warm)
+    assert moved.back == {"s2": 1_200.0 + HOUR_MS} and moved.peaks == ((1_700.0 + HOUR_MS, 30.0),)
+    assert moved.tenants["acme"] == io.RateMemory(1_000.0 + HOUR_MS, 2_000.0 + HOUR_MS, 3.0)
+    assert moved.arrivals == moved.tenants["acme"] and moved.shed_ms == 1_800.0 + HOUR_MS
+    assert rebase(moved, -HOUR_MS) == memory and moved.answers == memory.answers
+
+
+@SKEWS
+def test_a_successor_goes_on_with_the_predecessors_dates(skew_ms: float) -> None:
+    before = serving(skew_ms)
+    born = before.clock.unix_ms() + skew_ms
+    listing = (*(row(n) for n in range(4)), row(4, born))
+    before.hears(lines(2, *listing, whole=True))
+    before.sends_to("s4", 1.0)
+    memory, starts = before.side.engine.hand_over(), before.side.start_times.after(0.0)
+    after = Site(AnchoredClock(UNIX_MS - skew_ms))  # the machine's clock was stepped between the two starts
+    after.clock.at = before.clock.at
+    by_ms = after.clock.anchor_ms - before.clock.anchor_ms
+    inherited = InheritedStarts(
+        before.side.list_known_ms() + by_ms, {name: at + by_ms for name, at in starts.items()}
+    )
+    after.side.begin(lines(2, *listing, whole=True), 2, rebase(memory, by_ms), inherited)
+    assert after.age_ms("s4") == pytest.approx(before.age_ms("s4"), abs=1.0)
+    assert after.balancer.servers["s4"].tokens == before.balancer.servers["s4"].tokens
+    after.hears(lines(3, row(5, born)))
+    assert after.age_ms("s5") == 0.0
+    after.sends_to("s4", COLD_MS / 1000.0)
+    assert not after.balancer.fleet.cold
+
+
+class EarlierState(msgspec.Struct):
+    """The state's form before it had the last three fields."""
+
+    format: int
+    listing: dict[str, Any]
+    version: int | None
+    discovery: list[str | int]
+    heard: bool
+    busy: int
+    memory: io.Memory
+
+
+def test_the_state_is_read_by_an_earlier_version_and_an_earlier_versions_here() -> None:
+    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.Memory(), 5.0, 7.0, {"s0": 6.0})
+    assert wire.read_state(b"".join(wire.parts(state))) == state
+    earlier = msgspec.msgpack.decode(b"".join(wire.parts(state)), type=EarlierState)
+    assert earlier == EarlierState(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.Memory())
+    read = wire.read_state(msgspec.msgpack.encode(earlier))
+    assert (read.anchor_ms, read.listed_ms, read.starts, read.memory) == (None, None, {}, io.Memory())
+
+
+@pytest.mark.parametrize("changes", [{"anchor_ms": float("nan")}, {"starts": {"s0": float("inf")}}])
+def test_moments_that_can_t_be_are_turned_away(changes: dict[str, Any]) -> None:
+    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.Memory())
+    with pytest.raises(ValueError, match="not finite"):
+        wire.read_state(msgspec.msgpack.encode(msgspec.to_builtins(state) | changes))
 
 
 def step_machine_clock(monkeypatch: pytest.MonkeyPatch, by_ms: float) -> None:
@@ -208,6 +284,51 @@
     monkeypatch.setattr("quartzford.engine.clock.time", stepped)
 
 
+@SKEWS
+def test_two_processes_of_one_line_with_a_step_between_their_starts(
+    skew_ms: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    @run
+    async def test() -> None:
+        world = World(4, guarantees=GUARANTEES)
+        for peer in (*world.ups, world.discovery):
+            await peer.start()
+        world.current = world.list(world.host(0), world.host(1), whole=True)
+        config = read_config(json.dumps({
+            "name": "n0", "listen": f"127.0.0.1:{await free_port()}", "seed": "5",
+            "discovery": f"127.0.0.1:{world.discovery.port}", "known": world.current,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": world.settings,
+        }))  # fmt: skip
+        loop = asyncio.get_running_loop()
+        nodes = [Node(config, loop, folder=str(tmp_path))]
+        await nodes[0].start()
+        await until(lambda: world.watches and nodes[0].watch.ever_answered)
+        world.news(world.host(2, born=time.time() * 1000.0 + skew_ms))
+        await until(lambda: "s2" in nodes[0].engine.balancer.servers)
+
+        step_machine_clock(monkeypatch, skew_ms)
+        nodes.append(Node(config, loop, folder=str(tmp_path)))
+        await nodes[1].start()
+        ages = [node.clock.unix_ms() - node.engine.balancer.servers["s2"].cold_from for node in nodes]
+        assert ages[1] == pytest.approx(ages[0], abs=100.0) and 0.0 <= ages[1] < COLD_MS
+        await until(lambda: len(world.watches) > 1)
+        world.news(world.host(3, born=time.time() * 1000.0 - HOUR_MS))
+        await until(lambda: "s3" in nodes[1].engine.balancer.servers)
+        assert nodes[1].engine.balancer.servers["s3"] in nodes[1].engine.balancer.fleet.cold
+        for node in reversed(nodes):
+            node.control.stop()
+            node.front.stop_listening()
+            if node.succession is not None:
+                node.succession.stop()
+        for peer in (*world.ups, world.discovery):
+            await peer.stop()
+
+    test()
+
+
+# ---- the clock itself, tokens, traces
+
+
 def test_a_step_after_the_start_moves_neither_clock_nor_token_nor_trace(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
