--- a/quartzford/membership/calls.py
+++ b/quartzford/membership/calls.py
@@ -218,24 +218,29 @@
         return math.inf
 
 
-def retry_after(value: str, unix_s: float) -> float:
+def retry_after(value: str, date: str) -> float:
     """Seconds that a Retry-After field asks for; 0 of what can't be read. RFC 9110, section 10.2.3.
 
-    Decimals are read too, as the platform's peers write them. A date has gone by or lies ahead of unix_s.
+    Decimals are read too, as the platform's peers write them. A date is taken against the Date field of the
+    same answer: both are readings of the service's clock, which ours need not agree with.
     """
-    text = value.strip()
     try:
-        seconds = float(text)
+        seconds = float(value)
     except ValueError:
-        from email.utils import parsedate_to_datetime  # only here: the platform's run stays lean
-
-        try:
-            seconds = parsedate_to_datetime(text).timestamp() - unix_s
-        except (ValueError, TypeError, OverflowError, IndexError):
-            return 0.0
+        seconds = _unix_s(value) - _unix_s(date)
     return seconds if math.isfinite(seconds) and seconds > 0 else 0.0
 
 
+def _unix_s(date: str) -> float:
+    """Unix time in seconds of a date in a header field; not a number where it can't be read."""
+    from email.utils import parsedate_to_datetime  # only here: the platform's run stays lean
+
+    try:
+        return parsedate_to_datetime(date.strip()).timestamp()
+    except (ValueError, TypeError, OverflowError, IndexError):
+        return math.nan
+
+
 def draws(name: str, listen: str, seed: int) -> random.Random:
     """A balancer's own random numbers: no two of a fleet share them, though they have a name or a seed alike.
 
--- a/quartzford/membership/watch.py
+++ b/quartzford/membership/watch.py
@@ -249,6 +249,7 @@
         self.parser: Any = httptools.HttpResponseParser(self)
         self.why = "closed"  # what ended it, for the counts
         self.end = End.BROKEN
+        self.fields = {b"retry-after": "", b"date": ""}  # of the answer, as far as they are of use
         self.retry_after = 0.0
         self.since = self.clock.now()  # it was begun, or last brought a whole line
         self.answered = False  # a list or changes have come
@@ -384,12 +385,15 @@
     # ---- httptools
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note Retry-After."""
-        if name.lower() == b"retry-after":
-            self.retry_after = retry_after(value.decode("latin-1"), self.clock.unix_ms() / 1000.0)
+        """Note Retry-After, and the Date that one with a date is taken against."""
+        name = name.lower()
+        if name in self.fields:
+            self.fields[name] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
         """End the call on any status but 200; 429 and 503 count as turned away."""
+        if self.fields[b"retry-after"]:
+            self.retry_after = retry_after(self.fields[b"retry-after"], self.fields[b"date"])
         if (status := self.parser.get_status_code()) != 200:
             self.why = str(status)
             if status in (429, 503):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -5,13 +5,14 @@
 import asyncio
 import json
 import time
+from email.utils import formatdate
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
 
 import msgspec
 import pytest
-from peers import SETTINGS, World, run, until
+from peers import SETTINGS, Message, World, run, until
 from test_extproc_desk import FakeClock, Quiet
 from test_process import free_port
 
@@ -352,3 +353,42 @@
         assert len(offsets) == 2 and all(0.0 <= at < 30e6 for at in offsets)  # microseconds
 
     test()
+
+
+# ---- Retry-After
+
+
+@SKEWS
+def test_a_date_to_come_back_at_is_taken_against_the_answers_own_date(skew_ms: float) -> None:
+    @run
+    async def test() -> None:
+        heard: list[float] = []
+        world = World(1, registryMode="subscribe")
+
+        async def turned_away(message: Message, writer: asyncio.StreamWriter) -> None:
+            now = time.time() + skew_ms / 1000.0
+            date, later = formatdate(now, usegmt=True), formatdate(now + 5.0, usegmt=True)
+            writer.write(
+                f"HTTP/1.1 503 no\r\nRetry-After: {later}\r\nDate: {date}\r\n"
+                "Content-Length: 0\r\n\r\n".encode()
+            )
+
+        for peer in (*world.ups, world.discovery):
+            await peer.start()
+        world.discovery.script = turned_away
+        world.known = world.list(world.host(0), whole=True)
+        enter = asyncio.ensure_future(world.enter(heard=False))
+        await until(lambda: hasattr(world, "node"))
+        after = world.node.watch.calls.after
+
+        def told(end: Any, took: float, retry_after: float = 0.0) -> float:
+            heard.append(retry_after)
+            return after(end, took, retry_after)
+
+        world.node.watch.calls.after = told  # type: ignore[method-assign]
+        await until(lambda: heard)
+        assert heard[0] == 5.0
+        await enter
+        await world.__aexit__()
+
+    test()
