--- a/quartzford/membership/snapshot.py
+++ b/quartzford/membership/snapshot.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 FORMAT = 1
-AHEAD_MS = 60_000.0  # clocks of one machine may step back by so much between two starts
+SKEW_S = 1.0  # a snapshot may seem to be so much younger than it is without a step of the clock
 MOST_BYTES = 64 * 1024 * 1024
 
 
@@ -34,7 +34,8 @@
 
     most_age: an older one is not used at all. fresh_age: up to it the list counts as the platform's `known`
     does, as last heard. Between the two every upstream of it counts as having started when the balancer did:
-    it may have been replaced since, so it is sent what a cold one is sent, until the service has spoken.
+    it may have been replaced since, so it is sent what a cold one is sent, until the service has spoken. So
+    does every upstream of a list from the future: the clock was stepped, and its age is unknown.
     """
 
     most_age: float
@@ -42,7 +43,7 @@
 
     def cold(self, age: float) -> bool:
         """Whether the upstreams of a list of this age, in seconds, count as cold."""
-        return age > self.fresh_age
+        return age > self.fresh_age or age < -SKEW_S
 
 
 def encode(one: Snapshot) -> bytes:
@@ -104,12 +105,10 @@
 
 
 def usable(one: Snapshot, service: str, now_ms: float, rule: Rule) -> float:
-    """Its age in seconds; SnapshotError where it may not be used."""
+    """Its age in seconds, negative after a step of the clock; SnapshotError where it may not be used."""
     if one.service != service:
         raise SnapshotError(f"it is of {one.service}, and the list service is {service}")
     age = (now_ms - one.taken_ms) / 1000.0
-    if age < -AHEAD_MS / 1000.0:
-        raise SnapshotError(f"it was taken {-age:.0f} s from now: a clock is wrong")
     if age > rule.most_age:
         raise SnapshotError(f"it is {age:.0f} s old, over the {rule.most_age:g} allowed")
-    return max(0.0, age)
+    return age
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -81,8 +81,9 @@
             self.log.line("snapshot", f"{self.path} is not used: {error}")
             return None
         cold = self.rule.cold(age)
+        when = f"{age:.0f} s ago" if age >= 0.0 else f"{-age:.0f} s from now"
         how = ", its upstreams taken for cold" if cold else ""
-        self.log.line("snapshot", f"{len(listing.entries)} upstreams of {age:.0f} s ago{how}")
+        self.log.line("snapshot", f"{len(listing.entries)} upstreams of {when}{how}")
         return StoredList(listing, cold)
 
     # ---- while it serves
