--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -218,6 +218,7 @@
         self.sock = sock
         self.attempt: Attempt | None = None
         self.parser = None
+        self.status = 0  # of the last answer; none has come yet
         self.idle_since = 0.0
         self.flushed = False
         self.reused = False
