--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -64,6 +64,9 @@
     def stuck(self) -> bool:
         """The client takes its answer more slowly than it comes."""
 
+    def client_connected(self) -> bool:
+        """Whether the client is still there, asked of the system now."""
+
 
 class HttpBackend:
     """The upstreams of the list, their connections, and the bound on them all."""
@@ -450,9 +453,14 @@
         self._write(connection)
 
     def _write(self, connection: Connection) -> None:
-        self.connection, self.written = connection, self.pool.now()
-        left = min(self.due, self.call.deadline) - self.pool.now()
-        connection.begin(self, self.call.upstream_head(left), self.call.body)
+        written = self.pool.now()
+        head = self.call.upstream_head(min(self.due, self.call.deadline) - written)
+        # Asked behind the last reading of the clock: the loop may have been held up since the client left.
+        if not self.call.client_connected():
+            self.upstream.put(connection)
+            return self.pool.engine.gone(cast("engine.Call", self.call))
+        self.connection, self.written = connection, written
+        connection.begin(self, head, self.call.body)
         if not connection.flushed and (stands := self.pool.engine.stands_for(self)) < math.inf:
             self.pool.clock.call_later(stands, self._unwritten)
 
--- a/quartzford/engine/flight.py
+++ b/quartzford/engine/flight.py
@@ -41,6 +41,10 @@
     def broken(self) -> None:
         """Ended as a last resort: an exception, or an answer that never came. Nothing is promised."""
 
+    def client_connected(self) -> bool:
+        """Whether the client is still there, asked of the system now: the loop may not have been told yet."""
+        return True
+
     def streamed(self, whole: bool) -> None:
         """The end of an answer that its attempt has begun to pass on."""
         return None
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -267,6 +267,9 @@
     def stuck(self) -> bool:
         return self.client.stuck
 
+    def client_connected(self) -> bool:
+        return self.client.connected()
+
     def upstream_head(self, left: float) -> bytes:
         wait = max(0, int(left * 1_000_000))
         framing = b"" if self.lengthless else b"Content-Length: %d\r\n" % len(self.body)
@@ -632,11 +635,17 @@
 
     # ---- housekeeping
 
-    def look(self) -> None:
-        """Whether a client that is not read has gone: its end stands behind what nobody has read."""
+    def connected(self) -> bool:
+        """Whether neither a FIN nor a reset has come, also one behind bytes that nobody has read yet."""
+        if self.transport.is_closing():
+            return False
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), GONE)
-        if any(what & GONE for _, what in poll.poll(0)):
+        return not poll.poll(0)
+
+    def look(self) -> None:
+        """End what a client that is not read has left behind."""
+        if not self.connected():
             self._left()
             self.transport.abort()
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,10 +1,105 @@
-"""Connections that come up for an attempt that may not begin any more."""
+"""No attempt begins for a client that has gone, though the loop has not been told of it yet.
+
+The client goes in the very call that makes an attempt's head, the clock having been read: as late as that, a
+loop that was held up would hear of the end only after the attempt.
+"""
 
 from __future__ import annotations
 
-from peers import World, request, run
+import select
+import socket
+from collections.abc import Callable
+
+import pytest
+import uvloop
+from peers import World, reply, request, run, says, until
+from test_endings import RESET, raw
 
 from quartzford.engine.flight import Attempt
+from quartzford.fronts.http1 import GONE, Exchange
+
+
+def reset(sock: socket.socket) -> None:
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    sock.close()
+
+
+LEAVES: dict[str, Callable[[socket.socket], None]] = {
+    "FIN": lambda sock: sock.close(),
+    "RST": reset,
+    "half-close": lambda sock: sock.shutdown(socket.SHUT_WR),
+}
+
+
+class Departure:
+    """Lets a client go as the head of the attempt with this index is made."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, index: int, leave: Callable[[socket.socket], None]) -> None:
+        self.index, self.leave = index, leave
+        self.heads = 0
+        self.unread = False  # the client's connection was not being read as it went
+        self.client: socket.socket | None = None
+        make_head = Exchange.upstream_head
+
+        def upstream_head(exchange: Exchange, left: float) -> bytes:
+            head = make_head(exchange, left)
+            self.heads += 1
+            if self.heads == self.index + 1:
+                self._go(exchange)
+            return head
+
+        patch.setattr(Exchange, "upstream_head", upstream_head)
+
+    def _go(self, exchange: Exchange) -> None:
+        client = exchange.client
+        self.unread = client in client.front.unread
+        assert self.client is not None
+        self.leave(self.client)
+        poll = select.poll()
+        poll.register(client.transport.get_extra_info("socket").fileno(), GONE)
+        assert poll.poll(2000), "the end never came to the balancer's side"
+
+
+def sent(world: World) -> int:
+    return sum(len(up.came) for up in world.ups)
+
+
+@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("where", ["connecting", "kept connection", "retry", "wait", "pipelined", "unread"])
+def test_no_attempt_begins_for_a_client_that_goes_as_it_is_made(
+    where: str, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """connecting: the connection has just come up; wait: the request waited for an upstream that is ready."""
+
+    async def test() -> None:
+        async with World(2) as world:
+            before = 0 if where in ("connecting", "wait") else 1
+            departure = Departure(monkeypatch, before, LEAVES[how])
+            if where == "kept connection":
+                assert (await world.ask(request())).status == 200
+            elif where == "retry":
+                for up in world.ups:
+                    up.script = says(reply(b"", "500 Sorry"))
+            elif where == "wait":
+                world.news(world.host(0, "draining"), world.host(1, "draining"))
+                await until(lambda: not world.node.engine.balancer.ready)
+            sock = departure.client = await raw(world)
+            sock.send(request() * {"pipelined": 2, "unread": 40}.get(where, 1))
+            if where == "wait":
+                await until(lambda: world.node.engine.calls)
+                world.news(world.host(0), world.host(1), whole=True)
+            await until(lambda: departure.heads > before and not world.node.front.unread)
+            await until(lambda: not world.node.engine.calls)
+            assert departure.heads == before + 1 and departure.unread == (where == "unread")
+            assert sent(world) == before and world.node.engine.counts["client gone"] == 1
+            balancer = world.node.engine.balancer
+            assert balancer.flights == {} and balancer.fleet.shares.out == 0 and world.node.budget.used == 0
+            sock.close()
+            for up in world.ups:
+                up.script = says(reply())
+            assert (await world.ask(request())).status == 200 and sent(world) == before + 1
+
+    uvloop.run(test())
 
 
 @run
