--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import math
 import select
 import socket
 import struct
@@ -15,6 +14,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.engine import Backend, Budget, Call, Clock, Engine
+from quartzford.protocols.lingering import LingeringClose
 from quartzford.settings.fields import read_cookie, read_number, read_time_left
 
 HEAD_BYTES = 32 * 1024
@@ -24,8 +24,6 @@
 BODY_S = 2.0  # this long with no byte of a body is a stall
 WHOLE_S = 5.0  # a whole request takes no longer, however slowly its bytes drip in
 READ_S = 20.0  # a client that takes no byte of its answer for this long is given up
-LINGER_S = 1.0  # after the last answer of a connection, for what its client still writes
-LINGER_BYTES = 32 * 1024 * 1024  # that are read on the way
 PAUSED_S = 1.0
 LOOK_S = 0.04  # how often it is looked whether those that are not read have gone
 PIPELINED = 16
@@ -282,7 +280,7 @@
     __slots__ = (
         "front", "transport", "parser", "exchange", "waiting", "target", "fields", "read", "head_bytes",
         "body", "body_bytes", "in_head", "in_message", "error", "since", "moved", "stuck", "backlog", "held",
-        "closing", "chunked", "paused_at",
+        "closing", "lingering", "chunked", "paused_at",
     )  # fmt: skip
     transport: asyncio.Transport
 
@@ -297,7 +295,8 @@
         self.stuck = False  # the client reads more slowly than its answer comes
         self.backlog = 0
         self.held: Exchange | None = None
-        self.closing = False
+        self.closing = False  # nothing that comes is acted on any more
+        self.lingering: LingeringClose | None = None
         self.chunked = False
         self.paused_at = 0.0
         self.head_bytes = self.body_bytes = 0
@@ -336,9 +335,8 @@
 
     def data_received(self, data: bytes) -> None:
         if self.closing:
-            self.head_bytes += len(data)
-            if self.head_bytes > LINGER_BYTES:
-                self.transport.abort()
+            if self.lingering is not None:
+                self.lingering.received(len(data))
             return
         self.moved = self.front.now()
         if not self.in_message:
@@ -622,16 +620,12 @@
         self._end_sending()
 
     def _end_sending(self) -> None:
-        """Close this side once what is written has gone, and read on for a moment.
-
-        To close over bytes that nobody has read resets the connection, and what the client has not read of
-        its answer may be gone with it. What it still sends is not acted on: it can tell that it was not.
-        """
+        """Close this side once what is written has gone, and read on for a moment."""
         if self.transport.is_closing():
             return
-        self.closing, self.since, self.head_bytes = True, self.front.now(), 0
+        self.closing = True
         self.front.read_on(self)
-        self.transport.write_eof()
+        self.lingering = LingeringClose(self.transport, self.front.now())
 
     # ---- housekeeping
 
@@ -659,27 +653,27 @@
     def hand_over(self, heir: Callable[[int], bool]) -> None:
         self.transport.pause_reading()
         if heir(self.transport.get_extra_info("socket").fileno()):
-            self.closing, self.since = True, math.inf
+            self.closing = True
             self.transport.abort()  # this process's end only: the connection stands
         else:
             self.transport.resume_reading()
 
     def close_if_idle(self) -> None:
         if self.idle():
-            self.closing, self.since = True, math.inf
+            self.closing = True
             self.transport.close()
 
     def check(self, now: float) -> None:
         size = self.transport.get_write_buffer_size()
-        if size and (self.closing or self.stuck):
-            self.since = now if self.closing else self.since  # it lingers once all is written
+        if self.lingering is not None and self.lingering.expired(now):
+            self.transport.abort()
+        elif size and (self.closing or self.stuck):
             if size != self.backlog:
                 self.backlog, self.moved = size, now
             elif now - self.moved > READ_S:
                 self.transport.abort()
         elif self.closing:
-            if now - self.since > LINGER_S:
-                self.transport.abort()
+            return
         elif self.exchange is None and self.in_message:
             stalled = now - self.since > HEAD_S if self.in_head else now - self.moved > BODY_S
             if stalled or now - self.since > WHOLE_S:
