--- a/quartzford/fronts/operations.py
+++ b/quartzford/fronts/operations.py
@@ -1,7 +1,7 @@
 """The second address: what operators ask and tell, one call to a connection. docs/operators/operations.md
 
-Answered in the loop, from a reserve of descriptors that clients can't take. Whoever connects and says nothing
-makes room for the next caller once too many are open.
+Answered in the loop, from a reserve of descriptors that clients can't take. Once too many are open, whoever
+has said nothing makes room for the next caller; a call of which something was read is answered in any case.
 """
 
 from __future__ import annotations
@@ -10,10 +10,12 @@
 from typing import Protocol, cast
 
 from quartzford.engine import Clock, Handle
+from quartzford.protocols.lingering import LingeringClose
 from quartzford.protocols.onecall import OneCall, Reader, State, answer
 
 MOST_OPEN = 20  # calls at once; within the descriptors that a balancer keeps for itself
 WHOLE_S = 10.0  # a call that has not come whole by then is answered 408
+STALL_S = 2.0  # and so is one that has begun, and of which nothing more has come for so long
 PREFIX = "edge"
 
 
@@ -70,10 +72,21 @@
         self.server = await loop.create_server(lambda: Caller(self), *address, backlog=256)
 
     def stop(self) -> None:
+        """Nobody is taken any more; calls of which something was read are told to come again."""
         if self.server is not None:
             self.server.close()
         for caller in list(self.calls):
-            caller.transport.close()
+            caller.leave()
+
+    def make_room(self, newcomer: Caller) -> None:
+        """End one call for the newcomer: at once if nothing was read of it, or if its answer is out."""
+        others = [caller for caller in self.calls if caller is not newcomer]
+        closable = next((caller for caller in others if caller.unread()), None)
+        closable = closable or next((caller for caller in others if caller.answer_is_out()), None)
+        if closable is not None:
+            closable.transport.abort()
+        elif unanswered := next((caller for caller in others if not caller.answered), None):
+            unanswered.leave()
 
 
 class Caller(asyncio.Protocol):
@@ -85,22 +98,36 @@
         self.front = front
         self.reader = Reader()
         self.timer: Handle | None = None
-        self.answered = False
+        self.whole_by = front.clock.now() + WHOLE_S
+        self.lingering: LingeringClose | None = None
+
+    @property
+    def answered(self) -> bool:
+        """Its answer has been written."""
+        return self.lingering is not None
+
+    def unread(self) -> bool:
+        """Nothing of a call has been read."""
+        return not self.reader.begun and not self.answered
+
+    def answer_is_out(self) -> bool:
+        """The system has taken all of its answer."""
+        return self.answered and not self.transport.get_write_buffer_size()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         calls = self.front.calls
         calls[self] = None
         if len(calls) > MOST_OPEN:
-            silent = (c for c in calls if not c.reader.begun and c is not self)
-            next(silent, next(iter(calls))).transport.abort()
-        self.timer = self.front.clock.call_later(WHOLE_S, self._late)
+            self.front.make_room(self)
+        self._give_up_after(WHOLE_S)
 
     def data_received(self, data: bytes) -> None:
+        if self.lingering is not None:
+            return self.lingering.received(len(data))
         reader = self.reader
         reader.feed(data)
-        if self.answered:
-            return
+        self._give_up_after(min(STALL_S, self.whole_by - self.front.clock.now()))
         if reader.error:
             self._answer(answer(reader.error))
         elif reader.call is not None:
@@ -114,11 +141,24 @@
             reader.expects = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def eof_received(self) -> bool:
+    def eof_received(self) -> None:
         """A caller may end its sending and still read; what was not whole by then gets its 400."""
         if not self.answered:
             self._answer(answer(400))
-        return True
+
+    def leave(self) -> None:
+        """End a call that is not whole: it has changed nothing, and may come again."""
+        if self.answered:
+            return
+        if self.unread():
+            self.transport.close()
+        else:
+            self._answer(answer(503))
+
+    def _give_up_after(self, wait_s: float) -> None:
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = self.front.clock.call_later(wait_s, self._late)
 
     def _late(self) -> None:
         if not self.answered:
@@ -127,9 +167,11 @@
             self.transport.abort()
 
     def _answer(self, data: bytes) -> None:
-        self.answered = True
+        clock = self.front.clock
         self.transport.write(data)
-        self.transport.close()
+        self.lingering = LingeringClose(self.transport, clock.now())
+        self.lingering.close_in_time(clock)
+        self._give_up_after(WHOLE_S)  # where its answer is not taken
 
     def connection_lost(self, error: Exception | None) -> None:
         self.front.calls.pop(self, None)
