--- a/quartzford/relay/caller.py
+++ b/quartzford/relay/caller.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections import Counter
+from collections.abc import Callable
 from enum import Enum
 from typing import Any, Protocol, cast
 from urllib.parse import parse_qsl
@@ -11,13 +12,15 @@
 import httptools
 
 from quartzford.engine import Clock, Handle
+from quartzford.protocols.lingering import LingeringClose
 from quartzford.relay.catalog import Catalog, Due, Owed, Position, Whole
 from quartzford.relay.room import Room
 from quartzford.relay.turns import Turns
 
 PATH = "/catalog/members"
 HEAD_BYTES = 8 * 1024
-REQUEST_S = 5.0  # a connection on which no request is whole by then is closed
+REQUEST_S = 5.0  # a connection on which no request has begun by then is closed
+STALL_S = 2.0  # a request that is not whole so long after it began is answered 408
 WHOLE_S = 60.0  # a whole list that is not taken by then: its watcher waits no longer either
 PIECE_BYTES = 64 * 1024
 BEAT_TICKS = 20  # of the server's: an empty line to each watcher every two seconds
@@ -25,8 +28,8 @@
 LOST_RETRY_S = 1.0  # who is turned away for the source's sake may come again
 FULL_RETRY_S = 2.0
 REASONS = {
-    400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 431: "Request Header Fields Too Large",
-    503: "Service Unavailable",
+    400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
+    431: "Request Header Fields Too Large", 503: "Service Unavailable",
 }  # fmt: skip
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 BEAT = b"1\r\n\n\r\n"
@@ -114,6 +117,7 @@
         self._rest: memoryview = memoryview(b"")
         self._reserved = 0  # bytes that have a turn
         self._timer: Handle | None = None
+        self._lingering: LingeringClose | None = None
         self._bytes_read = 0
         self._url = b""
         self._parser: Any = httptools.HttpRequestParser(self)
@@ -129,7 +133,8 @@
         if server.stopping:
             return self.abort()
         if server.crowded():
-            return self._turn_away(FULL_RETRY_S, "full")
+            self._turn_away(FULL_RETRY_S, "full")
+            return self.transport.close()  # nothing was read, and descriptors are short
         self._after(REQUEST_S, self.abort)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -142,8 +147,12 @@
 
     def data_received(self, data: bytes) -> None:
         """Read the request; what follows it is not read."""
+        if self._lingering is not None:
+            return self._lingering.received(len(data))
         if self.state is not State.ASKING:
             return  # one call to a connection
+        if not self._bytes_read:
+            self._after(STALL_S, self._refuse, 408)
         self._bytes_read += len(data)
         try:
             self._parser.feed_data(data)
@@ -155,7 +164,7 @@
 
     def eof_received(self) -> bool:
         """Whoever asked for the list alone may end its sending and still read; any other has left."""
-        if self.index is None and self.state is not State.ASKING:
+        if self._lingering is None and self.index is None and self.state is not State.ASKING:
             return True
         self._over()
         return False
@@ -172,10 +181,10 @@
         else:
             self.advance()
 
-    def _after(self, wait: float, then: Any) -> None:
+    def _after(self, wait: float, then: Callable[..., object], *args: object) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.server.clock.call_later(wait, then)
+        self._timer = self.server.clock.call_later(wait, then, *args)
 
     def _over(self) -> None:
         self.state = State.OVER
@@ -195,8 +204,8 @@
         """End the call in order: a watch's answer ends, one that has no answer yet is turned away."""
         if self.state is State.OVER:
             return
-        if self.state is State.ASKING:
-            return self._finish(b"")
+        if self.state is State.ASKING and not self._bytes_read:
+            return self.abort()
         if not self._head_sent:
             return self._turn_away(LOST_RETRY_S, "turned away")
         if self.state is State.WHOLE and not self.server.stopping:
@@ -206,12 +215,14 @@
         self._finish(LAST if self.index is not None else b"")
 
     def _finish(self, data: bytes) -> None:
-        """Write the last bytes; the connection ends when they are taken."""
+        """Write the last bytes; the connection ends when they are taken, and what still comes is dropped."""
         self._over()
         if data:
             self.transport.write(data)
-        self.transport.close()
         self._after(WHOLE_S, self.transport.abort)
+        clock = self.server.clock
+        self._lingering = LingeringClose(self.transport, clock.now())
+        self._lingering.close_in_time(clock)
 
     # ---- httptools
 
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -10,8 +10,10 @@
 from peers import run, until
 from test_endings import read_all
 from test_operations import Watched, port_of
+from test_relay_server import PATH, Site, site
 
 from quartzford.fronts import operations
+from quartzford.relay.caller import State
 
 STATUS = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
 ANSWERED_S = 3.0  # whoever stops in the middle of a request is answered by then
@@ -82,3 +84,42 @@
         await until(lambda: [c.reader.begun for c in world.node.operations.calls] == [True, False])
         world.node.operations.stop()
         assert (await status_of(half), await status_of(silent)) == (503, 0)
+
+
+# ---- the relay
+
+GET = f"GET {PATH} HTTP/1.1\r\nHost: a\r\n"
+
+
+async def relay_client(here: Site, data: str) -> socket.socket:
+    """A connection of whose request something has been read."""
+    sock = await connected(here.server.address[1], data.encode())
+    await until(lambda: any(caller._bytes_read for caller in here.server.callers))
+    return sock
+
+
+@run
+async def test_a_relay_s_refusal_arrives_though_the_request_goes_on() -> None:
+    async with site() as here:
+        sock = await relay_client(here, "GET /else HTTP/1.1\r\n")
+        sock.send(b"Content-Length: 99999999\r\n\r\n")
+        await until(lambda: all(caller.state is State.OVER for caller in here.server.callers))
+        for _ in range(7):
+            await asyncio.get_running_loop().sock_sendall(sock, b"b" * 10_000)
+        assert await status_of(sock) == 404
+        await until(lambda: not here.server.callers)
+
+
+@run
+async def test_who_stops_in_the_middle_of_its_request_to_a_relay_is_answered_in_time() -> None:
+    async with site() as here:
+        assert await status_of(await relay_client(here, GET)) == 408
+
+
+@run
+async def test_half_a_request_is_answered_as_the_relay_ends() -> None:
+    async with site() as here:
+        half = await relay_client(here, GET)
+        stopping = asyncio.ensure_future(here.relay.stop())
+        assert await status_of(half) == 503
+        await stopping
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -193,7 +193,8 @@
             whole = await here.get()
             assert await whole.status() == 200
             assert json.loads(await whole.reader.read()) == here.source.now
-            assert await silent.reader.read() == b"" == await slow.reader.read()
+            assert await silent.reader.read() == b"" and await slow.status() == 408
+            assert await slow.reader.read() == b""
 
     run(main)()
 
