--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -21,6 +21,8 @@
 HOLD_BYTES = 64 * 1024  # longer answers are streamed: a shorter one that breaks can be tried again
 HEAD_BYTES = 64 * 1024  # an answer's head may be this long
 JOIN_BYTES = 64 * 1024
+SEND_S = 0.05  # a request's last byte leaves within this of its first, or the attempt ends
+LONG_SEND_SHARE = 0.5  # of the time left, instead, for one whose body is longer than JOIN_BYTES
 PAUSE_S = 0.15
 REUSE_SHARE = 0.6
 REST_S = 0.01  # an upstream that answers twice does so within some milliseconds
@@ -246,7 +248,8 @@
             self.sock.shutdown(socket.SHUT_RDWR)
         self.transport.abort()
 
-    def begin(self, attempt: Attempt, head: bytes, body: bytes | bytearray) -> None:
+    def begin(self, attempt: Attempt) -> None:
+        """The connection carries this attempt from now; nothing is written yet."""
         self.attempt = attempt
         # A parser for each answer: nothing of an earlier one is carried over.
         self.parser = httptools.HttpResponseParser(self)
@@ -255,6 +258,9 @@
         self.report: tuple[float, ...] = ()
         self.unprocessed = self.chunked = self.complete = self.broken = False
         self.length: int | None = None
+
+    def send(self, head: bytes, body: bytes | bytearray) -> None:
+        """Write the request, and see whether the system has taken all of it."""
         if not body:
             self.transport.write(head)
         elif len(body) <= JOIN_BYTES:
@@ -453,19 +459,39 @@
         self._write(connection)
 
     def _write(self, connection: Connection) -> None:
-        written = self.pool.now()
-        head = self.call.upstream_head(min(self.due, self.call.deadline) - written)
+        self.connection = connection
+        connection.begin(self)
+        now = self.pool.now()  # read where the bytes leave: what is told is true then
+        told = self._time_to_tell(now)
+        head = self.call.upstream_head(told)
         # Asked behind the last reading of the clock: the loop may have been held up since the client left.
         if not self.call.client_connected():
-            self.upstream.put(connection)
+            self._give_back(connection)
             return self.pool.engine.gone(cast("engine.Call", self.call))
-        self.connection, self.written = connection, written
-        connection.begin(self, head, self.call.body)
-        if not connection.flushed and (stands := self.pool.engine.stands_for(self)) < math.inf:
-            self.pool.clock.call_later(stands, self._unwritten)
+        self.written = now
+        connection.send(head, self.call.body)
+        if not connection.flushed:
+            last_byte_within = min(self.pool.engine.stands_for(self), self.call.deadline - told - now)
+            self.pool.clock.call_later(last_byte_within, self._unwritten)
+
+    def _give_back(self, connection: Connection) -> None:
+        """Nothing was written to it."""
+        connection.attempt = self.connection = None
+        self.upstream.put(connection)
+
+    def _time_to_tell(self, now: float) -> float:
+        """Seconds, for the upstream: at most what its client has left once the last byte has gone out.
+
+        The system may take the bytes more slowly than they come, so that the last leaves well after this
+        moment. Time is set aside for that, and `_unwritten` ends what takes longer.
+        """
+        left = self.call.deadline - now
+        long = len(self.call.body) > JOIN_BYTES
+        reserve = LONG_SEND_SHARE * left if long else min(SEND_S, left / 2)
+        return min(self.due - now, left - reserve)
 
     def _unwritten(self) -> None:
-        """It may not be made any more, and its last byte has not left: the server never has the whole."""
+        """Its last byte has not left, and may not any more: the upstream never has the whole request."""
         if not self.over and self.connection is not None and not self.connection.flushed:
             self.fail("connect_failed")
 
--- /dev/null
+++ b/tests/test_deadline_passed_on.py
@@ -0,0 +1,172 @@
+"""The time that an upstream is told: at most what its client has left as the bytes leave, 0.15 s of slack."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+from typing import NamedTuple
+
+import pytest
+import uvloop
+from peers import SETTINGS, Message, World, read_message, reply, request, run, until
+
+from quartzford.backends import http1
+
+SLACK_S = 0.15  # of the rule, and for as long a balancer may be held up between its clock and a write
+TRANSIT_S = 0.02  # from the balancer's write to this test's clock
+
+
+class Told(NamedTuple):
+    """One attempt as its upstream sees it: when its last byte came, and the seconds that it was told."""
+
+    at: float
+    left: float
+
+
+def seconds(message: Message) -> float:
+    text = message.fields["x-time-left"]
+    assert text.endswith("u")
+    return int(text[:-1]) / 1e6
+
+
+def noting(
+    told: list[Told], then: Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
+) -> Callable[[Message, asyncio.StreamWriter], Awaitable[None]]:
+    async def script(message: Message, writer: asyncio.StreamWriter) -> None:
+        told.append(Told(time.monotonic(), seconds(message)))
+        await then(message, writer)
+
+    return script
+
+
+async def serves(message: Message, writer: asyncio.StreamWriter) -> None:
+    writer.write(reply())
+
+
+async def breaks(message: Message, writer: asyncio.StreamWriter) -> None:
+    writer.transport.abort()
+
+
+def assert_kept(told: list[Told], asked: float, left: float, slack: float = TRANSIT_S) -> None:
+    """slack: so much of the rule's slack may be used."""
+    for attempt in told:
+        assert 0 < attempt.left <= asked + left - attempt.at + slack
+
+
+def hold_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The loop stands still between the last look at the clock and each write to an upstream."""
+    send = http1.Connection.send
+
+    def held(self: http1.Connection, head: bytes, body: bytes | bytearray) -> None:
+        time.sleep(SLACK_S)
+        send(self, head, body)
+
+    monkeypatch.setattr(http1.Connection, "send", held)
+
+
+def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The system takes little for an upstream that does not read."""
+    connected = http1.Connection.connection_made
+
+    def narrowed(self: http1.Connection, transport: asyncio.BaseTransport) -> None:
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        connected(self, transport)
+
+    monkeypatch.setattr(http1.Connection, "connection_made", narrowed)
+
+
+async def listening(world: World, backlog: int, window: int = 0) -> socket.socket:
+    """A listener in the place of the only upstream. window: bytes that it takes unread, 0 for the usual."""
+    server = socket.socket()
+    if window:
+        server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window)
+    server.bind(("127.0.0.1", 0))
+    server.listen(backlog)
+    server.setblocking(False)
+    world.ups[0].port = server.getsockname()[1]
+    world.news(world.host(0))
+    await until(lambda: world.node.pool.upstreams["s0"].address[1] == world.ups[0].port)
+    return server
+
+
+async def read_all(sock: socket.socket) -> bytes:
+    """Up to its end, clean or not."""
+    got = b""
+    with suppress(ConnectionResetError):
+        while piece := await asyncio.get_running_loop().sock_recv(sock, 1_000_000):
+            got += piece
+    return got
+
+
+@run
+async def test_behind_a_connection_that_came_up_late() -> None:
+    """The upstream's listen queue is full: the kernel's second try comes a second after the first."""
+    loop = asyncio.get_running_loop()
+    async with World(limits=SETTINGS["limits"] | {"connectTimeoutMs": 2500.0}) as world:
+        server = await listening(world, backlog=0)
+        queued = socket.create_connection(server.getsockname())
+        asked = time.monotonic()
+        answer = asyncio.ensure_future(world.ask(request("pay", b"", left="2900m")))
+        await until(lambda: world.node.pool.connects)
+        (await loop.sock_accept(server))[0].close()
+        reader, writer = await asyncio.open_connection(sock=(await loop.sock_accept(server))[0])
+        message = await read_message(reader)
+        told = Told(time.monotonic(), seconds(message))
+        assert told.at - asked > 0.5
+        assert_kept([told], asked, 2.9)
+        writer.write(reply())
+        assert (await answer).status == 200
+        queued.close()
+        writer.close()
+        server.close()
+
+
+@pytest.mark.parametrize("size", [50_000, 12_000_000])
+def test_behind_a_body_that_is_written_slowly(size: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """What is told holds at the request's last byte, or that byte never leaves."""
+
+    async def test() -> None:
+        async with World() as world:
+            server = await listening(world, backlog=8, window=2048)
+            asked = time.monotonic()
+            answer = asyncio.ensure_future(world.ask(request("pay", b"b" * size, left="1500m")))
+            sock, _ = await asyncio.get_running_loop().sock_accept(server)
+            await asyncio.sleep(0.9)  # unread for longer than what may be told late
+            head, _, body = (await read_all(sock)).partition(b"\r\n\r\n")
+            came = time.monotonic()
+            left = int(head.partition(b"X-Time-Left: ")[2].partition(b"u")[0]) / 1e6
+            assert len(body) < size or 0 < left <= asked + 1.5 - came + TRANSIT_S
+            assert (await answer).status == 503 and world.outcomes()[0] == "connect_failed"
+            sock.close()
+            server.close()
+
+    narrow(monkeypatch)
+    uvloop.run(test())
+
+
+@pytest.mark.parametrize("held", [False, True])
+def test_at_every_attempt(held: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """held: with 0.15 s between each look at the clock and its write, which is all the slack there is."""
+
+    async def test() -> None:
+        async with World(3) as world:
+            told: list[Told] = []
+            for up in world.ups[:2]:
+                up.script = noting(told, breaks)
+            world.ups[2].script = noting(told, serves)
+            for left in (0.9, 0.4):
+                told.clear()
+                asked = time.monotonic()
+                await world.ask(request(left=f"{int(left * 1000)}m"))
+                assert told
+                assert_kept(told, asked, left, SLACK_S if held else TRANSIT_S)
+
+    if held:
+        hold_up(monkeypatch)
+    uvloop.run(test())
+
+
+# ---- very little time left
