--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -406,6 +406,9 @@
         self.moved = sent
 
     def start(self) -> None:
+        if self.due - self.pool.now() < TICK_S:  # nothing is written in no time
+            self.pool.clock.call_soon(self.fail, "moot")
+            return
         self._arm()
         connection = self.upstream.take()
         if connection is not None:
@@ -462,6 +465,9 @@
         self.connection = connection
         connection.begin(self)
         now = self.pool.now()  # read where the bytes leave: what is told is true then
+        if self.due - now < TICK_S:
+            self._give_back(connection)
+            return self.fail("moot")
         told = self._time_to_tell(now)
         head = self.call.upstream_head(told)
         # Asked behind the last reading of the clock: the loop may have been held up since the client left.
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import pytest
 import uvloop
@@ -170,3 +170,25 @@
 
 
 # ---- very little time left
+
+
+@pytest.mark.parametrize("place", [(http1.Attempt, "start"), (http1.Connection, "begin")])
+def test_an_attempt_held_up_past_its_time_is_not_begun(
+    place: tuple[Any, str], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Before its connection is looked for, or right before the write: nobody hears of it, or is blamed."""
+    owner, name = place
+    usual = getattr(owner, name)
+
+    def late(*arguments: Any) -> None:
+        time.sleep(SLACK_S)
+        usual(*arguments)
+
+    async def test() -> None:
+        async with World(2) as world:
+            assert (await world.ask(request("pay", b"", left="100m"))).status == 503
+            assert set(world.outcomes()) == {"moot"}
+            assert not any(up.came for up in world.ups)
+
+    monkeypatch.setattr(owner, name, late)
+    uvloop.run(test())
