--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -239,6 +239,8 @@
         if code == "full":
             fleet.shut(server, sent.kind.name)
         refused = code == "connect_failed" and spent < sent.time_out - TICK_MS
+        if code in ("timeout", "reset", "connect_failed") and not refused and sent.time_out < sent.usual:
+            return  # it was given less time than an answer takes: that says nothing of the server
         fleet.health(server, code in ("error", "timeout", "reset", "connect_failed"), refused)
         if code in ("ok", "timeout") or (code == "full" and attempt >= 2):
             late = code == "full" or spent > LATE_FROM * sent.kind.aim_ms
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -11,7 +11,8 @@
 
 import pytest
 import uvloop
-from peers import SETTINGS, Message, World, read_message, reply, request, run, until
+from helpers import UNSAFE, ask, met_often, outcome, sends, started
+from peers import SETTINGS, Message, World, read_message, reply, request, run, silent, until
 
 from quartzford.backends import http1
 
@@ -172,6 +173,24 @@
 # ---- very little time left
 
 
+@run
+async def test_with_very_little_time_left_nothing_odd_follows() -> None:
+    """An upstream may drop such a request unanswered: it isn't blamed, and an unsafe one goes nowhere."""
+    async with World(2) as world:
+        assert (await world.ask(request())).status == 200
+        for up in world.ups:
+            up.came.clear()
+            up.script = silent
+        for left in ("0m", "0u", "1u", "900u", "1m", "2m", "5m", "20m", "0.5m"):
+            before = sum(len(up.came) for up in world.ups)
+            answer = await world.ask(request("pay", b"", left=left))
+            assert answer.status in (502, 503)
+            assert sum(len(up.came) for up in world.ups) <= before + 1
+        for up in world.ups:
+            assert all(0 < seconds(message) <= 0.02 for message in up.came)
+        assert not any(server.failing for server in world.node.engine.balancer.ready)
+
+
 @pytest.mark.parametrize("place", [(http1.Attempt, "start"), (http1.Connection, "begin")])
 def test_an_attempt_held_up_past_its_time_is_not_begun(
     place: tuple[Any, str], monkeypatch: pytest.MonkeyPatch
@@ -192,3 +211,14 @@
 
     monkeypatch.setattr(owner, name, late)
     uvloop.run(test())
+
+
+@pytest.mark.parametrize("code", ["timeout", "reset", "connect_failed"])
+def test_an_attempt_shorter_than_an_answer_takes_blames_nobody(code: str) -> None:
+    balancer = met_often(started(2))
+    for number, budget in enumerate((10.0, 400.0)):
+        (send,) = sends(ask(balancer, 0.0, number, UNSAFE.name, budget))
+        spent = budget if code != "reset" else 1.0
+        balancer.handle(budget, outcome(send, 0, code, spent))
+        blamed = balancer.servers[send.server].failing > 0
+        assert blamed == (budget > UNSAFE.aim_ms)
