--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -591,6 +591,9 @@
             following, request = self.waiting.popleft()
             if not self.waiting:
                 self.front.read_on(self)
+            if request is not None:  # its time has run while it waited
+                left = max(0.0, following.deadline - self.moved)
+                request = request._replace(budget_ms=left * 1000.0)
             self._take(following, request)
         elif self.error:
             self.reject(self.error)
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -191,6 +191,31 @@
         assert not any(server.failing for server in world.node.engine.balancer.ready)
 
 
+@run
+async def test_a_request_whose_time_ran_out_behind_another_is_not_sent() -> None:
+    """The second of two on one connection waits for longer than its own time."""
+    async with World(2) as world:
+        gate = asyncio.Event()
+
+        async def waits(message: Message, writer: asyncio.StreamWriter) -> None:
+            await gate.wait()
+            writer.write(reply())
+
+        for up in world.ups:
+            up.script = waits
+        reader, writer = await world.connect()
+        writer.write(request("pay", b"") + request("pay", b"", left="50m"))
+        await until(lambda: any(client.waiting for client in world.node.front.clients))
+        (client,) = world.node.front.clients
+        late = client.waiting[0][0].deadline
+        await until(lambda: world.node.clock.now() > late)
+        gate.set()
+        assert (await read_message(reader)).status == 200
+        assert (await read_message(reader)).status == 503
+        assert sum(len(up.came) for up in world.ups) == 1
+        assert world.outcomes() == ["ok"]
+
+
 @pytest.mark.parametrize("place", [(http1.Attempt, "start"), (http1.Connection, "begin")])
 def test_an_attempt_held_up_past_its_time_is_not_begun(
     place: tuple[Any, str], monkeypatch: pytest.MonkeyPatch
