--- a/quartzford/decision/eligibility.py
+++ b/quartzford/decision/eligibility.py
@@ -282,7 +282,8 @@
     now = 0.0  # set by the balancer at each event
 
     def sent(self, server: Server, attempt: Attempt, sent: Sent) -> None:
-        server.tokens -= 1.0
+        if server in self.cold:
+            server.tokens -= 1.0
         server.open[attempt] = sent
         if len(server.open) == 1:
             self._head(server, attempt, sent)
