--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -20,6 +20,7 @@
 import pytest
 import test_process
 import uvloop
+from helpers import started
 from peers import request, run, until
 from test_replacement import Line, in_line
 
@@ -31,6 +32,7 @@
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
 from quartzford.recording import Recorder
+from quartzford.replacement import state as wire
 from quartzford.replacement import succession as successions
 from quartzford.replacement.book import RETRY_S, Book, read_book, write_book
 from quartzford.replacement.succession import LISTEN_RETRY_S, Succession
@@ -604,3 +606,15 @@
     for kept in range(len(text) - 1):
         with pytest.raises(TraceError, match="line [0-9]+: "):
             list(read_trace(text[:kept].splitlines(keepends=True)))
+
+
+def test_a_handed_over_state_cut_off_at_any_byte_is_refused() -> None:
+    """A predecessor that is killed half way: nothing is taken from a part of its state."""
+    balancer = started(6)
+    listing: dict[str, Any] = {"seq": 1, "whole": True, "hosts": [ROW]}
+    one = wire.State(wire.FORMAT, listing, 1, ["a", 1], True, 0, balancer.hand_over(5.0))
+    data = b"".join(wire.parts(one))
+    assert wire.read_state(data).listing == listing
+    for kept in range(len(data)):
+        with pytest.raises(ValueError, match="a state"):
+            wire.read_state(data[:kept])
