--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -27,6 +27,7 @@
 PAUSED_S = 1.0
 LOOK_S = 0.04  # how often it is looked whether those that are not read have gone
 PIPELINED = 16
+LINGERING = 16  # connections beyond the bound, while those that make room for them take their answers
 HIGH_BYTES = 16 * 1024
 BACKLOG = 2048
 HEALTH = b"/_health"
@@ -313,16 +314,31 @@
             self._make_room()
 
     def _make_room(self) -> None:
+        """End what nothing is lost with, else answer half a request, else close this connection unread."""
+        clients, most = self.front.clients, self.front.most
+        while len(clients) > most:
+            closable = self._another(Client.idle) or self._another(Client.lingers)
+            if closable is None:
+                break
+            del clients[closable]
+            closable.transport.abort()
+        if len(clients) > most + LINGERING and self._another(Client.has_half_a_request):
+            self.transport.abort()
+        elif len(clients) > most and (half := self._another(Client.has_half_a_request)):
+            half.reject(503)
+
+    def _another(self, condition: Callable[[Client], bool]) -> Client | None:
+        """The first of the other connections, longest unused first, on which no answer is owed."""
         clients = self.front.clients
-        victim = next((c for c in clients if c is not self and c.rested() and c.owes_nothing()), None)
-        if victim is None:
-            victim = next((c for c in clients if c is not self and c.owes_nothing()), None)
-        if victim is not None:
-            victim.transport.abort()
-
-    def rested(self) -> bool:
-        """It may be closed with nothing lost: it rests, or only waits for its client to go."""
-        return self.closing or self.idle()
+        return next((c for c in clients if c is not self and condition(c) and c.owes_nothing()), None)
+
+    def lingers(self) -> bool:
+        """Its last answer has been written."""
+        return self.lingering is not None
+
+    def has_half_a_request(self) -> bool:
+        """Something of a request has been read that is not whole and not answered."""
+        return self.in_message and self.exchange is None and not self.closing
 
     def owes_nothing(self) -> bool:
         """No answer is owed here, and none is on its way out."""
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -7,12 +7,13 @@
 
 import pytest
 import uvloop
-from peers import run, until
+from peers import World, request, run, until
 from test_endings import read_all
 from test_operations import Watched, port_of
 from test_relay_server import PATH, Site, site
 
 from quartzford.fronts import operations
+from quartzford.fronts.http1 import LINGERING
 from quartzford.relay.caller import State
 
 STATUS = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -36,6 +37,63 @@
     return int(data.split()[1]) if data else 0
 
 
+# ---- clients
+
+
+def half_a_request(cut: int = -10) -> bytes:
+    return request("pay", b"b" * 30)[:cut]
+
+
+@pytest.mark.parametrize("cut", [20, -10])
+def test_half_a_request_that_makes_room_is_answered(cut: int) -> None:
+    """It was reset: something of it had been read, and it got no answer."""
+
+    async def test() -> None:
+        async with World() as world:
+            front = world.node.front
+            front.most = 3
+            begun = [await connected(world.port, half_a_request(cut)) for _ in range(front.most)]
+            await until(lambda: sum(c.has_half_a_request() for c in front.clients) == len(begun))
+            newcomer = await connected(world.port, request())
+            assert await status_of(begun.pop(0)) == 503
+            assert (await asyncio.get_running_loop().sock_recv(newcomer, 65536)).startswith(b"HTTP/1.1 200")
+            for sock in begun:
+                sock.send(request("pay", b"b" * 30)[cut:])
+                assert (await asyncio.get_running_loop().sock_recv(sock, 65536)).startswith(b"HTTP/1.1 200")
+                sock.close()
+            newcomer.close()
+
+    uvloop.run(test())
+
+
+@run
+async def test_a_crowd_of_half_requests_is_answered_within_the_bound_on_connections() -> None:
+    async with World() as world:
+        front = world.node.front
+        front.most = 3
+        most_open = 0
+        begun: list[socket.socket] = []
+        for _ in range(60):
+            begun.append(await connected(world.port, half_a_request()))
+            await asyncio.sleep(0)
+            most_open = max(most_open, len(front.clients))
+        answered = [await status_of(sock) for sock in begun]
+        assert set(answered) <= {503, 408, 0} and answered.count(0) <= 60 - front.most - LINGERING
+        assert most_open <= front.most + LINGERING + 1
+
+
+@run
+async def test_half_a_request_that_memory_is_too_short_for_is_answered_though_it_goes_on() -> None:
+    async with World() as world:
+        world.node.budget.limit = 0
+        sock = await connected(world.port, half_a_request())
+        await until(lambda: world.node.front.unread)
+        sock.send(b"b" * 5)  # is left with the system
+        assert await status_of(sock) == 503
+        await until(lambda: not world.node.front.clients)
+        assert world.node.budget.used == 0
+
+
 # ---- the second address
 
 
