--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -144,9 +144,10 @@
     warm_keys: bool = False
     marks_retry: bool = False
     tick_ms: float = 1.0
+    stall_ms: float = 0.0  # the host may stand still for so long between an event's time and its action
 
     def __post_init__(self) -> None:
-        _not_negative(self, "over_share_worth", "tick_ms")
+        _not_negative(self, "over_share_worth", "tick_ms", "stall_ms")
         if self.balancers < 1:
             raise ValueError("balancers: must be 1 or more")
         if not self.classes:
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -178,7 +178,9 @@
         """No effect twice: what may have run goes again only if it is free, or keyed and in its window."""
         if flight.bound is None or flight.kind.effect == "free":
             return math.inf
-        window = flight.kind.window_ms - self.settings.tick_ms if flight.kind.effect == "keyed" else 0.0
+        if flight.kind.effect != "keyed":
+            return 0.0
+        window = flight.kind.window_ms - self.settings.tick_ms - self.settings.stall_ms
         return max(0.0, window - (self.now - flight.bound_ms))
 
     def _may_send(self, flight: Flight) -> bool:
--- a/quartzford/settings/platform.py
+++ b/quartzford/settings/platform.py
@@ -10,6 +10,7 @@
 
 from quartzford.decision import interface as io
 
+STALL_MS = 150.0  # a real balancer may be held up for so long between reading its clock and writing
 EFFECTS = {"free": "free", "guarded": "keyed", "single_shot": "unsafe"}
 
 
@@ -184,7 +185,7 @@
 
 
 def _config(table: Any) -> Config:
-    settings = _settings(table)
+    settings = replace(_settings(table), stall_ms=STALL_MS)  # actions of the simulator take no time
     raw = table["settings"]
     return Config(
         name=_want(table, "name", str),
