--- /dev/null
+++ b/bench/growth_site.py
@@ -0,0 +1,210 @@
+"""The upstreams and the list service of bench.growth in a process of their own; a part is replaced.
+
+An upstream is as strong at every size. It stands for one of a fleet whose balancers grow in number with its
+upstreams, so that a balancer's share of all capacity stays the same; the other balancers are not played.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable, Iterator, Sequence
+from contextlib import contextmanager
+from multiprocessing.connection import Connection
+from time import time
+from typing import Any, NamedTuple
+
+import uvloop
+
+from bench.slopes_process import receive, spawned
+from standins.listservice import Plan as ServicePlan
+from standins.listservice import Service
+from standins.nodo import Books, Nodo
+from standins.site import START_SHARE, WARM_S
+
+CELL = 4  # upstreams of one cell, where their number grows with the upstreams
+LARGE_CELLS = 8  # cells, where these grow
+CAPACITY, CORES = 16.0, 2  # requests a second of a warm upstream, and its cores
+LATENCY_S = 0.005
+CONNECT_S = 0.0012
+IDLE_S = 15.0
+MOST_CONNECTIONS = 180
+DRAIN_S = 1.0  # from the notice that an upstream drains until it is gone
+STEPS = 4  # batches of a roll
+CHURNS = ("roll", "join")
+LAYOUTS = ("more cells", "larger cells")
+
+
+class Day(NamedTuple):
+    """What is played; times in seconds from the first request.
+
+    churn: "roll" (batches that drain, are gone, and are followed by successors in the same cells) or "join"
+    (newcomers one after the other, each as another begins to drain; small cells are their own).
+    layout: "more cells" (CELL upstreams in each, at every size) or "larger cells" (LARGE_CELLS of them).
+    """
+
+    churn: str
+    layout: str
+    upstreams: int
+    rate: float  # requests a second
+    seconds: float
+    churn_from: float
+    churn_s: float  # within which the part is replaced
+    replaced: int
+    seed: int = 1
+
+    def cell(self, number: int) -> int:
+        """The cell of the upstream of this number; newcomers count on after those of the start."""
+        return number // CELL if self.layout == "more cells" else number % LARGE_CELLS
+
+
+class Counts(NamedTuple):
+    """What the site has seen so far."""
+
+    connections: int  # made to upstreams
+    list_bytes: int  # of lists and changes told since the churn began
+
+
+class CountingNodo(Nodo):
+    """An upstream that counts the connections made to it: each costs it the work of a handshake."""
+
+    connections_made = 0
+
+    def spend(self, now: float, seconds: float) -> None:
+        """Count the handshake, and do its work."""
+        self.connections_made += 1
+        super().spend(now, seconds)
+
+
+class Site:
+    """The upstreams, their list, and the churn."""
+
+    def __init__(self, day: Day) -> None:
+        self.day = day
+        self.books = Books()
+        self.service = Service(ServicePlan(per_s=1_000.0))
+        self.nodos: list[CountingNodo] = []
+        self.bytes_before = 0
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    async def start(self) -> None:
+        """Start all upstreams, then the list service."""
+        for number in range(self.day.upstreams):
+            await self._start_nodo(f"s{number:05}", self.day.cell(number))
+        self.service.replace_list([nodo.entry() for nodo in self.nodos])
+        await self.service.start()
+
+    async def _start_nodo(self, name: str, cell: int) -> CountingNodo:
+        nodo = CountingNodo(
+            name, self.books, site=f"z{cell % 3}", block=cell, capacity=CAPACITY, cores=CORES,
+            latency_s=LATENCY_S, connect_s=CONNECT_S, idle_s=IDLE_S, most_connections=MOST_CONNECTIONS,
+            start_share=START_SHARE, warm_s=WARM_S, rng=random.Random(name),
+        )  # fmt: skip
+        await nodo.start()
+        self.nodos.append(nodo)
+        return nodo
+
+    def known(self) -> dict[str, Any]:
+        """The whole list, as a balancer's configuration holds it."""
+        return {"seq": self.service.version, "whole": True, "hosts": list(self.service.rows.values())}
+
+    def counts(self) -> Counts:
+        """Connections so far, and bytes of lists since the churn began."""
+        made = sum(nodo.connections_made for nodo in self.nodos)
+        return Counts(made, self.service.bytes - self.bytes_before)
+
+    # ---- churn
+
+    def begin(self) -> None:
+        """The first request is sent now."""
+        asyncio.get_running_loop().call_later(self.day.churn_from, self._begin_churn)
+
+    def _begin_churn(self) -> None:
+        self.bytes_before = self.service.bytes
+        leaving = random.Random(self.day.seed).sample(self.nodos, self.day.replaced)
+        if self.day.churn == "roll":
+            batches = [leaving[first::STEPS] for first in range(STEPS)]
+            self._spread(batches, self.day.churn_s / STEPS, self._roll)
+        else:
+            self._spread(list(enumerate(leaving)), self.day.churn_s / len(leaving), self._join)
+
+    def _spread(self, parts: Sequence[Any], every_s: float, replace: Callable[[Any], Any]) -> None:
+        for number, part in enumerate(parts):
+            asyncio.get_running_loop().call_later(number * every_s, self._start_task, replace, part)
+
+    def _start_task(self, replace: Callable[[Any], Any], part: Any) -> None:
+        task = asyncio.ensure_future(replace(part))
+        self.tasks.add(task)
+        task.add_done_callback(self._task_ended)
+
+    def _task_ended(self, task: asyncio.Task[None]) -> None:
+        self.tasks.discard(task)
+        task.result()
+
+    async def _roll(self, batch: Sequence[CountingNodo]) -> None:
+        """A batch drains, is gone, and its successors join, cold."""
+        await self._drain(batch)
+        self._tell([await self._newcomer(nodo.name, nodo.block) for nodo in batch])
+
+    async def _join(self, numbered: tuple[int, CountingNodo]) -> None:
+        """A newcomer joins, cold, while another upstream drains."""
+        number, nodo = numbered
+        self._tell([await self._newcomer(nodo.name, self.day.cell(self.day.upstreams + number))])
+        await self._drain([nodo])
+
+    async def _newcomer(self, predecessor: str, cell: int) -> CountingNodo:
+        nodo = await self._start_nodo(f"{predecessor}-2", cell)
+        nodo.born, nodo.born_ms = asyncio.get_running_loop().time(), int(time() * 1000)
+        return nodo
+
+    async def _drain(self, batch: Sequence[Nodo]) -> None:
+        for nodo in batch:
+            nodo.health = "draining"
+        self._tell(batch)
+        await asyncio.sleep(DRAIN_S)
+        for nodo in batch:
+            await nodo.stop()
+        self._tell(batch, health="gone")
+
+    def _tell(self, nodos: Sequence[Nodo], **changes: Any) -> None:
+        self.service.change_rows([nodo.entry(**changes) for nodo in nodos])
+
+
+def _serve(pipe: Connection, day: Day) -> None:
+    uvloop.run(_run(pipe, day))
+
+
+async def _run(pipe: Connection, day: Day) -> None:
+    site, loop = Site(day), asyncio.get_running_loop()
+    await site.start()
+    pipe.send((site.service.port, site.known()))
+    while (order := await loop.run_in_executor(None, pipe.recv)) != "end":
+        if order == "begin":
+            site.begin()
+        else:
+            pipe.send(site.counts())
+
+
+class RunningSite:
+    """The site's process, from outside. port: the list service's; known: the list at the start."""
+
+    def __init__(self, pipe: Connection) -> None:
+        self.pipe = pipe
+        self.port, self.known = receive(pipe)
+
+    def begin(self) -> None:
+        """The first request is sent now: the churn counts from here."""
+        self.pipe.send("begin")
+
+    def counts(self) -> Counts:
+        """What the site has seen so far."""
+        self.pipe.send("counts")
+        counts: Counts = receive(self.pipe)
+        return counts
+
+
+@contextmanager
+def site(day: Day) -> Iterator[RunningSite]:
+    """The site of a day, in a process of its own, ended with the block."""
+    with spawned(_serve, day) as pipe:
+        yield RunningSite(pipe)
