--- a/quartzford/decision/eligibility.py
+++ b/quartzford/decision/eligibility.py
@@ -144,32 +144,27 @@
                 self.shares = self.fit(self.shares, len(self.ready))
 
     def _choose(self) -> bool:
-        """Take cells into use, or leave some; between begin and commit. Whether any."""
+        """Take servers into use, or leave some; between begin and commit. Whether any."""
         wanted = self.working.wanted(self.arrivals.read(self.now))
         taken, left = self.working.choose(wanted, self._able)
-        for cell in taken:
-            self.take(cell)
-        for name in (name for cell in left for name in self.working.cells[cell]):
+        self._join_all(taken)
+        for name in left:
             self._leave(self.servers[name])
         if taken or left:
             self.units = None
         return bool(taken or left)
 
-    def take(self, cell: int) -> None:
-        """Use a cell's servers; between begin and commit."""
-        self.working.used.add(cell)
-        for name in self.working.cells.get(cell, ()):
+    def _join_all(self, names: list[str]) -> None:
+        for name in names:
             if self.servers[name].at < 0:
                 self._join(self.servers[name])
 
     def use(self, names: list[str]) -> None:
-        """Those that the process before used, so far as they may be."""
-        cells = {self.working.cell_of[name] for name in names if name in self.working.cell_of}
+        """Use those that the process before used, as far as they may be."""
         self.shares = self.fit(self.shares, len(self.ready) + len(names))
         self.shares.begin()
         self.units = None
-        for cell in cells - self.working.used:
-            self.take(cell)
+        self._join_all(self.working.take(names))
         self._commit()
 
     def _able(self, name: str) -> bool:
--- a/tests/test_workingset.py
+++ b/tests/test_workingset.py
@@ -25,6 +25,10 @@
     return working
 
 
+def cells_of(working: WorkingSet, names: list[str]) -> set[int]:
+    return {working.cell_of[name] for name in names}
+
+
 @pytest.mark.parametrize(
     ("per_s", "servers", "least", "most"),
     [
@@ -48,7 +52,7 @@
     for salt in range(400):
         working = filled(salt, 40)
         working.choose(LEAST, able)
-        used.update(working.used)
+        used.update(working.used.keys())
     # Drawn by each alone: forty each, and four deviations of a binomial draw from it at the most.
     assert len(used) == 40 and min(used.values()) > 16 and max(used.values()) < 64
 
@@ -64,8 +68,10 @@
             for n in range(4):
                 working.put(f"c{cell}n{n}", cell)
         taken, left = working.choose(LEAST, able)
-        assert set(taken) == working.used - before and set(left) == before - working.used
-        assert all(cell >= 40 for cell in taken) and len(left) <= len(taken)
+        cells_taken, cells_left = cells_of(working, taken), cells_of(working, left)
+        assert cells_taken == working.used.keys() - before and cells_left == before - working.used.keys()
+        assert len(taken) == 4 * len(cells_taken) and len(left) == 4 * len(cells_left)
+        assert all(cell >= 40 for cell in cells_taken) and len(left) <= len(taken)
         assert 4 * len(working.used) <= SLACK * LEAST
         new += sum(cell >= 40 for cell in working.used)
     assert 0.25 < new / (200 * LEAST / 4) < 0.42
@@ -77,7 +83,8 @@
     before = set(working.used)
     bad = min(before)
     taken, left = working.choose(LEAST, lambda name: not name.startswith(f"c{bad}n"))
-    assert len(taken) == 1 and not left and bad in working.used
+    assert len(cells_of(working, taken)) == 1 and len(taken) == 4
+    assert not left and bad in working.used
     for _ in range(20):  # well and bad again
         assert working.choose(LEAST, able) == ([], [])
         assert working.choose(LEAST, lambda name: not name.startswith(f"c{bad}n")) == ([], [])
