--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -24,6 +24,7 @@
 from quartzford.membership import start_times
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.membership.start_times import StartTimes
+from quartzford.membership.subset import Subset
 from quartzford.node import Node
 from quartzford.recording import Recorder
 from quartzford.replacement import state as wire
@@ -61,14 +62,14 @@
 class Site:
     """A control side whose watch is played by hand, and its traffic, on a clock that the test moves."""
 
-    def __init__(self, clock: AnchoredClock, loop: Any = None) -> None:
+    def __init__(self, clock: AnchoredClock, subset: Subset | None = None) -> None:
         self.clock, self.requests = clock, 0
         config = read_config(json.dumps({
             "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "5",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {},
             "settings": SETTINGS | {"guarantees": GUARANTEES},
         }))  # fmt: skip
-        self.side: ControlSide = assemble(config, loop, clock, Quiet())
+        self.side: ControlSide = assemble(config, asyncio.AbstractEventLoop(), clock, Quiet(), subset)
         self.side.watch.start = lambda: None  # type: ignore[method-assign]
         self.balancer = self.side.engine.balancer
 
@@ -183,6 +184,20 @@
     assert not site.balancer.fleet.cold
 
 
+def test_an_upstream_that_is_taken_into_the_subset_later_is_no_newcomer() -> None:
+    site = Site(AnchoredClock(), subset=Subset("n0", 2))
+    rows = [row(n, UNIX_MS - HOUR_MS) for n in range(4)]
+    site.side.begin(lines(0, whole=True))
+    site.hears(lines(1, *rows, whole=True))
+    used = {server.entry.server for server in site.balancer.ready}
+    site.sends_to("s0", 4.0)
+    changes = [row(int(name[1:]), UNIX_MS - HOUR_MS, "draining") for name in used]
+    site.hears(lines(2, *changes))
+    taken = {server.entry.server for server in site.balancer.ready}
+    site.sends_to("s0", 0.1)
+    assert len(taken) == 2 and not taken & used and not site.balancer.fleet.cold
+
+
 def test_a_list_of_another_service_has_no_last_moment_without_its_upstreams() -> None:
     times, now = StartTimes(), 100_000.0
     times.learn(lines(1, row(0, 5.0), whole=True), -float("inf"), now)
