--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -535,13 +535,17 @@
     # ---- answers
 
     def _head(self, exchange: Exchange, status: int, fields: list[bytes], framing: bytes) -> bytes:
-        exchange.keep = exchange.keep and not self.error and not self.front.draining
+        exchange.keep = exchange.keep and (self._more_was_read() or not self.front.draining)
         if not exchange.keep:
             framing += b"Connection: close\r\n"
         elif exchange.old:
             framing += b"Connection: keep-alive\r\n"
         return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, REASONS[status], b"".join(fields), framing)
 
+    def _more_was_read(self) -> bool:
+        """Whether anything was read behind the request that is answered now: it is owed its own answer."""
+        return bool(self.waiting) or self.in_message or bool(self.error)
+
     def answer(
         self, exchange: Exchange, status: int, pause_ms: float = 0.0,
         fields: list[bytes] | None = None, chunks: list[bytes] | None = None,
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -7,8 +7,8 @@
 
 import pytest
 import uvloop
-from peers import World, request, run, until
-from test_endings import read_all
+from peers import World, read_message, reply, request, run, until
+from test_endings import gated, read_all
 from test_operations import Watched, port_of
 from test_relay_server import PATH, Site, site
 
@@ -94,6 +94,34 @@
         assert world.node.budget.used == 0
 
 
+@pytest.mark.parametrize("behind", ["whole ones", "a half one", "none"])
+def test_pipelined_requests_that_were_read_are_answered_though_the_process_ends(behind: str) -> None:
+    """The first answer said Connection: close, and what had been read behind it was dropped."""
+
+    async def test() -> None:
+        async with World() as world:
+            gate = asyncio.Event()
+            world.ups[0].script = gated(gate, reply())
+            follow = {"whole ones": request() * 4, "a half one": half_a_request(), "none": b"NONE \r\n\r\n"}
+            reader, writer = await world.connect()
+            writer.write(request() + follow[behind])
+            await until(lambda: world.ups[0].came and world.node.front.clients)
+            (client,) = world.node.front.clients
+            await until(lambda: len(client.waiting) == 4 or client.in_message or client.error)
+            world.node.front.draining = True
+            gate.set()
+            answers = [await read_message(reader)]
+            if behind == "a half one":
+                writer.write(request("pay", b"b" * 30)[-10:])
+            while "connection" not in answers[-1].fields:
+                answers.append(await read_message(reader))
+            statuses = {"whole ones": [200] * 5, "a half one": [200, 200], "none": [200, 400]}
+            assert [answer.status for answer in answers] == statuses[behind]
+            assert await reader.read() == b""
+
+    uvloop.run(test())
+
+
 # ---- the second address
 
 
