--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -193,6 +193,12 @@
         for client in list(self.clients):
             client.close_if_idle()
 
+    def reject_unfinished(self) -> None:
+        """Answer half requests at once: this process has no time left for them to come whole."""
+        for client in list(self.clients):
+            if client.has_half_a_request():
+                client.reject(503)
+
     def sweep(self) -> None:
         now = self.now()
         for client in list(self.clients):
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -210,8 +210,10 @@
         if self.front.draining:
             self.front.close_idle()
         limit = self.exit_by()
-        if self.clock.now() >= limit - (ANSWER_S - EXIT_S) and not self.engine.balancer.ending:
-            self.engine.end_all()
+        if self.clock.now() >= limit - (ANSWER_S - EXIT_S):
+            if not self.engine.balancer.ending:
+                self.engine.end_all()
+            self.front.reject_unfinished()
         quiet = not self.front.clients and not self.front.accepting  # taken back, more may come for a moment
         if quiet or self.clock.now() >= limit:
             self.control.stop()
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -7,7 +7,7 @@
 
 import pytest
 import uvloop
-from peers import World, read_message, reply, request, run, until
+from peers import SETTINGS, World, read_message, reply, request, run, until
 from test_endings import gated, read_all
 from test_operations import Watched, port_of
 from test_relay_server import PATH, Site, site
@@ -122,6 +122,23 @@
     uvloop.run(test())
 
 
+@pytest.mark.parametrize("cut", [20, -10])
+def test_half_a_request_is_answered_before_the_process_ends(cut: int) -> None:
+    """A short deadline leaves the process less time than such a client is given; its connection was cut."""
+
+    async def test() -> None:
+        classes = [kind | {"deadlineMs": 300.0, "sloMs": 200.0} for kind in SETTINGS["classes"]]
+        async with World(classes=classes) as world:
+            sock = await connected(world.port, half_a_request(cut))
+            await until(lambda: any(c.has_half_a_request() for c in world.node.front.clients))
+            world.node.terminate()
+            await world.node.finished
+            assert not any(c.has_half_a_request() for c in world.node.front.clients)
+            assert await status_of(sock) == 503
+
+    uvloop.run(test())
+
+
 # ---- the second address
 
 
