--- a/quartzford/replacement/book.py
+++ b/quartzford/replacement/book.py
@@ -14,6 +14,7 @@
 from quartzford.atomic_file import remove_leftovers, replace_file
 from quartzford.engine import Clock, Handle, Log
 
+FORMAT = 1
 MOST_BYTES = 1024 * 1024
 RETRY_S = 1.0
 
@@ -36,8 +37,14 @@
         self.stopped = False
 
     def read(self) -> list[str]:
-        """Names; none where there is no file, or one that can't be read."""
-        return read_book(self.path)
+        """Names; none where there is no file, or one that can't be used, which is logged."""
+        try:
+            return read_book(self.path)
+        except FileNotFoundError:
+            return []
+        except (OSError, ValueError, msgspec.MsgspecError) as error:
+            self.log.line("replacement", f"{self.path} is not used, who is out by hand is unknown: {error}")
+            return []
 
     def note(self, names: Set[str]) -> None:
         """Write the names, now and, where that fails, every RETRY_S as they are then."""
@@ -74,13 +81,12 @@
 
 
 def read_book(path: str) -> list[str]:
-    """Names; none where there is no file, or one that can't be read."""
-    try:
-        with open(path, "rb") as file:
-            page: Page = msgspec.json.decode(file.read(MOST_BYTES), type=Page)
-    except (OSError, msgspec.MsgspecError):
-        return []
-    return page.out if page.format == 1 else []
+    """Names. OSError where the file can't be read; ValueError or MsgspecError where it is no such page."""
+    with open(path, "rb") as file:
+        page: Page = msgspec.json.decode(file.read(MOST_BYTES), type=Page)
+    if page.format != FORMAT:
+        raise ValueError(f"format {page.format} is not {FORMAT}")
+    return page.out
 
 
 def write_book(path: str, names: Iterable[str]) -> None:
@@ -90,4 +96,4 @@
     """
     with suppress(OSError):
         remove_leftovers(path)
-    replace_file(path, msgspec.json.encode(Page(1, sorted(names))), synced=False)
+    replace_file(path, msgspec.json.encode(Page(FORMAT, sorted(names))), synced=False)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -17,6 +17,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+import msgspec
 import pytest
 import test_process
 import uvloop
@@ -427,7 +428,9 @@
                 write_book(str(path), {"s0", "s1"})
         assert read_book(str(path)) == ["s0"]
         half = Path(atomic_file.temporary_path(str(path)))
-        assert half.read_bytes() == page[:kept] and read_book(str(half)) == []
+        assert half.read_bytes() == page[:kept]
+        with pytest.raises(msgspec.MsgspecError):
+            read_book(str(half))
 
 
 def test_two_processes_that_write_the_book_at_once_don_t_meet_in_one_file(
@@ -618,3 +621,14 @@
     for kept in range(len(data)):
         with pytest.raises(ValueError, match="a state"):
             wire.read_state(data[:kept])
+
+
+def test_a_book_that_can_t_be_read_is_said(tmp_path: Path) -> None:
+    path, log = tmp_path / "out", Lines()
+    book = Book(str(path), ManualClock(), log)
+    assert book.read() == [] and not log.lines  # there is none yet
+    path.write_bytes(b"{")
+    assert book.read() == [] and "is not used" in log.lines[-1]
+    path.unlink()
+    path.mkdir()
+    assert book.read() == [] and len(log.lines) == 2
