--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -76,7 +76,7 @@
             self.processor = Processor(link, self.names, self.longest_s, most, self.clock, self.log)
             self.port = await self.processor.listen(self.settings.listen)
             return
-        self.folder = tempfile.TemporaryDirectory(prefix="quartzford-")
+        self.folder = tempfile.TemporaryDirectory(prefix="quartzford-", ignore_cleanup_errors=True)
         path = str(Path(self.folder.name) / "desk")
         loop = asyncio.get_running_loop()
         self.unix = await loop.create_unix_server(
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -632,3 +632,24 @@
     path.unlink()
     path.mkdir()
     assert book.read() == [] and len(log.lines) == 2
+
+
+def test_a_worker_s_socket_that_can_t_be_removed_does_not_break_the_end_off(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The external processor ends before the balancer, which still answers its requests."""
+    extproc_site = pytest.importorskip("extproc_site")
+
+    def fails(*arguments: Any, **named: Any) -> None:
+        raise OSError(errno.EIO, "fails")
+
+    @run
+    async def test() -> None:
+        async with extproc_site.Site(2, workers=1) as site:
+            monkeypatch.setattr(os, "unlink", fails)
+            monkeypatch.setattr(os, "rmdir", fails)
+            await site.front.stop()
+            monkeypatch.undo()
+            site.front.folder.cleanup()
+
+    test()
