--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -22,6 +22,7 @@
 from typing import Any
 
 from bench.common import ROOT, checkout, report
+from bench.fleetmodel import TIP
 
 OLD = "c5bc1c6886e475539588eee6b90d0610b179f7a5"
 SIZES = ((1, 8), (16, 24), (40, 60), (97, 97), (200, 200))  # balancers and upstreams
@@ -132,7 +133,7 @@
     if options.chart:
         chart(rows, options.chart)
     new = [r for r in rows if r["code"] == "new"]
-    held = not any(r["fallen"] or r["broken"] for r in (*new, *over))
+    held = not any(r["fallen"] or r["broken"] or r["cold_multiple"] > TIP for r in (*new, *over))
     size = 40 if options.quick else 200
     gains = [f"{e} {_worth(rows, e, 'old', size)} to {_worth(rows, e, 'new', size)}" for e in EVENTS]
     verdict = "held" if held else "BROKEN"
--- a/bench/fleetmodel.py
+++ b/bench/fleetmodel.py
@@ -3,8 +3,9 @@
 The modules are the real ones and know nothing of each other. All else is a model; its assumptions:
 
 - Upstreams have cores, a first-come queue without end, a speed and a connection cap. Work is lognormal. One
-  that starts is cold: its speed rises evenly with time from START to 1 over COLD_MS. Sent more than TIP times
-  what it can do within any FALL_MS, by work, it falls over and stays down. Time-outs take waiting work away.
+  that starts is cold: its speed rises evenly with time from START to 1 over COLD_MS. Sent more than its cold
+  budget (bench.coldbudget, N being TIP times what it can do) within any FALL_MS, by work, it falls over and
+  stays down. Time-outs take waiting work away.
 - A connection is kept after an answer and closed after anything else. A new one takes two round trips and
   HANDSHAKE_MS of the upstream's work. The dead refuse; the silent neither accept nor answer.
 - Clients arrive as a Poisson stream at balancers drawn evenly, wait WAIT of the deadline for a try, and ask
@@ -30,6 +31,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
+from bench.coldbudget import cold_budget
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
 
@@ -47,6 +49,8 @@
 SHARES, WORK_MS = (0.47, 0.43, 0.10), (115.0, 150.0, 130.0)
 MEAN_MS = sum(share * work for share, work in zip(SHARES, WORK_MS, strict=True))
 LOAD = 0.6
+BURST_MS = (6_000.0, 9_000.0)  # from and until, on the play's clock
+DEPLOYED, DEPLOY_STEPS, DEPLOY_MS = 0.85, 5, 20_000.0
 EPOCH_MS = 1e6  # the clock's start: times near 0 stand for long ago in the list
 
 
@@ -62,9 +66,11 @@
 class Plan(NamedTuple):
     """What happens to whom.
 
-    event: zone, join, restart, cold restart, newcomer, handover, bad or calm, at 4 s; cold start, at 0.
+    event: zone, join, deploy, restart, cold restart, newcomer, handover, bad or calm, at 4 s; cold start,
+    at 0.
 
     rate: the part of the usual traffic. uneven: of the balancers a tenth sees five times what the others do.
+    burst: the traffic during BURST_MS, as a multiple. cores: of each upstream.
     """
 
     balancers: int
@@ -75,6 +81,8 @@
     asked: bool = False
     rate: float = 1.0
     uneven: bool = False
+    burst: float = 1.0
+    cores: int = CORES
 
 
 @dataclass(eq=False)
@@ -86,6 +94,7 @@
     cell: int
     speed: float
     born: float = 0.0
+    cores: int = CORES
     state: str = "ready"  # as discovery knows it
     dead: bool = False  # refuses
     silent: bool = False
@@ -96,26 +105,24 @@
     sent: deque[tuple[float, float]] = field(default_factory=deque)  # while cold: when, work
     window: float = 0.0
     highest: float = 0.0  # multiple of what it could do
-    use: float = (
-        0.0  # of the bound: N calls of mean work that the settings allow, 2 x root of N and 2 for chance
-    )
+    use: float = 0.0  # largest part of its cold budget that it got
 
     def warmth(self, now: float) -> float:
         return 1.0 if not self.born else min(1.0, START + (1 - START) * (now - self.born) / COLD_MS)
 
     def take(self, now: float, work: float) -> bool:
-        """Work comes to one that is cold; whether it bears it."""
+        """Work comes to one that is cold; whether it bears it. It falls over past its cold budget."""
         if self.warmth(now) >= 1.0:
             return True
         self.sent.append((now, work))
         self.window += work
         while self.sent[0][0] <= now - FALL_MS:
             self.window -= self.sent.popleft()[1]
-        can = self.warmth(now) * self.speed * CORES * FALL_MS
+        can = self.warmth(now) * self.speed * self.cores * FALL_MS
         self.highest = max(self.highest, self.window / can)
-        allowed = TIP * can / MEAN_MS
-        self.use = max(self.use, self.window / MEAN_MS / (allowed + 2 * math.sqrt(allowed) + 2))
-        return self.window <= TIP * can
+        use = self.window / MEAN_MS / cold_budget(TIP * can / MEAN_MS)
+        self.use = max(self.use, use)
+        return use <= 1.0
 
     def entry(self, state: str) -> io.Entry:
         return io.Entry(self.name, self.zone, "std", self.cell, state, 1.0, self.born)
@@ -323,7 +330,7 @@
         self.nodes = [Node(self, n) for n in range(plan.balancers)]
         for node in self.nodes:
             node.tell("stale", [(u, "ready") for u in self.upstreams])
-        power = sum(u.speed for u in self.upstreams) * CORES
+        power = sum(u.speed * u.cores for u in self.upstreams)
         self.rate = (
             plan.rate * LOAD * power / sum(s * w for s, w in zip(SHARES, WORK_MS, strict=True))
         )  # a millisecond
@@ -333,7 +340,7 @@
     def make(self, number: int, born: float = 0.0, zone: str = "") -> Upstream:
         zone = zone or ZONES[number // 4 % len(ZONES)]
         speed = self.rng.uniform(1.3, 1.7) if self.rng.random() < 0.61 else self.rng.uniform(0.85, 1.1)
-        return Upstream(f"s{number}", zone, number // 4, speed, born)
+        return Upstream(f"s{number}", zone, number // 4, speed, born, self.plan.cores)
 
     # ---- the clock
 
@@ -361,7 +368,9 @@
     # ---- clients
 
     def client(self) -> None:
-        self.later(self.rng.expovariate(self.rate), self.client)
+        burst = BURST_MS[0] <= self.now - EPOCH_MS < BURST_MS[1]
+        rate = self.rate * (self.plan.burst if burst else 1.0)
+        self.later(self.rng.expovariate(rate), self.client)
         ask = Ask(self.rng.choices(range(len(CLASSES)), SHARES)[0], self.now)
         self.offered[self.second(self.now)] += CLASSES[ask.kind].worth
         self.place(ask)
@@ -406,7 +415,7 @@
         self.work(upstream, net)
 
     def work(self, upstream: Upstream, net: float = 0.5) -> None:
-        while upstream.busy < CORES and upstream.waiting:
+        while upstream.busy < upstream.cores and upstream.waiting:
             job = upstream.waiting.popleft()
             if job.over:
                 continue  # its balancer has closed the connection
@@ -520,7 +529,8 @@
         def back() -> None:
             fresh = []
             for upstream in lost:
-                new = Upstream(upstream.name, upstream.zone, upstream.cell, upstream.speed, self.now)
+                cores = upstream.cores
+                new = Upstream(upstream.name, upstream.zone, upstream.cell, upstream.speed, self.now, cores)
                 self.upstreams[self.upstreams.index(upstream)] = new
                 self.kill(upstream)
                 fresh.append((new, "ready"))
@@ -535,6 +545,13 @@
             batch = part[step::3]
             self.later(2_300.0 * step, functools.partial(self.replace, batch, step))
 
+    def deploy_event(self) -> None:
+        """All but fifteen in a hundred are replaced in twenty seconds, a fifth of them at a time."""
+        part = self.upstreams[: round(DEPLOYED * len(self.upstreams))]
+        for step in range(DEPLOY_STEPS):
+            batch = part[step::DEPLOY_STEPS]
+            self.later(DEPLOY_MS * step / DEPLOY_STEPS, functools.partial(self.replace, batch, step))
+
     def replace(self, batch: list[Upstream], step: int) -> None:
         fresh = []
         for n, old in enumerate(batch):
@@ -582,7 +599,7 @@
         share = [got / max(1e-9, worth) for got, worth in zip(self.got, self.offered, strict=True)][:last]
         calm = sum(share[1:4]) / 3
         short = [n for n, part in enumerate(share) if n >= 4 and part < 0.95 * calm]
-        fresh = [u for u in self.upstreams if u.born]
+        lives = (*self.upstreams, *self.ended)
         return {
             "worth": round(sum(self.got[1:last]) / max(1e-9, sum(self.offered[1:last])), 3),
             "calm": round(calm, 3),
@@ -592,8 +609,8 @@
             "calls": self.calls,
             "opened": sum(self.opened.values()),
             "held_most": self.held_most,
-            "cold_multiple": round(max((u.highest for u in fresh), default=0.0), 2),
-            "cold_use": round(max((u.use for u in (*self.upstreams, *self.ended)), default=0.0), 3),
+            "cold_multiple": round(max((u.highest for u in lives), default=0.0), 2),
+            "cold_use": round(max((u.use for u in lives), default=0.0), 3),
             "fallen": self.fallen,
             "outcomes": dict(self.outcomes.most_common()),
             "refused": self.counts["refused"],
--- /dev/null
+++ b/tests/test_coldbound.py
@@ -0,0 +1,45 @@
+"""The cold budget, and fleets of one to two hundred decision modules that are held to it."""
+
+from __future__ import annotations
+
+import math
+
+import pytest
+
+from bench.coldbound import SIZES
+from bench.coldbudget import cold_budget
+from bench.fleetmodel import EPOCH_MS, FALL_MS, MEAN_MS, START, TIP, Plan, Upstream, World
+
+
+@pytest.mark.parametrize(
+    ("allowed", "budget"),
+    [
+        (0.0, 3.0),
+        (4.0, 4.0 + 3 * 2 + 3),
+        (29.9, 29.9 + 3 * math.sqrt(29.9) + 3),
+        (30.0, 30.0 + 2 * math.sqrt(30.0) + 2),
+        (100.0, 100.0 + 2 * 10 + 2),
+    ],
+)
+def test_the_budget_is_what_the_settings_allow_and_so_much_for_chance(allowed: float, budget: float) -> None:
+    assert cold_budget(allowed) == pytest.approx(budget)
+
+
+@pytest.mark.parametrize("cores", [1, 4])
+def test_an_upstream_of_the_model_falls_past_its_budget_and_not_before(cores: int) -> None:
+    upstream = Upstream("s0", "north", 0, speed=1.0, born=EPOCH_MS, cores=cores)
+    allowed = TIP * START * cores * FALL_MS / MEAN_MS
+    assert (allowed < 30.0) == (cores == 1)
+    borne = [upstream.take(EPOCH_MS, MEAN_MS) for _ in range(200)]
+    assert sum(borne) == math.floor(cold_budget(allowed)) and borne == sorted(borne, reverse=True)
+
+
+@pytest.mark.parametrize(("event", "seconds"), [("cold start", 5.0), ("join", 10.0)])
+@pytest.mark.parametrize("balancers", SIZES)
+def test_balancers_of_any_number_keep_the_budget_together(balancers: int, event: str, seconds: float) -> None:
+    """Small upstreams, so that what the settings allow is under thirty while they are coldest."""
+    for seed in range(2):
+        world = World(Plan(balancers, 12, event, seconds, seed, cores=1)).run()
+        found = world.result()
+        assert 0 < found["cold_use"] <= 1.0, seed
+        assert not found["fallen"] and not found["broken"], seed
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,11 +27,11 @@
     assert 0 < START < min(multiples)
 
 
-@pytest.mark.parametrize("event", ["calm", "bad", "zone", "join", "restart"])
+@pytest.mark.parametrize("event", ["calm", "bad", "zone", "join", "deploy", "restart"])
 def test_the_model_keeps_the_rules_and_its_own_books(event: str) -> None:
     world = World(Plan(6, 12, event, 10.0, 3)).run()
     found = world.result()
-    assert not found["broken"] and not found["fallen"]
+    assert not found["broken"] and not found["fallen"] and found["cold_multiple"] <= TIP
     assert found["calm"] > 0.95 and 0 < found["worth"] <= 1.0
     ended = sum(world.outcomes.values())
     out = sum(len(node.jobs) for node in world.nodes)
