--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -18,7 +18,7 @@
 from quartzford.fronts.extproc.desk import Ask, Cut, Desk, Failed, Opened, Reply, Stream, Told
 from quartzford.fronts.extproc.messages import Names, Reader, Writer
 from quartzford.fronts.extproc.outcome import Result
-from quartzford.fronts.listener import Listener, bind_each
+from quartzford.fronts.listener import Listener, bind_each, listen_patiently
 from quartzford.protocols import http2
 
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
@@ -256,10 +256,11 @@
     def configure(self, names: Names, longest_s: float) -> None:
         self.reader, self.writer, self.stream_s = Reader(names), Writer(names), longest_s + STREAM_SPARE_S
 
-    def listen(self, address: str) -> int:
+    async def listen(self, address: str) -> int:
         """Serve on host:port (port 0: the kernel's choice), which other processes may share; the port."""
         host, _, port = address.rpartition(":")
-        listening = bind_each((host.strip("[]"), int(port)), BACKLOG, shared=True)
+        where = host.strip("[]"), int(port)
+        listening = await listen_patiently(lambda: bind_each(where, BACKLOG, shared=True))
         self.listener = Listener(listening, lambda: Caller(self), self.clock, self.loop)
         self.listener.start()
         bound: int = listening[0].getsockname()[1]
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -74,7 +74,7 @@
         if self.settings.workers == 0:
             link, most = Direct(self.desk), self.settings.most_streams
             self.processor = Processor(link, self.names, self.longest_s, most, self.clock, self.log)
-            self.port = self.processor.listen(self.settings.listen)
+            self.port = await self.processor.listen(self.settings.listen)
             return
         self.folder = tempfile.TemporaryDirectory(prefix="quartzford-", ignore_cleanup_errors=True)
         path = str(Path(self.folder.name) / "desk")
--- a/quartzford/fronts/extproc/worker.py
+++ b/quartzford/fronts/extproc/worker.py
@@ -35,7 +35,7 @@
         return
     _, table, longest_s = greeting
     processor = Processor(line, names_of(table), longest_s, most_streams, clock, StderrLog(clock.now))
-    line.send("bound", processor.listen(address))
+    line.send("bound", await processor.listen(address))
     ending = loop.create_task(lost.wait())
     while not ending.done():
         following = loop.create_task(told.get())
--- a/quartzford/fronts/listener.py
+++ b/quartzford/fronts/listener.py
@@ -9,13 +9,18 @@
 import asyncio
 import errno
 import socket
+import time
 from collections.abc import Callable, Sequence
+from typing import TypeVar
 
 from quartzford.engine import Clock, Handle
+from quartzford.protocols.socketerrors import is_exhausted
 
 Address = tuple[str, int]
+Listening = TypeVar("Listening")
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 
+START_S = 5.0  # for as long a start waits for descriptors or memory
 PAUSE_S = 0.02  # after an accept that failed for want of descriptors or memory
 # accept(2) passes on errors that were pending on the connection it took from the queue: the next may be good.
 NEXT_CONNECTION = frozenset(
@@ -77,6 +82,18 @@
     return sock
 
 
+async def listen_patiently(listen: Callable[[], Listening]) -> Listening:
+    """What `listen` returns; while descriptors or memory are wanting it is tried again, for START_S."""
+    until = time.monotonic() + START_S
+    while True:
+        try:
+            return listen()
+        except OSError as error:
+            if not is_exhausted(error) or time.monotonic() > until:
+                raise
+        await asyncio.sleep(PAUSE_S)
+
+
 async def open_connection(
     loop: asyncio.AbstractEventLoop, factory: ProtocolFactory, connection: socket.socket
 ) -> None:
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -22,6 +22,7 @@
 from quartzford.membership.addresses import Address
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.membership.subset import Subset
+from quartzford.protocols.socketerrors import is_exhausted
 from quartzford.settings.platform import Config, ConfigError
 
 if TYPE_CHECKING:
@@ -361,19 +362,24 @@
         try:
             self.operations.listen(address, self.loop)
         except OSError as error:
-            if error.errno == errno.EADDRINUSE:
+            if passes(error):
                 raise
             raise ConfigError(f"admin_addr: {address[0]}:{address[1]}: {error}") from None
 
 
+def passes(error: OSError) -> bool:
+    """An address that can't be had now may be had soon."""
+    return error.errno == errno.EADDRINUSE or is_exhausted(error)
+
+
 async def start_listening(node: Node) -> None:
-    """Start, and wait for an address that the process before still holds."""
+    """Start, and wait for an address that the process before still holds, for descriptors and for memory."""
     give_up = node.clock.now() + BIND_S
     while True:
         try:
             return await node.start()
         except OSError as error:
-            if error.errno != errno.EADDRINUSE or node.clock.now() > give_up:
+            if not passes(error) or node.clock.now() > give_up:
                 admin = node.config.admin if node.operations.listener is None else None
                 key, (host, port) = ("admin_addr", admin) if admin else ("listen", node.config.listen)
                 raise ConfigError(f"{key}: {host}:{port}: {error}") from None
--- a/quartzford/relay/relay.py
+++ b/quartzford/relay/relay.py
@@ -31,7 +31,7 @@
 
     async def start(self) -> None:
         """Listen, and ask the source; OSError where the address can't be had."""
-        self.server.listen(*endpoint(self.settings.listen))
+        await self.server.listen(*endpoint(self.settings.listen))
         self.watch.start()
 
     async def stop(self) -> None:
--- a/quartzford/relay/server.py
+++ b/quartzford/relay/server.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 
 from quartzford.engine import Clock, Log
-from quartzford.fronts.listener import Listener
+from quartzford.fronts.listener import Listener, listen_patiently
 from quartzford.relay.caller import BEAT_TICKS, Caller, Source
 from quartzford.relay.catalog import Catalog
 from quartzford.relay.room import Room
@@ -40,6 +40,23 @@
 BACKLOG = 4096
 
 
+def listening_socket(host: str, port: int) -> socket.socket:
+    """A listening socket whose connections have the options of a relay's; OSError where it can't be had."""
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
+    sock = socket.socket(family, socket.SOCK_STREAM)
+    try:
+        # Connections that are taken have these too.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BYTES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGED_MS)
+        sock.bind((host, port))
+        sock.listen(BACKLOG)
+    except OSError:
+        sock.close()
+        raise
+    return sock
+
+
 class Server:
     """The listener, its callers, and the beat."""
 
@@ -87,20 +104,9 @@
 
     # ---- start and end
 
-    def listen(self, host: str, port: int) -> None:
+    async def listen(self, host: str, port: int) -> None:
         """Take calls; port 0 is the kernel's choice."""
-        family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        listening = socket.socket(family, socket.SOCK_STREAM)
-        # Connections that are taken have these too.
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BYTES)
-        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGED_MS)
-        try:
-            listening.bind((host, port))
-            listening.listen(BACKLOG)
-        except OSError:
-            listening.close()
-            raise
+        listening = await listen_patiently(lambda: listening_socket(host, port))
         self.address = listening.getsockname()[:2]
         self._listener = Listener([listening], lambda: Caller(self), self.clock, self.loop)
         self._listener.start()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -142,6 +142,7 @@
     "accept finds a connection broken": Faults(
         {"accept": ("ECONNABORTED", "EPROTO", "ENETUNREACH", "EINTR")}
     ),
+    "socket": Faults({"socket": ("ENFILE", "ENOBUFS")}, one_in=3),
     "connect": Faults({"connect": ("ENFILE", "ENOBUFS", "EADDRNOTAVAIL", "ENETUNREACH")}, one_in=3),
     "waits are interrupted": Faults({"wait": ("EINTR",)}, one_in=3),
     "halves of writes": Faults(short="write"),
@@ -193,6 +194,9 @@
     "faults",
     [
         pytest.param(ACCEPT, id="accept"),
+        pytest.param(
+            Faults({"socket": ("ENFILE", "ENOBUFS")}, one_in=10**6, first=4), id="socket at the start"
+        ),
     ],
 )
 
