--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -15,6 +15,7 @@
 from quartzford.decision import interface as io
 from quartzford.engine import Budget, Clock, Engine, Handle
 from quartzford.membership.listing import Listing
+from quartzford.protocols.socketerrors import is_local_to_connect
 from quartzford.settings.fields import read_report
 
 TICK_S = 0.001  # what the loop's timers are exact to
@@ -426,7 +427,7 @@
         loop = self.pool.loop
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError:  # no descriptor is left, which is no fault of the upstream's
+        except OSError:  # no descriptor or memory is left, which is no fault of the upstream's
             self.connecting = None
             return self.fail("moot")
         connection = Connection(self.upstream, sock)
@@ -450,7 +451,7 @@
             if not isinstance(error, OSError | TimeoutError):
                 raise
             self.connecting = None
-            return self.fail("connect_failed")
+            return self.fail("moot" if is_local_to_connect(error) else "connect_failed")
         finally:
             self.pool.connects -= 1
         self.connecting = None
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -3,15 +3,17 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 import json
 import socket
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
+from typing import Any
 
 import pytest
 import uvloop
-from peers import SETTINGS, request, run, until
+from peers import SETTINGS, World, request, run, until
 from system_calls import Faults, exchange, process, status
 
 from quartzford.engine import LoopClock
@@ -255,6 +257,52 @@
 # ---- in this process
 
 
+class FailingSocket(socket.socket):
+    """Its connects to one port fail with an error, so many times."""
+
+    error = 0
+    port = 0
+    left = 0
+
+    def connect(self, address: Any) -> None:
+        """Fail, or connect."""
+        if address[1] == FailingSocket.port and FailingSocket.left:
+            FailingSocket.left -= 1
+            raise OSError(FailingSocket.error, "injected")
+        super().connect(address)
+
+
+@pytest.mark.parametrize(
+    ("error", "code"),
+    [
+        (errno.ENFILE, "moot"),
+        (errno.EADDRNOTAVAIL, "moot"),
+        (errno.ENOBUFS, "moot"),
+        (errno.ENETUNREACH, "connect_failed"),
+        (errno.EHOSTUNREACH, "connect_failed"),
+        (errno.ECONNREFUSED, "connect_failed"),
+        (errno.ETIMEDOUT, "connect_failed"),
+    ],
+)
+def test_whom_an_error_of_connect_blames(error: int, code: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """What this machine has run out of ejects nobody, however often; a way that does not lead there does."""
+
+    @run
+    async def test() -> None:
+        async with World(2) as world:
+            FailingSocket.error, FailingSocket.port, FailingSocket.left = error, world.ups[0].port, 30
+            with monkeypatch.context() as patch:
+                patch.setattr(socket, "socket", FailingSocket)
+                for _ in range(30):
+                    assert (await world.ask(request())).status == 200
+            codes = set(world.outcomes())
+            assert codes == {code, "ok"}
+            ejected = world.node.engine.balancer.fleet.avoided()
+            assert ejected == (1 if code == "connect_failed" else 0)
+
+    test()
+
+
 @run
 async def test_connections_accepted_when_accepting_stops_are_opened_and_the_others_wait() -> None:
     """Whoever accepts there next gets the rest: nobody is reset."""
