--- a/quartzford/membership/watch.py
+++ b/quartzford/membership/watch.py
@@ -18,9 +18,11 @@
 from quartzford.membership.addresses import Address, Addresses, Ask, Target
 from quartzford.membership.calls import KEPT_S, LINE_S, Calls, End, retry_after
 from quartzford.membership.listing import LONG_BYTES, Listing, Sink, read_listing
+from quartzford.protocols.socketerrors import is_local_to_connect
 
 READ_S = 4.25  # reading a long text beside the loop may take so long
 LINE_BYTES = 16 * 1024 * 1024  # a list of 63,000 has 8.7
+LOCAL_RETRY_S = 0.05  # a connection that failed for want of descriptors, memory or ports is tried again
 FLOW_BYTES = 64 * 1024  # of a first line that is under way
 
 BEGINS = re.compile(rb'\s*\{\s*(?:"|\Z)')  # an object that may yet become whole
@@ -257,11 +259,16 @@
         self.task = self.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
+        """Connect. Errors of this machine blame nobody: for as long as it may take, it is tried again."""
         host, port = self.target.address
-        try:
-            await self.loop.create_connection(lambda: self, host, port)
-        except OSError:
-            self._unreached()
+        while True:
+            try:
+                await self.loop.create_connection(lambda: self, host, port)
+                return
+            except OSError as error:
+                if not is_local_to_connect(error):
+                    return self._unreached()
+            await asyncio.sleep(LOCAL_RETRY_S)
 
     def close(self) -> None:
         """End the call out of order; nothing where it is over."""
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -9,6 +9,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
+from random import Random
 from typing import Any
 
 import pytest
@@ -16,8 +17,12 @@
 from peers import SETTINGS, World, request, run, until
 from system_calls import Faults, exchange, process, status
 
-from quartzford.engine import LoopClock
+from quartzford.engine import LoopClock, StderrLog
 from quartzford.fronts.listener import Listener, bind
+from quartzford.membership.addresses import Single
+from quartzford.membership.calls import Agent
+from quartzford.membership.listing import Listing
+from quartzford.membership.watch import Watch
 from standins.listservice import Plan, Service
 from standins.nodo import Nodo, fleet
 
@@ -303,6 +308,56 @@
     test()
 
 
+class FailingLoop:
+    """An event loop whose first three connects fail."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, error: int) -> None:
+        self.loop, self.error, self.left = loop, error, 3
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self.loop, name)
+
+    async def create_connection(self, *arguments: Any) -> Any:
+        """Fail, or connect."""
+        if self.left:
+            self.left -= 1
+            raise OSError(self.error, "injected")
+        return await self.loop.create_connection(*arguments)
+
+
+class Lists:
+    """Keeps the lists that come."""
+
+    def __init__(self) -> None:
+        self.heard: list[Listing] = []
+
+    def listed(self, listing: Listing) -> None:
+        self.heard.append(listing)
+
+
+@pytest.mark.parametrize(("error", "failures"), [(errno.EADDRNOTAVAIL, 0), (errno.ENETUNREACH, 3)])
+def test_an_error_of_this_machine_is_no_failure_of_the_list_service(error: int, failures: int) -> None:
+    """Three connects in a row fail: the call goes on, or three have failed."""
+
+    @run
+    async def test() -> None:
+        world, lists = World(1), Lists()
+        for peer in (*world.ups, world.discovery):
+            await peer.start()
+        loop: Any = FailingLoop(asyncio.get_running_loop(), error)
+        clock = LoopClock(loop)
+        addresses = Single(lambda: ("127.0.0.1", world.discovery.port))
+        watch = Watch(lists, addresses, Agent(Random(1), 0.25), clock, StderrLog(clock.now), loop)
+        watch.start()
+        await until(lambda: lists.heard)
+        assert not loop.left and watch.counts["ended unreached"] == failures
+        watch.stop()
+        for peer in (*world.ups, world.discovery):
+            await peer.stop()
+
+    test()
+
+
 @run
 async def test_connections_accepted_when_accepting_stops_are_opened_and_the_others_wait() -> None:
     """Whoever accepts there next gets the rest: nobody is reset."""
