--- a/quartzford/membership/watch.py
+++ b/quartzford/membership/watch.py
@@ -22,6 +22,7 @@
 
 READ_S = 4.25  # reading a long text beside the loop may take so long
 LINE_BYTES = 16 * 1024 * 1024  # a list of 63,000 has 8.7
+HELD_UP_S = 0.1  # a timer that is later by so much found the process stopped, or its loop held up
 LOCAL_RETRY_S = 0.05  # a connection that failed for want of descriptors, memory or ports is tried again
 FLOW_BYTES = 64 * 1024  # of a first line that is under way
 
@@ -255,6 +256,7 @@
         self.retry_after = 0.0
         self.since = self.clock.now()  # it was begun, or last brought a whole line
         self.answered = False  # a list or changes have come
+        self.silent_at = math.inf  # no line is waited for any longer
         self.timer = self.clock.call_later(owner.calls.connect(), self._unreached)
         self.task = self.loop.create_task(self._connect())
 
@@ -278,11 +280,20 @@
         self.why, self.end = "unreached", End.UNREACHED
         self.close()
 
+    def _await_line(self, seconds: float) -> None:
+        """The next line, or the first one, has so much time."""
+        self.timer.cancel()
+        self.silent_at = self.clock.now() + seconds
+        self.timer = self.clock.call_later(seconds, self._silent)
+
     def _silent(self) -> None:
+        if self.clock.now() - self.silent_at > HELD_UP_S:  # this process stood still: what has come is unread
+            self._await_line(HELD_UP_S)
+            self.silent_at = math.inf  # once
+            return
         if not self.answered and self.flowing > 0.0 and len(self.buffer) >= FLOW_BYTES:
             more, self.flowing = self.flowing, 0.0  # once
-            self.timer = self.clock.call_later(more, self._silent)
-            return
+            return self._await_line(more)
         if not self.answered and self.owner.late(self):
             self.timer = self.clock.call_later(KEPT_S, self.close)
             return
@@ -307,8 +318,7 @@
         self.transport = cast(asyncio.Transport, transport)
         if self.over:
             return self.transport.abort()
-        self.timer.cancel()
-        self.timer = self.clock.call_later(self.patience, self._silent)
+        self._await_line(self.patience)
         host, port = self.target.address
         path = "/catalog/members" + (f"?stream=1&index={self.index}" if self.watch else "")
         close = "" if self.watch else "Connection: close\r\n"
@@ -359,8 +369,7 @@
         """Only what is whole shows that the watch stands: bytes may drip in for ever and form no line."""
         if self.answered and not self.over:
             self.since = self.owner.last_line_at = self.clock.now()
-            self.timer.cancel()
-            self.timer = self.clock.call_later(LINE_S, self._silent)
+            self._await_line(LINE_S)
 
     def _aside(self, text: bytes, done: Callable[[bool], None]) -> bool:
         """Read a long text in a thread, for it would hold the loop; whether it is that long."""
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -325,3 +325,19 @@
     assert read_listing(json.dumps({"seq": 1, "whole": True, "hosts": [row]}).encode()).entries
     with pytest.raises(ValueError):
         read_listing(json.dumps({"seq": 1, "whole": True, "hosts": [row | change]}).encode())
+
+
+@run
+async def test_a_process_that_stood_still_reads_what_has_come_before_it_takes_a_watch_for_silent() -> None:
+    """The timer is found far too late: what came meanwhile is unread. Only once: silence goes on to count."""
+    async with World(1) as world:
+        watch, now = world.node.watch, world.node.clock.now
+        call = watch.call
+        assert call is not None
+        world.node.clock.now = lambda: now() + 10.0  # type: ignore[method-assign]
+        call._silent()
+        world.news(world.host(0, "draining"))
+        await until(lambda: watch.version == world.version)
+        assert watch.call is call and not watch.counts["ended silent"]
+        call._silent()
+        assert watch.counts["ended silent"] == 1
