--- a/quartzford/decision/workingset.py
+++ b/quartzford/decision/workingset.py
@@ -47,9 +47,7 @@
         self.cell_of: dict[str, int] = {}  # of each server that may be used
         self.cells: dict[int, dict[str, None]] = {}  # these servers by cell
         self.order: list[tuple[int, int]] = []  # score and cell, least first
-        self.ranked: dict[
-            int, list[tuple[int, str]]
-        ] = {}  # of larger cells: score and server
+        self.ranked: dict[int, list[tuple[int, str]]] = {}  # of larger cells: score and server
         self.used: dict[int, dict[str, None]] = {}  # servers in use, by cell
         self.size = 0  # servers in use
 
