--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -24,7 +24,9 @@
 
 LONG_AGO_MS = 0.0
 CURRENT_MS = LINE_S * 1000.0  # a list that was known so short a time ago has been watched without a break
-MOST_GONE = 8_192  # incarnations that are remembered after the list has dropped them
+# Incarnations that are remembered after the list has dropped them: as many as it named, between these bounds.
+LEAST_GONE = 128
+MOST_GONE = 8_192
 
 
 class Incarnation(NamedTuple):
@@ -49,6 +51,7 @@
     def __init__(self) -> None:
         self._current: dict[str, Incarnation] = {}
         self._gone: OrderedDict[str, Incarnation] = OrderedDict()
+        self._most_gone = LEAST_GONE
         self._source_changed = False
 
     def source_changed(self) -> None:
@@ -75,6 +78,7 @@
 
         known_ms: the last moment before this line at which the list was known; minus infinity for never.
         """
+        self._most_gone = min(MOST_GONE, max(LEAST_GONE, len(self._current)))
         if listing.whole:
             if self._source_changed and not any(map(self._is_current, listing.entries)):
                 known_ms = -math.inf
@@ -126,5 +130,5 @@
             return
         self._gone[name] = incarnation
         self._gone.move_to_end(name)
-        if len(self._gone) > MOST_GONE:
+        while len(self._gone) > self._most_gone:
             self._gone.popitem(last=False)
