--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -11,7 +11,9 @@
 import random
 from typing import Any
 
+import frozen_actions
 import pytest
+from canonical import ActionDigest, StreamDigest
 from helpers import reported
 from hypothesis import given
 from hypothesis import settings as budget
@@ -54,6 +56,7 @@
     "one": Plan(servers=1, events=200, churn=0.2),
     "none": Plan(servers=0, events=200, churn=0.1),
 }
+SEEDS = range(6)  # of each plan
 
 
 def close(a: float | None, b: float | None) -> bool:
@@ -104,12 +107,16 @@
     return balancer
 
 
-def both(plan: Plan, seed: int) -> None:
+def both(plan: Plan, seed: int) -> dict[str, StreamDigest]:
+    """Play a stream in both forms, and hold one against the other; the digest of each one's actions."""
     settings = settings_of(plan)
     old, new = watched(Balancer(settings, seed)), watched(Balancer(settings, seed))
     old.fleet.fit, new.fleet.fit = lambda shares, coming: shares, arrays_only
+    digests = ActionDigest(), ActionDigest()
 
     def check(answers: list[list[io.Action]]) -> None:
+        for digest, actions in zip(digests, answers, strict=True):
+            digest.add(actions)
         first, second = answers
         assert [type(a) for a in first] == [type(a) for a in second]
         for one, other in zip(first, second, strict=True):
@@ -124,6 +131,7 @@
     for module in (old, new):
         assert module.fleet.shares.out == sum(len(s.open) for s in module.ready)
         assert not module.ready or sum(s.p for s in module.ready) == pytest.approx(1.0)
+    return {"lists": digests[0].result(), "arrays": digests[1].result()}
 
 
 def scored(
@@ -166,9 +174,23 @@
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_both_forms_decide_alike(name: str) -> None:
-    for seed in range(6):
-        both(PLANS[name], seed)
+def test_both_forms_decide_alike_and_as_they_were_frozen(name: str) -> None:
+    """Changes of names and shape leave every action as it was, to the bit: see tests/freeze_behaviour.py."""
+    frozen = frozen_actions.load()
+    for seed in SEEDS:
+        for form, digest in both(PLANS[name], seed).items():
+            assert digest == frozen[frozen_actions.Stream(name, seed, form)], (name, seed, form)
+
+
+def freeze() -> dict[str, bytes]:
+    """The frozen file's name and bytes, by the code as it is."""
+    played = [(name, seed, both(plan, seed)) for name, plan in PLANS.items() for seed in SEEDS]
+    streams = [
+        (frozen_actions.Stream(name, seed, form), digest)
+        for name, seed, digests in played
+        for form, digest in digests.items()
+    ]
+    return {frozen_actions.FILE.name: frozen_actions.encode(streams)}
 
 
 @given(
