--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,7 @@
 
 import pytest
 import uvloop
-from peers import Message, Peer, World, read_message, reply, request, says, silent, until
+from peers import Message, World, read_message, reply, request, reserved_port, says, until
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -32,10 +32,7 @@
 
 
 async def free_port() -> int:
-    peer = Peer(silent)
-    await peer.start()
-    await peer.stop()
-    return peer.port
+    return reserved_port()
 
 
 class Program:
