--- a/tests/freeze_behaviour.py
+++ b/tests/freeze_behaviour.py
@@ -5,6 +5,8 @@
 from the repository's root, with the code that is to be frozen committed. It writes under tests/data/:
 
     actions.sha256    actions of the decision module             compared by test_sameness.py
+    transcript.txt    bytes on the sockets of a scripted site    compared by test_frozen_transcript.py
+    relay.txt         bytes of a relay, and to relays            compared by test_frozen_relay.py
 
 Commit these files by themselves, right behind that commit. They are not written anew for a change that is to
 keep behaviour; a commit that changes behaviour writes them anew and says what differs.
@@ -21,7 +23,7 @@
 ROOT = TESTS.parent
 DATA = TESTS / "data"
 PRODUCT = ("quartzford", "deploy")  # what the frozen commit is needed for
-FREEZERS = ("test_sameness",)  # each has freeze()
+FREEZERS = ("test_sameness", "test_frozen_transcript", "test_frozen_relay")
 
 
 def git(*arguments: str) -> str:
@@ -31,10 +33,15 @@
 
 
 def frozen_commit() -> str:
-    """The commit whose product code is here; SystemExit where that is not committed."""
+    """The last commit that changed the product, or HEAD where that is a merge.
+
+    SystemExit where changes of it are not committed.
+    """
     if git("status", "--porcelain", "--", *PRODUCT):
         raise SystemExit(f"{', '.join(PRODUCT)}: commit or undo the changes first")
-    return git("rev-parse", "HEAD")
+    changed_last = git("log", "-1", "--format=%H", "--", *PRODUCT)
+    changed_since = git("diff", "--name-only", changed_last, "HEAD", "--", *PRODUCT)
+    return git("rev-parse", "HEAD") if changed_since else changed_last
 
 
 def main() -> None:
@@ -42,7 +49,7 @@
     files = {"FROZEN_COMMIT": f"{frozen_commit()}\n".encode()}
     sys.path[:0] = [str(TESTS), str(ROOT)]  # as pytest has them
     for name in FREEZERS:
-        files |= importlib.import_module(name).freeze()
+        files |= importlib.import_module(name).freeze()  # each has one: names and bytes of its files
     for name, data in files.items():
         path = DATA / name
         path.parent.mkdir(parents=True, exist_ok=True)
