--- a/tests/freeze_behaviour.py
+++ b/tests/freeze_behaviour.py
@@ -7,6 +7,8 @@
     actions.sha256    actions of the decision module             compared by test_sameness.py
     transcript.txt    bytes on the sockets of a scripted site    compared by test_frozen_transcript.py
     relay.txt         bytes of a relay, and to relays            compared by test_frozen_relay.py
+    stored/           files, messages and settings               compared by test_frozen_data.py
+    FROZEN_COMMIT     the commit whose code wrote all these      run by test_frozen_replacement.py
 
 Commit these files by themselves, right behind that commit. They are not written anew for a change that is to
 keep behaviour; a commit that changes behaviour writes them anew and says what differs.
@@ -23,7 +25,7 @@
 ROOT = TESTS.parent
 DATA = TESTS / "data"
 PRODUCT = ("quartzford", "deploy")  # what the frozen commit is needed for
-FREEZERS = ("test_sameness", "test_frozen_transcript", "test_frozen_relay")
+FREEZERS = ("test_sameness", "test_frozen_data", "test_frozen_transcript", "test_frozen_relay")
 
 
 def git(*arguments: str) -> str:
--- /dev/null
+++ b/tests/test_frozen_data.py
@@ -0,0 +1,235 @@
+"""What one version writes and another one reads: files, messages between two processes, settings.
+
+Each kind of data has its bytes under tests/data/stored/, and in values.json what the frozen code read there.
+The code as it is has to read the same values, and to write the same bytes again. The settings' texts, under
+tests/data/settings/, are written by hand; only the values read in them are frozen.
+"""
+
+from __future__ import annotations
+
+import json
+import tempfile
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import pytest
+from canonical import plain
+from test_replacement import learnt
+from test_wirehost import play
+
+from quartzford.decision import interface as io
+from quartzford.fronts.extproc.token import Tokens
+from quartzford.load.trace import read_trace, write_trace
+from quartzford.membership.listing import Listing, read_listing
+from quartzford.membership.registry import Registry
+from quartzford.membership.snapshot import Snapshot, decode, encode
+from quartzford.recording import Recorder
+from quartzford.replacement import state as wire
+from quartzford.replacement.book import read_book, write_book
+from quartzford.settings.operatorfile import read_operator
+from quartzford.settings.platform import read_config
+
+DATA = Path(__file__).parent / "data"
+STORED, SETTINGS = DATA / "stored", DATA / "settings"
+VALUES = STORED / "values.json"
+LIST = {
+    "seq": 41,
+    "whole": True,
+    "hosts": [
+        {"host": "s0", "dial": "10.0.0.1:8101", "site": "north", "class": "std", "block": 0,
+         "health": "ready", "share": 1.0, "born_ms": 0.0},
+        {"host": "s1", "dial": "10.0.0.2:8101", "site": "south", "class": "big", "block": 3,
+         "health": "draining", "share": 2.5, "born_ms": 1790000000123.0},
+    ],
+}  # fmt: skip
+
+
+class Data(NamedTuple):
+    """One kind of data. make: bytes of sample values; read and write: the program's own, one the other's
+    reverse.
+    """
+
+    make: Callable[[], bytes]
+    read: Callable[[bytes], Any]
+    write: Callable[[Any], bytes] | None = None
+
+
+# ---- the last list on a lasting disk
+
+
+def make_snapshot() -> bytes:
+    return encode(Snapshot("10.0.0.5:8500", 1_790_000_000_456.5, LIST))
+
+
+# ---- a trace of requests
+
+
+class StoppedClock:
+    """A clock that the test moves."""
+
+    def __init__(self) -> None:
+        self.time = 50.0
+
+    def now(self) -> float:
+        return self.time
+
+    def call_later(self, delay: float, callback: Callable[..., object], *arguments: Any) -> None:
+        """Nothing is looked after while so little is recorded."""
+
+
+class NoLog:
+    """No line is expected."""
+
+    def line(self, topic: str, text: str) -> None:
+        raise AssertionError(f"{topic}: {text}")
+
+    def trouble(self, where: str) -> None:
+        raise AssertionError(where)
+
+
+def make_trace() -> bytes:
+    clock: Any = StoppedClock()
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "t"
+        recorder = Recorder(str(path), "plain", 10**6, clock, NoLog())
+        for name, tenant, key, size, left in (
+            ("consulta", "lima", "user-1", 0, 2000.0), ("pay", "", "", 70_000, 0.25),
+            ("", "a\tb", "-", 1, 1e6), ("reserva ñ", "100%", "k/1", 2, 1234.567),
+        ):  # fmt: skip
+            clock.time += 0.012345
+            recorder.take(io.Request(1, name, left, tenant, key), size)
+        recorder.close()
+        return path.read_bytes()
+
+
+def read_rows(data: bytes) -> list[Any]:
+    return list(read_trace(data.decode().splitlines(keepends=True)))
+
+
+def write_rows(rows: list[Any]) -> bytes:
+    return "".join(write_trace(rows)).encode()
+
+
+# ---- between two processes
+
+
+def make_state() -> bytes:
+    memory = learnt(tenants=(io.Tenant("acme", 100.0),)).hand_over(2_100.0)
+    return write_state(wire.State(wire.FORMAT, LIST, 41, ["10.0.0.5", 8500], True, 3, memory))
+
+
+def write_state(state: wire.State) -> bytes:
+    return b"".join(wire.parts(state))
+
+
+def make_messages() -> bytes:
+    messages: list[wire.Message] = [
+        wire.Hello(wire.FORMAT, 4711), wire.Listener(2), wire.Part(1, b"\x00\xff"), wire.Serves(),
+        wire.Beat(), wire.Client(), wire.Hand("s1", True),
+    ]  # fmt: skip
+    return write_messages(messages)
+
+
+def read_messages(data: bytes) -> list[wire.Message]:
+    return [wire.read(bytes.fromhex(line)) for line in data.decode().splitlines()]
+
+
+def write_messages(messages: list[wire.Message]) -> bytes:
+    return "".join(f"{wire.write(message).hex()}\n" for message in messages).encode()
+
+
+def read_names_out(data: bytes) -> list[str]:
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "out"
+        path.write_bytes(data)
+        return read_book(str(path))
+
+
+def write_names_out(names: list[str]) -> bytes:
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "out"
+        write_book(str(path), names)
+        return path.read_bytes()
+
+
+# ---- the list, tokens of the external processor, the simulator's wire
+
+
+def write_list(listing: Listing) -> bytes:
+    registry = Registry()
+    registry.apply(listing)
+    return json.dumps(registry.table()).encode()
+
+
+TOKENS = Tokens(b"sixteen bytes or more", b"one-life")
+
+
+def make_token() -> bytes:
+    return TOKENS.make(7, "c-1", 1_790_000_000_000.0).encode()
+
+
+def read_token(data: bytes) -> Any:
+    return TOKENS.read(data.decode(), "c-1", 1_789_999_999_999.0)
+
+
+def make_actions() -> bytes:
+    """What the adapter answers to the batches of test_wirehost.py, an action a line, with its time."""
+    return "".join(f"{json.dumps(line)}\n" for line in play((0, 1, 2)).items()).encode()
+
+
+KINDS: dict[str, Data] = {
+    "last-list.snapshot": Data(make_snapshot, decode, encode),
+    "requests.trace": Data(make_trace, read_rows, write_rows),
+    "handed-over.msgpack": Data(make_state, wire.read_state, write_state),
+    "messages.hex": Data(make_messages, read_messages, write_messages),
+    "names.out": Data(lambda: write_names_out(["s1", "s0"]), read_names_out, write_names_out),
+    "list.json": Data(lambda: write_list(read_listing(LIST)), read_listing, write_list),
+    "attempt.token": Data(make_token, read_token),
+    "simulator.jsonl": Data(make_actions, lambda data: len(data.splitlines())),
+}
+READERS: dict[str, Callable[[str], Any]] = {".toml": read_operator, ".json": read_config}
+
+
+def settings_files() -> list[str]:
+    """Names of the settings' texts."""
+    return sorted(path.name for path in SETTINGS.iterdir())
+
+
+def read_settings(name: str) -> Any:
+    path = SETTINGS / name
+    return READERS[path.suffix](path.read_text(encoding="utf-8"))
+
+
+def freeze() -> dict[str, bytes]:
+    """The frozen files' names and bytes, by the code as it is."""
+    files = {name: kind.make() for name, kind in KINDS.items()}
+    values = {name: plain(KINDS[name].read(data)) for name, data in files.items()}
+    values |= {name: plain(read_settings(name)) for name in settings_files()}
+    lines = ",\n".join(f"{json.dumps(name)}: {json.dumps(value)}" for name, value in values.items())
+    files[VALUES.name] = f"{{\n{lines}\n}}\n".encode()
+    return {f"{STORED.name}/{name}": data for name, data in files.items()}
+
+
+def frozen_values(name: str) -> Any:
+    return json.loads(VALUES.read_text())[name]
+
+
+@pytest.mark.parametrize("name", KINDS)
+def test_what_was_written_is_read_and_written_again_the_same(name: str) -> None:
+    kind, data = KINDS[name], (STORED / name).read_bytes()
+    value = kind.read(data)
+    assert plain(value) == frozen_values(name)
+    if kind.write is not None:
+        assert kind.write(value) == data
+    assert kind.make() == data
+
+
+@pytest.mark.parametrize("name", settings_files())
+def test_settings_mean_what_they_meant(name: str) -> None:
+    assert plain(read_settings(name)) == frozen_values(name)
+
+
+def test_each_frozen_file_is_read() -> None:
+    assert {path.name for path in STORED.iterdir()} == {*KINDS, VALUES.name}
+    assert set(json.loads(VALUES.read_text())) == {*KINDS, *settings_files()}
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -57,9 +57,9 @@
 # ---- what is handed over
 
 
-def learnt() -> Balancer:
+def learnt(**changes: Any) -> Balancer:
     """A balancer with a fast and a failing server, a cold one, one out by hand and one suspect."""
-    balancer = started(6)
+    balancer = started(6, **changes)
     balancer.handle(5.0, io.ByHand("s5", True))
     balancer.handle(6.0, io.ListUpdate("changes", (entry(4, started=5.0),)))
     for number in range(400):
@@ -157,6 +157,7 @@
         self.processes: list[asyncio.subprocess.Process] = []
         self.admins: list[int] = []
         self.folder = path / "t"
+        self.root = ROOT  # where the code of the next process lies
 
     async def begin(self) -> None:
         self.folder.mkdir()
@@ -180,7 +181,7 @@
         env = {**os.environ, "EDGE_CONFIG": str(file), "TMPDIR": str(self.folder),
                "EDGE_ADMIN_ADDR": f"127.0.0.1:{self.admins[-1]}"}  # fmt: skip
         process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", COMMAND, cwd=ROOT, env=env, stderr=asyncio.subprocess.DEVNULL
+            "/bin/sh", "-c", COMMAND, cwd=self.root, env=env, stderr=asyncio.subprocess.DEVNULL
         )
         self.processes.append(process)
         return process
@@ -243,8 +244,9 @@
 
 
 @asynccontextmanager
-async def line(path: Path, upstreams: int = 2) -> AsyncIterator[Line]:
+async def line(path: Path, upstreams: int = 2, root: Path = ROOT) -> AsyncIterator[Line]:
     it = Line(path, upstreams)
+    it.root = root
     try:
         await it.begin()
         yield it
