--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -218,6 +218,10 @@
         times.learn(lines(number, row(number, 5.0)), 50.0, 100.0)
         times.learn(lines(number, row(number, 5.0, "gone")), 50.0, 100.0)
     assert list(times._gone) == ["s7", "s8", "s9"] and not times.after(0.0)
+    long = [row(number, 5.0) for number in range(20)]
+    times.learn(lines(20, *long, whole=True), 50.0, 100.0)
+    times.learn(lines(21, whole=True), 50.0, 100.0)
+    assert len(times._gone) == 20
 
 
 # ---- replacement
