--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -91,6 +91,7 @@
         self.clients: dict[Client, None] = {}
         self.most = 16
         self.draining = False  # no connection is kept after its answer
+        self.rejecting = False  # the process exits: nothing more is read as a request
         self.listener: Listener | None = None  # stays open while nobody accepts: its queue is kept
         self.heir: Callable[[int], bool] | None = None  # takes the connections that rest
         self.unread: dict[Client, None] = {}  # whose bytes are left with the system for now
@@ -170,10 +171,10 @@
             client.close_if_idle()
 
     def reject_unfinished(self) -> None:
-        """Answer half requests at once: this process has no time left for them to come whole."""
+        """Nothing more is read as a request; who has sent a part of one is told so."""
+        self.rejecting = True
         for client in list(self.clients):
-            if client.has_half_a_request():
-                client.reject(503)
+            client.reject_unfinished()
 
     def sweep(self) -> None:
         now = self.now()
@@ -668,6 +669,14 @@
             self.closing = True
             self.transport.close()
 
+    def reject_unfinished(self) -> None:
+        if self.closing or self.exchange is not None:
+            return
+        if self.in_message:
+            self.reject(503)
+        else:
+            self._end_sending()
+
     def check(self, now: float) -> None:
         size = self.transport.get_write_buffer_size()
         if self.lingering is not None and self.lingering.expired(now):
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -40,7 +40,11 @@
 # The platform kills no sooner after SIGTERM than the longest deadline, MOST_DEADLINE_S at most, and a margin.
 MOST_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
-ANSWER_S, EXIT_S = 0.2, 0.1  # before that everything that is owed is answered, and the process exits
+# So long before that, each early enough for a loop that is held up for 0.15 s just then:
+ANSWER_S = 0.35  # all that is owed gets its final answer, and so does at once what still comes
+REJECT_S = 0.25  # nothing more is read as a request: what has come by half is rejected
+EXIT_S = 0.2  # the process exits
+LAST_TURN_S = 0.02  # between one step and the next
 SUMMARY_S = 10.0
 PASS_S = 0.02
 
@@ -195,36 +199,51 @@
     def drain(self) -> None:
         """End with no successor: new connections go on coming for a moment."""
         self.front.draining = True
-        self.clock.call_later(NEW_CLIENTS_S, self._stop_listening)
+        listen_until = min(self.draining_since + NEW_CLIENTS_S, self._killed_at() - ANSWER_S)
+        self.clock.call_later(max(0.0, listen_until - self.clock.now()), self._stop_listening)
 
     def _stop_listening(self) -> None:
         if self.front.draining:  # else a successor has come meanwhile
             self.front.stop_listening()
             self._end_when_quiet()
 
+    def _killed_at(self) -> float:
+        """The platform's SIGKILL comes no sooner."""
+        deadline_s = min(MOST_DEADLINE_S, self.engine.longest_ms / 1000.0)
+        return self.draining_since + deadline_s + KILL_MARGIN_S
+
     def exit_by(self) -> float:
         """Until when a process told to end has to have done all, in seconds of its clock."""
-        deadline_s = min(MOST_DEADLINE_S, self.engine.longest_ms / 1000.0)
-        return self.draining_since + deadline_s + KILL_MARGIN_S - EXIT_S
+        return self._killed_at() - EXIT_S
 
     def _end_when_quiet(self) -> None:
         if self.front.draining:
             self.front.close_idle()
-        limit = self.exit_by()
-        if self.clock.now() >= limit - (ANSWER_S - EXIT_S):
-            if not self.engine.balancer.ending:
-                self.engine.end_all()
-            self.front.reject_unfinished()
         quiet = self.front.empty() and not self.front.accepting  # taken back, more may come for a moment
-        if quiet or self.clock.now() >= limit:
-            self.control.stop()
-            self.operations.stop()
-            if self.succession is not None:
-                self.succession.stop()
-            if not self.finished.done():
-                self.finished.set_result(None)
-            return
-        self.clock.call_later(0.02, self._end_when_quiet)
+        if quiet or self._last_steps():
+            return self._finish()
+        self.clock.call_later(LAST_TURN_S, self._end_when_quiet)
+
+    def _last_steps(self) -> bool:
+        """Whether the process has to exit. One step each time: what comes in between is read and answered."""
+        left = self._killed_at() - self.clock.now()
+        if not self.engine.balancer.ending:
+            if left <= ANSWER_S:
+                self.engine.end_all()
+            return False
+        if not self.front.rejecting:
+            if left <= REJECT_S:
+                self.front.reject_unfinished()
+            return False
+        return left <= EXIT_S
+
+    def _finish(self) -> None:
+        self.control.stop()
+        self.operations.stop()
+        if self.succession is not None:
+            self.succession.stop()
+        if not self.finished.done():
+            self.finished.set_result(None)
 
     # ---- a process that follows this one, or went before
 
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -3,14 +3,20 @@
 from __future__ import annotations
 
 import asyncio
+import select
+import socket
 import time
 from collections.abc import Callable
+from concurrent.futures import Future, ThreadPoolExecutor
+from typing import Any
 
 import pytest
 import uvloop
-from peers import SETTINGS, Message, World, reply, request, until
+from peers import SETTINGS, Message, World, reply, request, silent, until
 
 from quartzford.backends import http1
+from quartzford.engine import Clock
+from quartzford.fronts import http1 as front
 
 HELD_S = 0.15
 GRACE_S = SETTINGS["guarantees"]["drainGraceMs"] / 1000.0
@@ -92,3 +98,122 @@
             assert (await world.ask(request())).status == 200 and world.ups[1].came
 
     uvloop.run(test())
+
+
+# ---- the end before SIGKILL
+
+KILL_MARGIN_S = 0.7
+DEADLINE_S = 0.2  # the deployment's longest
+WRITERS = 60
+
+
+class HeldClock:
+    """The node's clock; it stands still for 0.15 s behind its first look past a moment."""
+
+    def __init__(self, clock: Clock, since: float) -> None:
+        self.clock, self.since = clock, since
+        self.call_later = clock.call_later
+        self.held = False
+
+    def now(self) -> float:
+        read = self.clock.now()
+        if read >= self.since and not self.held:
+            self.held = True
+            time.sleep(HELD_S)
+        return read
+
+
+class HeldAnswer:
+    """The first answer past a moment is held up between its request's last byte and its own first."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, since: float) -> None:
+        answer = front.Client.answer
+        self.held = False
+
+        def late(client: front.Client, *arguments: Any) -> None:
+            if time.monotonic() >= since and not self.held:
+                self.held = True
+                time.sleep(HELD_S)
+            answer(client, *arguments)
+
+        monkeypatch.setattr(front.Client, "answer", late)
+
+
+def note_ends(monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """When a connection's last answer had been written, for each."""
+    end, ends = front.Client._end_sending, list[float]()
+
+    def noted(client: front.Client) -> None:
+        end(client)
+        ends.append(time.monotonic())
+
+    monkeypatch.setattr(front.Client, "_end_sending", noted)
+    return ends
+
+
+def send_in_two(port: int, name: str, killed: Future[float], before_s: float) -> int:
+    """A client, in a thread of its own, whose request is whole so long before the kill; it reads on.
+
+    The status of its answer; 0 where its connection ended with none.
+    """
+    text = request(name, b"body", left="200m", method="POST")
+    with socket.create_connection(("127.0.0.1", port)) as sock:
+        sock.sendall(text[:-1])
+        wait_s = max(0.0, killed.result() - before_s - time.monotonic())
+        if not select.select([sock], [], [], wait_s)[0]:
+            sock.sendall(text[-1:])
+        try:
+            head = sock.recv(4096)
+        except ConnectionResetError:
+            head = b""
+    return int(head.split()[1]) if head else 0
+
+
+@pytest.mark.parametrize("hangs", [False, True])
+@pytest.mark.parametrize(
+    ("place", "before_s"),
+    [("clock", s) for s in (0.36, 0.34, 0.26, 0.21, 0.11)] + [("answer", s) for s in (0.4, 0.32, 0.14)],
+)
+def test_all_that_was_read_is_answered_before_the_kill(
+    place: str, before_s: float, hangs: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Held up at each step of the end, with short deadlines, and clients whose requests go on coming.
+
+    before_s: from the hold-up to the kill. hangs: so does every upstream, else each answers at once.
+    """
+
+    async def test() -> None:
+        classes = [dict(kind, deadlineMs=1000.0 * DEADLINE_S, sloMs=150.0) for kind in SETTINGS["classes"]]
+        async with World(2, classes=classes) as world:
+            if hangs:
+                for up in world.ups:
+                    up.script = silent
+            node, names = world.node, ("read", "pay", "book")
+            ends = note_ends(monkeypatch)
+            known, threads = Future[float](), ThreadPoolExecutor(WRITERS)
+            clients = [
+                node.loop.run_in_executor(threads, send_in_two, world.port, names[n % 3], known, 0.01 * n)
+                for n in range(WRITERS)
+            ]
+            stays = socket.create_connection(("127.0.0.1", world.port))
+            stays.sendall(request()[:-1])
+            await until(lambda: len([c for c in node.front.clients if c.in_message]) == WRITERS + 1)
+            node.terminate()
+            killed = node.draining_since + DEADLINE_S + KILL_MARGIN_S
+            known.set_result(killed)
+            hold: HeldClock | HeldAnswer
+            if place == "clock":
+                node.clock = hold = HeldClock(node.clock, killed - before_s)  # type: ignore[assignment]
+            else:
+                hold = HeldAnswer(monkeypatch, killed - before_s)
+            await node.finished
+            written = list(ends)
+            for client in node.front.clients:
+                client.transport.abort()  # as the exit does
+            answers = await asyncio.gather(*clients)
+            stays.close()
+            assert hold.held or before_s < 0.2  # when nothing is left to be held up
+            assert max(written) <= killed
+            assert set(answers) <= {200, 502, 503}
+
+    uvloop.run(test())
