--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -44,7 +44,7 @@
 ANSWER_S = 0.35  # all that is owed gets its final answer, and so does at once what still comes
 REJECT_S = 0.25  # nothing more is read as a request: what has come by half is rejected
 EXIT_S = 0.2  # the process exits
-LAST_TURN_S = 0.02  # between one step and the next
+LAST_TURN_S = 0.02  # after a hold-up, timers are due ahead of what has come meanwhile
 SUMMARY_S = 10.0
 PASS_S = 0.02
 
@@ -200,7 +200,11 @@
         """End with no successor: new connections go on coming for a moment."""
         self.front.draining = True
         listen_until = min(self.draining_since + NEW_CLIENTS_S, self._killed_at() - ANSWER_S)
-        self.clock.call_later(max(0.0, listen_until - self.clock.now()), self._stop_listening)
+        self.clock.call_later(max(0.0, listen_until - self.clock.now()), self._accept_last)
+
+    def _accept_last(self) -> None:
+        """To close the listener would reset what waits in its queue: that is accepted first."""
+        self.clock.call_later(LAST_TURN_S, self._stop_listening)
 
     def _stop_listening(self) -> None:
         if self.front.draining:  # else a successor has come meanwhile
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -217,3 +217,33 @@
             assert set(answers) <= {200, 502, 503}
 
     uvloop.run(test())
+
+
+@pytest.mark.parametrize("deadline_s", [0.1, 2.0])
+def test_what_waits_to_be_accepted_as_the_listener_closes_is_answered(deadline_s: float) -> None:
+    """It came while the loop was held up, and the timer that closes the listener is due ahead of it."""
+
+    async def test() -> None:
+        classes = [dict(kind, deadlineMs=1000.0 * deadline_s, sloMs=90.0) for kind in SETTINGS["classes"]]
+        async with World(classes=classes) as world:
+            loop, sock = world.node.loop, socket.socket()
+            here, there = socket.socketpair()
+
+            def come_and_hold() -> None:
+                loop.remove_reader(here)
+                sock.connect(("127.0.0.1", world.port))
+                sock.sendall(request("pay", b"w"))
+                time.sleep(HELD_S)
+
+            close_s = min(0.6, deadline_s + 0.35)  # from SIGTERM
+            world.node.terminate()
+            loop.add_reader(here, come_and_hold)  # not from a timer: the loop looks at sockets between those
+            loop.call_later(close_s - 0.05, there.send, b"x")
+            await world.node.finished
+            sock.setblocking(False)
+            assert (await world.node.loop.sock_recv(sock, 4096)).startswith(
+                (b"HTTP/1.1 200", b"HTTP/1.1 503")
+            )
+            sock.close()
+
+    uvloop.run(test())
