--- a/quartzford/fronts/extproc/desk.py
+++ b/quartzford/fronts/extproc/desk.py
@@ -19,6 +19,7 @@
 
 PROOF = ("full", "connect_failed", "moot")  # reports that prove that the attempt never ran
 ENDED_AT_MOST = 65_536
+SEND_S = 0.05  # of the client's time, set aside for the caller's way to the server
 ENDED_S = 1.0  # an ended flight is remembered for so much longer than its client's time
 
 
@@ -38,15 +39,17 @@
 
 
 class Told(NamedTuple):
-    """Send it there, now; give the attempt up after time_out_ms, and tell the server as much.
+    """Send it there, now; give the attempt up at `due`, and tell the server that it has until `tell_until`.
 
-    by: the end of the decision's validity, on the machine's monotonic clock, in seconds: who has not written
-    it by then gives it back (Desk.late). within_ms: the same for a caller on any clock, counted from its ask.
+    Both are seconds on the machine's monotonic clock: who writes them down as spans reads the clock then.
+    by: the end of the decision's validity, on the same clock: who has not written it by then gives it back
+    (Desk.late). within_ms: the same for a caller on any clock, counted from its ask.
     """
 
     address: str
     token: str
-    time_out_ms: float
+    due: float
+    tell_until: float
     within_ms: float
     by: float
 
@@ -275,9 +278,11 @@
         assert attempt.host is not None
         self.ran_before, self.may_have_run = self.may_have_run, True
         self.waiting, self.holder, stream.attempt = None, stream, attempt
-        time_out = max(1.0, (attempt.due - self.desk.clock.now()) * 1000.0)
+        left = self.deadline - self.desk.clock.now()
+        tell_until = min(attempt.due, self.deadline - min(SEND_S, left / 2))
         by = attempt.stands_until
-        stream.say(Told(attempt.host.address, self.token, time_out, (by - stream.asked) * 1000.0, by))
+        within_ms = (by - stream.asked) * 1000.0
+        stream.say(Told(attempt.host.address, self.token, attempt.due, tell_until, within_ms, by))
 
     def _overlapped(self) -> None:
         stream, self.following, self.overlap = self.following, None, None
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -155,14 +155,15 @@
         common = proto.CommonResponse(header_mutation=mutation)
         return serialized(proto.ProcessingResponse(response_headers=proto.HeadersResponse(response=common)))
 
-    def write(self, reply: Reply) -> bytes:
+    def write(self, reply: Reply, now: float) -> bytes:
+        """The reply as it leaves at this moment, in seconds on the machine's monotonic clock."""
         match reply:
-            case Told(address, token, time_out, within, _):
+            case Told(address, token, due, tell_until, within, _):
                 rows = [
                     header(self.names.destination, address.encode()),
                     header(self.names.token, token.encode()),
-                    header(TIME_OUT, b"%d" % time_out),
-                    header(self.names.left, b"%dm" % time_out),
+                    header(TIME_OUT, b"%d" % ((due - now) * 1000.0)),
+                    header(self.names.left, b"%dm" % ((tell_until - now) * 1000.0)),
                     header(self.names.within, b"%d" % max(0.0, within)),
                 ]
                 return self._told(rows, self.attempt_mode)
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -28,6 +28,7 @@
 WAITING = 16  # messages of one stream that came ahead of a reply
 STREAM_SPARE_S = 2.0  # a stream lives for the longest deadline and so much more, whatever its caller does
 SWEEP_S = 0.25
+LEAST_LEFT_S = 0.001  # time-outs are written in whole ms, and 0 of them would mean none
 # gRPC status codes
 OK, INVALID_ARGUMENT, DEADLINE_EXCEEDED, EXHAUSTED, UNIMPLEMENTED = 0, 3, 4, 8, 12
 ANSWER = http2.block(((b":status", b"200"), (b"content-type", b"application/grpc")))
@@ -109,7 +110,7 @@
         if kind == "request_headers" and not self.told:
             ask = processor.reader.ask(request.request_headers, self.opens)
             if isinstance(ask, int):
-                return self._say(processor.writer.write(Failed(ask)))
+                return self._say(processor.writer.write(Failed(ask), processor.clock.now()))
             self.busy = True
             return processor.link.ask(self, ask)
         if kind == "response_headers" and self.told and not self.opens:
@@ -120,12 +121,15 @@
     def _replied(self, reply: Reply) -> None:
         if isinstance(reply, Cut):
             return self.caller.finish(self, DEADLINE_EXCEEDED, "the request's time is over")
-        if self.busy and isinstance(reply, Told) and self.caller.processor.clock.now() > reply.by:
-            return self.caller.processor.link.late(self)  # the nodo may be draining by now: decide afresh
-        if self.busy:
-            self.busy, self.told = False, isinstance(reply, Told | Opened)
-            self._say(self.caller.processor.writer.write(reply))
-            self.advance()
+        if not self.busy:
+            return
+        processor = self.caller.processor
+        now = processor.clock.now()
+        if isinstance(reply, Told) and (now > reply.by or reply.tell_until - now < LEAST_LEFT_S):
+            return processor.link.late(self)  # the nodo may drain by now, or the time is over: decide afresh
+        self.busy, self.told = False, isinstance(reply, Told | Opened)
+        self._say(processor.writer.write(reply, now))
+        self.advance()
 
     def _say(self, message: bytes) -> None:
         connection = self.caller.connection
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -11,10 +11,14 @@
 
 import pytest
 import uvloop
+from extproc_site import Raw, Site, rows_of, status_of
 from helpers import UNSAFE, ask, met_often, outcome, sends, started
 from peers import SETTINGS, Message, World, read_message, reply, request, run, silent, until
 
 from quartzford.backends import http1
+from quartzford.fronts.extproc import server
+from quartzford.fronts.extproc.desk import Reply
+from quartzford.fronts.extproc.messages import Writer
 
 SLACK_S = 0.15  # of the rule, and for as long a balancer may be held up between its clock and a write
 TRANSIT_S = 0.02  # from the balancer's write to this test's clock
@@ -247,3 +251,63 @@
         balancer.handle(budget, outcome(send, 0, code, spent))
         blamed = balancer.servers[send.server].failing > 0
         assert blamed == (budget > UNSAFE.aim_ms)
+
+
+# ---- the external processor
+
+
+def told_by(raw: Raw) -> tuple[float, float]:
+    """Seconds that the server is told, and that the caller is to wait."""
+    left = raw.headers.get("x-time-left")
+    assert left.endswith("m")
+    return int(left[:-1]) / 1000.0, int(raw.headers.get("x-envoy-upstream-rq-timeout-ms")) / 1000.0
+
+
+@pytest.mark.parametrize("again", [False, True])
+def test_what_the_external_processor_tells_holds_as_it_leaves(
+    again: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A worker has the decision 0.08 s later, and is held up by 0.15 s between its clock and its write."""
+    replied, write = server.Wire._replied, Writer.write
+
+    def later(self: server.Wire, reply: Reply) -> None:
+        asyncio.get_running_loop().call_later(0.08, replied, self, reply)
+
+    def held(self: Writer, reply: Reply, now: float) -> bytes:
+        message = write(self, reply, now)
+        time.sleep(SLACK_S)
+        return message
+
+    async def test() -> None:
+        async with Site(2) as site:
+            caller, rows = site.caller(), rows_of("c1", "read", left_s=1.5)
+            asked = time.monotonic()
+            raw = Raw(caller)
+            if again:
+                await raw.ask(rows)
+                await raw.report(503, ("x-unprocessed", "1"))
+                rows, raw = [*rows, raw.token()], Raw(caller)
+            monkeypatch.setattr(server.Wire, "_replied", later)
+            monkeypatch.setattr(Writer, "write", held)
+            await raw.ask(rows)
+            left, time_out = told_by(raw)
+            assert 0 < left <= time_out
+            assert left <= asked + 1.5 - time.monotonic() + SLACK_S
+
+    uvloop.run(test())
+
+
+@run
+async def test_with_very_little_time_left_a_caller_is_told_no_time_out_of_0() -> None:
+    async with Site(2) as site:
+        caller = site.caller()
+        for number, left in enumerate(("0m", "1u", "900u", "1m", "2m", "4m")):
+            raw = Raw(caller)
+            rows = [row for row in rows_of(f"c{number}", "pay") if row[0] != "x-time-left"]
+            reply = await raw.ask([*rows, ("x-time-left", left)])
+            if status_of(reply):
+                assert status_of(reply) == 503
+            else:
+                assert min(told_by(raw)) >= 0.001
+                raw.drop()
+        assert not any(nodo.failing for nodo in site.node.engine.balancer.ready)
