--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -65,7 +65,7 @@
 class RemoteAttempt(engine.Attempt):
     """One attempt that the caller makes."""
 
-    __slots__ = ("backend", "host", "state", "timer")
+    __slots__ = ("backend", "host", "state", "timer", "stands_until")
     call: RemoteCall
 
     def __init__(
@@ -76,11 +76,8 @@
         self.host = backend.hosts.get(server)
         self.state = State.DECIDED
         self.timer: Handle | None = None
-
-    @property
-    def stands_until(self) -> float:
-        """The decision is neither told, written nor (by a caller that keeps to it) sent after this."""
-        return self.sent + self.backend.valid_s
+        # The decision is neither told, written nor (by a caller that keeps to it) sent after this.
+        self.stands_until = sent + backend.valid_s
 
     def start(self) -> None:
         self.timer = self.backend.clock.call_later(self.due - self.sent, self.fail, "moot")
@@ -95,9 +92,11 @@
             return False
         now = self.backend.clock.now()
         same = self.host is not None and self.backend.hosts.get(self.server) == self.host
-        if not same or now > self.stands_until or not self.backend.engine.stands(self):
+        stands_s = self.backend.engine.stands_for(self)
+        if not same or now > self.stands_until or stands_s <= 0.0:
             self.fail("moot")
             return False
+        self.stands_until = min(self.stands_until, now + stands_s)
         self.state, self.written = State.TOLD, now
         self.backend.engine.figures.attempts += 1
         self._stop()
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -12,11 +12,15 @@
 
 import pytest
 import uvloop
+from helpers import ZONED, settings
 from peers import SETTINGS, Message, World, reply, request, silent, until
+from test_extproc_desk import Peer
+from test_extproc_desk import World as Site
 
 from quartzford.backends import http1
 from quartzford.engine import Clock
 from quartzford.fronts import http1 as front
+from quartzford.fronts.extproc.desk import Ask
 
 HELD_S = 0.15
 GRACE_S = SETTINGS["guarantees"]["drainGraceMs"] / 1000.0
@@ -66,6 +70,21 @@
     uvloop.run(test())
 
 
+def test_a_caller_is_told_no_send_past_the_keyed_window() -> None:
+    """What stands for longer as a decision ends with its request's window, less what a hold-up may take."""
+    world = Site()
+    world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
+    first = Peer(world).ask(Ask("c1", "hold", 700.0, keyed=True))
+    begun = world.clock.at
+    told = first.told()
+    assert told is not None and told.by == pytest.approx(begun + 0.1)
+    world.clock.pass_time(0.12)
+    first.report("reset")
+    second = Peer(world).ask(Ask("c1", "hold", 700.0, keyed=True, token=told.token))
+    again = second.told()
+    assert again is not None and again.by <= begun + ZONED.window_ms / 1000.0 - HELD_S
+
+
 @pytest.mark.parametrize("reused", [False, True])
 def test_a_drain_told_between_a_decision_and_its_bytes_is_kept(
     reused: bool, monkeypatch: pytest.MonkeyPatch
