--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -8,11 +8,13 @@
 from pathlib import Path
 from typing import Any
 
+from quartzford.decision import interface as io
 from quartzford.decision.columns import load_arrays
 from quartzford.membership.subset import Subset
 from quartzford.node import LISTS_PER_S, Node, start_listening
 from quartzford.recording import Recorder
 from quartzford.settings.operatorfile import (
+    ExtprocSettings,
     ListsSettings,
     OperatorError,
     OperatorSettings,
@@ -23,6 +25,7 @@
 from quartzford.settings.platform import Config, ConfigError, load_config
 
 LEAST_CLOSE_S = 0.05  # for the trace's last lines, however late it is
+LEAST_OF_GRACE = 0.25  # of a drain's grace, where that is hardly longer than a hold-up
 
 
 def config_path(operator: OperatorSettings, path: str) -> str:
@@ -41,6 +44,13 @@
         )
 
 
+def decision_valid_s(extproc: ExtprocSettings, settings: io.Settings) -> float:
+    """For how long a decision stands: a worker that is held up as it writes one keeps to a drain's grace."""
+    grace_ms = settings.rules.drain_grace_ms
+    within_grace_ms = max(LEAST_OF_GRACE * grace_ms, grace_ms - settings.stall_ms)
+    return min(extproc.decision_valid_ms, within_grace_ms) / 1000.0
+
+
 class Service:
     """A node with the operator's parts, their reload and their end."""
 
@@ -95,7 +105,8 @@
 
         node, settings = self.node, self.operator.extproc
         assert settings is not None
-        self.backend = CallerBackend(node.engine, node.clock, settings.decision_valid_ms / 1000.0)
+        valid_s = decision_valid_s(settings, config.settings)
+        self.backend = CallerBackend(node.engine, node.clock, valid_s)
         node.followers.append(self.backend)
         return ExtprocFront(settings, config.report_names, node.engine, self.backend, node.clock, node.log)
 
@@ -120,7 +131,7 @@
         self.node.reconfigure(config)
         self.operator = operator
         if self.extproc is not None and operator.extproc is not None:
-            self.backend.valid_s = operator.extproc.decision_valid_ms / 1000.0
+            self.backend.valid_s = decision_valid_s(operator.extproc, config.settings)
             self.extproc.reconfigure(operator.extproc, config.report_names)
         self.node.log.line("reload", f"in force, discovery at {config.discovery[0]}:{config.discovery[1]}")
 
--- a/quartzford/settings/operatorfile.py
+++ b/quartzford/settings/operatorfile.py
@@ -42,7 +42,7 @@
 
     listen: str
     workers: int = 1  # processes that serve gRPC; 0: within the deciding process
-    decision_valid_ms: float = 150.0  # an older decision is neither told nor written, but made anew
+    decision_valid_ms: float = 100.0  # an older decision is neither told nor written, but made anew
     return_ms: float = 250.0  # for how long a request waits for its caller's next stream
     overlap_ms: float = 50.0  # for how long a stream waits that asks while an attempt is out
     queue_ms: float = 100.0  # for how long a request may wait for the deciding process
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -12,15 +12,20 @@
 
 import pytest
 import uvloop
+from extproc_site import Raw, rows_of
+from extproc_site import Site as ExtprocSite
 from helpers import ZONED, settings
 from peers import SETTINGS, Message, World, reply, request, silent, until
 from test_extproc_desk import Peer
-from test_extproc_desk import World as Site
+from test_extproc_desk import World as Desk
 
 from quartzford.backends import http1
 from quartzford.engine import Clock
 from quartzford.fronts import http1 as front
-from quartzford.fronts.extproc.desk import Ask
+from quartzford.fronts.extproc import server
+from quartzford.fronts.extproc.desk import Ask, Reply
+from quartzford.fronts.extproc.messages import Writer
+from quartzford.serve import decision_valid_s
 
 HELD_S = 0.15
 GRACE_S = SETTINGS["guarantees"]["drainGraceMs"] / 1000.0
@@ -70,9 +75,38 @@
     uvloop.run(test())
 
 
+@pytest.mark.parametrize("asked_for_ms", [100.0, 150.0, 1000.0])
+def test_a_caller_is_told_of_a_decision_within_the_grace(
+    asked_for_ms: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A worker has a decision shortly before it ends, and is held up between its clock and its write."""
+    replied, write = server.Wire._replied, Writer.write
+
+    async def test() -> None:
+        async with ExtprocSite(2, decision_valid_ms=asked_for_ms) as site:
+            site.backend.valid_s = decision_valid_s(site.extproc, site.config.settings)
+            decided: list[float] = []
+
+            def later(self: server.Wire, said: Reply) -> None:
+                decided.append(time.monotonic())
+                asyncio.get_running_loop().call_later(site.backend.valid_s - 0.03, replied, self, said)
+
+            def held(self: Writer, said: Reply, now: float) -> bytes:
+                time.sleep(HELD_S)
+                return write(self, said, now)
+
+            monkeypatch.setattr(server.Wire, "_replied", later)
+            monkeypatch.setattr(Writer, "write", held)
+            raw = Raw(site.caller())
+            await raw.ask(rows_of("c1"))
+            assert raw.address() and time.monotonic() <= decided[0] + GRACE_S
+
+    uvloop.run(test())
+
+
 def test_a_caller_is_told_no_send_past_the_keyed_window() -> None:
     """What stands for longer as a decision ends with its request's window, less what a hold-up may take."""
-    world = Site()
+    world = Desk()
     world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
     first = Peer(world).ask(Ask("c1", "hold", 700.0, keyed=True))
     begun = world.clock.at
