--- a/bench/growth_site.py
+++ b/bench/growth_site.py
@@ -20,8 +20,11 @@
 from standins.listservice import Plan as ServicePlan
 from standins.listservice import Service
 from standins.nodo import Books, Nodo
+from standins.nodo import Connection as NodoConnection
 from standins.site import START_SHARE, WARM_S
 
+# Thousands of listeners at 127.0.0.1 would take ports that other programs choose, and be called by mistake.
+ADDRESS = "127.77.0.1"
 CELL = 4  # upstreams of one cell, where their number grows with the upstreams
 LARGE_CELLS = 8  # cells, where these grow
 CAPACITY, CORES = 16.0, 2  # requests a second of a warm upstream, and its cores
@@ -66,10 +69,19 @@
 
 
 class CountingNodo(Nodo):
-    """An upstream that counts the connections made to it: each costs it the work of a handshake."""
+    """An upstream at ADDRESS that counts the connections made to it: each costs the work of a handshake."""
 
     connections_made = 0
 
+    async def start(self) -> None:
+        """Listen at a port that the kernel gives."""
+        self.server = await asyncio.get_running_loop().create_server(lambda: NodoConnection(self), ADDRESS, 0)
+        self.port = self.server.sockets[0].getsockname()[1]
+
+    def entry(self, **changes: Any) -> dict[str, Any]:
+        """This upstream as discovery tells of it."""
+        return super().entry(**{"dial": f"{ADDRESS}:{self.port}"} | changes)
+
     def spend(self, now: float, seconds: float) -> None:
         """Count the handshake, and do its work."""
         self.connections_made += 1
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,7 +9,7 @@
 from helpers import ask, outcome, sends, settings
 
 from bench.growth import BOUNDS, Needs, compared, needs
-from bench.growth_site import Day
+from bench.growth_site import ADDRESS, Day, site
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
 from quartzford.decision.workingset import LEAST, PART, SLACK, WorkingSet
@@ -139,6 +139,8 @@
 
 def test_a_short_day_on_sockets_gives_all_figures() -> None:
     day = Day("join", "larger cells", 24, 40.0, seconds=2.0, churn_from=0.5, churn_s=0.5, replaced=2)
+    with site(day) as running:  # at an address of their own: other programs' calls would be counted
+        assert all(row["dial"].startswith(f"{ADDRESS}:") for row in running.known["hosts"])
     found = needs(day)
     assert found.served > 0.9 and found.connections >= 10 and found.list_kb > 0
     assert found.descriptors >= 10 and found.peak_mb > 10 and found.cpu_s > 0
