--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -31,8 +31,12 @@
     )  # fmt: skip
 
 
-async def free_port() -> int:
-    return reserved_port()
+def test_a_reserved_port_is_given_to_nobody_else_and_can_be_listened_to() -> None:
+    port = reserved_port()
+    with socket.socket() as other, pytest.raises(OSError, match="in use"):
+        other.bind(("127.0.0.1", port))
+    with socket.create_server(("127.0.0.1", port)), socket.create_connection(("127.0.0.1", port)):
+        pass
 
 
 class Program:
@@ -49,7 +53,7 @@
         for peer in (self.up, self.world.discovery):
             if not peer.port:
                 await peer.start()
-        self.port = getattr(self, "port", 0) or await free_port()
+        self.port = getattr(self, "port", 0) or reserved_port()
         self.config = {
             "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "ab12",
             "discovery": f"127.0.0.1:{self.world.discovery.port}",
@@ -292,7 +296,7 @@
     async def test() -> None:
         world = World()
         config = {
-            "name": "n0", "listen": f"127.0.0.1:{await free_port()}", "seed": "ab12",
+            "name": "n0", "listen": f"127.0.0.1:{reserved_port()}", "seed": "ab12",
             "discovery": "127.0.0.1:1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"seq": 0, "whole": True, "hosts": []}, "settings": world.settings,
         }  # fmt: skip
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -18,8 +18,8 @@
 import pytest
 import uvloop
 from helpers import ask, entry, outcome, sends, settings, started
-from peers import Message, World, read_message, reply, request, says, until
-from test_process import COMMAND, ROOT, free_port
+from peers import Message, World, read_message, reply, request, reserved_port, says, until
+from test_process import COMMAND, ROOT
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
@@ -163,7 +163,7 @@
         self.folder.mkdir()
         for peer in (*self.world.ups, self.world.discovery):
             await peer.start()
-        self.port = await free_port()
+        self.port = reserved_port()
         self.config = {
             "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "ab12",
             "discovery": f"127.0.0.1:{self.world.discovery.port}",
@@ -175,7 +175,7 @@
         await self.yes()
 
     async def start(self, config: Any = None) -> asyncio.subprocess.Process:
-        self.admins.append(await free_port())
+        self.admins.append(reserved_port())
         file = self.path / f"{len(self.admins)}.json"
         file.write_text(json.dumps(config or self.config))
         env = {**os.environ, "EDGE_CONFIG": str(file), "TMPDIR": str(self.folder),
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -12,9 +12,8 @@
 
 import msgspec
 import pytest
-from peers import SETTINGS, Message, World, run, until
+from peers import SETTINGS, Message, World, reserved_port, run, until
 from test_extproc_desk import FakeClock, Quiet
-from test_process import free_port
 
 from quartzford.control import ControlSide, InheritedStarts, assemble
 from quartzford.decision import interface as io
@@ -315,7 +314,7 @@
             await peer.start()
         world.current = world.list(world.host(0), world.host(1), whole=True)
         config = read_config(json.dumps({
-            "name": "n0", "listen": f"127.0.0.1:{await free_port()}", "seed": "5",
+            "name": "n0", "listen": f"127.0.0.1:{reserved_port()}", "seed": "5",
             "discovery": f"127.0.0.1:{world.discovery.port}", "known": world.current,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": world.settings,
         }))  # fmt: skip
