--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,7 +14,7 @@
 
 import pytest
 import uvloop
-from peers import SETTINGS, World, request, run, until
+from peers import SETTINGS, World, request, reserved_port, run, until
 from system_calls import Faults, exchange, process, status
 
 from quartzford.engine import LoopClock, StderrLog
@@ -36,21 +36,13 @@
 AT_ONCE = 12
 
 
-def free_ports(count: int) -> list[int]:
-    """Ports that the kernel gives and nobody holds any more."""
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports: list[int] = [one.getsockname()[1] for one in held]
-    for one in held:
-        one.close()
-    return ports
-
-
 class Site:
     """Stand-in upstreams and their list service, and a balancer's process that knows of the service alone."""
 
     def __init__(self) -> None:
         self.number = 0
-        self.port, self.admin = free_ports(2)
+        self.port = reserved_port()
+        self.admin = reserved_port()
 
     async def start(self, folder: Path) -> None:
         """Start the upstreams and the list service, and write the configuration."""
@@ -215,7 +207,7 @@
     async def test() -> None:
         it = Site()
         await it.start(tmp_path)
-        (extproc,) = free_ports(1)
+        extproc = reserved_port()
         operator = tmp_path / "operator.toml"
         operator.write_text(f'config = "{it.path}"\n[extproc]\nlisten = "127.0.0.1:{extproc}"\nworkers = 0\n')
         try:
@@ -241,7 +233,7 @@
         service = Service(Plan(per_s=1000.0))
         service.replace_list([])
         await service.start()
-        (port,) = free_ports(1)
+        port = reserved_port()
         operator = tmp_path / "relay.toml"
         operator.write_text(
             f'[relay]\nlisten = "127.0.0.1:{port}"\nsource = "127.0.0.1:{service.port}"\n'
