--- a/bench/callmodel.py
+++ b/bench/callmodel.py
@@ -295,12 +295,17 @@
         down = max((end for begin, end in self.trouble.downs if begin <= 0), default=0.0)
         down = max((down, *self.trouble.restarts))
         return {
-            "policy": self.policy, "service": self.trouble.name, "balancers": self.balancers,
-            "served": len(served), "all_after_s": round(max(served, default=0.0) - down, 2),
+            "policy": self.policy,
+            "service": self.trouble.name,
+            "balancers": self.balancers,
+            "served": len(served),
+            "all_after_s": round(max(served, default=0.0) - down, 2),
             "calls": round(len(self.calls) / self.balancers, 2),
             "calls_down": round(bisect_left(self.calls, down) / self.balancers, 2),
-            "most_1s": self.most_in(1.0), "most_100ms": self.most_in(0.1), "answers": self.answers,
-        }  # fmt: skip
+            "most_1s": self.most_in(1.0),
+            "most_100ms": self.most_in(0.1),
+            "answers": self.answers,
+        }
 
 
 def bound_s(balancers: int, trouble: Trouble) -> float:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -48,10 +48,15 @@
 def program() -> Program:
     """The bounds in this checkout's code."""
     return Program(
-        calls_per_s=LISTS_PER_S, spread_s=NOTIFY_BOUND_S - QUEUE_S, small=SMALL, line_bytes=LINE_BYTES,
-        meet_s=MEET_MS / 1000.0, least_used=LEAST, log_lines_per_s=LOG_LINES_PER_S,
+        calls_per_s=LISTS_PER_S,
+        spread_s=NOTIFY_BOUND_S - QUEUE_S,
+        small=SMALL,
+        line_bytes=LINE_BYTES,
+        meet_s=MEET_MS / 1000.0,
+        least_used=LEAST,
+        log_lines_per_s=LOG_LINES_PER_S,
         relay=importlib.util.find_spec("quartzford.relay") is not None,
-    )  # fmt: skip
+    )
 
 
 def _read(path: Path, reader: Callable[[Any], T], nothing: T) -> T:
--- a/bench/capacity_inputs.py
+++ b/bench/capacity_inputs.py
@@ -20,10 +20,29 @@
 
 # Units that measured figures may have, in those of the model.
 UNITS = {
-    "B": 1.0, "bytes": 1.0, "KB": KB, "kB": KB, "MB": MB, "KiB": 1024.0, "MiB": 1024.0**2,
-    "s": 1.0, "ms": 1e-3, "us": 1e-6, "cores": 1.0, "core": 1.0, "%": 0.01, "calls": 1.0, "1/s": 1.0,
-    "B/s": 1.0, "bytes/s": 1.0, "KB/s": KB, "MB/s": MB, "s/s": 1.0, "ms/s": 1e-3, "us/s": 1e-6,
-}  # fmt: skip
+    "B": 1.0,
+    "bytes": 1.0,
+    "KB": KB,
+    "kB": KB,
+    "MB": MB,
+    "KiB": 1024.0,
+    "MiB": 1024.0**2,
+    "s": 1.0,
+    "ms": 1e-3,
+    "us": 1e-6,
+    "cores": 1.0,
+    "core": 1.0,
+    "%": 0.01,
+    "calls": 1.0,
+    "1/s": 1.0,
+    "B/s": 1.0,
+    "bytes/s": 1.0,
+    "KB/s": KB,
+    "MB/s": MB,
+    "s/s": 1.0,
+    "ms/s": 1e-3,
+    "us/s": 1e-6,
+}
 
 
 class InputError(ValueError):
@@ -232,16 +251,25 @@
     fit = None
     if raw:
         part = partial(_part, raw, str(name))
-        fit = Fit(str(raw["kind"]), part("intercept"), part("slope"), part("residual"),
-                  _optional(raw.get("exponent"), str(name)) or 1.0)  # fmt: skip
+        fit = Fit(
+            str(raw["kind"]),
+            part("intercept"),
+            part("slope"),
+            part("residual"),
+            _optional(raw.get("exponent"), str(name)) or 1.0,
+        )
     return Slope(
-        role=str(row["role"]), name=str(name), unit=str(row["unit"]), by=str(row["by"]),
+        role=str(row["role"]),
+        name=str(name),
+        unit=str(row["unit"]),
+        by=str(row["by"]),
         sizes=tuple(_number(size, f"{name}: size") for size in row["sizes"]),
-        values=tuple(_number(value, f"{name}: value") for value in row["values"]), fit=fit,
+        values=tuple(_number(value, f"{name}: value") for value in row["values"]),
+        fit=fit,
         error=_optional(kept.get("error"), f"{name}: error") if kept else None,
         target_size=_optional(target.get("size"), f"{name}: size") if target else None,
         target_value=_optional(target.get("value"), f"{name}: value") if target else None,
-    )  # fmt: skip
+    )
 
 
 def read_calls(table: Any) -> tuple[CallRun, ...]:
@@ -249,12 +277,15 @@
     try:
         return tuple(
             CallRun(
-                str(row["service"]), int(row["balancers"]), int(row["served"]),
-                _number(row["all_after_s"], "all_after_s"), _number(row["calls"], "calls"),
+                str(row["service"]),
+                int(row["balancers"]),
+                int(row["served"]),
+                _number(row["all_after_s"], "all_after_s"),
+                _number(row["calls"], "calls"),
                 _number(row["most_1s"], "most_1s"),
             )
             for row in table["rows"]
-        )  # fmt: skip
+        )
     except (KeyError, TypeError) as error:
         raise InputError(f"calls: {type(error).__name__}: {error}") from None
 
@@ -274,11 +305,20 @@
 def _event(row: dict[str, Any]) -> ScaleEvent:
     part = partial(_measured, row)
     return ScaleEvent(
-        event=str(row["event"]), way=str(row["way"]), hollow=int(row["hollow"]), real=int(row["real"]),
-        p50_s=part("p50_s"), p99_s=part("p99_s"), last_s=part("last_s"), source_calls=part("source_calls"),
-        bytes_out=part("bytes_out"), requests=str(row.get("requests", "")), rows=part("rows"),
-        with_list=part("with_list"), missing=part("missing"),
-    )  # fmt: skip
+        event=str(row["event"]),
+        way=str(row["way"]),
+        hollow=int(row["hollow"]),
+        real=int(row["real"]),
+        p50_s=part("p50_s"),
+        p99_s=part("p99_s"),
+        last_s=part("last_s"),
+        source_calls=part("source_calls"),
+        bytes_out=part("bytes_out"),
+        requests=str(row.get("requests", "")),
+        rows=part("rows"),
+        with_list=part("with_list"),
+        missing=part("missing"),
+    )
 
 
 def _measured(row: dict[str, Any], key: str) -> float | None:
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -50,7 +50,7 @@
     "relay change": ("relay", "a change told to all watchers: processor time"),
     "relay span": ("relay", "a change told to all watchers: until the last has it"),
     "relay list": ("relay", "whole list again: processor time"),
-}  # fmt: skip
+}
 
 
 class Basis(NamedTuple):
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -79,14 +79,21 @@
         ("routes, tenants", f"{t.routes:,}, {t.tenants:,}"),
         ("added to 99 in 100 requests", f"{quantity(t.added_s, 's')} at most"),
         ("regions, zones", f"{t.regions}, {t.zones}"),
-        ("changes of configuration a day",
-         f"{t.changes_per_day:,.0f}, in force within {t.change_within_s:g} s"),
-        ("control, of a balancer", f"{quantity(t.control_cores, 'cores')}, "
-         f"{quantity(t.control_bytes, 'bytes')}, {quantity(t.control_bytes_per_s, 'bytes/s')}"),
+        (
+            "changes of configuration a day",
+            f"{t.changes_per_day:,.0f}, in force within {t.change_within_s:g} s",
+        ),
+        (
+            "control, of a balancer",
+            f"{quantity(t.control_cores, 'cores')}, "
+            f"{quantity(t.control_bytes, 'bytes')}, {quantity(t.control_bytes_per_s, 'bytes/s')}",
+        ),
         ("machines for control", f"{t.control_machines}"),
-        ("machines that fail, are restarted or replaced a day",
-         f"{t.failed_per_day:,.0f}, {t.replaced_per_day:,.0f}"),
-    )  # fmt: skip
+        (
+            "machines that fail, are restarted or replaced a day",
+            f"{t.failed_per_day:,.0f}, {t.replaced_per_day:,.0f}",
+        ),
+    )
     return table(("figure", "target", "source"), ((*row, LETTER) for row in rows))
 
 
@@ -112,9 +119,7 @@
     return table(("follows from it", "figure"), rows)
 
 
-ROLE_HEAD = (
-    "quantity", "at the target", "how it follows", "run", "bound", "factor", "carried today by"
-)  # fmt: skip
+ROLE_HEAD = ("quantity", "at the target", "how it follows", "run", "bound", "factor", "carried today by")
 
 
 def role(rows: Iterable[Row]) -> str:
@@ -124,9 +129,14 @@
         own = row.bound is NOT_OURS
         value = "-" if own else quantity(row.basis.value, row.unit)
         return (
-            f"{row.kind}: {row.what}", value, row.basis.how or "-", row.basis.run or "-", limit,
-            factor(row.factor()), row.today,
-        )  # fmt: skip
+            f"{row.kind}: {row.what}",
+            value,
+            row.basis.how or "-",
+            row.basis.run or "-",
+            limit,
+            factor(row.factor()),
+            row.today,
+        )
 
     return table(ROLE_HEAD, map(cells, rows))
 
@@ -140,8 +150,7 @@
         kind = factor(place.factor) if place.factor is not None else NOT_MEASURED
         needs = ", ".join(place.mechanism.needs) or "nothing"
         today = model.lists_today() if name == LISTS else place.mechanism.today
-        return (str(number), name, kind, worst, need, there, row.basis.run if row else "-", needs,
-                today)  # fmt: skip
+        return (str(number), name, kind, worst, need, there, row.basis.run if row else "-", needs, today)
 
     head = ("", "mechanism", "factor", "worst row", "need", "there", "run", "depends on", "today")
     return table(head, (cells(i, place) for i, place in enumerate(places, 1)))
@@ -168,27 +177,45 @@
     by_role: dict[str, list[Row]] = {}
     for row in rows:
         by_role.setdefault(row.role, []).append(row)
-    tables = {f"role-{name.split(' (')[0].replace(' ', '-').replace(chr(39), '')}": role(found)
-              for name, found in by_role.items()}  # fmt: skip
+    tables = {
+        f"role-{name.split(' (')[0].replace(' ', '-').replace(chr(39), '')}": role(found)
+        for name, found in by_role.items()
+    }
     return tables | {
         "target": target(model),
         "assumptions": table(("left open", "taken as", "what changes if it is wrong"), assumptions(model)),
-        "derived": derived(model), "events": events(model),
-        "ranking": ranking(model, places), "plan": plan(places), "calls": calls(model),
-        "scale": scale(model.figures), "slopes": slopes(model.figures),
-    }  # fmt: skip
+        "derived": derived(model),
+        "events": events(model),
+        "ranking": ranking(model, places),
+        "plan": plan(places),
+        "calls": calls(model),
+        "scale": scale(model.figures),
+        "slopes": slopes(model.figures),
+    }
 
 
 def calls(model: Model) -> str:
     """One release in which each balancer asks the source itself: closed form and model of calls."""
     fleet, per_s = model.target.balancers, model.program.calls_per_s
-    closed = ("closed form: one call each in turn", f"{fleet:,}", f"{fleet:,}", quantity(fleet / per_s, "s"),
-              "1", digits(per_s))  # fmt: skip
+    closed = (
+        "closed form: one call each in turn",
+        f"{fleet:,}",
+        f"{fleet:,}",
+        quantity(fleet / per_s, "s"),
+        "1",
+        digits(per_s),
+    )
     rows = [
-        (run.service, f"{run.balancers:,}", f"{run.served:,}", quantity(run.all_after_s, "s"),
-         digits(run.calls), digits(run.most_1s))
+        (
+            run.service,
+            f"{run.balancers:,}",
+            f"{run.served:,}",
+            quantity(run.all_after_s, "s"),
+            digits(run.calls),
+            digits(run.most_1s),
+        )
         for run in model.figures.calls
-    ]  # fmt: skip
+    ]
     head = ("service", "balancers", "ever had it", "all after", "calls each", "busiest second")
     return table(head, [closed, *(rows or [(f"model of calls: {NOT_MEASURED}", *("-",) * 5)])])
 
@@ -216,15 +243,32 @@
 def scale(figures: Figures) -> str:
     """Every event of scale.json."""
     rows = [
-        (e.event, e.way, f"{e.hollow:,} + {e.real}", count(e.with_list), count(e.missing),
-         quantity(e.p50_s, "s"), quantity(e.p99_s, "s"), quantity(e.last_s, "s"),
-         NOT_MEASURED if e.source_calls is None else digits(e.source_calls), quantity(e.bytes_out, "bytes"))
+        (
+            e.event,
+            e.way,
+            f"{e.hollow:,} + {e.real}",
+            count(e.with_list),
+            count(e.missing),
+            quantity(e.p50_s, "s"),
+            quantity(e.p99_s, "s"),
+            quantity(e.last_s, "s"),
+            NOT_MEASURED if e.source_calls is None else digits(e.source_calls),
+            quantity(e.bytes_out, "bytes"),
+        )
         for e in figures.events
-    ]  # fmt: skip
+    ]
     head = (
-        "event", "lists from", "hollow + real", "had a list", "never in force", "p50", "p99", "last",
-        "calls at the source", "bytes told",
-    )  # fmt: skip
+        "event",
+        "lists from",
+        "hollow + real",
+        "had a list",
+        "never in force",
+        "p50",
+        "p99",
+        "last",
+        "calls at the source",
+        "bytes told",
+    )
     return table(head, rows or [(NOT_MEASURED, *("-",) * 9)])
 
 
--- a/bench/coldstart.py
+++ b/bench/coldstart.py
@@ -67,29 +67,48 @@
     third = f"nodes[:{max(1, balancers // 3)}]"
     events = f"0 stop {third}\n{case.down_s:g} cont {third}" if case.stopped else ""
     nodos = {"nodos": NODOS, "capacity": 150.0, "connect_s": 0.001}
-    result = play(Scenario(
-        balancers=balancers, service={"per_s": PER_S} | case.service, nodos=nodos, rate=rate, seconds=seconds,
-        cold=case.cold, padding=case.padding, checkout=folder if old else ROOT, automatic=old,
-        events=events,
-    ))  # fmt: skip
+    result = play(
+        Scenario(
+            balancers=balancers,
+            service={"per_s": PER_S} | case.service,
+            nodos=nodos,
+            rate=rate,
+            seconds=seconds,
+            cold=case.cold,
+            padding=case.padding,
+            checkout=folder if old else ROOT,
+            automatic=old,
+            events=events,
+        )
+    )
     calls, down = result["calls_s"], case.down_s
     times = sorted(at for at in result["taken_in_s"] if at is not None)
     return {
-        "service": case.name, "balancers": balancers, "code": "before" if old else "now",
-        "serving": result["serving"], "all_after_s": round(result["all_after_s"] - down, 2),
+        "service": case.name,
+        "balancers": balancers,
+        "code": "before" if old else "now",
+        "serving": result["serving"],
+        "all_after_s": round(result["all_after_s"] - down, 2),
         "bound_s": round(1.25 * turn + 2.0 + case.late_s, 2),
         "calls_each": round(len(calls) / balancers, 2),
         "calls_each_up": round(sum(at >= down for at in calls) / balancers, 2),
         "calls_each_down": round(sum(at < down for at in calls) / balancers, 2),
-        "most_1s": result["most_1s"], "most_100ms": result["most_100ms"], "for_nobody": result["for_nobody"],
-        "turned_away": result["turned_away"], "goodput": round(result["goodput"]["whole"], 3),
-        "cold_multiple": result["cold"]["worst_multiple"], "memory_mb": result["memory_mb"],
+        "most_1s": result["most_1s"],
+        "most_100ms": result["most_100ms"],
+        "for_nobody": result["for_nobody"],
+        "turned_away": result["turned_away"],
+        "goodput": round(result["goodput"]["whole"], 3),
+        "cold_multiple": result["cold"]["worst_multiple"],
+        "memory_mb": result["memory_mb"],
         "mb": round(result["bytes"] / 1e6, 1),
         "rules": {name: count for name, count in result["rules"].items() if count},
-        "kept": result["kept"], "crashes": result["crashes"], "calls_s": calls, "times_s": times,
+        "kept": result["kept"],
+        "crashes": result["crashes"],
+        "calls_s": calls,
+        "times_s": times,
         "goodput_s": [row["goodput"] for row in result["seconds"]],
         "model": modelled(case, balancers, "before" if old else "spread"),
-    }  # fmt: skip
+    }
 
 
 def chart(rows: list[dict[str, Any]], path: str) -> None:
--- a/bench/common.py
+++ b/bench/common.py
@@ -96,9 +96,11 @@
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config(port, discovery, known)))
         running = subprocess.Popen(
-            [sys.executable, "-m", "quartzford"], cwd=checkout, stderr=subprocess.DEVNULL,
+            [sys.executable, "-m", "quartzford"],
+            cwd=checkout,
+            stderr=subprocess.DEVNULL,
             env={**os.environ, "EDGE_CONFIG": str(path)},
-        )  # fmt: skip
+        )
         try:
             time.sleep(1.5)
             yield port, running.pid
@@ -113,9 +115,14 @@
     rate: answers 200 a second; others: requests that ended otherwise; p99_ms.
     """
     load = Load(
-        target, seconds=seconds, workers=workers, kinds=(Kind("consulta"),), manners=SINGLE, closed=clients,
+        target,
+        seconds=seconds,
+        workers=workers,
+        kinds=(Kind("consulta"),),
+        manners=SINGLE,
+        closed=clients,
         late_ms=math.inf,
-    )  # fmt: skip
+    )
     result = play(load)
     good = result["ends"].get("consulta served", 0)
     return {
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -51,11 +51,14 @@
 
 def settings() -> io.Settings:
     return io.Settings(
-        zone="z0", balancers=1, classes=CLASSES, prices=io.Prices(cross_zone=0.002),
+        zone="z0",
+        balancers=1,
+        classes=CLASSES,
+        prices=io.Prices(cross_zone=0.002),
         rules=io.Rules(0.0, 250.0, 10_000.0, 0.13, 24_000.0, 4.0, 2_000.0),
         limits=io.Limits(max_attempts=4, may_cancel=True, retry_after=True, max_retry_after_ms=2_000.0),
         report_fields=("depth",),
-    )  # fmt: skip
+    )
 
 
 def entry(number: int, started: float = 0.0, state: str = "ready") -> io.Entry:
@@ -229,9 +232,10 @@
         begun = time.monotonic()
         await settled(count, born, version)
         rows[name] = {
-            "stall_ms": round(beat.worst * 1000, 1), "whole_ms": round((time.monotonic() - begun) * 1000),
+            "stall_ms": round(beat.worst * 1000, 1),
+            "whole_ms": round((time.monotonic() - begun) * 1000),
             "line_kb": round(size / 1000),
-        }  # fmt: skip
+        }
     return rows
 
 
--- a/bench/extproc.py
+++ b/bench/extproc.py
@@ -70,7 +70,7 @@
             warm_s=WARM_S,
             seed=plan.seed,
             trouble="random",
-        )  # fmt: skip
+        )
     )
     await one.start()
     pipe.send((one.registry.port, one.registry.whole()))
@@ -80,10 +80,13 @@
     await loop.run_in_executor(None, pipe.recv)  # stop
     one.stop()
     books = one.books
-    pipe.send(one.account() | {
-        "twice": {c: len(books.twice(c)) for c, _ in MIX},
-        "effects_twice": len(books.effects_twice("reserva", books.window_s)),
-    })  # fmt: skip
+    pipe.send(
+        one.account()
+        | {
+            "twice": {c: len(books.twice(c)) for c, _ in MIX},
+            "effects_twice": len(books.effects_twice("reserva", books.window_s)),
+        }
+    )
 
 
 # ---- a caller's process
@@ -124,10 +127,21 @@
     for proxy in proxies:
         await proxy.close()
     rows_out = [
-        (e.intended, e.service_class, e.statuses, e.ended, e.decision_s, e.report_s, e.dropped, e.why,
-         [(a.at, a.address, a.ended, a.asked, a.told, a.outcome) for a in e.attempts], e.identity)
-        for e in done if isinstance(e, Exchange)
-    ]  # fmt: skip
+        (
+            e.intended,
+            e.service_class,
+            e.statuses,
+            e.ended,
+            e.decision_s,
+            e.report_s,
+            e.dropped,
+            e.why,
+            [(a.at, a.address, a.ended, a.asked, a.told, a.outcome) for a in e.attempts],
+            e.identity,
+        )
+        for e in done
+        if isinstance(e, Exchange)
+    ]
     usage = resource.getrusage(resource.RUSAGE_SELF)
     cores = (usage.ru_utime + usage.ru_stime) / (time.monotonic() - start)
     pipe.send(
@@ -170,9 +184,11 @@
         environment = {k: v for k, v in os.environ.items() if k != "EDGE_CONFIG"}
         with (Path(folder) / "log").open("wb") as log:
             balancer = subprocess.Popen(
-                [sys.executable, "-m", "quartzford", "serve", "--operator", str(operator)], cwd=ROOT,
-                env=environment, stderr=log,
-            )  # fmt: skip
+                [sys.executable, "-m", "quartzford", "serve", "--operator", str(operator)],
+                cwd=ROOT,
+                env=environment,
+                stderr=log,
+            )
         try:
             while b"listening on port" not in (Path(folder) / "log").read_bytes():
                 time.sleep(0.05)
@@ -261,7 +277,8 @@
         "decision_ms": {f"p{q}": round(quantile(decided, q / 100), 2) for q in (50, 99, 99.9)},
         "added_ms": {f"p{q}": round(quantile(added, q / 100), 2) for q in (50, 99, 99.9)},
         "cores": {
-            "decider": round(cores["decider"], 2), "workers": [round(c, 2) for c in cores["workers"]],
+            "decider": round(cores["decider"], 2),
+            "workers": [round(c, 2) for c in cores["workers"]],
             "all": round(cores["decider"] + sum(cores["workers"]), 2),
         },
         "classes": classes,
@@ -279,7 +296,7 @@
         "rules": rules,
         "kept": not any(rules.values()),
         "log": [line for line in said.splitlines() if not line.startswith("summary")][-5:],
-    }  # fmt: skip
+    }
 
 
 def late_writes(said: str) -> int:
@@ -342,9 +359,17 @@
     results = []
     for nodos in options.nodos or [24, 97]:
         plan = Plan(
-            nodos, options.rate, seconds, options.workers, options.callers, options.two_hops, options.drops,
-            options.seed, options.honours, options.hogs,
-        )  # fmt: skip
+            nodos,
+            options.rate,
+            seconds,
+            options.workers,
+            options.callers,
+            options.two_hops,
+            options.drops,
+            options.seed,
+            options.honours,
+            options.hogs,
+        )
         results.append(play(plan))
         show(results[-1])
     report({"runs": results}, options.json)
--- a/bench/fit.py
+++ b/bench/fit.py
@@ -140,15 +140,23 @@
         told["exponent"] = _rounded(fit.exponent)
     measured = target in points
     return {
-        "role": role, "name": name, "unit": unit, "by": by, "sizes": sizes,
+        "role": role,
+        "name": name,
+        "unit": unit,
+        "by": by,
+        "sizes": sizes,
         "values": [_rounded(points[size]) for size in sizes],
         "kept_out": {
-            "size": out.size, "value": _rounded(out.value), "foretold": _rounded(out.foretold),
-            "error": round(out.error, 4), "line_error": round(out.line_error, 4),
+            "size": out.size,
+            "value": _rounded(out.value),
+            "foretold": _rounded(out.foretold),
+            "error": round(out.error, 4),
+            "line_error": round(out.line_error, 4),
         },
         "fit": told,
         "at_target": {
-            "size": target, "value": _rounded(points[target] if measured else fit.at(target)),
+            "size": target,
+            "value": _rounded(points[target] if measured else fit.at(target)),
             "measured": measured,
         },
-    }  # fmt: skip
+    }
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -35,8 +35,11 @@
     """One plan with the decision module that the folder holds, in a process of its own."""
     done = subprocess.run(
         [sys.executable, "-m", "bench.fleetmodel", json.dumps(plan)],
-        cwd=folder, env={**os.environ, "PYTHONPATH": str(ROOT)}, stdout=subprocess.PIPE, check=True,
-    )  # fmt: skip
+        cwd=folder,
+        env={**os.environ, "PYTHONPATH": str(ROOT)},
+        stdout=subprocess.PIPE,
+        check=True,
+    )
     result: dict[str, Any] = json.loads(done.stdout)
     return result
 
@@ -94,10 +97,15 @@
         jobs = {
             (event, more.get("asked", False), size, code): [
                 pool.submit(
-                    play, folder,
+                    play,
+                    folder,
                     {
-                        "balancers": size[0], "upstreams": size[1], "event": event, "seed": seed,
-                        "rate": THIN.get(size[0], 1.0), **more,
+                        "balancers": size[0],
+                        "upstreams": size[1],
+                        "event": event,
+                        "seed": seed,
+                        "rate": THIN.get(size[0], 1.0),
+                        **more,
                     },
                 )
                 for seed in seeds
@@ -105,7 +113,7 @@
             for size in sizes
             for event, more in (*((event, {}) for event in EVENTS), ("restart", {"asked": True}))
             for code, folder in (("old", old), ("new", ROOT))
-        }  # fmt: skip
+        }
         cold = [
             pool.submit(
                 play, ROOT, {"balancers": 40, "upstreams": 6, "event": "join", "seconds": 11.0, "seed": seed}
--- a/bench/fleetmodel.py
+++ b/bench/fleetmodel.py
@@ -56,11 +56,15 @@
 
 def settings(zone: str, balancers: int, asked: bool) -> io.Settings:
     return io.Settings(
-        zone=zone, balancers=balancers, classes=CLASSES, report_fields=("depth",), asks_list=asked,
+        zone=zone,
+        balancers=balancers,
+        classes=CLASSES,
+        report_fields=("depth",),
+        asks_list=asked,
         prices=io.Prices(cross_zone=0.06, waste=0.05, handshake=0.08),
         rules=io.Rules(5.0, 250.0, 10_000.0, START, COLD_MS, TIP, FALL_MS),
         limits=io.Limits(max_attempts=4, may_cancel=True, retry_after=True, max_retry_after_ms=2_000.0),
-    )  # fmt: skip
+    )
 
 
 class Plan(NamedTuple):
@@ -506,8 +510,9 @@
         new.known = dict(old.known)
         listed = [
             (upstream, "ready" if upstream.name in {s.entry.server for s in old.module.ready} else "draining")
-            for upstream in old.known.values() if upstream.name in old.module.servers
-        ]  # fmt: skip
+            for upstream in old.known.values()
+            if upstream.name in old.module.servers
+        ]
         memory = old.module.hand_over(self.now)
         new.tell("stale", listed)
         new.module.inherit(self.now, memory)
--- a/bench/growth.py
+++ b/bench/growth.py
@@ -121,9 +121,14 @@
 def traffic(port: int, day: Day, begun: Callable[[], None]) -> float:
     """Play the day's requests; the share that was served."""
     load = Load(
-        Target("127.0.0.1", port, opened=CLIENTS), shape=f"constant:{day.rate:g}", seconds=day.seconds,
-        seed=day.seed, kinds=BRIEF, manners=SINGLE, late_ms=inf,
-    )  # fmt: skip
+        Target("127.0.0.1", port, opened=CLIENTS),
+        shape=f"constant:{day.rate:g}",
+        seconds=day.seconds,
+        seed=day.seed,
+        kinds=BRIEF,
+        manners=SINGLE,
+        late_ms=inf,
+    )
     result = play(load, begun)
     if result["interrupted"]:
         raise KeyboardInterrupt
@@ -164,11 +169,16 @@
     rows = []
     for bound in BOUNDS:
         before, after = getattr(usual, bound.field), getattr(large, bound.field)
-        rows.append({
-            "day": day, "what": bound.name, "usual": before, "large": after,
-            "bound": round(bound.limit(before, upstreams), 2),
-            "holds": bound.holds(before, after, upstreams),
-        })  # fmt: skip
+        rows.append(
+            {
+                "day": day,
+                "what": bound.name,
+                "usual": before,
+                "large": after,
+                "bound": round(bound.limit(before, upstreams), 2),
+                "holds": bound.holds(before, after, upstreams),
+            }
+        )
     return rows
 
 
--- a/bench/growth_site.py
+++ b/bench/growth_site.py
@@ -108,10 +108,20 @@
 
     async def _start_nodo(self, name: str, cell: int) -> CountingNodo:
         nodo = CountingNodo(
-            name, self.books, site=f"z{cell % 3}", block=cell, capacity=CAPACITY, cores=CORES,
-            latency_s=LATENCY_S, connect_s=CONNECT_S, idle_s=IDLE_S, most_connections=MOST_CONNECTIONS,
-            start_share=START_SHARE, warm_s=WARM_S, rng=random.Random(name),
-        )  # fmt: skip
+            name,
+            self.books,
+            site=f"z{cell % 3}",
+            block=cell,
+            capacity=CAPACITY,
+            cores=CORES,
+            latency_s=LATENCY_S,
+            connect_s=CONNECT_S,
+            idle_s=IDLE_S,
+            most_connections=MOST_CONNECTIONS,
+            start_share=START_SHARE,
+            warm_s=WARM_S,
+            rng=random.Random(name),
+        )
         await nodo.start()
         self.nodos.append(nodo)
         return nodo
--- a/bench/http_path.py
+++ b/bench/http_path.py
@@ -43,8 +43,10 @@
             here = play(ROOT, discovery, known, seconds)
             there = play(options.against.resolve(), discovery, known, seconds)
             rows.append((here, there))
-            print(f"  here {here['rate']:.0f}/s, {here['cpu_us']:.0f} us; there {there['rate']:.0f}/s, "
-                  f"{there['cpu_us']:.0f} us; ratio {here['rate'] / there['rate']:.3f}")  # fmt: skip
+            print(
+                f"  here {here['rate']:.0f}/s, {here['cpu_us']:.0f} us; there {there['rate']:.0f}/s, "
+                f"{there['cpu_us']:.0f} us; ratio {here['rate'] / there['rate']:.3f}"
+            )
     ratios = sorted(here["rate"] / there["rate"] for here, there in rows)
     cpu = sorted(here["cpu_us"] / there["cpu_us"] for here, there in rows)
     print(f"rate here over there: median {median(ratios):.3f}, from {ratios[0]:.3f} to {ratios[-1]:.3f}")
--- a/bench/loadgen.py
+++ b/bench/loadgen.py
@@ -52,9 +52,13 @@
     # Connections stand beforehand: what a client spends on opening one is no delay of the server's.
     with responder(spec, book) as target:
         load = Load(
-            replace(target, opened=200), "constant:1500", seconds + WARM_S, kinds=KINDS, manners=SINGLE,
+            replace(target, opened=200),
+            "constant:1500",
+            seconds + WARM_S,
+            kinds=KINDS,
+            manners=SINGLE,
             warm_s=WARM_S,
-        )  # fmt: skip
+        )
         result = play(load)
     delays = sorted(book[result["warm_up"] :])
     if len(delays) != result["ended"]:
@@ -76,11 +80,18 @@
             offs = sorted((run[name][1] - run[name][0], run[name]) for run in runs)
             off, (known, measured) = offs[RUNS // 2]
             bound = MARGIN * known + MARGIN_MS
-            rows.append({
-                "server": spec, "percentile": name, "known_ms": round(known, 3), "measured_ms": measured,
-                "off_ms": round(off, 3), "margin_ms": round(bound, 3), "kept": abs(off) <= bound,
-                "all_off_ms": [round(o, 3) for o, _ in offs],
-            })  # fmt: skip
+            rows.append(
+                {
+                    "server": spec,
+                    "percentile": name,
+                    "known_ms": round(known, 3),
+                    "measured_ms": measured,
+                    "off_ms": round(off, 3),
+                    "margin_ms": round(bound, 3),
+                    "kept": abs(off) <= bound,
+                    "all_off_ms": [round(o, 3) for o, _ in offs],
+                }
+            )
     return rows
 
 
@@ -98,8 +109,12 @@
             late = result["lateness_ms"]["p99"]
             if late > LATE_MS or result["ended"] < 0.97 * result["sent"]:
                 break
-            best = {"workers": workers, "rate": rate, "late_p99_ms": late,
-                    "p99_ms": result["latency_ms"]["all"]["p99"]}  # fmt: skip
+            best = {
+                "workers": workers,
+                "rate": rate,
+                "late_p99_ms": late,
+                "p99_ms": result["latency_ms"]["all"]["p99"],
+            }
     return best
 
 
@@ -114,11 +129,19 @@
                 load = replace(load, rows=tuple(trace), speed=rate / 2600)
             result = play(load)
         late = result["lateness_ms"]
-        rows.append({
-            "rate": rate, "workers": workers, "ended": result["ended"], "sent": result["sent"],
-            "late_p50_ms": late["p50"], "late_p99_ms": late["p99"], "late_max_ms": late["max"],
-            "latency_p99_ms": result["latency_ms"]["all"]["p99"], "said_to_be_late": result["late"],
-        })  # fmt: skip
+        rows.append(
+            {
+                "rate": rate,
+                "workers": workers,
+                "ended": result["ended"],
+                "sent": result["sent"],
+                "late_p50_ms": late["p50"],
+                "late_p99_ms": late["p99"],
+                "late_max_ms": late["max"],
+                "latency_p99_ms": result["latency_ms"]["all"]["p99"],
+                "said_to_be_late": result["late"],
+            }
+        )
     return rows
 
 
@@ -142,8 +165,12 @@
             before = cpu_seconds(pid)
             most = saturate(target, seconds)["rate"]
             cpu = (cpu_seconds(pid) - before) / seconds
-            row: dict[str, Any] = {"what": f"balancer, {nodos} nodos", "rate": round(most),
-                                   "ratio": round(most / bare, 4), "cores": round(cpu, 2)}  # fmt: skip
+            row: dict[str, Any] = {
+                "what": f"balancer, {nodos} nodos",
+                "rate": round(most),
+                "ratio": round(most / bare, 4),
+                "cores": round(cpu, 2),
+            }
             for share in (0.5, 0.8):
                 load = Load(
                     target, f"constant:{share * most:.0f}", seconds, workers=2, kinds=KINDS, manners=SINGLE
@@ -152,8 +179,10 @@
                 served = result["ends"].get("consulta served", 0)
                 row[f"at_{100 * share:.0f}%"] = {
                     **{f"{p}_ms": result["latency_ms"]["all"][p] for p in ("p50", "p99")},
-                    "served": served, "ended": result["ended"], "late": result["late"],
-                }  # fmt: skip
+                    "served": served,
+                    "ended": result["ended"],
+                    "late": result["late"],
+                }
         rows.append(row)
     return rows
 
@@ -169,13 +198,17 @@
     for row in result["agreement"]:
         said = f"known {row['known_ms']:.3f} ms, measured {row['measured_ms']:.3f}, off {row['off_ms']:+.3f}"
         kept = "kept" if row["kept"] else "NOT KEPT"
-        print(f"  {row['server']} {row['percentile']}: {said} of {row['margin_ms']:.3f} allowed: {kept}"
-              f" (all: {row['all_off_ms']})")  # fmt: skip
+        print(
+            f"  {row['server']} {row['percentile']}: {said} of {row['margin_ms']:.3f} allowed: {kept}"
+            f" (all: {row['all_off_ms']})"
+        )
     result["lateness"] = lateness(seconds)
     for row in result["lateness"]:
-        print(f"  {row['rate']}/s over {row['workers']}: lateness p50 {row['late_p50_ms']:.3f} p99 "
-              f"{row['late_p99_ms']:.3f} max {row['late_max_ms']:.3f} ms, ended {row['ended']} of "
-              f"{row['sent']}{', said to be late' if row['said_to_be_late'] else ''}")  # fmt: skip
+        print(
+            f"  {row['rate']}/s over {row['workers']}: lateness p50 {row['late_p50_ms']:.3f} p99 "
+            f"{row['late_p99_ms']:.3f} max {row['late_max_ms']:.3f} ms, ended {row['ended']} of "
+            f"{row['sent']}{', said to be late' if row['said_to_be_late'] else ''}"
+        )
     with responder("none") as target:
         result["bare"] = saturate(target, min(seconds, 4.0))["rate"]
     print(f"  bare responder, closed loop: {result['bare']:.0f}/s")
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -93,10 +93,19 @@
     events = moments(size, rows, size.relays if after else 0, 3.0 if size.name == "small" else 6.0)
     chosen = share or ("rows" if size.hollow <= OWN_MODULES else "module")
     return ScalePlan(
-        size.real, size.hollow, events, size.relays if after else 0, rows, share=chosen,
-        idle=max(1, size.real // 5), hollow_processes=size.hollow_processes, rate=8.0 * size.real,
-        seconds=events[-1].at + events[-1].window, per_s=PER_S, seed=seed,
-    )  # fmt: skip
+        size.real,
+        size.hollow,
+        events,
+        size.relays if after else 0,
+        rows,
+        share=chosen,
+        idle=max(1, size.real // 5),
+        hollow_processes=size.hollow_processes,
+        rate=8.0 * size.real,
+        seconds=events[-1].at + events[-1].window,
+        per_s=PER_S,
+        seed=seed,
+    )
 
 
 def long_plan(seed: int) -> ScalePlan:
@@ -106,9 +115,19 @@
         Moment(LONG_S, "quiet", window=8.0),
     )
     return ScalePlan(
-        2, LONG_HOLLOW, events, 1, LONG_ROWS, share="module", idle=1, hollow_processes=4, rate=4.0,
-        seconds=LONG_S + 8.0, per_s=PER_S, seed=seed,
-    )  # fmt: skip
+        2,
+        LONG_HOLLOW,
+        events,
+        1,
+        LONG_ROWS,
+        share="module",
+        idle=1,
+        hollow_processes=4,
+        rate=4.0,
+        seconds=LONG_S + 8.0,
+        per_s=PER_S,
+        seed=seed,
+    )
 
 
 # ---- what docs/CAPACITY.md shows
@@ -121,17 +140,23 @@
         hollow, real = event["hollow"], event["real"]
         both = hollow["of"] + real["of"] > 0
         told = event["hollow_each"]["bytes_in"] * run["hollow"] + event["real_each"]["bytes_in"] * run["real"]
-        rows.append({
-            "event": event["event"], "way": "relays" if run["relays"] else "source",
-            "hollow": run["hollow"], "real": run["real"], "rows": run["rows"],
-            "p50_s": hollow["p50_s"] if both else None,
-            "p99_s": max(hollow["p99_s"], real["p99_s"]) if both else None,
-            "last_s": max(hollow["last_s"], real["last_s"]) if both else None,
-            "missing": hollow["missing"] + real["missing"],
-            "with_list": min(hollow["of"] + real["of"], run["hollow"] + run["real"]) if both else None,
-            "source_calls": sum(event["source"]["calls"].values()), "bytes_out": round(told),
-            "requests": noticed(event, run["events"]),
-        })  # fmt: skip
+        rows.append(
+            {
+                "event": event["event"],
+                "way": "relays" if run["relays"] else "source",
+                "hollow": run["hollow"],
+                "real": run["real"],
+                "rows": run["rows"],
+                "p50_s": hollow["p50_s"] if both else None,
+                "p99_s": max(hollow["p99_s"], real["p99_s"]) if both else None,
+                "last_s": max(hollow["last_s"], real["last_s"]) if both else None,
+                "missing": hollow["missing"] + real["missing"],
+                "with_list": min(hollow["of"] + real["of"], run["hollow"] + run["real"]) if both else None,
+                "source_calls": sum(event["source"]["calls"].values()),
+                "bytes_out": round(told),
+                "requests": noticed(event, run["events"]),
+            }
+        )
     return rows
 
 
@@ -262,8 +287,9 @@
     sizes = SMALL if options.small else QUICK if options.quick else FULL
     listed = [
         (f"{size.name} {'after' if after else 'before'}", plan_of(size, after, options.seed, options.share))
-        for size in sizes for after in (False, True)
-    ]  # fmt: skip
+        for size in sizes
+        for after in (False, True)
+    ]
     if not (options.small or options.quick):
         listed.append(("63000 rows", long_plan(options.seed)))
     return [(name, plan) for name, plan in listed if not options.only or name in options.only]
--- a/bench/scale_events.py
+++ b/bench/scale_events.py
@@ -26,9 +26,12 @@
     """p50, p99 and last in seconds, and for how many it never came."""
     came = [time for time in times if time is not None]
     return {
-        "p50_s": round(quantile(came, 0.5), 4), "p99_s": round(quantile(came, 0.99), 4),
-        "last_s": round(max(came, default=0.0), 4), "missing": len(times) - len(came), "of": len(times),
-    }  # fmt: skip
+        "p50_s": round(quantile(came, 0.5), 4),
+        "p99_s": round(quantile(came, 0.99), 4),
+        "last_s": round(max(came, default=0.0), 4),
+        "missing": len(times) - len(came),
+        "of": len(times),
+    }
 
 
 class Books:
@@ -127,17 +130,20 @@
             steps.update({int(step): n for step, n in self.result["steps"].get(second, {}).items()})
             unserved.update(self.result["unserved"].get(second, {}))
         return {
-            "served": sum(steps.values()), "unserved": dict(unserved),
-            "p50_ms": quantile_ms(steps, 0.5), "p99_ms": quantile_ms(steps, 0.99),
-        }  # fmt: skip
+            "served": sum(steps.values()),
+            "unserved": dict(unserved),
+            "p50_ms": quantile_ms(steps, 0.5),
+            "p99_ms": quantile_ms(steps, 0.99),
+        }
 
     def source_calls(self, seen: Seen, since: float | None = None) -> dict[str, int]:
         """Calls at the list service in an event's time, by who made them."""
         begin = seen.before.at if since is None else since
         calls = Counter(
             "relays" if who.startswith(RELAYS) else "balancers"
-            for at, who, _ in self.result["source_calls"] if begin <= at < seen.after.at
-        )  # fmt: skip
+            for at, who, _ in self.result["source_calls"]
+            if begin <= at < seen.after.at
+        )
         return {"relays": calls["relays"], "balancers": calls["balancers"]}
 
     def event(self, seen: Seen) -> dict[str, Any]:
@@ -151,30 +157,41 @@
         first = [None if at is None else at - self.began for at in self.first]
         heard = [len(moments) for moments in after.sight.heard]
         return {
-            "event": seen.moment.name, "what": seen.moment.what, "seconds": round(after.at - before.at, 2),
-            "hollow": spread(times), "real": spread(self.real_times(seen)),
+            "event": seen.moment.name,
+            "what": seen.moment.what,
+            "seconds": round(after.at - before.at, 2),
+            "hollow": spread(times),
+            "real": spread(self.real_times(seen)),
             "hollow_heard": spread(self.hollow_times(seen, heard=True)),
             "hollow_lone": spread(self.lone_times(seen)),
             "first_list": spread(first) if seen.moment.at == 0 else None,
             "hollow_each": {
-                "calls": round(calls, 3), "lines": round(sum(heard) / hollow, 3),
-                "bytes_in": round(bytes_in, 1), "bytes_out": round(bytes_out, 1),
+                "calls": round(calls, 3),
+                "lines": round(sum(heard) / hollow, 3),
+                "bytes_in": round(bytes_in, 1),
+                "bytes_out": round(bytes_out, 1),
                 "cpu_ms": round(1000 * cpu["hollow"] / hollow, 3),
             },
             "real_each": {
-                "calls": round(real[0], 3), "bytes_in": round(real[1], 1), "bytes_out": round(real[2], 1),
+                "calls": round(real[0], 3),
+                "bytes_in": round(real[1], 1),
+                "bytes_out": round(real[2], 1),
                 "cpu_ms_idle": round(1000 * cpu["real idle"] / idle, 1),
             },
             "source": {
-                "calls": self.source_calls(seen), "cpu_s": cpu["source"],
+                "calls": self.source_calls(seen),
+                "cpu_s": cpu["source"],
                 "bytes": by_role(before.source["bytes"], after.source["bytes"]),
                 "lines": by_role(before.source["lines"], after.source["lines"]),
                 "calls_after_return": self.source_calls(seen, seen.back_at) if seen.back_at else None,
             },
-            "cpu_s": cpu, "memory_mb": after.memory_mb, "relay_peak_mb": round(after.relay_peak_mb, 1),
+            "cpu_s": cpu,
+            "memory_mb": after.memory_mb,
+            "relay_peak_mb": round(after.relay_peak_mb, 1),
             "bytes_over_change": self.over_change(seen, bytes_in),
-            "hollow_stall_s": after.sight.stall_s, "requests": self.requests(seen),
-        }  # fmt: skip
+            "hollow_stall_s": after.sight.stall_s,
+            "requests": self.requests(seen),
+        }
 
     def over_change(self, seen: Seen, bytes_in: float) -> float | None:
         """Bytes that a balancer heard, less what it hears at rest, over the bytes of what changed.
@@ -217,31 +234,42 @@
         spent = {role: 1000 * (after.cpu[role] - before.cpu[role]) for role in after.cpu}
         idle, lone = spent["real idle"] / self.plan.idle, spent["hollow lone"]
         pairs = {
-            "calls, all": (whole_hollow[0], whole[0]), "bytes in, all": (whole_hollow[1], whole[1]),
-            "bytes out, all": (whole_hollow[2], whole[2]), "bytes in, after the start": (hollow[1], real[1]),
+            "calls, all": (whole_hollow[0], whole[0]),
+            "bytes in, all": (whole_hollow[1], whole[1]),
+            "bytes out, all": (whole_hollow[2], whole[2]),
+            "bytes in, after the start": (hollow[1], real[1]),
             "change in force, p50 ms": (times[0], times[1]),
             "change in force, p50 ms, one hollow in a process": (times[2], times[1]),
             "processor ms, after the start": (spent["hollow"] / self.plan.hollow, idle),
             "processor ms, one hollow in a process": (lone, idle),
-        }  # fmt: skip
+        }
         return {
             name: {
-                "hollow": round(one, 3), "real": round(other, 3),
+                "hollow": round(one, 3),
+                "real": round(other, 3),
                 "ratio": round(one / other, 3) if other else None,
             }
             for name, (one, other) in pairs.items()
-        }  # fmt: skip
+        }
 
     def summary(self) -> dict[str, Any]:
         """The whole run, for JSON."""
         return {
-            "real": self.plan.real, "hollow": self.plan.hollow, "rows": self.plan.rows,
-            "relays": self.plan.relays, "share": self.plan.share, "rate": self.plan.rate,
+            "real": self.plan.real,
+            "hollow": self.plan.hollow,
+            "rows": self.plan.rows,
+            "relays": self.plan.relays,
+            "share": self.plan.share,
+            "rate": self.plan.rate,
             "rules": {name: n for name, n in self.result["rules"].items() if n},
-            "kept": self.result["kept"], "crashes": self.result["crashes"], "ends": self.result["ends"],
-            "rest_bytes_s": round(self.rest, 1), "real_memory_mb": self.result["memory_mb"],
-            "events": [self.event(seen) for seen in self.seen], "agreement": self.agreement(),
-        }  # fmt: skip
+            "kept": self.result["kept"],
+            "crashes": self.result["crashes"],
+            "ends": self.result["ends"],
+            "rest_bytes_s": round(self.rest, 1),
+            "real_memory_mb": self.result["memory_mb"],
+            "events": [self.event(seen) for seen in self.seen],
+            "agreement": self.agreement(),
+        }
 
 
 def grown_by(before: Look, after: Look, which: int) -> list[int]:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -59,9 +59,12 @@
     except metadata.PackageNotFoundError:
         orjson = ""
     return {
-        "cpu": model or platform.machine(), "cores": os.cpu_count(), "python": platform.python_version(),
-        "orjson": orjson, "load_before": os.getloadavg()[0],
-    }  # fmt: skip
+        "cpu": model or platform.machine(),
+        "cores": os.cpu_count(),
+        "python": platform.python_version(),
+        "orjson": orjson,
+        "load_before": os.getloadavg()[0],
+    }
 
 
 def notes() -> list[str]:
--- a/bench/slopes_configuration.py
+++ b/bench/slopes_configuration.py
@@ -83,11 +83,16 @@
     if node.engine.figures.reloads["ok"] != reloads:
         raise RuntimeError("a reload was refused")
     return {
-        "base_mb": before, "resident_mb": resident, "read_ms": read_s * 1000, "read_cpu_ms": read_cpu * 1000,
-        "stall_ms": median(stalls), "reload_cpu_ms": median(costs) * 1000,
-        "reloaded_mb": resident_mb(), "peak_mb": resident_mb(peak=True),
+        "base_mb": before,
+        "resident_mb": resident,
+        "read_ms": read_s * 1000,
+        "read_cpu_ms": read_cpu * 1000,
+        "stall_ms": median(stalls),
+        "reload_cpu_ms": median(costs) * 1000,
+        "reloaded_mb": resident_mb(),
+        "peak_mb": resident_mb(peak=True),
         "file_kb": path.stat().st_size / 1000,
-    }  # fmt: skip
+    }
 
 
 def read_and_reload(pipe: Connection, tenants: int, classes: int, reloads: int) -> None:
@@ -112,10 +117,17 @@
 
 def _table(by: str, rows: Mapping[int, Mapping[str, float]], kept: int, target: int) -> list[dict[str, Any]]:
     return [
-        figure(ROLE, f"configuration by {by}: {name}", unit, by, {n: row[key] for n, row in rows.items()},
-               kept, target)
+        figure(
+            ROLE,
+            f"configuration by {by}: {name}",
+            unit,
+            by,
+            {n: row[key] for n, row in rows.items()},
+            kept,
+            target,
+        )
         for name, unit, key in FIGURES
-    ]  # fmt: skip
+    ]
 
 
 def figures(sizes: Sizes) -> list[dict[str, Any]]:
--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -146,11 +146,19 @@
         ticks.begin()
         spent.append(await _one_change(node, adoption, orders, 1))
         stalls.append(await ticks.worst_ms())
-    pipe.send({
-        "base_mb": before, "resident_mb": after, "peak_mb": max(peak, after), "take_in_s": took,
-        "take_in_cpu_ms": processor * 1000, "stall_ms": stall, "change_ms": median(spent) * 1000,
-        "change_stall_ms": median(stalls), "change_worst_stall_ms": max(stalls),
-    })  # fmt: skip
+    pipe.send(
+        {
+            "base_mb": before,
+            "resident_mb": after,
+            "peak_mb": max(peak, after),
+            "take_in_s": took,
+            "take_in_cpu_ms": processor * 1000,
+            "stall_ms": stall,
+            "change_ms": median(spent) * 1000,
+            "change_stall_ms": median(stalls),
+            "change_worst_stall_ms": max(stalls),
+        }
+    )
 
 
 def list_costs(
@@ -246,10 +254,17 @@
     for table, extra in ((LIST_FIGURES, True), (PLAIN_FIGURES, False)):
         costs = costs_by_size(sizes, extra)
         out += [
-            figure(ROLE, name, unit, "upstreams", {n: row[key] for n, row in costs.items()},
-                   sizes.kept_upstreams, TARGET_UPSTREAMS)
+            figure(
+                ROLE,
+                name,
+                unit,
+                "upstreams",
+                {n: row[key] for n, row in costs.items()},
+                sizes.kept_upstreams,
+                TARGET_UPSTREAMS,
+            )
             for name, unit, key in table
-        ]  # fmt: skip
+        ]
     return out + _rest_figures(sizes) + byte_figures()
 
 
@@ -261,15 +276,37 @@
     by_tick = {t: rest_costs(sizes.rest_upstreams, window, tick_ms=t)[0] for t in sizes.tick_ms}
     by_rate = {r: rest_costs(sizes.rest_upstreams, window, per_s=r)[0] for r in sizes.per_s}
     return [
-        figure(ROLE, "rest: processor time", unit, "upstreams", spent, sizes.kept_upstreams,
-               TARGET_UPSTREAMS),
-        figure(ROLE, "rest: longest stall of the loop", "ms", "upstreams", stalls, sizes.kept_upstreams,
-               TARGET_UPSTREAMS),
-        figure(ROLE, "rest: processor time by tickMs", unit, "ms of a tick", by_tick, sizes.kept_tick_ms,
-               SITE_TICK_MS),
-        figure(ROLE, "rest: processor time by changes", unit, "rows changed a second", by_rate,
-               sizes.kept_per_s, TARGET_CHANGES),
-    ]  # fmt: skip
+        figure(
+            ROLE, "rest: processor time", unit, "upstreams", spent, sizes.kept_upstreams, TARGET_UPSTREAMS
+        ),
+        figure(
+            ROLE,
+            "rest: longest stall of the loop",
+            "ms",
+            "upstreams",
+            stalls,
+            sizes.kept_upstreams,
+            TARGET_UPSTREAMS,
+        ),
+        figure(
+            ROLE,
+            "rest: processor time by tickMs",
+            unit,
+            "ms of a tick",
+            by_tick,
+            sizes.kept_tick_ms,
+            SITE_TICK_MS,
+        ),
+        figure(
+            ROLE,
+            "rest: processor time by changes",
+            unit,
+            "rows changed a second",
+            by_rate,
+            sizes.kept_per_s,
+            TARGET_CHANGES,
+        ),
+    ]
 
 
 def byte_figures() -> list[dict[str, Any]]:
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -67,11 +67,32 @@
     path_seconds: float
 
 
-QUICK = Sizes((100, 500, 1_000, 2_000), 1_000, 5, (60.0, 120.0, 240.0, 480.0), 240.0, (2.0, 1.5, 1.5, 1.0), 1,
-              (24, 100, 250, 500), 250, 200.0, 1.0)  # fmt: skip
-FULL = Sizes((100, 1_000, 4_000, 16_000, 32_000, 63_000), 32_000, 15,
-             (120.0, 300.0, 600.0, 1_200.0), 600.0, (6.0, 4.0, 3.0, 3.0), 2,
-             (24, 1_000, 4_000, 16_000, 63_000), 4_000, 300.0, 3.0)  # fmt: skip
+QUICK = Sizes(
+    (100, 500, 1_000, 2_000),
+    1_000,
+    5,
+    (60.0, 120.0, 240.0, 480.0),
+    240.0,
+    (2.0, 1.5, 1.5, 1.0),
+    1,
+    (24, 100, 250, 500),
+    250,
+    200.0,
+    1.0,
+)
+FULL = Sizes(
+    (100, 1_000, 4_000, 16_000, 32_000, 63_000),
+    32_000,
+    15,
+    (120.0, 300.0, 600.0, 1_200.0),
+    600.0,
+    (6.0, 4.0, 3.0, 3.0),
+    2,
+    (24, 1_000, 4_000, 16_000, 63_000),
+    4_000,
+    300.0,
+    3.0,
+)
 
 
 # ---- the decision module alone
@@ -101,9 +122,12 @@
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(table))
         running = subprocess.Popen(
-            [sys.executable, "-m", "quartzford"], cwd=ROOT, stderr=subprocess.DEVNULL, start_new_session=True,
+            [sys.executable, "-m", "quartzford"],
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            start_new_session=True,
             env={**os.environ, "EDGE_CONFIG": str(path), "TMPDIR": folder},
-        )  # fmt: skip
+        )
         try:
             _wait_until_ready(admin, running)
             yield port, running.pid
@@ -155,9 +179,15 @@
 def _played(port: int, rate: float, seconds: float, seed: int) -> dict[str, Any]:
     """Open-loop arrivals at a rate, the first moments not measured."""
     load = Load(
-        Target("127.0.0.1", port, opened=8), shape=f"constant:{rate:g}", seconds=WARM_S + seconds,
-        warm_s=WARM_S, seed=seed, kinds=KIND, manners=SINGLE, late_ms=math.inf,
-    )  # fmt: skip
+        Target("127.0.0.1", port, opened=8),
+        shape=f"constant:{rate:g}",
+        seconds=WARM_S + seconds,
+        warm_s=WARM_S,
+        seed=seed,
+        kinds=KIND,
+        manners=SINGLE,
+        late_ms=math.inf,
+    )
     result = play(load)
     if result["interrupted"]:
         raise KeyboardInterrupt
--- a/bench/slopes_services.py
+++ b/bench/slopes_services.py
@@ -55,8 +55,16 @@
 
 
 QUICK = Sizes((50, 100, 200, 400), 200, (50, 100, 200, 400), 200, 3, 2.0, (500, 1_000, 2_000, 4_000), 2_000)
-FULL = Sizes((250, 500, 1_000, 2_000), 1_000, (200, 719, 1_500, 3_000, 4_600), 1_500, 5, 4.0,
-             (1_000, 4_000, 16_000, 32_000, 63_000), 32_000)  # fmt: skip
+FULL = Sizes(
+    (250, 500, 1_000, 2_000),
+    1_000,
+    (200, 719, 1_500, 3_000, 4_600),
+    1_500,
+    5,
+    4.0,
+    (1_000, 4_000, 16_000, 32_000, 63_000),
+    32_000,
+)
 
 
 # ---- roles
@@ -72,9 +80,7 @@
 
 @contextmanager
 def _started(arguments: list[str], **pipes: Any) -> Iterator[subprocess.Popen[bytes]]:
-    running = subprocess.Popen(
-        [sys.executable, "-m", *arguments], cwd=ROOT, start_new_session=True, **pipes
-    )  # fmt: skip
+    running = subprocess.Popen([sys.executable, "-m", *arguments], cwd=ROOT, start_new_session=True, **pipes)
     try:
         yield running
     finally:
@@ -337,9 +343,11 @@
             time.sleep(0.05)
             costs.append(processor_s(running.pid) - before)
         return {
-            "rest": at_rest * 1000, "change": median(costs) * 1000, "span": median(spans) * 1000,
+            "rest": at_rest * 1000,
+            "change": median(costs) * 1000,
+            "span": median(spans) * 1000,
             "memory": resident_mb(running.pid),
-        }  # fmt: skip
+        }
 
 
 def whole_costs(role: Role, count: int) -> dict[str, float]:
@@ -358,8 +366,10 @@
             firsts.append(between - before)
             nexts.append(processor_s(running.pid) - between)
         return {
-            "first": median(firsts) * 1000, "next": median(nexts) * 1000, "memory": resident_mb(running.pid),
-        }  # fmt: skip
+            "first": median(firsts) * 1000,
+            "next": median(nexts) * 1000,
+            "memory": resident_mb(running.pid),
+        }
 
 
 WATCHER_FIGURES = (
@@ -378,9 +388,16 @@
 def figures_of(role: Role, sizes: Sizes) -> list[dict[str, Any]]:
     """All figures of one role."""
     out = [
-        figure(role.name, "calls for 100 rows: processor time", "ms", "calls", asker_costs(role, sizes),
-               sizes.kept_askers, TARGET_BALANCERS)
-    ]  # fmt: skip
+        figure(
+            role.name,
+            "calls for 100 rows: processor time",
+            "ms",
+            "calls",
+            asker_costs(role, sizes),
+            sizes.kept_askers,
+            TARGET_BALANCERS,
+        )
+    ]
     watched = {count: watcher_costs(role, count, sizes) for count in sizes.watchers}
     whole = {count: whole_costs(role, count) for count in sizes.upstreams}
     for name, unit, key in WATCHER_FIGURES:
--- a/bench/slopes_source.py
+++ b/bench/slopes_source.py
@@ -40,11 +40,18 @@
     for n in range(count):
         block, service = n // BLOCK, n % SERVICES
         dial = dials[n % len(dials)] if dials else f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080"
-        made.append({
-            "host": f"svc{service:04}-{n:06}", "dial": dial,
-            "site": f"r{block % REGIONS}-z{block % ZONES:02}",
-            "class": "std", "block": block, "health": "ready", "share": 1.0, "born_ms": BORN_MS + n,
-        })  # fmt: skip
+        made.append(
+            {
+                "host": f"svc{service:04}-{n:06}",
+                "dial": dial,
+                "site": f"r{block % REGIONS}-z{block % ZONES:02}",
+                "class": "std",
+                "block": block,
+                "health": "ready",
+                "share": 1.0,
+                "born_ms": BORN_MS + n,
+            }
+        )
     return made
 
 
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -34,13 +34,23 @@
     bad = range(0, upstreams, EVERY) if hang else ()
     trouble = " ".join(f"hang@{HANG_S}:{n}" for n in bad)
     nodos = {
-        "nodos": upstreams, "capacity": rate / upstreams / LOAD, "cores": 2, "connect_s": 0.001,
+        "nodos": upstreams,
+        "capacity": rate / upstreams / LOAD,
+        "cores": 2,
+        "connect_s": 0.001,
         "trouble": trouble,
-    }  # fmt: skip
+    }
     return Scenario(
-        balancers=balancers, service={"per_s": 200.0}, nodos=nodos, rate=rate, seconds=seconds,
-        automatic=True, known="before", weights=0.6, checkout=folder,
-    )  # fmt: skip
+        balancers=balancers,
+        service={"per_s": 200.0},
+        nodos=nodos,
+        rate=rate,
+        seconds=seconds,
+        automatic=True,
+        known="before",
+        weights=0.6,
+        checkout=folder,
+    )
 
 
 def run(balancers: int, hang: bool, code: str, folder: Path, seconds: float) -> dict[str, Any]:
@@ -58,16 +68,21 @@
     sound = [sum(sends[name][1:whole]) for name in names if name not in bad]
     good = [row["goodput"] for row in result["seconds"]]
     return {
-        "balancers": balancers, "code": code, "hang": hang,
+        "balancers": balancers,
+        "code": code,
+        "hang": hang,
         "in_time_before": round(mean(good[1:HANG_S]), 3),
         "in_time_after": round(mean(good[HANG_S + 1 : whole - 1]), 3),
         "bad_share_first": round(share(HANG_S + 1, HANG_S + 3), 3),
         "bad_share_last": round(share(whole - 3, whole - 1), 3),
-        "busiest": round(max(sound) / mean(sound), 2), "least_busy": round(min(sound) / mean(sound), 2),
-        "latency_ms": result["latency_ms"], "memory_mb": result["memory_mb"],
+        "busiest": round(max(sound) / mean(sound), 2),
+        "least_busy": round(min(sound) / mean(sound), 2),
+        "latency_ms": result["latency_ms"],
+        "memory_mb": result["memory_mb"],
         "rules": {name: count for name, count in result["rules"].items() if count},
-        "kept": result["kept"], "crashes": result["crashes"],
-    }  # fmt: skip
+        "kept": result["kept"],
+        "crashes": result["crashes"],
+    }
 
 
 def main() -> int:
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -56,10 +56,12 @@
     values = sorted(counts.get(f"s{n}", 0) for n in range(nodos))
     middle = mean(values)
     return {
-        "mean": round(middle, 2), "least": round(values[0] / middle, 2),
-        "p1": round(quantile(values, 0.01) / middle, 2), "p99": round(quantile(values, 0.99) / middle, 2),
+        "mean": round(middle, 2),
+        "least": round(values[0] / middle, 2),
+        "p1": round(quantile(values, 0.01) / middle, 2),
+        "p99": round(quantile(values, 0.99) / middle, 2),
         "most": round(values[-1] / middle, 2),
-    }  # fmt: skip
+    }
 
 
 def moved(before: list[set[str]], after: list[set[str]]) -> float:
@@ -117,7 +119,8 @@
         "share of members new after": {
             # Rendezvous and random choice know of no other balancer.
             "a balancer more": {
-                "rendezvous": 0.0, "random": 0.0,
+                "rendezvous": 0.0,
+                "random": 0.0,
                 "aperture": moved(rings, [aperture(b, balancers + 1, nodos, size) for b in range(balancers)]),
             },
             "a restart": {
@@ -136,7 +139,7 @@
             "still told of a dead one": sum(bool(one.healed & names) for one in lives),
             "ms a balancer": round(mean(one.heal_ms for one in lives), 2),
         },
-    }  # fmt: skip
+    }
 
 
 def closed_up(balancer: int, balancers: int, nodos: int, size: int, dead: set[int]) -> set[str]:
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -63,8 +63,12 @@
         if not shared:
             self.common = self.folder / f"common{self.starts}"
         self.common.mkdir(exist_ok=True)
-        env = {**os.environ, "EDGE_CONFIG": str(path), "TMPDIR": str(self.common),
-               "EDGE_ADMIN_ADDR": f"127.0.0.1:{self.admin}"}  # fmt: skip
+        env = {
+            **os.environ,
+            "EDGE_CONFIG": str(path),
+            "TMPDIR": str(self.common),
+            "EDGE_ADMIN_ADDR": f"127.0.0.1:{self.admin}",
+        }
         return subprocess.Popen(
             [sys.executable, "-m", "quartzford"], cwd=ROOT, env=env, stderr=subprocess.DEVNULL
         )
@@ -109,12 +113,20 @@
 @contextmanager
 def stand_in_fleet(nodos: int = NODOS) -> Iterator[tuple[int, Any]]:
     """A fleet of which a third is four times slower: its padrón's port, and the list."""
-    plan = {"nodos": nodos, "capacity": 400.0, "cores": 4, "latency_s": 0.008, "slow": nodos // 3,
-            "connect_s": 0.0}  # fmt: skip
+    plan = {
+        "nodos": nodos,
+        "capacity": 400.0,
+        "cores": 4,
+        "latency_s": 0.008,
+        "slow": nodos // 3,
+        "connect_s": 0.0,
+    }
     process = subprocess.Popen(
-        [sys.executable, "-m", "standins.fleet", json.dumps(plan)], cwd=ROOT, stdin=subprocess.PIPE,
+        [sys.executable, "-m", "standins.fleet", json.dumps(plan)],
+        cwd=ROOT,
+        stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
-    )  # fmt: skip
+    )
     try:
         assert process.stdout is not None
         told = json.loads(process.stdout.readline())
@@ -262,9 +274,11 @@
             time.sleep(0.2)
     book = books(discovery)
     late = [
-        (name, at - out) for name, out, until in bans for at, _ in book["arrivals"].get(name, [])
+        (name, at - out)
+        for name, out, until in bans
+        for at, _ in book["arrivals"].get(name, [])
         if out + GRACE_S < at < until
-    ]  # fmt: skip
+    ]
     runs = Counter(identity for _, identity, name, *_ in book["runs"] if name == "cobro")
     calm = [spent for at, spent in crowd.times if calm_from <= at < calm_until]
     around = [spent for at, spent in crowd.times if any(r["began"] <= at <= r["ended"] for r in rows)]
@@ -273,17 +287,25 @@
         for r in rows
     ]
     return {
-        "replacements": count, "asked": crowd.number, "ends": dict(crowd.ends),
+        "replacements": count,
+        "asked": crowd.number,
+        "ends": dict(crowd.ends),
         "lost": crowd.ends["cut off"] + sum(crowd.ends[k] for k in ("reset", "unread")),
-        "door": len(crowd.door), "closed": crowd.ends["closed after an answer"],
-        "bans": len(bans), "sent_to_banned": len(late), "cobro_twice": sum(n > 1 for n in runs.values()),
+        "door": len(crowd.door),
+        "closed": crowd.ends["closed after an answer"],
+        "bans": len(bans),
+        "sent_to_banned": len(late),
+        "cobro_twice": sum(n > 1 for n in runs.values()),
         "overlapping": book["overlapping"],
         "yes_s": median(r["yes"] - r["began"] for r in rows),
         "ended_s": median(r["ended"] - r["yes"] for r in rows),
-        "calm_p50_ms": quantile(calm, 0.5) * 1000, "calm_worst_ms": max(calm, default=0.0) * 1000,
-        "calm_p99_ms": quantile(calm, 0.99) * 1000, "around_p99_ms": quantile(around, 0.99) * 1000,
-        "worst_ms": max(worst) * 1000, "worst_median_ms": median(worst) * 1000,
-    }  # fmt: skip
+        "calm_p50_ms": quantile(calm, 0.5) * 1000,
+        "calm_worst_ms": max(calm, default=0.0) * 1000,
+        "calm_p99_ms": quantile(calm, 0.99) * 1000,
+        "around_p99_ms": quantile(around, 0.99) * 1000,
+        "worst_ms": max(worst) * 1000,
+        "worst_median_ms": median(worst) * 1000,
+    }
 
 
 def relearn(pairs: int, discovery: int, known: Any, folder: Path) -> dict[str, Any]:
@@ -338,9 +360,12 @@
     caller.join(10)
     line.stop()
     return {
-        "rate": got["rate"], "calls": len(waits), "p50_ms": quantile(waits, 0.5) * 1000,
-        "p99_ms": quantile(waits, 0.99) * 1000, "worst_ms": max(waits) * 1000,
-    }  # fmt: skip
+        "rate": got["rate"],
+        "calls": len(waits),
+        "p50_ms": quantile(waits, 0.5) * 1000,
+        "p99_ms": quantile(waits, 0.99) * 1000,
+        "worst_ms": max(waits) * 1000,
+    }
 
 
 def main() -> int:
--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -213,9 +213,24 @@
     """A connection that carries one attempt at a time."""
 
     __slots__ = (
-        "upstream", "sock", "transport", "attempt", "parser", "idle_since", "flushed", "reused",
-        "status", "fields", "report", "unprocessed", "length", "chunked", "head_bytes", "complete", "broken",
-    )  # fmt: skip
+        "upstream",
+        "sock",
+        "transport",
+        "attempt",
+        "parser",
+        "idle_since",
+        "flushed",
+        "reused",
+        "status",
+        "fields",
+        "report",
+        "unprocessed",
+        "length",
+        "chunked",
+        "head_bytes",
+        "complete",
+        "broken",
+    )
     transport: asyncio.Transport
     parser: Any
 
@@ -387,14 +402,28 @@
     """One try of one request at one upstream, on one connection."""
 
     __slots__ = (
-        "pool", "upstream", "finish_by", "timer", "connecting", "connection", "chunks", "size", "moved",
-    )  # fmt: skip
+        "pool",
+        "upstream",
+        "finish_by",
+        "timer",
+        "connecting",
+        "connection",
+        "chunks",
+        "size",
+        "moved",
+    )
     call: HttpCall
 
     def __init__(
-        self, pool: HttpBackend, call: HttpCall, number: int, upstream: Upstream, sent: float, due: float,
+        self,
+        pool: HttpBackend,
+        call: HttpCall,
+        number: int,
+        upstream: Upstream,
+        sent: float,
+        due: float,
         finish: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__(call, number, upstream.name, sent, due)
         self.pool = pool
         self.upstream = upstream
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -53,9 +53,13 @@
     watch: Watch
 
     def __init__(
-        self, config: Config, engine: Engine, loop: asyncio.AbstractEventLoop, subset: Subset | None,
+        self,
+        config: Config,
+        engine: Engine,
+        loop: asyncio.AbstractEventLoop,
+        subset: Subset | None,
         lists_per_s: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.config, self.engine, self.loop, self.subset = config, engine, loop, subset
         self.clock, self.log = engine.clock, engine.log
         self.lists_per_s = lists_per_s
@@ -90,9 +94,12 @@
     # ---- start, reload, end
 
     def begin(
-        self, known: Listing, version: int | None = None, memory: io.Memory | None = None,
+        self,
+        known: Listing,
+        version: int | None = None,
+        memory: io.Memory | None = None,
         inherited: InheritedStarts | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Adopt what is known and follow the list from there.
 
         memory: of the process before, which had the list known; it may be followed from this version.
@@ -215,9 +222,14 @@
 
 
 def assemble(
-    config: Config, loop: asyncio.AbstractEventLoop, clock: Clock, log: Log, subset: Subset | None = None,
-    lists_per_s: float = LISTS_PER_S, relays: Sequence[Address] = (),
-) -> ControlSide:  # fmt: skip
+    config: Config,
+    loop: asyncio.AbstractEventLoop,
+    clock: Clock,
+    log: Log,
+    subset: Subset | None = None,
+    lists_per_s: float = LISTS_PER_S,
+    relays: Sequence[Address] = (),
+) -> ControlSide:
     """A control side, complete, that has not begun.
 
     lists_per_s: calls a second that a list service answers which a whole fleet asks. relays: are asked in
--- a/quartzford/counting.py
+++ b/quartzford/counting.py
@@ -76,9 +76,12 @@
         rows = [tuple(e) for e in listing.entries if e.server not in held or held[e.server].entry != e]
         named = {e.server for e in listing.entries} if listing.whole else set(held)
         news = {
-            "at": self._unix(), "version": listing.version, "whole": listing.whole, "rows": rows,
+            "at": self._unix(),
+            "version": listing.version,
+            "whole": listing.whole,
+            "rows": rows,
             "missing": [name for name in held if name not in named],
-        }  # fmt: skip
+        }
         print("news:", json.dumps(news, separators=(",", ":")), file=sys.stderr, flush=True)
 
     def sent(self, send: io.Send, call: Call) -> None:
@@ -105,9 +108,13 @@
             return
         out = [[call.attempt.server, self._unix(call.attempt.sent)]] if call.attempt is not None else []
         way = {
-            "id": call.label, "class": call.kind, "at": self._unix(), "left": self._unix(call.deadline),
-            "how": how, "tries": self.ways.pop(call.number, []) + out,
-        }  # fmt: skip
+            "id": call.label,
+            "class": call.kind,
+            "at": self._unix(),
+            "left": self._unix(call.deadline),
+            "how": how,
+            "tries": self.ways.pop(call.number, []) + out,
+        }
         print("way:", json.dumps(way, separators=(",", ":")), file=sys.stderr, flush=True)
 
     def _unix(self, at: float | None = None) -> float | None:
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -136,12 +136,20 @@
 def _server(fleet: Fleet, server: Server) -> io.ServerMemory:
     shares, at = fleet.shares, server.at
     return io.ServerMemory(
-        server.entry.server, server.entry.started_ms, max(0.0, float(shares.p[at])),
-        float(shares.cost[at]) if shares.known else 0.0, float(shares.latency[at]), float(shares.report[at]),
-        min(1.0, max(0.0, server.failing)), server.ejections, max(0.0, server.ejected_until),
-        fleet.suspect(server), server.tokens, max(0.0, server.tokens_ms),
+        server.entry.server,
+        server.entry.started_ms,
+        max(0.0, float(shares.p[at])),
+        float(shares.cost[at]) if shares.known else 0.0,
+        float(shares.latency[at]),
+        float(shares.report[at]),
+        min(1.0, max(0.0, server.failing)),
+        server.ejections,
+        max(0.0, server.ejected_until),
+        fleet.suspect(server),
+        server.tokens,
+        max(0.0, server.tokens_ms),
         server.cold_from,
-    )  # fmt: skip
+    )
 
 
 def _rate(rate: Rate) -> io.RateMemory:
--- a/quartzford/demo.py
+++ b/quartzford/demo.py
@@ -83,10 +83,15 @@
         with running("-m", "quartzford", env=environment, stderr=subprocess.DEVNULL) as balancer:
             wait_up(port, balancer)
             load = Load(
-                Target("127.0.0.1", port), SHAPE.format(at=seconds / 4, span=seconds * 0.6), seconds,
-                kinds=BRIEF, manners=Manners(), tenants=(("lima", 0.5), ("callao", 0.3), ("ate", 0.2)),
-                book=True, watched=live,
-            )  # fmt: skip
+                Target("127.0.0.1", port),
+                SHAPE.format(at=seconds / 4, span=seconds * 0.6),
+                seconds,
+                kinds=BRIEF,
+                manners=Manners(),
+                tenants=(("lima", 0.5), ("callao", 0.3), ("ate", 0.2)),
+                book=True,
+                watched=live,
+            )
 
             def started() -> None:
                 fleet.stdin.write("go\n")  # type: ignore[union-attr]
--- a/quartzford/engine/__init__.py
+++ b/quartzford/engine/__init__.py
@@ -8,6 +8,16 @@
 from quartzford.engine.log import Log, StderrLog, print_error
 
 __all__ = [
-    "Attempt", "Backend", "Budget", "Call", "Clock", "Engine", "Figures", "Handle", "Log", "LoopClock",
-    "StderrLog", "print_error",
-]  # fmt: skip
+    "Attempt",
+    "Backend",
+    "Budget",
+    "Call",
+    "Clock",
+    "Engine",
+    "Figures",
+    "Handle",
+    "Log",
+    "LoopClock",
+    "StderrLog",
+    "print_error",
+]
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -208,9 +208,15 @@
         self.feed(io.Started(attempt.call.number, attempt.number, attempt.server, spent))
 
     def ended(
-        self, attempt: Attempt, code: str, answer: Any = None, report: io.Report = (), faulted: bool = False,
-        stage: str = "", owed: bool = True,
-    ) -> None:  # fmt: skip
+        self,
+        attempt: Attempt,
+        code: str,
+        answer: Any = None,
+        report: io.Report = (),
+        faulted: bool = False,
+        stage: str = "",
+        owed: bool = True,
+    ) -> None:
         """An attempt has ended. Not owed: the call ends with it, for nobody could send it again."""
         call = attempt.call
         spent = max(0.01, (self.clock.now() - attempt.sent) * 1000.0)
--- a/quartzford/fronts/extproc/desk.py
+++ b/quartzford/fronts/extproc/desk.py
@@ -144,9 +144,18 @@
     """A request, over all its streams. At most one stream is in each of the roles below."""
 
     __slots__ = (
-        "desk", "identity", "token", "owed", "waiting", "holder", "following", "timer", "overlap",
-        "may_have_run", "ran_before",
-    )  # fmt: skip
+        "desk",
+        "identity",
+        "token",
+        "owed",
+        "waiting",
+        "holder",
+        "following",
+        "timer",
+        "overlap",
+        "may_have_run",
+        "ran_before",
+    )
 
     def __init__(self, desk: Desk, identity: str) -> None:
         super().__init__(desk.backend)
@@ -326,9 +335,16 @@
     """
 
     def __init__(
-        self, engine: Engine, backend: Backend, clock: Clock, tokens: Tokens, return_s: float,
-        overlap_s: float, most: int, queue_s: float = 0.1,
-    ) -> None:  # fmt: skip
+        self,
+        engine: Engine,
+        backend: Backend,
+        clock: Clock,
+        tokens: Tokens,
+        return_s: float,
+        overlap_s: float,
+        most: int,
+        queue_s: float = 0.1,
+    ) -> None:
         self.engine, self.backend, self.clock, self.tokens = engine, backend, clock, tokens
         self.return_s, self.overlap_s, self.most, self.queue_s = return_s, overlap_s, most, queue_s
         self.flights: dict[int, Flight] = {}
--- a/quartzford/fronts/extproc/line.py
+++ b/quartzford/fronts/extproc/line.py
@@ -26,7 +26,7 @@
     Reply,
     Stream,
     Told,
-)  # fmt: skip
+)
 from quartzford.fronts.extproc.intake import Intake
 from quartzford.fronts.extproc.outcome import Result
 
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -54,10 +54,16 @@
         self.names = names
         n = names
         self.wanted = {
-            n.identity: "identity", n.service_class: "service_class", n.tenant: "tenant", n.left: "left",
-            n.idempotency: "idempotency", n.repeat: "repeat", n.hint: "hint", n.token: "token",
+            n.identity: "identity",
+            n.service_class: "service_class",
+            n.tenant: "tenant",
+            n.left: "left",
+            n.idempotency: "idempotency",
+            n.repeat: "repeat",
+            n.hint: "hint",
+            n.token: "token",
             "cookie": "cookie",
-        }  # fmt: skip
+        }
 
     def ask(self, headers: Any, opens: bool) -> Ask | int:
         """What a request's headers ask, or the status that turns them away."""
@@ -116,9 +122,13 @@
 
         def headers_only(response: Any) -> Any:
             return mode.ProcessingMode(
-                request_header_mode=send, response_header_mode=response, request_body_mode=none,
-                response_body_mode=none, request_trailer_mode=skip, response_trailer_mode=skip,
-            )  # fmt: skip
+                request_header_mode=send,
+                response_header_mode=response,
+                request_body_mode=none,
+                response_body_mode=none,
+                request_trailer_mode=skip,
+                response_trailer_mode=skip,
+            )
 
         self.attempt_mode, self.opener_mode = headers_only(send), headers_only(skip)
         gone = [LOAD, names.token, names.retry, names.destination]
@@ -136,8 +146,13 @@
         # A request that no attempt may be made for keeps no destination that a client wrote.
         self.neutral = {
             "request_headers": serialized(
-                proto.ProcessingResponse(request_headers=proto.HeadersResponse(response=proto.CommonResponse(
-                    header_mutation=proto.HeaderMutation(remove_headers=[names.destination]))))
+                proto.ProcessingResponse(
+                    request_headers=proto.HeadersResponse(
+                        response=proto.CommonResponse(
+                            header_mutation=proto.HeaderMutation(remove_headers=[names.destination])
+                        )
+                    )
+                )
             ),
             "response_headers": self.passed,
             "request_body": serialized(proto.ProcessingResponse(request_body=proto.BodyResponse())),
@@ -148,7 +163,7 @@
             "response_trailers": serialized(
                 proto.ProcessingResponse(response_trailers=proto.TrailersResponse())
             ),
-        }  # fmt: skip
+        }
 
     @staticmethod
     def _response_headers(mutation: Any) -> bytes:
--- a/quartzford/fronts/extproc/outcome.py
+++ b/quartzford/fronts/extproc/outcome.py
@@ -40,9 +40,7 @@
 
 def read_result(status: int, unprocessed: bool, details: str, load: bytes, names: tuple[str, ...]) -> Result:
     """From an answer's status, X-Unprocessed, code details ('' where not told) and load report."""
-    local = (
-        ("connect_failed", NEVER_SENT), ("moot", EXPIRED), ("timeout", TIMED_OUT), ("reset", BROKE)
-    )  # fmt: skip
+    local = (("connect_failed", NEVER_SENT), ("moot", EXPIRED), ("timeout", TIMED_OUT), ("reset", BROKE))
     for code, starts in local:
         if details.startswith(starts):
             return Result(code)
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -234,9 +234,11 @@
         self._trailers(stream, False, status, why)
 
     def _trailers(self, stream: int, answered: bool, status: int, why: str) -> None:
-        trailers = DONE if not status else http2.block(
-            ((b"grpc-status", b"%d" % status), (b"grpc-message", why.encode()))
-        )  # fmt: skip
+        trailers = (
+            DONE
+            if not status
+            else http2.block(((b"grpc-status", b"%d" % status), (b"grpc-message", why.encode())))
+        )
         self.connection.send_headers(stream, trailers if answered else ANSWER + trailers, end=True)
         self.connection.reset(stream, http2.NO_ERROR)  # if its caller has not ended it
         self.flush()
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -38,25 +38,40 @@
 
 def names_of(settings: ExtprocSettings, report_names: tuple[str, ...]) -> Names:
     return Names(
-        **dict(settings.headers), cookie=settings.cookie, default_class=settings.default_class,
-        most_headers=settings.most_headers, most_bytes=settings.most_header_bytes, report_names=report_names,
-    )  # fmt: skip
+        **dict(settings.headers),
+        cookie=settings.cookie,
+        default_class=settings.default_class,
+        most_headers=settings.most_headers,
+        most_bytes=settings.most_header_bytes,
+        report_names=report_names,
+    )
 
 
 class ExtprocFront:
     """One decider with its desk; any number of processes that speak gRPC for it."""
 
     def __init__(
-        self, settings: ExtprocSettings, report_names: tuple[str, ...], engine: Engine, backend: Backend,
-        clock: Clock, log: Log,
-    ) -> None:  # fmt: skip
+        self,
+        settings: ExtprocSettings,
+        report_names: tuple[str, ...],
+        engine: Engine,
+        backend: Backend,
+        clock: Clock,
+        log: Log,
+    ) -> None:
         self.settings, self.engine, self.clock, self.log = settings, engine, clock, log
         self.names = names_of(settings, report_names)
         tokens = Tokens(token_key(settings.token_key_file), os.urandom(8))
         self.desk = Desk(
-            engine, backend, clock, tokens, settings.return_ms / 1000.0, settings.overlap_ms / 1000.0,
-            settings.most_requests, settings.queue_ms / 1000.0,
-        )  # fmt: skip
+            engine,
+            backend,
+            clock,
+            tokens,
+            settings.return_ms / 1000.0,
+            settings.overlap_ms / 1000.0,
+            settings.most_requests,
+            settings.queue_ms / 1000.0,
+        )
         self.port = 0
         self.lines: set[DeskLine] = set()
         self.workers: dict[int, asyncio.subprocess.Process] = {}
@@ -113,9 +128,13 @@
             begun = self.clock.now()
             where = f"{address.rpartition(':')[0]}:{self.port}" if self.port else address
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "quartzford.fronts.extproc.worker", path, where,
+                sys.executable,
+                "-m",
+                "quartzford.fronts.extproc.worker",
+                path,
+                where,
                 str(self.settings.most_streams),
-            )  # fmt: skip
+            )
             self.workers[number] = process
             code = await process.wait()
             if self.stopping:
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -34,10 +34,15 @@
 HEALTH = b"/_health"
 
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 408: b"Request Timeout", 413: b"Content Too Large",
-    431: b"Request Header Fields Too Large", 500: b"Internal Server Error", 502: b"Bad Gateway",
+    200: b"OK",
+    400: b"Bad Request",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
     503: b"Service Unavailable",
-}  # fmt: skip
+}
 # Fields that are hop-by-hop, or that this balancer frames or counts anew for each attempt
 DROPPED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect content-length"
@@ -97,9 +102,12 @@
         self.unread: dict[Client, None] = {}  # whose bytes are left with the system for now
 
     def listen(
-        self, address: tuple[str, int], loop: asyncio.AbstractEventLoop, shared: bool = False,
+        self,
+        address: tuple[str, int],
+        loop: asyncio.AbstractEventLoop,
+        shared: bool = False,
         listening: socket.socket | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """shared: a successor may listen there too, while this process ends. listening: one that stands."""
         self.loop = loop
         listening = listening or bind(address, BACKLOG, shared)
@@ -262,10 +270,30 @@
     """One client connection; it carries one request at a time, later ones wait their turn."""
 
     __slots__ = (
-        "front", "transport", "parser", "exchange", "waiting", "target", "fields", "read", "head_bytes",
-        "body", "body_bytes", "in_head", "in_message", "error", "since", "moved", "stuck", "backlog", "held",
-        "closing", "lingering", "chunked", "paused_at",
-    )  # fmt: skip
+        "front",
+        "transport",
+        "parser",
+        "exchange",
+        "waiting",
+        "target",
+        "fields",
+        "read",
+        "head_bytes",
+        "body",
+        "body_bytes",
+        "in_head",
+        "in_message",
+        "error",
+        "since",
+        "moved",
+        "stuck",
+        "backlog",
+        "held",
+        "closing",
+        "lingering",
+        "chunked",
+        "paused_at",
+    )
     transport: asyncio.Transport
 
     def __init__(self, front: HttpFront) -> None:
@@ -501,10 +529,15 @@
         exchange.deadline = self.front.now() + left / 1000.0
         exchange.number, exchange.label = engine.next_number(), read.get("id", "")
         request = io.Request(
-            exchange.number, name, left, read.get("tenant", ""), read_cookie(read.get("cookie", ""), "sid"),
-            read_number(read.get("hint", "")) / 1000.0, read.get("repeat", "").strip() == "1",
+            exchange.number,
+            name,
+            left,
+            read.get("tenant", ""),
+            read_cookie(read.get("cookie", ""), "sid"),
+            read_number(read.get("hint", "")) / 1000.0,
+            read.get("repeat", "").strip() == "1",
             bool(read.get("keyed", "").strip()),
-        )  # fmt: skip
+        )
         return exchange, request
 
     def _take(self, exchange: Exchange, request: io.Request | None) -> None:
@@ -530,9 +563,13 @@
         return bool(self.waiting) or self.in_message or bool(self.error)
 
     def answer(
-        self, exchange: Exchange, status: int, pause_ms: float = 0.0,
-        fields: list[bytes] | None = None, chunks: list[bytes] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        exchange: Exchange,
+        status: int,
+        pause_ms: float = 0.0,
+        fields: list[bytes] | None = None,
+        chunks: list[bytes] | None = None,
+    ) -> None:
         if self.exchange is not exchange:
             return exchange.release()
         body = b"".join(chunks or ())
@@ -652,9 +689,13 @@
     def rests(self) -> bool:
         """Nothing of a request has been read and nothing of an answer is left: another process may go on."""
         return (
-            self.idle() and not self.waiting and not self.stuck and not self.error
-            and not self.transport.is_closing() and not self.transport.get_write_buffer_size()
-        )  # fmt: skip
+            self.idle()
+            and not self.waiting
+            and not self.stuck
+            and not self.error
+            and not self.transport.is_closing()
+            and not self.transport.get_write_buffer_size()
+        )
 
     def hand_over(self, heir: Callable[[int], bool]) -> None:
         self.transport.pause_reading()
--- a/quartzford/load/cli.py
+++ b/quartzford/load/cli.py
@@ -87,11 +87,26 @@
     if not 0.1 <= options.speed <= 100 or options.workers < 1 or options.seconds <= 0:
         raise AskError("--speed: 0.1 to 100; --workers: 1 or more; --seconds: above 0")
     return Load(
-        _target(options), options.shape, options.seconds, options.spacing, options.seed, options.workers,
-        _kinds(options.mix), _pairs(options.tenants, "--tenants") if options.tenants else (), options.keys,
-        options.size, _manners(options), rows, options.speed, options.late_ms, options.warm_up,
-        options.think, options.closed, bool(options.books), options.live,
-    )  # fmt: skip
+        _target(options),
+        options.shape,
+        options.seconds,
+        options.spacing,
+        options.seed,
+        options.workers,
+        _kinds(options.mix),
+        _pairs(options.tenants, "--tenants") if options.tenants else (),
+        options.keys,
+        options.size,
+        _manners(options),
+        rows,
+        options.speed,
+        options.late_ms,
+        options.warm_up,
+        options.think,
+        options.closed,
+        bool(options.books),
+        options.live,
+    )
 
 
 def _parser() -> argparse.ArgumentParser:
--- a/quartzford/load/clients.py
+++ b/quartzford/load/clients.py
@@ -64,9 +64,14 @@
 
 
 def next_try(
-    kind: Kind, manners: Manners, end: str, tries: int, left_s: float, retry_after_s: float,
+    kind: Kind,
+    manners: Manners,
+    end: str,
+    tries: int,
+    left_s: float,
+    retry_after_s: float,
     rng: random.Random,
-) -> Next | None:  # fmt: skip
+) -> Next | None:
     """Whether a client goes again after a try ended so, with so much of its time left.
 
     What is free, or keyed with repeats dropped anywhere, goes again after any failure; all else only where
--- a/quartzford/load/driver.py
+++ b/quartzford/load/driver.py
@@ -30,7 +30,7 @@
     Manners,
     next_try,
     patience_s,
-)  # fmt: skip
+)
 from quartzford.load.record import Record
 
 SPIN_S = 0.0015  # sleep no closer to a moment than this
@@ -163,10 +163,19 @@
     """Plays a plan against a target, from a moment on the monotonic clock."""
 
     def __init__(
-        self, target: Target, manners: Manners, plan: Iterator[Due], start: float, seed: int, name: str,
-        record: Record, warm_s: float = 0.0, sessions: dict[str, deque[Due]] | None = None,
-        closed: int = 0, until: float = 0.0,
-    ) -> None:  # fmt: skip
+        self,
+        target: Target,
+        manners: Manners,
+        plan: Iterator[Due],
+        start: float,
+        seed: int,
+        name: str,
+        record: Record,
+        warm_s: float = 0.0,
+        sessions: dict[str, deque[Due]] | None = None,
+        closed: int = 0,
+        until: float = 0.0,
+    ) -> None:
         """sessions: what follows in each; closed: so many clients that wait for their answers, to `until`."""
         self.measured_from = start + warm_s
         self.sessions, self.closed, self.until = sessions or {}, closed, until
@@ -374,9 +383,11 @@
         if measured:
             spent = now - attempt.sent if attempt.sent else 0.0
             self.record.tried(kind.name, end, spent, self._identity(job))
-        following = None if self.stopped else next_try(
-            kind, self.manners, end, job.tries, job.end - now, retry_after_s, self.rng
-        )  # fmt: skip
+        following = (
+            None
+            if self.stopped
+            else next_try(kind, self.manners, end, job.tries, job.end - now, retry_after_s, self.rng)
+        )
         if following is not None:
             heapq.heappush(self.agenda, (now + following.wait_s, job.number, job))
         else:
--- a/quartzford/load/page.py
+++ b/quartzford/load/page.py
@@ -29,9 +29,13 @@
 
 
 def chart(
-    lines: Sequence[Line], x_title: str, y_title: str, log_y: bool = False,
-    x_labels: Sequence[tuple[float, str]] | None = None, least_y: float | None = 0.0,
-) -> str:  # fmt: skip
+    lines: Sequence[Line],
+    x_title: str,
+    y_title: str,
+    log_y: bool = False,
+    x_labels: Sequence[tuple[float, str]] | None = None,
+    least_y: float | None = 0.0,
+) -> str:
     """Lines in an SVG; points (x, y). x_labels: what to write where, else plain figures."""
     points = [point for _, line in lines for point in line]
     if not points:
@@ -93,8 +97,9 @@
     rows = [
         (f"{title}, {name}", *(f"{row[p]:g}" for p in kept))
         for title, key in (("from the intended send", "latency_ms"), ("service", "service_ms"))
-        for name, row in result[key].items() if row
-    ]  # fmt: skip
+        for name, row in result[key].items()
+        if row
+    ]
     trouble = "".join(f'<p class="bad">{escape(text)}</p>' for text in result["trouble"])
     verdict = result["rules"]
     rules = ""
@@ -102,20 +107,30 @@
         rows_of = list(verdict["rules"].items())
         said = "kept" if verdict["kept"] else '<span class="bad">broken</span>'
         rules = f"<h2>Rules: {said}</h2>" + table(("rule", "breaches"), rows_of)
-    return "".join((
-        '<!doctype html><html lang="en"><meta charset="utf-8"><title>quartzford load</title>',
-        f"<style>{STYLE}</style><h1>{result['ended']} requests, {result['rate']:g} ended a second</h1>",
-        trouble,
-        table(("goodput", "share of the worth asked"),
-              [(name.replace("_", " "), f"{value:.3f}") for name, value in result["goodput"].items()]),
-        rules,
-        "<h2>Latency by percentile and class</h2>", _percentiles(result),
-        table(("ms", *kept), rows),
-        "<h2>Latency by the second of the intended send</h2>",
-        chart([(p, [(s["second"], s[p]) for s in seconds if s["served"]]) for p in ("p50", "p99")],
-              "s", "ms", log_y=True),
-        "<h2>Goodput by the second of the intended send</h2>",
-        chart([("goodput", [(s["second"], s["goodput"]) for s in seconds])], "s", "share"),
-        "<h2>Ends</h2>", table(("class and end", "requests"), list(result["ends"].items())),
-        "</html>\n",
-    ))  # fmt: skip
+    return "".join(
+        (
+            '<!doctype html><html lang="en"><meta charset="utf-8"><title>quartzford load</title>',
+            f"<style>{STYLE}</style><h1>{result['ended']} requests, {result['rate']:g} ended a second</h1>",
+            trouble,
+            table(
+                ("goodput", "share of the worth asked"),
+                [(name.replace("_", " "), f"{value:.3f}") for name, value in result["goodput"].items()],
+            ),
+            rules,
+            "<h2>Latency by percentile and class</h2>",
+            _percentiles(result),
+            table(("ms", *kept), rows),
+            "<h2>Latency by the second of the intended send</h2>",
+            chart(
+                [(p, [(s["second"], s[p]) for s in seconds if s["served"]]) for p in ("p50", "p99")],
+                "s",
+                "ms",
+                log_y=True,
+            ),
+            "<h2>Goodput by the second of the intended send</h2>",
+            chart([("goodput", [(s["second"], s["goodput"]) for s in seconds])], "s", "share"),
+            "<h2>Ends</h2>",
+            table(("class and end", "requests"), list(result["ends"].items())),
+            "</html>\n",
+        )
+    )
--- a/quartzford/load/record.py
+++ b/quartzford/load/record.py
@@ -87,12 +87,16 @@
             "latency": {name: h.encode().decode() for name, h in self.latency.items()},
             "service": {name: h.encode().decode() for name, h in self.service.items()},
             "late": self.late.encode().decode(),
-            "ends": dict(self.ends), "tries": dict(self.tries), "counts": dict(self.counts),
+            "ends": dict(self.ends),
+            "tries": dict(self.tries),
+            "counts": dict(self.counts),
             "asked": {str(s): v for s, v in self.asked.items()},
             "got": {str(s): v for s, v in self.got.items()},
-            "by_class": self.by_class, "by_tenant": self.by_tenant, "book": self.book or [],
+            "by_class": self.by_class,
+            "by_tenant": self.by_tenant,
+            "book": self.book or [],
             "by_second": {str(s): {str(k): n for k, n in c.items()} for s, c in self.by_second.items()},
-        }  # fmt: skip
+        }
 
     def merge(self, dumped: dict[str, Any]) -> None:
         """Another worker's, as dump() gave it."""
@@ -159,11 +163,15 @@
         for second in sorted(self.asked):
             steps = self.by_second.get(second, Counter())
             asked, got = self.asked[second], self.got.get(second, 0.0)
-            rows.append({
-                "second": second, "goodput": round(got / asked, 4) if asked else 0.0,
-                "served": sum(steps.values()), "p50": quantile_ms(steps, 0.5),
-                "p99": quantile_ms(steps, 0.99),
-            })  # fmt: skip
+            rows.append(
+                {
+                    "second": second,
+                    "goodput": round(got / asked, 4) if asked else 0.0,
+                    "served": sum(steps.values()),
+                    "p50": quantile_ms(steps, 0.5),
+                    "p99": quantile_ms(steps, 0.99),
+                }
+            )
         return rows
 
 
--- a/quartzford/load/run.py
+++ b/quartzford/load/run.py
@@ -127,10 +127,15 @@
     record = driver.record
     while True:
         await asyncio.sleep(TELL_S)
-        pipe.send({
-            "progress": True, "sent": driver.count, "live": driver.live, "ends": dict(record.ends),
-            "recent": record.recent(SHOWN),
-        })  # fmt: skip
+        pipe.send(
+            {
+                "progress": True,
+                "sent": driver.count,
+                "live": driver.live,
+                "ends": dict(record.ends),
+                "recent": record.recent(SHOWN),
+            }
+        )
 
 
 def work(load: Load, worker: int, pipe: Connection) -> None:
@@ -149,9 +154,18 @@
             firsts, following = sessions(load, worker)
             due = iter(firsts)
         driver = Driver(
-            load.target, load.manners, due, start, seed, name, record, load.warm_s, following, load.closed,
+            load.target,
+            load.manners,
+            due,
+            start,
+            seed,
+            name,
+            record,
+            load.warm_s,
+            following,
+            load.closed,
             start + load.seconds,
-        )  # fmt: skip
+        )
         loop.add_reader(pipe.fileno(), driver.stop)
         telling = loop.create_task(tell(driver, pipe)) if load.watched else None
         # A full collection stops the generator for a millisecond; what a run makes is freed by counts anyway.
@@ -163,10 +177,15 @@
             telling.cancel()
         loop.remove_reader(pipe.fileno())
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        pipe.send({
-            "record": record.dump(), "starved": driver.starved, "sent": driver.count, "live": driver.live,
-            "cpu_s": usage.ru_utime + usage.ru_stime,
-        })  # fmt: skip
+        pipe.send(
+            {
+                "record": record.dump(),
+                "starved": driver.starved,
+                "sent": driver.count,
+                "live": driver.live,
+                "cpu_s": usage.ru_utime + usage.ru_stime,
+            }
+        )
 
     uvloop.run(main())
 
@@ -282,7 +301,7 @@
         | {name: curve(one) for name, one in sorted(record.latency.items())},
         "rules": {},
         "record": record.dump(),
-    }  # fmt: skip
+    }
 
 
 def show(result: dict[str, Any]) -> str:
--- a/quartzford/membership/registry.py
+++ b/quartzford/membership/registry.py
@@ -54,9 +54,15 @@
         """The whole list in discovery's form, to be read again by `read_listing`."""
         hosts = [
             {
-                "host": e.server, "dial": f"{host}:{port}", "site": e.zone, "class": e.kind, "block": e.cell,
-                "health": e.state, "share": e.units, "born_ms": e.started_ms,
+                "host": e.server,
+                "dial": f"{host}:{port}",
+                "site": e.zone,
+                "class": e.kind,
+                "block": e.cell,
+                "health": e.state,
+                "share": e.units,
+                "born_ms": e.started_ms,
             }
             for e, (host, port) in self.rows.values()
-        ]  # fmt: skip
+        ]
         return {"seq": self.version, "whole": True, "hosts": hosts}
--- a/quartzford/membership/relaycalls.py
+++ b/quartzford/membership/relaycalls.py
@@ -64,9 +64,14 @@
     """
 
     def __init__(
-        self, relays: Relays, balancers: int, per_s: float, most_wait: float, rng: random.Random,
+        self,
+        relays: Relays,
+        balancers: int,
+        per_s: float,
+        most_wait: float,
+        rng: random.Random,
         now: Callable[[], float],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.relays = relays
         self.costs: deque[float] = deque(maxlen=len(relays.order))  # what the last round's calls took
         self.direct_at: float | None = None  # the list service is asked
--- a/quartzford/membership/snapshot.py
+++ b/quartzford/membership/snapshot.py
@@ -50,9 +50,12 @@
     """The file's bytes: a line of JSON with length and digest, then the list as JSON."""
     body = json.dumps(one.table, separators=(",", ":")).encode()
     head = {
-        "format": FORMAT, "service": one.service, "taken_ms": one.taken_ms, "bytes": len(body),
+        "format": FORMAT,
+        "service": one.service,
+        "taken_ms": one.taken_ms,
+        "bytes": len(body),
         "sha256": hashlib.sha256(body).hexdigest(),
-    }  # fmt: skip
+    }
     return json.dumps(head).encode() + b"\n" + body
 
 
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -44,9 +44,16 @@
     """Keeps one file. table: the list as it stands; heard: whether the service confirms it now."""
 
     def __init__(
-        self, path: str, rule: Rule, service: Callable[[], str], table: Callable[[], dict[str, Any]],
-        confirmed: Callable[[], bool], clock: Clock, log: Log, loop: asyncio.AbstractEventLoop,
-    ) -> None:  # fmt: skip
+        self,
+        path: str,
+        rule: Rule,
+        service: Callable[[], str],
+        table: Callable[[], dict[str, Any]],
+        confirmed: Callable[[], bool],
+        clock: Clock,
+        log: Log,
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
         self.path, self.rule, self.service, self.table, self.confirmed = path, rule, service, table, confirmed
         self.clock, self.log, self.loop = clock, log, loop
         self.timer: Handle | None = None
--- a/quartzford/membership/watch.py
+++ b/quartzford/membership/watch.py
@@ -45,9 +45,16 @@
     """
 
     def __init__(
-        self, sink: Sink, addresses: Addresses, calls: Calls, clock: Clock, log: Log,
-        loop: asyncio.AbstractEventLoop, *, resync: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        sink: Sink,
+        addresses: Addresses,
+        calls: Calls,
+        clock: Clock,
+        log: Log,
+        loop: asyncio.AbstractEventLoop,
+        *,
+        resync: bool = False,
+    ) -> None:
         self.sink, self.addresses, self.clock, self.log, self.loop = sink, addresses, clock, log, loop
         self.resync = resync
         self.calls = calls
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -55,9 +55,14 @@
     """One balancer on sockets: start, reload, housekeeping and end of its parts."""
 
     def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, subset: Subset | None = None, folder: str = "",
-        lists_per_s: float = LISTS_PER_S, relays: Sequence[Address] = (),
-    ) -> None:  # fmt: skip
+        self,
+        config: Config,
+        loop: asyncio.AbstractEventLoop,
+        subset: Subset | None = None,
+        folder: str = "",
+        lists_per_s: float = LISTS_PER_S,
+        relays: Sequence[Address] = (),
+    ) -> None:
         """folder: where this process and its successor find each other; "": they don't.
 
         lists_per_s: calls a second that a list service answers which a whole fleet asks.
@@ -308,10 +313,17 @@
         listed_ms = self.control.list_known_ms()
         warm_before_ms = self.clock.unix_ms() - self.config.settings.rules.cold_ms
         return listener, State(
-            FORMAT, self.registry.table(), self.watch.version, list(self.config.discovery),
-            self.watch.ever_answered, busy, memory, self._anchor_ms(),
-            listed_ms if math.isfinite(listed_ms) else None, self.control.start_times.after(warm_before_ms),
-        )  # fmt: skip
+            FORMAT,
+            self.registry.table(),
+            self.watch.version,
+            list(self.config.discovery),
+            self.watch.ever_answered,
+            busy,
+            memory,
+            self._anchor_ms(),
+            listed_ms if math.isfinite(listed_ms) else None,
+            self.control.start_times.after(warm_before_ms),
+        )
 
     def take_back(self) -> None:
         self.alone()
--- a/quartzford/protocols/onecall.py
+++ b/quartzford/protocols/onecall.py
@@ -16,10 +16,16 @@
 HEAD_BYTES = 8 * 1024
 BODY_BYTES = 4 * 1024
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
     503: "Service Unavailable",
-}  # fmt: skip
+}
 
 
 class State(Enum):
--- a/quartzford/recording.py
+++ b/quartzford/recording.py
@@ -52,9 +52,13 @@
         elif key and self.keys == "hashed":
             key = blake2b(key.encode(), digest_size=8, key=self.secret).hexdigest()
         row = Row(
-            self.clock.now() - self.begun, request.service_class or "-", request.tenant, key, size,
+            self.clock.now() - self.begun,
+            request.service_class or "-",
+            request.tenant,
+            key,
+            size,
             request.budget_ms,
-        )  # fmt: skip
+        )
         line = line_of(row)
         if self.bytes + len(line) > self.most_bytes:
             return self._end("the file has its full size")
--- a/quartzford/relay/caller.py
+++ b/quartzford/relay/caller.py
@@ -28,9 +28,13 @@
 LOST_RETRY_S = 1.0  # who is turned away for the source's sake may come again
 FULL_RETRY_S = 2.0
 REASONS = {
-    400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    431: "Request Header Fields Too Large", 503: "Service Unavailable",
-}  # fmt: skip
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    431: "Request Header Fields Too Large",
+    503: "Service Unavailable",
+}
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 BEAT = b"1\r\n\n\r\n"
 LAST = b"0\r\n\r\n"
--- a/quartzford/relay/relay.py
+++ b/quartzford/relay/relay.py
@@ -24,9 +24,15 @@
         self.catalog = Catalog()
         self.watch = follow(settings, self, clock, log, loop)
         self.server = Server(
-            self.catalog, lambda: self.watch.last_line_at, self.watch.current, settings.whole_bytes_per_s,
-            settings.watchers(), clock, log, loop,
-        )  # fmt: skip
+            self.catalog,
+            lambda: self.watch.last_line_at,
+            self.watch.current,
+            settings.whole_bytes_per_s,
+            settings.watchers(),
+            clock,
+            log,
+            loop,
+        )
         self._notify_scheduled = False
 
     async def start(self) -> None:
--- a/quartzford/relay/server.py
+++ b/quartzford/relay/server.py
@@ -61,9 +61,16 @@
     """The listener, its callers, and the beat."""
 
     def __init__(
-        self, catalog: Catalog, last_line_at: Callable[[], float], connected: Callable[[], bool],
-        whole_bytes_per_s: float, most_watchers: int, clock: Clock, log: Log, loop: asyncio.AbstractEventLoop,
-    ) -> None:  # fmt: skip
+        self,
+        catalog: Catalog,
+        last_line_at: Callable[[], float],
+        connected: Callable[[], bool],
+        whole_bytes_per_s: float,
+        most_watchers: int,
+        clock: Clock,
+        log: Log,
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
         """last_line_at: when the source's last line came, on the clock; connected: a watch on it stands.
 
         most_watchers: the relay's share of the fleet; see room.py for what comes beyond it.
--- a/quartzford/replacement/channel.py
+++ b/quartzford/replacement/channel.py
@@ -27,9 +27,12 @@
     """One end. told: each message with its descriptors (the receiver owns them); ended: once, at the end."""
 
     def __init__(
-        self, sock: socket.socket, loop: asyncio.AbstractEventLoop,
-        told: Callable[[Message, list[int]], None], ended: Callable[[str], None],
-    ) -> None:  # fmt: skip
+        self,
+        sock: socket.socket,
+        loop: asyncio.AbstractEventLoop,
+        told: Callable[[Message, list[int]], None],
+        ended: Callable[[str], None],
+    ) -> None:
         self.sock, self.loop, self.told, self.ended = sock, loop, told, ended
         self.waiting: deque[tuple[bytes, list[int]]] = deque()
         self.open = True
--- a/quartzford/replacement/succession.py
+++ b/quartzford/replacement/succession.py
@@ -34,7 +34,7 @@
     State,
     parts,
     read_state,
-)  # fmt: skip
+)
 
 ASK_S = 1.0  # for how long the predecessor's answer is waited for
 OFFER_S = 1.5  # a successor that does not serve by then is lost
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -63,9 +63,12 @@
         subset = Subset(config.name, chosen.size, chosen.per_zone) if chosen is not None else None
         lists = self.operator.lists
         self.node = Node(
-            config, loop, subset, lists_per_s=lists.calls_per_s if lists else LISTS_PER_S,
+            config,
+            loop,
+            subset,
+            lists_per_s=lists.calls_per_s if lists else LISTS_PER_S,
             relays=[endpoint(text) for text in lists.relays] if lists else (),
-        )  # fmt: skip
+        )
         if lists is not None and lists.snapshot:
             self._keep(str(Path(path).parent / lists.snapshot), lists)
         self.recorder = self._recorder(path)
@@ -83,9 +86,15 @@
             raise OperatorError(f"lists.snapshot: {Path(where).parent} is no folder")
         rule = Rule(lists.snapshot_age_s, lists.snapshot_fresh_s)
         node.snapshot_writer = SnapshotWriter(
-            where, rule, lambda: "{}:{}".format(*node.config.discovery), node.registry.table,
-            node.watch.current, node.clock, node.log, node.loop,
-        )  # fmt: skip
+            where,
+            rule,
+            lambda: "{}:{}".format(*node.config.discovery),
+            node.registry.table,
+            node.watch.current,
+            node.clock,
+            node.log,
+            node.loop,
+        )
 
     def _recorder(self, path: str) -> Recorder | None:
         settings, node = self.operator.trace, self.node
--- a/quartzford/settings/operatorfile.py
+++ b/quartzford/settings/operatorfile.py
@@ -324,9 +324,13 @@
     except (tomllib.TOMLDecodeError, RecursionError) as error:
         raise OperatorError(f"not TOML: {error}") from None
     checks: dict[str, Check] = {
-        "config": _text, "extproc": _extproc, "trace": _trace, "subset": _subset, "lists": _lists,
+        "config": _text,
+        "extproc": _extproc,
+        "trace": _trace,
+        "subset": _subset,
+        "lists": _lists,
         "relay": _relay,
-    }  # fmt: skip
+    }
     settings = OperatorSettings(**_table("", table, checks))
     if settings.relay is not None and settings.lists is not None:
         source = endpoint(settings.relay.source)
--- a/rig/capacity.py
+++ b/rig/capacity.py
@@ -88,10 +88,13 @@
         row_kb = HOLLOW_ROW_KB[self.share]
         whole = (self.real + 2 * self.relays + 2 * self.hollow_processes) * self.rows * REAL_ROW_KB
         return (
-            RIG_MB + self.real * PROCESS_MB + self.relays * RELAY_MB
-            + self.hollow_processes * HOLLOW_PROCESS_MB + self.hollow * HOLLOW_MB
+            RIG_MB
+            + self.real * PROCESS_MB
+            + self.relays * RELAY_MB
+            + self.hollow_processes * HOLLOW_PROCESS_MB
+            + self.hollow * HOLLOW_MB
             + (whole + self.hollow * self.rows * row_kb) / 1024
-        )  # fmt: skip
+        )
 
     def cores(self) -> float:
         """At rest but for requests."""
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -229,12 +229,18 @@
     record = driver.record
     taken_in = [round(front.first[n] - begin, 3) if n in front.first else None for n in range(len(watches))]
     result: dict[str, Any] = {
-        "taken_in_s": taken_in, "book": record.book, "twice": record.counts["answered twice"],
+        "taken_in_s": taken_in,
+        "book": record.book,
+        "twice": record.counts["answered twice"],
         "lost": [[identity, *row] for identity, row in driver.at.items()],
-        "ends": dict(record.ends), "latency_ms": figures(record.whole(record.latency)),
-        "late_ms": figures(record.late), "goodput": record.goodput(), "seconds": record.seconds(),
-        "steps": record.by_second, "unserved": driver.timed.unserved,
-    }  # fmt: skip
+        "ends": dict(record.ends),
+        "latency_ms": figures(record.whole(record.latency)),
+        "late_ms": figures(record.late),
+        "goodput": record.goodput(),
+        "seconds": record.seconds(),
+        "steps": record.by_second,
+        "unserved": driver.timed.unserved,
+    }
     print(json.dumps(result), flush=True)
 
 
--- a/rig/fault_proxy.py
+++ b/rig/fault_proxy.py
@@ -57,8 +57,10 @@
             if kind == "tcp":
                 server = await self.loop.create_server(
                     lambda number=number: Connection(self, number),  # type: ignore[misc]
-                    at[0], at[1], backlog=256,
-                )  # fmt: skip
+                    at[0],
+                    at[1],
+                    backlog=256,
+                )
                 ports.append(server.sockets[0].getsockname()[1])
             else:
                 transport, _ = await self.loop.create_datagram_endpoint(
--- a/rig/hollow.py
+++ b/rig/hollow.py
@@ -256,9 +256,12 @@
         stall, self.stall = self.stall, 0.0
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         return {
-            "at": monotonic(), "cpu_s": time.process_time(), "rss_mb": pages * 4096 / 1e6,
-            "stall_s": round(stall, 4), "sides": [one.figures() for one in self.members],
-        }  # fmt: skip
+            "at": monotonic(),
+            "cpu_s": time.process_time(),
+            "rss_mb": pages * 4096 / 1e6,
+            "stall_s": round(stall, 4),
+            "sides": [one.figures() for one in self.members],
+        }
 
 
 async def run() -> None:
--- a/rig/hollow_fleet.py
+++ b/rig/hollow_fleet.py
@@ -84,9 +84,10 @@
             [(side[0], side[1], side[2]) for side in sides],
             [side[3] for side in sides],
             [side[4] for side in sides],
-            sum(answer["cpu_s"] for answer in answers), sum(answer["rss_mb"] for answer in answers),
+            sum(answer["cpu_s"] for answer in answers),
+            sum(answer["rss_mb"] for answer in answers),
             max((answer["stall_s"] for answer in answers), default=0.0),
-        )  # fmt: skip
+        )
 
     def pids(self) -> list[int]:
         """Of the processes."""
--- a/rig/processes.py
+++ b/rig/processes.py
@@ -19,8 +19,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 START_S = 120.0
-SIGNALS = {"kill": signal.SIGKILL, "term": signal.SIGTERM, "stop": signal.SIGSTOP, "cont": signal.SIGCONT,
-           "hup": signal.SIGHUP}  # fmt: skip
+SIGNALS = {
+    "kill": signal.SIGKILL,
+    "term": signal.SIGTERM,
+    "stop": signal.SIGSTOP,
+    "cont": signal.SIGCONT,
+    "hup": signal.SIGHUP,
+}
 
 
 def address(number: int) -> str:
@@ -50,9 +55,12 @@
         with self.log.open("ab") as out:
             self.running = subprocess.Popen(
                 [sys.executable, str(ROOT / "rig" / "gate.py"), str(self.checkout), *self.arguments],
-                stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=out, cwd=self.checkout,
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=out,
+                cwd=self.checkout,
                 env={**os.environ, **self.environment},
-            )  # fmt: skip
+            )
 
     def wait_ready(self, until: float) -> None:
         """At the gate; RuntimeError if it never came."""
--- a/rig/scale.py
+++ b/rig/scale.py
@@ -200,9 +200,12 @@
     def _start_hollow(self) -> None:
         plan = self.plan
         told = {
-            "balancers": plan.fleet(), "discovery": f"127.0.0.1:{self.service_port}",
-            "relays": self.addresses, "seed": plan.seed, "share": plan.share,
-        }  # fmt: skip
+            "balancers": plan.fleet(),
+            "discovery": f"127.0.0.1:{self.service_port}",
+            "relays": self.addresses,
+            "seed": plan.seed,
+            "share": plan.share,
+        }
         self.hollow = HollowFleet(plan.real, plan.hollow, plan.hollow_processes, told, self.stack)
         # One more alone, with nothing shared: what a process costs is told from what a balancer costs.
         alone = told | {"share": "nothing"}
@@ -223,12 +226,16 @@
         loaded = self.processes.members[: self.plan.real - self.plan.idle]
         idle = self.processes.members[self.plan.real - self.plan.idle :]
         roles: dict[str, list[int]] = {
-            "source": [self.service.pid], "hollow": self.hollow.pids(), "proxy": [self.proxy.pid],
+            "source": [self.service.pid],
+            "hollow": self.hollow.pids(),
+            "proxy": [self.proxy.pid],
             "hollow lone": self.lone.pids(),
-            "real under load": pids(loaded), "real idle": pids(idle),
-            "relays": pids(self.relay_fleet.members), "upstreams": [self.upstreams.pid],
+            "real under load": pids(loaded),
+            "real idle": pids(idle),
+            "relays": pids(self.relay_fleet.members),
+            "upstreams": [self.upstreams.pid],
             "clients": [self.clients.pid],
-        }  # fmt: skip
+        }
         cpu = {role: cpu_seconds(numbers) for role, numbers in roles.items()}
         sight = self.hollow.read()
         memory = {
@@ -315,10 +322,14 @@
         steps = {int(second): counts for second, counts in report["steps"].items()}
         unserved = {int(second): counts for second, counts in report["unserved"].items()}
         return result | {
-            "plan": self.plan, "began": self.began, "seen": self.seen, "steps": steps, "unserved": unserved,
+            "plan": self.plan,
+            "began": self.began,
+            "seen": self.seen,
+            "steps": steps,
+            "unserved": unserved,
             "source_calls": service.get("calls", []),
             "readings": [Reading(self._meter(one)) for one in self.processes.members],
-        }  # fmt: skip
+        }
 
 
 def pids(members: Iterable[Process]) -> list[int]:
@@ -332,9 +343,12 @@
     if why:
         raise TooManyError(why)
     scenario = Scenario(
-        balancers=plan.real, service={"per_s": plan.per_s, "line": "queues"},
-        nodos={"nodos": plan.upstreams, "capacity": 200.0, "connect_s": 0.001}, rate=plan.rate,
-        seconds=plan.seconds, seed=plan.seed,
-    )  # fmt: skip
+        balancers=plan.real,
+        service={"per_s": plan.per_s, "line": "queues"},
+        nodos={"nodos": plan.upstreams, "capacity": 200.0, "connect_s": 0.001},
+        rate=plan.rate,
+        seconds=plan.seconds,
+        seed=plan.seed,
+    )
     with tempfile.TemporaryDirectory(prefix="quartzford-scale-") as folder:
         return ScaleRun(plan, scenario, Path(folder), log).play()
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -337,12 +337,13 @@
         kill: one that gets SIGTERM takes connections until it has, and a busy client notes them late.
         """
         return {
-            identity for identity, where, made, ended in lost
+            identity
+            for identity, where, made, ended in lost
             if any(
                 one == where and made < self._next_life(one, at) and at < ended < at + KILLED_S
                 for one, at in self.kills
             )
-        }  # fmt: skip
+        }
 
     def _next_life(self, number: int, after: float) -> float:
         return min((at for one, at in self.begun if one == number and at > after), default=math.inf)
@@ -369,20 +370,32 @@
         answers = service.get("answers", ())
         times = [at for at in report["taken_in_s"] if at is not None]
         return {
-            "balancers": self.scenario.balancers, "serving": len(times),
-            "all_after_s": max(times, default=0.0), "taken_in_s": report["taken_in_s"],
-            "calls": len(calls), "calls_s": [round(at, 3) for at in calls],
-            "most_1s": most_in(calls, 1.0), "most_100ms": most_in(calls, 0.1),
+            "balancers": self.scenario.balancers,
+            "serving": len(times),
+            "all_after_s": max(times, default=0.0),
+            "taken_in_s": report["taken_in_s"],
+            "calls": len(calls),
+            "calls_s": [round(at, 3) for at in calls],
+            "most_1s": most_in(calls, 1.0),
+            "most_100ms": most_in(calls, 0.1),
             "most_of_one": max(per.values(), default=0),
             "answered": sum(row[2] == "answered" for row in answers),
             "for_nobody": sum(row[2] == "for nobody" for row in answers),
             "turned_away": sum(row[2] == "turned away" for row in answers),
-            "bytes": service.get("bytes", 0), "ends": report["ends"], "latency_ms": report["latency_ms"],
-            "late_ms": report["late_ms"], "goodput": report["goodput"], "seconds": report["seconds"],
+            "bytes": service.get("bytes", 0),
+            "ends": report["ends"],
+            "latency_ms": report["latency_ms"],
+            "late_ms": report["late_ms"],
+            "goodput": report["goodput"],
+            "seconds": report["seconds"],
             "sends": {name: self._by_second(rows) for name, rows in books["arrivals"].items()},
-            "rules": verdict["rules"], "kept": verdict["kept"] and not crashes, "cold": verdict["cold"],
-            "crashes": crashes[:10], "memory_mb": round(memory, 1), "done": self.done,
-        }  # fmt: skip
+            "rules": verdict["rules"],
+            "kept": verdict["kept"] and not crashes,
+            "cold": verdict["cold"],
+            "crashes": crashes[:10],
+            "memory_mb": round(memory, 1),
+            "done": self.done,
+        }
 
 
 def most_in(times: list[float], span: float) -> int:
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -396,10 +396,14 @@
 ) -> list[tuple[str, str]]:
     """A client's request as the caller has it."""
     rows = [
-        (":method", "GET" if service_class in ("consulta", "read") else "POST"), (":path", path),
-        (":authority", "reservas.lima.example.org"), (":scheme", "http"), ("x-correlation-id", identity),
-        ("x-service-class", service_class), ("x-time-left", f"{int(left_s * 1000)}m"),
-    ]  # fmt: skip
+        (":method", "GET" if service_class in ("consulta", "read") else "POST"),
+        (":path", path),
+        (":authority", "reservas.lima.example.org"),
+        (":scheme", "http"),
+        ("x-correlation-id", identity),
+        ("x-service-class", service_class),
+        ("x-time-left", f"{int(left_s * 1000)}m"),
+    ]
     if tenant:
         rows.append(("x-account", tenant))
     if key:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -58,12 +58,20 @@
     def _make(self, number: int, books: Books) -> Nodo:
         p = self.plan
         return Nodo(
-            f"s{number:04}", books, block=number // 4, capacity=p.capacity,
+            f"s{number:04}",
+            books,
+            block=number // 4,
+            capacity=p.capacity,
             latency_s=p.latency_s * (4 if number < p.slow else 1),
-            queue=p.queue, start_share=p.start_share, warm_s=p.warm_s, cores=p.cores,
-            most_connections=p.most_connections, connect_s=p.connect_s, idle_s=p.idle_s,
+            queue=p.queue,
+            start_share=p.start_share,
+            warm_s=p.warm_s,
+            cores=p.cores,
+            most_connections=p.most_connections,
+            connect_s=p.connect_s,
+            idle_s=p.idle_s,
             rng=random.Random(number),
-        )  # fmt: skip
+        )
 
     async def start(self) -> None:
         self.nodos, self.books, self.registry = await fleet(self.plan.nodos, self._make)
--- a/standins/listservice.py
+++ b/standins/listservice.py
@@ -234,9 +234,13 @@
     def books(self) -> dict[str, Any]:
         """What it saw, as GET /books gives it: moments on the monotonic clock in seconds."""
         return {
-            "began": self.began, "calls": self.calls, "answers": self.answers, "bytes": self.bytes,
-            "watches": len(self.watches), "version": self.version,
-        }  # fmt: skip
+            "began": self.began,
+            "calls": self.calls,
+            "answers": self.answers,
+            "bytes": self.bytes,
+            "watches": len(self.watches),
+            "version": self.version,
+        }
 
     def counts(self) -> dict[str, Any]:
         """Bytes, calls and lines told so far, by the first two numbers of callers' addresses."""
--- a/standins/nodo.py
+++ b/standins/nodo.py
@@ -81,11 +81,23 @@
     """One nodo at one address; restart() gives it a new, cold life at the same address."""
 
     def __init__(
-        self, name: str, books: Books, *, site: str = "north", block: int = 0, capacity: float = 1000.0,
-        latency_s: float = 0.005, queue: int = 200, start_share: float = 0.13, warm_s: float = 0.0,
-        cores: int = 1, most_connections: int = 0, connect_s: float = 0.0, idle_s: float = 0.0,
+        self,
+        name: str,
+        books: Books,
+        *,
+        site: str = "north",
+        block: int = 0,
+        capacity: float = 1000.0,
+        latency_s: float = 0.005,
+        queue: int = 200,
+        start_share: float = 0.13,
+        warm_s: float = 0.0,
+        cores: int = 1,
+        most_connections: int = 0,
+        connect_s: float = 0.0,
+        idle_s: float = 0.0,
         rng: random.Random | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.name, self.books, self.site, self.block = name, books, site, block
         self.capacity, self.latency_s, self.queue = capacity, latency_s, queue
         self.start_share, self.warm_s = start_share, warm_s
@@ -153,9 +165,15 @@
     def entry(self, **changes: Any) -> dict[str, Any]:
         """This nodo as discovery tells of it."""
         return {
-            "host": self.name, "dial": f"127.0.0.1:{self.port}", "site": self.site, "class": "std",
-            "block": self.block, "health": self.health, "share": 1.0, "born_ms": self.born_ms,
-        } | changes  # fmt: skip
+            "host": self.name,
+            "dial": f"127.0.0.1:{self.port}",
+            "site": self.site,
+            "class": "std",
+            "block": self.block,
+            "health": self.health,
+            "share": 1.0,
+            "born_ms": self.born_ms,
+        } | changes
 
     def take(self, connection: Connection, fields: dict[str, str]) -> None:
         """A whole request has come."""
@@ -389,10 +407,14 @@
             "drains": self.drains,
             "births": [
                 [name, life, born, nodo.capacity, nodo.start_share, nodo.warm_s]
-                for name, life, born in books.births for nodo in self.nodos if nodo.name == name
+                for name, life, born in books.births
+                for nodo in self.nodos
+                if nodo.name == name
             ],
-            "turned_away": books.turned_away, "overlapping": books.overlapping, "window_s": books.window_s,
-        }  # fmt: skip
+            "turned_away": books.turned_away,
+            "overlapping": books.overlapping,
+            "window_s": books.window_s,
+        }
 
     def _write(self, line: bytes) -> None:
         for transport in list(self.watchers):
--- a/standins/site.py
+++ b/standins/site.py
@@ -15,10 +15,17 @@
 
 CLASSES = [
     {"name": "consulta", "sloMs": 500.0, "deadlineMs": 2000.0, "value": 1.0, "effect": "free"},
-    {"name": "reserva", "sloMs": 600.0, "deadlineMs": 2000.0, "value": 10.0, "effect": "guarded",
-     "group": "cell", "memorySpanMs": 2000.0},
+    {
+        "name": "reserva",
+        "sloMs": 600.0,
+        "deadlineMs": 2000.0,
+        "value": 10.0,
+        "effect": "guarded",
+        "group": "cell",
+        "memorySpanMs": 2000.0,
+    },
     {"name": "cobro", "sloMs": 600.0, "deadlineMs": 2000.0, "value": 8.0, "effect": "single_shot"},
-]  # fmt: skip
+]
 MIX = (("consulta", 0.6), ("reserva", 0.3), ("cobro", 0.1))
 START_SHARE, WARM_S, FALL_S, TIP = 0.13, 24.0, 2.0, 4.0
 DRAIN_S = 0.25
@@ -30,17 +37,35 @@
         "blend": {"whole": 0.55, "worstWindow": 0.15, "worstClass": 0.05, "worstTenant": 0.25},
         "classes": CLASSES,
         "guarantees": {
-            "answerSlackMs": 20.0, "askEveryMs": 10000.0, "coldMs": WARM_S * 1000, "tipMultiple": TIP,
-            "drainGraceMs": DRAIN_S * 1000, "fallMs": FALL_S * 1000, "startCapacity": START_SHARE,
+            "answerSlackMs": 20.0,
+            "askEveryMs": 10000.0,
+            "coldMs": WARM_S * 1000,
+            "tipMultiple": TIP,
+            "drainGraceMs": DRAIN_S * 1000,
+            "fallMs": FALL_S * 1000,
+            "startCapacity": START_SHARE,
         },
         "limits": {
-            "connIdleMs": 15000.0, "connectTimeoutMs": 250.0, "maxAttempts": 4, "mayCancel": True,
-            "retryAfter": True, "maxRetryAfterMs": 2000.0,
+            "connIdleMs": 15000.0,
+            "connectTimeoutMs": 250.0,
+            "maxAttempts": 4,
+            "mayCancel": True,
+            "retryAfter": True,
+            "maxRetryAfterMs": 2000.0,
         },
-        "myZone": "north", "nInstances": 1, "prices": {"waste": 0.05, "lateFail": 0.03},
-        "registryMode": "automatic", "report": {"fields": ["depth"], "source": "inline"}, "tickMs": 5.0,
-    }  # fmt: skip
+        "myZone": "north",
+        "nInstances": 1,
+        "prices": {"waste": 0.05, "lateFail": 0.03},
+        "registryMode": "automatic",
+        "report": {"fields": ["depth"], "source": "inline"},
+        "tickMs": 5.0,
+    }
     return {
-        "name": "n0", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}", "seed": "5",
-        "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096}, "known": known, "settings": settings,
-    }  # fmt: skip
+        "name": "n0",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "5",
+        "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096},
+        "known": known,
+        "settings": settings,
+    }
--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -36,11 +36,14 @@
 
         self.nodos, self.books, self.registry = await fleet(self.count, make)
         config = {
-            "name": "n0", "listen": "127.0.0.1:0", "seed": "5",
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": "5",
             "discovery": f"127.0.0.1:{self.registry.port}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": self.registry.whole(),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": self.registry.whole(),
             "settings": self.settings,
-        }  # fmt: skip
+        }
         self.config = read_config(json.dumps(config))
         node = self.node = Node(self.config, asyncio.get_running_loop())
         self.backend = CallerBackend(node.engine, node.clock, self.extproc.decision_valid_ms / 1000.0)
@@ -77,9 +80,15 @@
         return Exchange(identity or f"c{self.number}", name, self.node.clock.now())
 
     async def ask(
-        self, caller: CallerProxy, name: str = "read", *, left_s: float = 2.5, drop: str = "",
-        identity: str = "", extra: tuple[tuple[str, str], ...] = (),
-    ) -> Exchange:  # fmt: skip
+        self,
+        caller: CallerProxy,
+        name: str = "read",
+        *,
+        left_s: float = 2.5,
+        drop: str = "",
+        identity: str = "",
+        extra: tuple[tuple[str, str], ...] = (),
+    ) -> Exchange:
         """One client request through the caller, to its end."""
         exchange = self.exchange(name, identity)
         key = f"k-{exchange.identity}" if name == "book" else ""
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -21,18 +21,34 @@
     "blend": {"whole": 1.0},
     "classes": [
         {"name": "read", "sloMs": 2500.0, "deadlineMs": 3000.0, "value": 1.0, "effect": "free"},
-        {"name": "book", "sloMs": 2500.0, "deadlineMs": 3000.0, "value": 5.0, "effect": "guarded",
-         "group": "cell", "memorySpanMs": 2000.0},
+        {
+            "name": "book",
+            "sloMs": 2500.0,
+            "deadlineMs": 3000.0,
+            "value": 5.0,
+            "effect": "guarded",
+            "group": "cell",
+            "memorySpanMs": 2000.0,
+        },
         {"name": "pay", "sloMs": 2500.0, "deadlineMs": 3000.0, "value": 8.0, "effect": "single_shot"},
     ],
     "customers": [{"name": "acme", "quotaPerS": 1000.0}],
     "guarantees": {
-        "answerSlackMs": 20.0, "askEveryMs": 10000.0, "coldMs": 1.0, "drainGraceMs": 250.0,
-        "fallMs": 2000.0, "startCapacity": 0.5, "tipMultiple": 4.0,
+        "answerSlackMs": 20.0,
+        "askEveryMs": 10000.0,
+        "coldMs": 1.0,
+        "drainGraceMs": 250.0,
+        "fallMs": 2000.0,
+        "startCapacity": 0.5,
+        "tipMultiple": 4.0,
     },
     "limits": {
-        "connIdleMs": 15000.0, "connectTimeoutMs": 250.0, "maxAttempts": 4, "mayCancel": True,
-        "retryAfter": True, "maxRetryAfterMs": 2000.0,
+        "connIdleMs": 15000.0,
+        "connectTimeoutMs": 250.0,
+        "maxAttempts": 4,
+        "mayCancel": True,
+        "retryAfter": True,
+        "maxRetryAfterMs": 2000.0,
     },
     "myZone": "north",
     "nInstances": 1,
@@ -40,7 +56,7 @@
     "registryMode": "automatic",
     "report": {"fields": ["depth", "load_share"], "source": "inline"},
     "tickMs": 1.0,
-}  # fmt: skip
+}
 
 
 class Message(NamedTuple):
@@ -201,9 +217,15 @@
 
     def host(self, number: int, health: str = "ready", born: float = 0, **changes: Any) -> dict[str, Any]:
         return {
-            "host": f"s{number}", "dial": f"127.0.0.1:{self.ups[number].port}", "site": "north",
-            "class": "std", "block": 0, "health": health, "share": 1.0, "born_ms": born,
-        } | changes  # fmt: skip
+            "host": f"s{number}",
+            "dial": f"127.0.0.1:{self.ups[number].port}",
+            "site": "north",
+            "class": "std",
+            "block": 0,
+            "health": health,
+            "share": 1.0,
+            "born_ms": born,
+        } | changes
 
     def list(self, *hosts: dict[str, Any], whole: bool = True) -> dict[str, Any]:
         return {"seq": self.version, "whole": whole, "hosts": list(hosts)}
@@ -248,10 +270,15 @@
         listener: that of a process before it."""
         known = self.known or self.list(*(self.host(n) for n in range(len(self.ups))))
         config = {
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{self.discovery.port}",
-            "seed": "5", "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets},
-            "known": known, "settings": self.settings, "admin_addr": self.admin,
-        }  # fmt: skip
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": f"127.0.0.1:{self.discovery.port}",
+            "seed": "5",
+            "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets},
+            "known": known,
+            "settings": self.settings,
+            "admin_addr": self.admin,
+        }
         self.node = Node(read_config(json.dumps(config)), asyncio.get_running_loop())
         self.node._listener = listener
         handle = self.node.engine.balancer.handle
@@ -293,9 +320,13 @@
 
 
 def request(
-    name: str = "read", body: bytes | None = None, fields: str = "", method: str = "", left: str = "2500m",
+    name: str = "read",
+    body: bytes | None = None,
+    fields: str = "",
+    method: str = "",
+    left: str = "2500m",
     path: str = "/api",
-) -> bytes:  # fmt: skip
+) -> bytes:
     """A request of a class as a client writes it."""
     method = method or ("GET" if name == "read" else "POST")
     head = f"{method} {path} HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: c1\r\nX-Service-Class: {name}\r\n"
--- a/tests/relay_site.py
+++ b/tests/relay_site.py
@@ -30,9 +30,15 @@
 
 def row(name: str, health: str = "ready", born: float = 0.0, port: int = 9) -> dict[str, Any]:
     return {
-        "host": name, "dial": f"127.0.0.1:{port}", "site": "a", "class": "m", "block": 0, "health": health,
-        "share": 1.0, "born_ms": born,
-    }  # fmt: skip
+        "host": name,
+        "dial": f"127.0.0.1:{port}",
+        "site": "a",
+        "class": "m",
+        "block": 0,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born,
+    }
 
 
 def rows(count: int, **changes: Any) -> list[dict[str, Any]]:
@@ -179,9 +185,15 @@
         )
         self.log = []
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "quartzford", "relay", "--operator", str(file),
-            stderr=asyncio.subprocess.PIPE, stdin=asyncio.subprocess.DEVNULL,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "quartzford",
+            "relay",
+            "--operator",
+            str(file),
+            stderr=asyncio.subprocess.PIPE,
+            stdin=asyncio.subprocess.DEVNULL,
+        )
         assert self.process.stderr is not None
         self.reading = asyncio.ensure_future(self._read(self.process.stderr))
         await until(lambda: self.said("listening on") or self.reading.done(), 20.0)  # type: ignore[union-attr]
--- a/tests/streams_of_events.py
+++ b/tests/streams_of_events.py
@@ -22,9 +22,14 @@
     io.ServiceClass("pay", 200.0, 800.0, worth=8.0, effect="unsafe"),
 )
 RULES = io.Rules(
-    answer_slack_ms=20.0, drain_grace_ms=250.0, ask_every_ms=10_000.0, start_capacity=0.2, cold_ms=4_000.0,
-    tip_multiple=3.0, fall_ms=2_000.0,
-)  # fmt: skip
+    answer_slack_ms=20.0,
+    drain_grace_ms=250.0,
+    ask_every_ms=10_000.0,
+    start_capacity=0.2,
+    cold_ms=4_000.0,
+    tip_multiple=3.0,
+    fall_ms=2_000.0,
+)
 
 
 class Plan(NamedTuple):
@@ -46,11 +51,17 @@
 def settings_of(plan: Plan) -> io.Settings:
     tenants = (io.Tenant("acme", 100.0), io.Tenant("lima", 30.0)) if plan.tenants else ()
     return io.Settings(
-        zone="z0", balancers=2, classes=CLASSES, rules=RULES, tenants=tenants, sized=plan.sized,
+        zone="z0",
+        balancers=2,
+        classes=CLASSES,
+        rules=RULES,
+        tenants=tenants,
+        sized=plan.sized,
         limits=io.Limits(max_attempts=4, may_cancel=True, retry_after=True, max_retry_after_ms=500.0),
-        prices=io.Prices(cross_zone=0.002), report_fields=("depth",) if plan.reports else (),
+        prices=io.Prices(cross_zone=0.002),
+        report_fields=("depth",) if plan.reports else (),
         over_share_worth=0.2,
-    )  # fmt: skip
+    )
 
 
 def entry_of(number: int, rng: random.Random, plan: Plan, now: float, state: str = "ready") -> io.Entry:
--- a/tests/system_calls.py
+++ b/tests/system_calls.py
@@ -79,9 +79,15 @@
     """`python -m quartzford ARGUMENTS`, killed at the end if it still runs."""
     base = {name: value for name, value in os.environ.items() if name not in ("EDGE_CONFIG", "TMPDIR")}
     one = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "quartzford", *arguments, cwd=ROOT, env=base | environment,
+        sys.executable,
+        "-B",
+        "-m",
+        "quartzford",
+        *arguments,
+        cwd=ROOT,
+        env=base | environment,
         stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+    )
     try:
         yield one
     finally:
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -22,9 +22,11 @@
 SOURCE = ("10.1.0.1", 8500)
 # What a call to a relay in this state takes, and how it ends.
 STATES = {
-    "dead": (0.0, End.UNREACHED), "vanished": (RELAY_CONNECT_S, End.UNREACHED),
-    "stopped": (RELAY_LINE_S, End.SILENT), "lost": (0.0, End.TURNED_AWAY),
-}  # fmt: skip
+    "dead": (0.0, End.UNREACHED),
+    "vanished": (RELAY_CONNECT_S, End.UNREACHED),
+    "stopped": (RELAY_LINE_S, End.SILENT),
+    "lost": (0.0, End.TURNED_AWAY),
+}
 
 
 class Balancer:
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -177,11 +177,19 @@
 
 
 def config_of(world: World, site: World) -> Any:
-    return read_config(json.dumps({
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{site.discovery.port}", "seed": "5",
-        "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.sockets},
-        "known": site.list(), "settings": world.settings,
-    }))  # fmt: skip
+    return read_config(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "discovery": f"127.0.0.1:{site.discovery.port}",
+                "seed": "5",
+                "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.sockets},
+                "known": site.list(),
+                "settings": world.settings,
+            }
+        )
+    )
 
 
 @run
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -109,9 +109,13 @@
     took: the longest that a call of this end can last; of a watch, since it last told something.
     """
     ends = {
-        End.UNREACHED: CONNECT_S, End.TURNED_AWAY: QUEUE_S, End.BROKEN: QUEUE_S, End.LOST: LINE_S,
-        End.SILENT: QUEUE_S, End.UNREAD: QUEUE_S,
-    }  # fmt: skip
+        End.UNREACHED: CONNECT_S,
+        End.TURNED_AWAY: QUEUE_S,
+        End.BROKEN: QUEUE_S,
+        End.LOST: LINE_S,
+        End.SILENT: QUEUE_S,
+        End.UNREAD: QUEUE_S,
+    }
     for seed in range(200):
         rng = random.Random(seed)
         calls: Calls = shared(balancers, seed) if balancers else Agent(random.Random(seed), 0.25)
@@ -135,13 +139,25 @@
 @pytest.mark.parametrize(
     ("text", "seconds"),
     [
-        ("3600", 3600.0), ("0", 0.0), ("1.5", 1.5), ("  2 ", 2.0), ("-5", 0.0), ("", 0.0), ("soon", 0.0),
-        ("nan", 0.0), ("inf", 0.0), ("1e400", 0.0), ("9" * 400, 0.0), ("\x00", 0.0),
+        ("3600", 3600.0),
+        ("0", 0.0),
+        ("1.5", 1.5),
+        ("  2 ", 2.0),
+        ("-5", 0.0),
+        ("", 0.0),
+        ("soon", 0.0),
+        ("nan", 0.0),
+        ("inf", 0.0),
+        ("1e400", 0.0),
+        ("9" * 400, 0.0),
+        ("\x00", 0.0),
         ("Tue, 01 Dec 2026 01:00:10 GMT", 3610.0),
-        ("Tue, 01 Dec 2026 00:00:10 GMT", 10.0), ("Mon, 30 Nov 2026 00:00:00 GMT", 0.0),
-        ("Tue, 99 Dec 2026 00:00:10 GMT", 0.0), ("Tue, 01 Dec 99999999999 00:00:10 GMT", 0.0),
+        ("Tue, 01 Dec 2026 00:00:10 GMT", 10.0),
+        ("Mon, 30 Nov 2026 00:00:00 GMT", 0.0),
+        ("Tue, 99 Dec 2026 00:00:10 GMT", 0.0),
+        ("Tue, 01 Dec 99999999999 00:00:10 GMT", 0.0),
     ],
-)  # fmt: skip
+)
 def test_retry_after_is_read_or_passed_over(text: str, seconds: float) -> None:
     assert retry_after(text, "Tue, 01 Dec 2026 00:00:00 GMT") == pytest.approx(seconds)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -29,27 +29,38 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PROGRAM = Program(
-    calls_per_s=50.0, spread_s=3.75, small=16, line_bytes=4 * 1024 * 1024, meet_s=1.5, least_used=16,
-    log_lines_per_s=5.0, relay=False,
-)  # fmt: skip
+    calls_per_s=50.0,
+    spread_s=3.75,
+    small=16,
+    line_bytes=4 * 1024 * 1024,
+    meet_s=1.5,
+    least_used=16,
+    log_lines_per_s=5.0,
+    relay=False,
+)
 
 
 def slope(key: str, value: float, unit: str = "B", **more: Any) -> dict[str, Any]:
     role, name = WANTED[key]
     return {
-        "role": role, "name": name, "unit": unit, "by": "upstreams", "sizes": [1, 2, 3, 4],
+        "role": role,
+        "name": name,
+        "unit": unit,
+        "by": "upstreams",
+        "sizes": [1, 2, 3, 4],
         "values": [1, 2, 3, 4],
         "kept_out": {"size": 2, "value": 2, "foretold": 2.1, "error": 0.05},
         "fit": {"kind": "line", "intercept": 0.0, "slope": 1.0, "residual": 0.0},
         "at_target": {"size": 63000, "value": value},
-    } | more  # fmt: skip
+    } | more
 
 
 def model(*figures: dict[str, Any], scale: Any = None, calls: Any = None) -> Model:
     found = Figures(
-        read_slopes({"figures": list(figures)}), read_scale(scale or {"events": []}),
+        read_slopes({"figures": list(figures)}),
+        read_scale(scale or {"events": []}),
         read_calls(calls or {"rows": []}),
-    )  # fmt: skip
+    )
     return Model(found, Target(), Protocol(), PROGRAM)
 
 
@@ -234,9 +245,11 @@
     assert exchanged(page, {"one": "new\n"}) == page.replace("old", "new")
     assert parted(page, {"one": "new\n"}) == ["one"] and parted(page, {"one": "old\n"}) == []
     for bad, made in (
-        (page, {"one": "", "two": ""}), (page, {}), (page * 2, {"one": ""}),
+        (page, {"one": "", "two": ""}),
+        (page, {}),
+        (page * 2, {"one": ""}),
         (page.replace("<!-- end -->", ""), {"one": ""}),
-    ):  # fmt: skip
+    ):
         with pytest.raises(PageError):
             exchanged(bad, made)
 
@@ -244,12 +257,18 @@
 @pytest.mark.parametrize(
     ("value", "unit", "text"),
     [
-        (None, "s", NOT_MEASURED), (8_700_000.0, "bytes", "8.7 MB"), (253_125.0, "bytes/s", "253 KB/s"),
-        (0.0017, "s", "1.7 ms"), (92.0, "s", "92 s"), (0.016, "cores", "1.6% of a core"),
+        (None, "s", NOT_MEASURED),
+        (8_700_000.0, "bytes", "8.7 MB"),
+        (253_125.0, "bytes/s", "253 KB/s"),
+        (0.0017, "s", "1.7 ms"),
+        (92.0, "s", "92 s"),
+        (0.016, "cores", "1.6% of a core"),
         (1584.0, "1/s", "1,580/s"),
-        (0.0, "s", "0 ms"), (-0.0004, "s", "-400 us"), (0.00000012, "number", "0.00000012"),
+        (0.0, "s", "0 ms"),
+        (-0.0004, "s", "-400 us"),
+        (0.00000012, "number", "0.00000012"),
     ],
-)  # fmt: skip
+)
 def test_quantities_read_well(value: float | None, unit: str, text: str) -> None:
     assert quantity(value, unit) == text
 
@@ -281,9 +300,17 @@
 def test_times_are_shown_with_the_balancers_that_they_leave_out() -> None:
     """Those that never had a list, or never the change, have no time: times alone would hide them."""
     event = {
-        "event": "all start", "way": "source", "hollow": 4_600, "real": 20, "rows": 2_000, "with_list": 2_442,
-        "missing": 791, "p50_s": 1.0, "p99_s": 2.0, "last_s": 3.0,
-    }  # fmt: skip
+        "event": "all start",
+        "way": "source",
+        "hollow": 4_600,
+        "real": 20,
+        "rows": 2_000,
+        "with_list": 2_442,
+        "missing": 791,
+        "p50_s": 1.0,
+        "p99_s": 2.0,
+        "last_s": 3.0,
+    }
     shown = blocks(model(scale={"events": [event]}))
     assert "| 4,600 + 20 | 2,442 | 791 |" in shown["scale"]
     assert "2,442 of 4,620 balancers" in shown["events"]
--- a/tests/test_counting.py
+++ b/tests/test_counting.py
@@ -79,10 +79,21 @@
 
 def line(**changes: Any) -> str:
     row: dict[str, Any] = {
-        "at": 1_000, "zone": "a", "list": {}, "ends": {}, "causes": {}, "sends": {}, "classes": {},
-        "process": {"cpu_us": 10}, "opened": {}, "cold": {}, "held_at": {}, "usual": {"x": 10.0},
-        "memory_kb": 5, **dict.fromkeys((*fleetlog.SUMS, *fleetlog.MEANS), 0.0),
-    }  # fmt: skip
+        "at": 1_000,
+        "zone": "a",
+        "list": {},
+        "ends": {},
+        "causes": {},
+        "sends": {},
+        "classes": {},
+        "process": {"cpu_us": 10},
+        "opened": {},
+        "cold": {},
+        "held_at": {},
+        "usual": {"x": 10.0},
+        "memory_kb": 5,
+        **dict.fromkeys((*fleetlog.SUMS, *fleetlog.MEANS), 0.0),
+    }
     return "1.0 counts: " + json.dumps(row | changes) + "\n"
 
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -13,9 +13,24 @@
 def test_the_demo_runs_and_its_books_agree(tmp_path: Path) -> None:
     page, result = tmp_path / "d.html", tmp_path / "d.json"
     done = subprocess.run(
-        [sys.executable, "-m", "quartzford", "demo", "--quiet", "--seconds", "9", "--html", str(page),
-         "--json", str(result)], cwd=ROOT, capture_output=True, timeout=200, check=False,
-    )  # fmt: skip
+        [
+            sys.executable,
+            "-m",
+            "quartzford",
+            "demo",
+            "--quiet",
+            "--seconds",
+            "9",
+            "--html",
+            str(page),
+            "--json",
+            str(result),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        timeout=200,
+        check=False,
+    )
     # 3: a slow machine makes the generator late, which is said; the rules hold all the same.
     assert done.returncode in (0, 3), (done.stdout, done.stderr)
     verdict = json.loads(result.read_text())["rules"]
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -29,12 +29,16 @@
     site = tomllib.loads(path.read_text())
     classes = [
         {
-            "name": c["name"], "effect": EFFECTS[c["effect"]], "group": c.get("group", "all"),
-            "memorySpanMs": float(c.get("window_ms", 0.0)), "sloMs": float(c["aim_ms"]),
-            "deadlineMs": float(c["deadline_ms"]), "value": c["worth"],
+            "name": c["name"],
+            "effect": EFFECTS[c["effect"]],
+            "group": c.get("group", "all"),
+            "memorySpanMs": float(c.get("window_ms", 0.0)),
+            "sloMs": float(c["aim_ms"]),
+            "deadlineMs": float(c["deadline_ms"]),
+            "value": c["worth"],
         }
         for c in site["class"]
-    ]  # fmt: skip
+    ]
     tenants = [{"name": t["name"], "quotaPerS": 1000.0 * t["share"]} for t in site.get("tenant", ())]
     limits = SETTINGS["limits"] | {"maxAttempts": site["allow"]["max_attempts"]}
     return {"classes": classes, "customers": tenants, "limits": limits}
@@ -44,9 +48,14 @@
     """What SIGHUP does with a new file."""
     port = world.discovery.port
     config = {
-        "name": "n0", "listen": f"127.0.0.1:{world.port}", "discovery": f"127.0.0.1:{port}", "seed": "5",
-        "limits": {"memory_mb": 192, "sockets": 1024}, "known": {}, "settings": SETTINGS | settings,
-    }  # fmt: skip
+        "name": "n0",
+        "listen": f"127.0.0.1:{world.port}",
+        "discovery": f"127.0.0.1:{port}",
+        "seed": "5",
+        "limits": {"memory_mb": 192, "sockets": 1024},
+        "known": {},
+        "settings": SETTINGS | settings,
+    }
     world.node.reconfigure(read_config(json.dumps(config)))
 
 
@@ -138,9 +147,10 @@
 @run
 async def test_tenants_with_names_alike_have_their_own_quota_and_a_site_without_any_has_none() -> None:
     tenants = [
-        {"name": "norte", "quotaPerS": 500.0}, {"name": "norte-alto", "quotaPerS": 5.0},
+        {"name": "norte", "quotaPerS": 500.0},
+        {"name": "norte-alto", "quotaPerS": 5.0},
         {"name": "norte-alto-2", "quotaPerS": 50.0},
-    ]  # fmt: skip
+    ]
     async with World(2, customers=tenants) as world:
         quota = world.node.engine.balancer.admission.quota
         assert quota == {"norte": 0.5, "norte-alto": 0.005, "norte-alto-2": 0.05}
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -40,8 +40,16 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 CALLS = ("open", "write", "fsync", "close", "replace", "unlink", "chmod")
-ROW = {"host": "s0", "dial": "127.0.0.1:1", "site": "north", "class": "std", "block": 0, "health": "ready",
-       "share": 1.0, "born_ms": 0}  # fmt: skip
+ROW = {
+    "host": "s0",
+    "dial": "127.0.0.1:1",
+    "site": "north",
+    "class": "std",
+    "block": 0,
+    "health": "ready",
+    "share": 1.0,
+    "born_ms": 0,
+}
 
 
 def snapshot(version: int) -> Snapshot:
@@ -234,9 +242,15 @@
         self.error: OSError | None = None
         patch.setattr(atomic_file, "os", FaultyOs(lambda name: self.error if name == "write" else None))
         self.writer = SnapshotWriter(
-            str(path), Rule(3_600.0, 60.0), lambda: "s:1", lambda: self.table, lambda: self.confirmed,
-            self.clock, self.log, asyncio.get_running_loop(),
-        )  # fmt: skip
+            str(path),
+            Rule(3_600.0, 60.0),
+            lambda: "s:1",
+            lambda: self.table,
+            lambda: self.confirmed,
+            self.clock,
+            self.log,
+            asyncio.get_running_loop(),
+        )
 
     async def settle(self, seconds: float = 2.0) -> None:
         """Let so much time pass, and a write that it starts come to its end."""
@@ -346,9 +360,13 @@
 
 def test_a_write_that_hangs_holds_up_neither_the_loop_nor_the_end_of_the_process(tmp_path: Path) -> None:
     done = subprocess.run(
-        [sys.executable, "-c", HANGING], cwd=tmp_path, env={**os.environ, "PYTHONPATH": str(ROOT)},
-        capture_output=True, timeout=20, check=True,
-    )  # fmt: skip
+        [sys.executable, "-c", HANGING],
+        cwd=tmp_path,
+        env={**os.environ, "PYTHONPATH": str(ROOT)},
+        capture_output=True,
+        timeout=20,
+        check=True,
+    )
     assert done.stdout == b"ended\n"
 
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -60,9 +60,16 @@
     ],
 )
 def test_bad_servers_are_left_alone_and_an_overload_puts_out_few(
-    servers: int, per_s: float, seconds: float, bad: int, rate: float, code: str, most_share: float,
-    most_out: float, seed: int,
-) -> None:  # fmt: skip
+    servers: int,
+    per_s: float,
+    seconds: float,
+    bad: int,
+    rate: float,
+    code: str,
+    most_share: float,
+    most_out: float,
+    seed: int,
+) -> None:
     played = Played(
         servers, per_s, seconds, lambda n, rng: code if n < bad and rng.random() < rate else "ok", seed
     )
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -162,9 +162,10 @@
     "FIN": lambda sock: sock.close(),
     "FIN behind unread bytes": lambda sock: (sock.send(b"G" * 20_000), sock.close()),  # type: ignore[func-returns-value]
     "RST": lambda sock: (  # type: ignore[func-returns-value]
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET), sock.close(),
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET),
+        sock.close(),
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("how", LEAVES)
--- a/tests/test_extproc_desk.py
+++ b/tests/test_extproc_desk.py
@@ -27,7 +27,7 @@
     Reply,
     Stream,
     Told,
-)  # fmt: skip
+)
 from quartzford.fronts.extproc.outcome import Result, read_result
 from quartzford.fronts.extproc.token import Fault, Tokens
 from quartzford.membership.listing import Listing
@@ -245,13 +245,29 @@
 
 
 STEP = st.tuples(
-    st.sampled_from(("new", "new", "slow", "open", "report", "report", "drop", "again", "overlap", "copy",
-                     "drain", "ready", "wait", "all")),
+    st.sampled_from(
+        (
+            "new",
+            "new",
+            "slow",
+            "open",
+            "report",
+            "report",
+            "drop",
+            "again",
+            "overlap",
+            "copy",
+            "drain",
+            "ready",
+            "wait",
+            "all",
+        )
+    ),
     st.integers(0, 7),
     st.sampled_from(("read", "book", "hold", "note", "pay")),
     st.sampled_from(("ok", "error", "full", "timeout", "connect_failed", "reset")),
     st.sampled_from((0.0, 0.001, 0.02, 0.04, 0.15, 0.3)),
-)  # fmt: skip
+)
 
 
 def step(world: World, customers: list[Customer], number: int, drawn: Any) -> None:
--- a/tests/test_extproc_example.py
+++ b/tests/test_extproc_example.py
@@ -48,10 +48,14 @@
 
 @pytest.mark.parametrize(
     "wrong",
-    [("retriable_headers:", "retriable_header:"), ("use_http_header", "use_header"),
-     ("ORIGINAL_DST", "ORIGINAL"), ("message_timeout", "timeout_of_messages"),
-     ("HttpProtocolOptions\n", "HttpOptions\n")],
-)  # fmt: skip
+    [
+        ("retriable_headers:", "retriable_header:"),
+        ("use_http_header", "use_header"),
+        ("ORIGINAL_DST", "ORIGINAL"),
+        ("message_timeout", "timeout_of_messages"),
+        ("HttpProtocolOptions\n", "HttpOptions\n"),
+    ],
+)
 def test_a_wrong_name_in_the_example_would_be_found(wrong: tuple[str, str]) -> None:
     changed = TEXT.replace(*wrong)
     assert changed != TEXT
--- a/tests/test_extproc_line.py
+++ b/tests/test_extproc_line.py
@@ -115,8 +115,16 @@
     on_loop(test)
 
 
-@given(st.lists(st.tuples(st.sampled_from(("ask", "report", "drop", "next")), st.integers(1, 4),
-                          st.sampled_from(("a", "b", "c"))), max_size=60))  # fmt: skip
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(("ask", "report", "drop", "next")),
+            st.integers(1, 4),
+            st.sampled_from(("a", "b", "c")),
+        ),
+        max_size=60,
+    )
+)
 @budget(max_examples=300, deadline=None, derandomize=True, database=None)
 def test_intake_gives_each_message_once_in_its_order(steps: list[Any]) -> None:
     worth = {"a": 1.0, "b": 5.0, "c": 10.0}
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -127,17 +127,28 @@
     async def __aenter__(self) -> Program:
         self.nodos, self.books, self.registry = await fleet(2, lambda n, books: Nodo(f"s{n}", books))
         config = {
-            "name": "n0", "listen": "127.0.0.1:0", "seed": "5", "known": self.registry.whole(),
-            "discovery": f"127.0.0.1:{self.registry.port}", "settings": SETTINGS,
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": "5",
+            "known": self.registry.whole(),
+            "discovery": f"127.0.0.1:{self.registry.port}",
+            "settings": SETTINGS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        }  # fmt: skip
+        }
         (self.folder / "balancer.json").write_text(json.dumps(config))
         self.write()
         environment = {k: v for k, v in os.environ.items() if k != "EDGE_CONFIG"}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "quartzford", "serve", "--operator", str(self.operator), cwd=ROOT,
-            env=environment, stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "quartzford",
+            "serve",
+            "--operator",
+            str(self.operator),
+            cwd=ROOT,
+            env=environment,
+            stderr=asyncio.subprocess.PIPE,
+        )
         line = await self.said("listening on port")
         self.port = int(line.rpartition(" ")[2])
         return self
@@ -326,9 +337,15 @@
         path = tmp_path / "operator.toml"
         path.write_text(text)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "quartzford", "check", str(path), cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "quartzford",
+            "check",
+            str(path),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         out, errors = await asyncio.wait_for(process.communicate(), 20)
         assert process.returncode == code
         assert (b"can be used" in out) == (code == 0) and (b"extproc.x" in errors) == (code == 2)
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -305,8 +305,11 @@
 @run
 async def test_a_destination_that_a_client_wrote_is_overwritten() -> None:
     async with Site() as site:
-        forged = (("x-quartzford-destination", "127.0.0.1:9"), ("x-quartzford-retry", "1"),
-                  ("x-envoy-upstream-rq-timeout-ms", "1"))  # fmt: skip
+        forged = (
+            ("x-quartzford-destination", "127.0.0.1:9"),
+            ("x-quartzford-retry", "1"),
+            ("x-envoy-upstream-rq-timeout-ms", "1"),
+        )
         done = await site.ask(site.caller(), "pay", extra=forged)
         assert done.statuses == [200] and done.attempts[0].address != "127.0.0.1:9"
         brought = Raw(site.caller(), opens=True)  # whoever opens a request has no token yet
@@ -473,8 +476,14 @@
         deaf = h2.connection.H2Connection()
         deaf.initiate_connection()
         _, writer = await asyncio.open_connection("127.0.0.1", site.front.port, limit=1)
-        grpc_headers = [(":method", "POST"), (":scheme", "http"), (":path", PROCESS), (":authority", "a"),
-                        ("te", "trailers"), ("content-type", "application/grpc")]  # fmt: skip
+        grpc_headers = [
+            (":method", "POST"),
+            (":scheme", "http"),
+            (":path", PROCESS),
+            (":authority", "a"),
+            ("te", "trailers"),
+            ("content-type", "application/grpc"),
+        ]
         for number in range(200):
             message = proto.ProcessingRequest(request_headers=_message(rows_of(f"d{number}", left_s=0.5)))
             data, stream = message.SerializeToString(), 2 * number + 1
--- a/tests/test_frozen_data.py
+++ b/tests/test_frozen_data.py
@@ -37,12 +37,28 @@
     "seq": 41,
     "whole": True,
     "hosts": [
-        {"host": "s0", "dial": "10.0.0.1:8101", "site": "north", "class": "std", "block": 0,
-         "health": "ready", "share": 1.0, "born_ms": 0.0},
-        {"host": "s1", "dial": "10.0.0.2:8101", "site": "south", "class": "big", "block": 3,
-         "health": "draining", "share": 2.5, "born_ms": 1790000000123.0},
+        {
+            "host": "s0",
+            "dial": "10.0.0.1:8101",
+            "site": "north",
+            "class": "std",
+            "block": 0,
+            "health": "ready",
+            "share": 1.0,
+            "born_ms": 0.0,
+        },
+        {
+            "host": "s1",
+            "dial": "10.0.0.2:8101",
+            "site": "south",
+            "class": "big",
+            "block": 3,
+            "health": "draining",
+            "share": 2.5,
+            "born_ms": 1790000000123.0,
+        },
     ],
-}  # fmt: skip
+}
 
 
 class Data(NamedTuple):
@@ -94,9 +110,11 @@
         path = Path(folder) / "t"
         recorder = Recorder(str(path), "plain", 10**6, clock, NoLog())
         for name, tenant, key, size, left in (
-            ("consulta", "lima", "user-1", 0, 2000.0), ("pay", "", "", 70_000, 0.25),
-            ("", "a\tb", "-", 1, 1e6), ("reserva ñ", "100%", "k/1", 2, 1234.567),
-        ):  # fmt: skip
+            ("consulta", "lima", "user-1", 0, 2000.0),
+            ("pay", "", "", 70_000, 0.25),
+            ("", "a\tb", "-", 1, 1e6),
+            ("reserva ñ", "100%", "k/1", 2, 1234.567),
+        ):
             clock.time += 0.012345
             recorder.take(io.Request(1, name, left, tenant, key), size)
         recorder.close()
@@ -125,9 +143,14 @@
 
 def make_messages() -> bytes:
     messages: list[wire.Message] = [
-        wire.Hello(wire.FORMAT, 4711), wire.Listener(2), wire.Part(1, b"\x00\xff"), wire.Serves(),
-        wire.Beat(), wire.Client(), wire.Hand("s1", True),
-    ]  # fmt: skip
+        wire.Hello(wire.FORMAT, 4711),
+        wire.Listener(2),
+        wire.Part(1, b"\x00\xff"),
+        wire.Serves(),
+        wire.Beat(),
+        wire.Client(),
+        wire.Hand("s1", True),
+    ]
     return write_messages(messages)
 
 
--- a/tests/test_frozen_relay.py
+++ b/tests/test_frozen_relay.py
@@ -29,9 +29,15 @@
 def row(number: int, health: str = "ready", born: float = 0.0) -> dict[str, Any]:
     """A row of the list; nobody calls the address."""
     return {
-        "host": f"s{number}", "dial": f"10.0.0.{number}:8101", "site": "north", "class": "std",
-        "block": number, "health": health, "share": 1.0, "born_ms": born,
-    }  # fmt: skip
+        "host": f"s{number}",
+        "dial": f"10.0.0.{number}:8101",
+        "site": "north",
+        "class": "std",
+        "block": number,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born,
+    }
 
 
 class Watcher:
@@ -68,9 +74,17 @@
     path.write_text(operator)
     outer = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "quartzford", command, "--operator", str(path), cwd=ROOT,
-        env=outer | environment, stderr=asyncio.subprocess.DEVNULL,
-    )  # fmt: skip
+        sys.executable,
+        "-B",
+        "-m",
+        "quartzford",
+        command,
+        "--operator",
+        str(path),
+        cwd=ROOT,
+        env=outer | environment,
+        stderr=asyncio.subprocess.DEVNULL,
+    )
 
 
 async def keep_beating(service: ListService) -> None:
@@ -168,11 +182,14 @@
         await peer.start()
     port = reserved_port(HOST)
     config = {
-        "name": "n0", "listen": f"{HOST}:{port}", "seed": "ab12",
-        "discovery": f"{HOST}:{service.port}", "known": {"seq": 0, "whole": True, "hosts": []},
+        "name": "n0",
+        "listen": f"{HOST}:{port}",
+        "seed": "ab12",
+        "discovery": f"{HOST}:{service.port}",
+        "known": {"seq": 0, "whole": True, "hosts": []},
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": SETTINGS | {"registryMode": "subscribe"},
-    }  # fmt: skip
+    }
     (folder / "balancer.json").write_text(json.dumps(config))
     settings = f'config = "balancer.json"\n[lists]\nrelays = ["{HOST}:{relay.port}"]\n'
     process = await spawn(folder, "serve", settings)
--- a/tests/test_frozen_transcript.py
+++ b/tests/test_frozen_transcript.py
@@ -24,9 +24,14 @@
 
 
 def request(
-    name: str, identity: str, method: str = "GET", fields: str = "", body: bytes | None = None,
-    left: str = "9000m", version: str = "1.1",
-) -> bytes:  # fmt: skip
+    name: str,
+    identity: str,
+    method: str = "GET",
+    fields: str = "",
+    body: bytes | None = None,
+    left: str = "9000m",
+    version: str = "1.1",
+) -> bytes:
     """A request of a class."""
     head = f"{method} /api/{identity}?x=1 HTTP/{version}\r\nHost: app.svc\r\nX-Correlation-Id: {identity}\r\n"
     head += f"X-Service-Class: {name}\r\nX-Account: acme\r\nX-Time-Left: {left}\r\n{fields}"
@@ -49,21 +54,32 @@
     load = 'X-Backend-Load: {"depth": 3, "load_share": 0.5}\r\nX-Kept: 1\r\nKeep-Alive: timeout=9\r\n'
     for title, data, answer in (
         ("safe", request("read", "a1"), reply()),
-        ("hop-by-hop fields, a cookie, a repeat", request("read", "a2", fields=hop + "Cookie: sid=u1; b=2\r\n"
-         "X-Repeat: 1\r\nX-Weight-Hint: 12\r\n"), reply(b"", fields=load)),
+        (
+            "hop-by-hop fields, a cookie, a repeat",
+            request(
+                "read", "a2", fields=hop + "Cookie: sid=u1; b=2\r\n" "X-Repeat: 1\r\nX-Weight-Hint: 12\r\n"
+            ),
+            reply(b"", fields=load),
+        ),
         ("keyed", request("book", "a3", "POST", KEY, b"a=1"), reply(b"booked")),
         ("keyed, with no key", request("book", "a4", "POST", "", b"a=1"), reply(b"booked")),
         ("unsafe", request("pay", "a5", "POST", body=b"b" * 1000), reply(b"paid")),
-        ("unsafe with a chunked body", request("pay", "a6", "POST", chunked) +
-         b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n", reply(b"paid")),
+        (
+            "unsafe with a chunked body",
+            request("pay", "a6", "POST", chunked) + b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n",
+            reply(b"paid"),
+        ),
         ("a POST without a length", request("pay", "a7", "POST"), reply(b"paid")),
         ("an empty body", request("pay", "a8", "PUT", body=b""), reply(b"paid")),
         ("unknown class", request("made-up", "a9"), reply(b"well")),
         ("no class, no time", b"GET / HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: b1\r\n\r\n", reply(b"well")),
         ("time that can't be read", request("read", "b2", left="soon"), reply(b"well")),
-        ("interim answer", request("read", "b3"), Reply(b"HTTP/1.1 103 Early Hints\r\nX-A: 1\r\n\r\n" +
-         reply(b"well").data)),
-    ):  # fmt: skip
+        (
+            "interim answer",
+            request("read", "b3"),
+            Reply(b"HTTP/1.1 103 Early Hints\r\nX-A: 1\r\n\r\n" + reply(b"well").data),
+        ),
+    ):
         site.transcript.step(title)
         site.script.append(answer)
         await client.ask(data)
@@ -192,7 +208,7 @@
         ("a long chunked answer", "read", Reply(chunked + long_chunks), True),
         ("a long answer of no length", "read", Reply(no_length + LONG_BODY, close=True), True),
         ("an answer of a streamed class", "feed", Reply(chunked + b"3\r\nabc\r\n0\r\n\r\n"), True),
-    ):  # fmt: skip
+    ):
         site.transcript.step(title)
         await site.fresh(1)
         site.script.append(answer)
@@ -268,10 +284,15 @@
     site.transcript.step("operators")
     names = [up.name for up in await site.fresh(2)]
     for line, body in (
-        ("GET /status", ""), ("HEAD /status", ""), ("GET /none", ""), ("POST /status", ""),
-        ("PUT /maintenance/enter", ""), ("PUT /maintenance/enter", "nobody"),
-        ("PUT /maintenance/enter", names[0]), ("PUT /maintenance/exit", names[0]),
-    ):  # fmt: skip
+        ("GET /status", ""),
+        ("HEAD /status", ""),
+        ("GET /none", ""),
+        ("POST /status", ""),
+        ("PUT /maintenance/enter", ""),
+        ("PUT /maintenance/enter", "nobody"),
+        ("PUT /maintenance/enter", names[0]),
+        ("PUT /maintenance/exit", names[0]),
+    ):
         reader, writer = await asyncio.open_connection(HOST, site.admin)
         writer.write(f"{line} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         site.transcript.data(f"operator, {line}", await reader.read())
@@ -339,9 +360,16 @@
         half = await site.connect("client of half a request")
         half.writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n")
         steps: list[Step] = [
-            plain_requests, pipelined, rejected, failures, answers, client_leaves, list_changes, operators,
+            plain_requests,
+            pipelined,
+            rejected,
+            failures,
+            answers,
+            client_leaves,
+            list_changes,
+            operators,
             reloads,
-        ]  # fmt: skip
+        ]
         for step in steps:
             await step(site)
         await ends(site, half)
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -27,7 +27,7 @@
     Manners,
     next_try,
     patience_s,
-)  # fmt: skip
+)
 from quartzford.load.driver import Target
 from quartzford.load.live import View, bars
 from quartzford.load.page import page
@@ -74,9 +74,23 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["", "constant", "constant:", "constant:x", "constant:0", "constant:-5", "wave:5", "ramp:1-2/0",
-             "burst:5@1+0", "sine:5/0", "constant:1e9", "constant:9999999", "constant:5++constant:5"],
-)  # fmt: skip
+    "text",
+    [
+        "",
+        "constant",
+        "constant:",
+        "constant:x",
+        "constant:0",
+        "constant:-5",
+        "wave:5",
+        "ramp:1-2/0",
+        "burst:5@1+0",
+        "sine:5/0",
+        "constant:1e9",
+        "constant:9999999",
+        "constant:5++constant:5",
+    ],
+)
 def test_a_shape_that_cannot_be_read_is_said_to_be_so(text: str) -> None:
     with pytest.raises(ShapeError) as error:
         read_shape(text)
--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -292,9 +292,12 @@
 
 def command(*arguments: str, **options: Any) -> subprocess.Popen[bytes]:
     return subprocess.Popen(
-        [sys.executable, "-m", "quartzford", "load", *arguments], cwd=ROOT, stdout=subprocess.PIPE,
-        stderr=subprocess.PIPE, **options,
-    )  # fmt: skip
+        [sys.executable, "-m", "quartzford", "load", *arguments],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        **options,
+    )
 
 
 def test_interruption_prints_what_was_measured(tmp_path: Path) -> None:
@@ -304,9 +307,16 @@
     with server("none") as (target, _):
         path = tmp_path / "r.json"
         process = command(
-            "--target", f"127.0.0.1:{target.port}", "--seconds", "60", "--json", str(path),
-            "--late-ms", "1e6", preexec_fn=heard,
-        )  # fmt: skip
+            "--target",
+            f"127.0.0.1:{target.port}",
+            "--seconds",
+            "60",
+            "--json",
+            str(path),
+            "--late-ms",
+            "1e6",
+            preexec_fn=heard,
+        )
         assert process.stderr is not None
         assert process.stderr.readline().startswith(b"playing")
         time.sleep(2.0)
@@ -323,9 +333,18 @@
 
     with server("never") as (target, _):
         process = command(
-            "--target", f"127.0.0.1:{target.port}", "--seconds", "1", "--shape", "constant:200", "--mix",
-            "cobro=1", "--late-ms", "1e6", preexec_fn=few,
-        )  # fmt: skip
+            "--target",
+            f"127.0.0.1:{target.port}",
+            "--seconds",
+            "1",
+            "--shape",
+            "constant:200",
+            "--mix",
+            "cobro=1",
+            "--late-ms",
+            "1e6",
+            preexec_fn=few,
+        )
         out, errors = process.communicate(timeout=60)
     assert process.returncode == 3 and out.count(b"! out of descriptors or ports") == 1
     assert b"Traceback" not in errors and b"cobro unreachable" in out
@@ -359,9 +378,17 @@
     assert made.wait(60) == 0
     with server("none") as (target, _):
         process = command(
-            "--target", f"127.0.0.1:{target.port}", "--trace", str(path), "--speed", "4", "--json", str(a),
-            "--late-ms", "1e6",
-        )  # fmt: skip
+            "--target",
+            f"127.0.0.1:{target.port}",
+            "--trace",
+            str(path),
+            "--speed",
+            "4",
+            "--json",
+            str(a),
+            "--late-ms",
+            "1e6",
+        )
         out, errors = process.communicate(timeout=60)
     assert process.returncode == 0, (out, errors)
     result = json.loads(a.read_text())
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -26,10 +26,14 @@
         (b"GET /status?x=1 HTTP/1.0\r\n\r\n", OneCall("GET", "/status", b"")),
         (b"GET http://a/status HTTP/1.1\r\nHost: a\r\n\r\n", OneCall("GET", "/status", b"")),
         (PUT + b"Content-Length: 2\r\n\r\ns1", OneCall("PUT", "/maintenance/enter", b"s1")),
-        (PUT + b"Content-Length: 2\r\n\r\ns1GET / HTTP/1.1\r\n\r\n",
-         OneCall("PUT", "/maintenance/enter", b"s1")),
-        (PUT + b"Transfer-Encoding: chunked\r\n\r\n1;x=y\r\ns\r\n1\r\n1\r\n0\r\nT: 1\r\n\r\n",
-         OneCall("PUT", "/maintenance/enter", b"s1")),
+        (
+            PUT + b"Content-Length: 2\r\n\r\ns1GET / HTTP/1.1\r\n\r\n",
+            OneCall("PUT", "/maintenance/enter", b"s1"),
+        ),
+        (
+            PUT + b"Transfer-Encoding: chunked\r\n\r\n1;x=y\r\ns\r\n1\r\n1\r\n0\r\nT: 1\r\n\r\n",
+            OneCall("PUT", "/maintenance/enter", b"s1"),
+        ),
         (PUT + b"Host: b\r\nContent-Length: 2\r\n\r\ns1", 400),
         (PUT + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
         (PUT + b"Content-Length: -1\r\n\r\n", 400),
@@ -40,7 +44,7 @@
         (b"\x16\x03\x01\x02\x00\x01\x00", 400),
         (PUT + b"Content-Length: 20\r\n\r\ns1", None),
     ],
-)  # fmt: skip
+)
 def test_one_call_of_a_connection_however_it_is_cut(data: bytes, wanted: Any, step: int) -> None:
     reader = Reader()
     for at in range(0, len(data), step):
@@ -150,9 +154,12 @@
         status = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
         assert (await call(world, status)).status == 200
         for line, wanted in (
-            (b"GET /else", 404), (b"POST /status", 405), (b"GET /maintenance/enter", 405),
-            (b"DELETE /maintenance/enter", 405), (b"PUT /maintenance/enter", 400),
-        ):  # fmt: skip
+            (b"GET /else", 404),
+            (b"POST /status", 405),
+            (b"GET /maintenance/enter", 405),
+            (b"DELETE /maintenance/enter", 405),
+            (b"PUT /maintenance/enter", 400),
+        ):
             assert (await call(world, line + b" HTTP/1.1\r\nHost: a\r\n\r\n")).status == wanted, line
         assert [await put(world, "enter", "s9"), await put(world, "exit", "s9")] == [404, 404]
         silent = [await asyncio.open_connection("127.0.0.1", port_of(world)) for _ in range(50)]
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -93,10 +93,19 @@
 
 def hosts(count: int, **changes: Any) -> list[dict[str, Any]]:
     return [
-        {"host": f"h{n}", "dial": f"127.0.0.1:{20_000 + n % 30_000}", "site": "north", "class": "std",
-         "block": n // 4, "health": "ready", "share": 1.0, "born_ms": 0} | changes
+        {
+            "host": f"h{n}",
+            "dial": f"127.0.0.1:{20_000 + n % 30_000}",
+            "site": "north",
+            "class": "std",
+            "block": n // 4,
+            "health": "ready",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+        | changes
         for n in range(count)
-    ]  # fmt: skip
+    ]
 
 
 @run
@@ -142,8 +151,14 @@
                 world.news(*hosts(rng.choice((1, 1, 5, 60)), born_ms=number + 1))
             world.news(*hosts(1, born_ms=99))
             await until(lambda: "h0" in servers and servers["h0"].entry.started_ms == 99.0, 30)
-            seen = [e.entries[0].started_ms for e in world.events if isinstance(e, io.ListUpdate) and
-                    e.how == "changes" and e.entries and e.entries[0].server == "h0"]  # fmt: skip
+            seen = [
+                e.entries[0].started_ms
+                for e in world.events
+                if isinstance(e, io.ListUpdate)
+                and e.how == "changes"
+                and e.entries
+                and e.entries[0].server == "h0"
+            ]
             assert seen == sorted(seen) and len(seen) == 31
 
     test()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -26,9 +26,13 @@
 async def spawn(config: Any, path: Path, descriptors: int = 1024) -> asyncio.subprocess.Process:
     path.write_text(config if isinstance(config, str) else json.dumps(config))
     return await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", f"ulimit -n {descriptors}; {COMMAND}", cwd=ROOT,
-        env={**os.environ, "EDGE_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        "/bin/sh",
+        "-c",
+        f"ulimit -n {descriptors}; {COMMAND}",
+        cwd=ROOT,
+        env={**os.environ, "EDGE_CONFIG": str(path)},
+        stderr=asyncio.subprocess.PIPE,
+    )
 
 
 def test_a_reserved_port_is_given_to_nobody_else_and_can_be_listened_to() -> None:
@@ -55,11 +59,14 @@
                 await peer.start()
         self.port = getattr(self, "port", 0) or reserved_port()
         self.config = {
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "ab12",
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": "ab12",
             "discovery": f"127.0.0.1:{self.world.discovery.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-            "known": self.world.list(self.world.host(0)), "settings": self.world.settings,
-        }  # fmt: skip
+            "known": self.world.list(self.world.host(0)),
+            "settings": self.world.settings,
+        }
         self.process = await spawn(self.config, self.path, self.sockets)
         for _ in range(1000):
             try:
@@ -277,10 +284,14 @@
 def test_a_bad_configuration_ends_the_start_with_one_line(tmp_path: Path, change: Any, key: str) -> None:
     async def test() -> None:
         good = {
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-            "limits": {"memory_mb": 128, "sockets": 1024}, "settings": World().settings,
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:1",
+            "seed": "1",
+            "limits": {"memory_mb": 128, "sockets": 1024},
+            "settings": World().settings,
             "known": {"seq": 1, "whole": True, "hosts": []},
-        }  # fmt: skip
+        }
         process = await spawn(change if isinstance(change, str) else good | change, tmp_path / "c.json")
         _, errors = await asyncio.wait_for(process.communicate(), 20)
         assert process.returncode == 2
@@ -296,10 +307,14 @@
     async def test() -> None:
         world = World()
         config = {
-            "name": "n0", "listen": f"127.0.0.1:{reserved_port()}", "seed": "ab12",
-            "discovery": "127.0.0.1:1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"seq": 0, "whole": True, "hosts": []}, "settings": world.settings,
-        }  # fmt: skip
+            "name": "n0",
+            "listen": f"127.0.0.1:{reserved_port()}",
+            "seed": "ab12",
+            "discovery": "127.0.0.1:1",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": {"seq": 0, "whole": True, "hosts": []},
+            "settings": world.settings,
+        }
         process = await spawn(config, tmp_path / "config.json")
         await asyncio.sleep(after_s)
         process.terminate()
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -103,10 +103,14 @@
     async def test() -> None:
         nodos, _, registry = await fleet(2, lambda n, books: Nodo(f"s{n}", books))
         config: dict[str, Any] = {
-            "name": "n0", "listen": "127.0.0.1:0", "seed": "5", "known": registry.whole(),
-            "discovery": f"127.0.0.1:{registry.port}", "settings": SETTINGS,
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": "5",
+            "known": registry.whole(),
+            "discovery": f"127.0.0.1:{registry.port}",
+            "settings": SETTINGS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        }  # fmt: skip
+        }
         port = free_port()
         config["listen"] = f"127.0.0.1:{port}"
         (tmp_path / "balancer.json").write_text(json.dumps(config))
@@ -114,9 +118,16 @@
         operator.write_text('config = "balancer.json"\n[trace]\nfile = "seen.trace"\n')
         environment = {k: v for k, v in os.environ.items() if k != "EDGE_CONFIG"}
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "quartzford", "serve", "--operator", str(operator), cwd=ROOT,
-            env=environment, stderr=subprocess.DEVNULL,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "quartzford",
+            "serve",
+            "--operator",
+            str(operator),
+            cwd=ROOT,
+            env=environment,
+            stderr=subprocess.DEVNULL,
+        )
         try:
             link = None
             while link is None:
@@ -155,14 +166,22 @@
     operator = tmp_path / "operator.toml"
     operator.write_text('[trace]\nfile = "none/such/t"\n')
     config = {
-        "name": "n0", "listen": "127.0.0.1:0", "seed": "5", "settings": SETTINGS,
-        "known": {"seq": 1, "whole": True, "hosts": []}, "discovery": "127.0.0.1:1",
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "seed": "5",
+        "settings": SETTINGS,
+        "known": {"seq": 1, "whole": True, "hosts": []},
+        "discovery": "127.0.0.1:1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    }  # fmt: skip
+    }
     path = tmp_path / "balancer.json"
     path.write_text(json.dumps(config))
     done = subprocess.run(
-        [sys.executable, "-m", "quartzford", "serve", "--operator", str(operator)], cwd=ROOT,
-        env={**os.environ, "EDGE_CONFIG": str(path)}, capture_output=True, timeout=60, check=False,
-    )  # fmt: skip
+        [sys.executable, "-m", "quartzford", "serve", "--operator", str(operator)],
+        cwd=ROOT,
+        env={**os.environ, "EDGE_CONFIG": str(path)},
+        capture_output=True,
+        timeout=60,
+        check=False,
+    )
     assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and b"trace.file: " in done.stderr
--- a/tests/test_relay_catalog.py
+++ b/tests/test_relay_catalog.py
@@ -18,9 +18,15 @@
 
 def row(name: str, **changes: Any) -> dict[str, Any]:
     return {
-        "host": name, "dial": "10.1.0.18:8080", "site": "a", "class": "m2", "block": 3, "health": "ready",
-        "share": 1.0, "born_ms": 0,
-    } | changes  # fmt: skip
+        "host": name,
+        "dial": "10.1.0.18:8080",
+        "site": "a",
+        "class": "m2",
+        "block": 3,
+        "health": "ready",
+        "share": 1.0,
+        "born_ms": 0,
+    } | changes
 
 
 def line(version: int, *rows: dict[str, Any], whole: bool = False) -> Listing:
@@ -92,8 +98,11 @@
         catalog.apply(line(version, row("a", block=version), whole=version == 7))
     assert [catalog.owed(None, n).due for n in (0, 6, 8)] == [Due.WHOLE] * 3
     assert [catalog.owed(None, n).due for n in (7, 9, 10, 11)] == [
-        Due.CHANGES, Due.CHANGES, Due.NOTHING, Due.AHEAD,
-    ]  # fmt: skip
+        Due.CHANGES,
+        Due.CHANGES,
+        Due.NOTHING,
+        Due.AHEAD,
+    ]
 
 
 @pytest.mark.parametrize("version", [4, 9])
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -115,10 +115,14 @@
 async def serving(at: Site) -> Node:
     """A balancer that serves, with these relays."""
     config = {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": "{}:{}".format(*at.direct.address), "seed": "5",
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "{}:{}".format(*at.direct.address),
+        "seed": "5",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"seq": 0, "whole": True, "hosts": []}, "settings": SETTINGS | {"registryMode": "subscribe"},
-    }  # fmt: skip
+        "known": {"seq": 0, "whole": True, "hosts": []},
+        "settings": SETTINGS | {"registryMode": "subscribe"},
+    }
     relays = [relay.gate.address for relay in at.relays]
     node = Node(read_config(json.dumps(config)), asyncio.get_running_loop(), relays=relays)
     await node.start()
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -215,9 +215,12 @@
                 await quick.lines_to(version)
             mid = version
             for changed in (
-                row("a", block=1), row("a", block=2), row("b", health="gone"), row("b", block=5),
+                row("a", block=1),
+                row("a", block=2),
+                row("b", health="gone"),
+                row("b", block=5),
                 row("c", health="gone"),
-            ):  # fmt: skip
+            ):
                 version += 1
                 here.source.say(table(version, changed, whole=False))
                 assert (await quick.lines_to(version))[-1]["hosts"] == [changed]
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -390,10 +390,14 @@
 
 def site_config(mode: str) -> dict[str, Any]:
     return {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "5",
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:9",
+        "seed": "5",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"seq": 0, "whole": True, "hosts": []}, "settings": SETTINGS | {"registryMode": mode},
-    }  # fmt: skip
+        "known": {"seq": 0, "whole": True, "hosts": []},
+        "settings": SETTINGS | {"registryMode": mode},
+    }
 
 
 def made(folder: Path, mode: str, relays: str) -> Node:
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -135,7 +135,7 @@
         (lambda: [1], "object"),
         (lambda: b"\xc1", "state that can't"),
     ],
-)  # fmt: skip
+)
 def test_a_state_that_can_t_be_is_turned_away_with_its_reason(table: Any, reason: str) -> None:
     made = table()
     data = made if isinstance(made, bytes) else msgspec.msgpack.encode(made)
@@ -165,12 +165,14 @@
             await peer.start()
         self.port = reserved_port()
         self.config = {
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "ab12",
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": "ab12",
             "discovery": f"127.0.0.1:{self.world.discovery.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": self.world.list(*(self.world.host(n) for n in range(len(self.world.ups)))),
             "settings": self.world.settings,
-        }  # fmt: skip
+        }
         await self.start()
         await self.yes()
 
@@ -178,8 +180,12 @@
         self.admins.append(reserved_port())
         file = self.path / f"{len(self.admins)}.json"
         file.write_text(json.dumps(config or self.config))
-        env = {**os.environ, "EDGE_CONFIG": str(file), "TMPDIR": str(self.folder),
-               "EDGE_ADMIN_ADDR": f"127.0.0.1:{self.admins[-1]}"}  # fmt: skip
+        env = {
+            **os.environ,
+            "EDGE_CONFIG": str(file),
+            "TMPDIR": str(self.folder),
+            "EDGE_ADMIN_ADDR": f"127.0.0.1:{self.admins[-1]}",
+        }
         process = await asyncio.create_subprocess_exec(
             "/bin/sh", "-c", COMMAND, cwd=self.root, env=env, stderr=asyncio.subprocess.DEVNULL
         )
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -30,10 +30,16 @@
 @pytest.mark.parametrize(
     ("word", "numbers"),
     [
-        ("nodes", range(12)), ("nodes[3]", [3]), ("nodes[2:5]", [2, 3, 4]), ("nodes[:2]", [0, 1]),
-        ("nodes[10:]", [10, 11]), ("nodes[-1:]", [11]), ("lists", [0]), ("nodes[20:]", []),
+        ("nodes", range(12)),
+        ("nodes[3]", [3]),
+        ("nodes[2:5]", [2, 3, 4]),
+        ("nodes[:2]", [0, 1]),
+        ("nodes[10:]", [10, 11]),
+        ("nodes[-1:]", [11]),
+        ("lists", [0]),
+        ("nodes[20:]", []),
     ],
-)  # fmt: skip
+)
 def test_members_are_named_by_group_and_span(word: str, numbers: Any) -> None:
     group = word.partition("[")[0]
     assert members(word, GROUPS) == {f"{group}[{n}]" for n in numbers}
@@ -42,12 +48,24 @@
 @pytest.mark.parametrize(
     "line",
     [
-        "x cut nodes lists", "1 melt nodes lists", "1 cut nodes", "1 cut nodes lists till 3", "1",
-        "3 cut nodes lists until 2", "1 loss nodes lists", "1 loss 1.5 nodes lists", "-1 cut nodes lists",
-        "1 delay x nodes lists", "1 cut nodos lists", "1 delay 0.1~-1 nodes lists", "nan cut nodes lists",
-        "1 trickle inf nodes lists", "1 cut nodes lists until soon", "1 cut nodes[99] lists",
+        "x cut nodes lists",
+        "1 melt nodes lists",
+        "1 cut nodes",
+        "1 cut nodes lists till 3",
+        "1",
+        "3 cut nodes lists until 2",
+        "1 loss nodes lists",
+        "1 loss 1.5 nodes lists",
+        "-1 cut nodes lists",
+        "1 delay x nodes lists",
+        "1 cut nodos lists",
+        "1 delay 0.1~-1 nodes lists",
+        "nan cut nodes lists",
+        "1 trickle inf nodes lists",
+        "1 cut nodes lists until soon",
+        "1 cut nodes[99] lists",
     ],
-)  # fmt: skip
+)
 def test_a_line_that_cannot_be_played_is_refused_with_its_reason(line: str) -> None:
     with pytest.raises(ScriptError, match="'"):
         read_script(line, GROUPS)
@@ -65,14 +83,22 @@
         ("1 silent nodes lists", 2.0, False, Conditions()),
         ("1 silent lists nodes", 2.0, True, Conditions()),
         ("1 silent lists nodes", 2.0, False, Conditions(passes=False)),
-        ("0 delay 0.2~0.1 nodes lists\n0 delay 0.3 lists nodes", 5.0, True,
-         Conditions(delay=0.5, jitter=0.1)),
+        (
+            "0 delay 0.2~0.1 nodes lists\n0 delay 0.3 lists nodes",
+            5.0,
+            True,
+            Conditions(delay=0.5, jitter=0.1),
+        ),
         ("0 loss 0.5 nodes lists\n0 loss 0.5 nodes lists", 0.0, True, Conditions(loss=0.75)),
         ("0 trickle 400 nodes lists # slow\n0 trickle 100 nodes lists", 1.0, True, Conditions(rate=100.0)),
-        ("0 double 0.1 nodes lists\n0 reorder 0.2 nodes lists", 1.0, False,
-         Conditions(double=0.1, reorder=0.2)),
+        (
+            "0 double 0.1 nodes lists\n0 reorder 0.2 nodes lists",
+            1.0,
+            False,
+            Conditions(double=0.1, reorder=0.2),
+        ),
     ],
-)  # fmt: skip
+)
 def test_what_holds_on_a_link_at_a_moment(
     script: str, at: float, outbound: bool, conditions: Conditions
 ) -> None:
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -194,9 +194,13 @@
 
 
 @given(
-    st.integers(0, 10**6), st.integers(0, 80), st.sampled_from((0.0, 0.05, 0.3)),
-    st.sampled_from((0.0, 0.1, 0.7)), st.sampled_from((0.4, 2.0)), st.booleans(),
-)  # fmt: skip
+    st.integers(0, 10**6),
+    st.integers(0, 80),
+    st.sampled_from((0.0, 0.05, 0.3)),
+    st.sampled_from((0.0, 0.1, 0.7)),
+    st.sampled_from((0.4, 2.0)),
+    st.booleans(),
+)
 @budget(max_examples=60, deadline=None, derandomize=True, database=None)
 def test_both_forms_decide_alike_in_drawn_streams(
     seed: int, servers: int, churn: float, failing: float, step_ms: float, flag: bool
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,8 +31,19 @@
 from standins.listservice import Plan, Service
 
 MACHINE = Machine(memory_mb=15_000.0, cores=8.0, descriptors=20_000, processes=96_000, total_mb=23_000.0)
-HOSTS = [{"host": f"s{n}", "dial": f"127.0.0.1:{n + 1}", "site": "north", "class": "std", "block": n // 4,
-          "health": "ready", "share": 1.0, "born_ms": 0} for n in range(8)]  # fmt: skip
+HOSTS = [
+    {
+        "host": f"s{n}",
+        "dial": f"127.0.0.1:{n + 1}",
+        "site": "north",
+        "class": "std",
+        "block": n // 4,
+        "health": "ready",
+        "share": 1.0,
+        "born_ms": 0,
+    }
+    for n in range(8)
+]
 SMALL = (
     Moment(0.0, "all start", window=4.0),
     Moment(4.0, "quiet", window=1.0),
@@ -57,11 +68,14 @@
 @pytest.mark.parametrize(
     ("change", "name"),
     [
-        ({"share": "nothing"}, "memory"), ({"rows": 63_000, "share": "rows"}, "memory"),
-        ({"real": 400}, "processes"), ({"relays": 400}, "processes"), ({"rate": 9_000.0}, "cores"),
+        ({"share": "nothing"}, "memory"),
+        ({"rows": 63_000, "share": "rows"}, "memory"),
+        ({"real": 400}, "processes"),
+        ({"relays": 400}, "processes"),
+        ({"rate": 9_000.0}, "cores"),
         ({"hollow": 30_000, "share": "module"}, "cores"),
     ],
-)  # fmt: skip
+)
 def test_more_than_the_machine_bears_is_refused_with_the_bound(change: dict[str, Any], name: str) -> None:
     scale = Scale(real=20, hollow=4_600, rows=2_000, relays=11, hollow_processes=8, share="module")
     assert scale_refusal(MACHINE, scale) == ""
