--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -27,8 +27,16 @@
 from quartzford.membership.start_times import StartTimes
 
 RULE = Rule(most_age=3_600.0, fresh_age=60.0)
-ROW = {"host": "s0", "dial": "127.0.0.1:1", "site": "north", "class": "std", "block": 0, "health": "ready",
-       "share": 1.0, "born_ms": 0}  # fmt: skip
+ROW = {
+    "host": "s0",
+    "dial": "127.0.0.1:1",
+    "site": "north",
+    "class": "std",
+    "block": 0,
+    "health": "ready",
+    "share": 1.0,
+    "born_ms": 0,
+}
 TABLE: dict[str, Any] = {"seq": 7, "whole": True, "hosts": [ROW, ROW | {"host": "s1", "born_ms": 9_000_000}]}
 ONE = Snapshot("127.0.0.1:8500", 1_000_000.0, TABLE)
 
@@ -64,11 +72,15 @@
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
-        ({"format": 2}, "format 2"), ({"bytes": 3}, "cut off"), ({"sha256": "0"}, "damaged"),
-        ({"service": 5}, "missing"), ({"taken_ms": None}, "missing"), ({"taken_ms": True}, "missing"),
+        ({"format": 2}, "format 2"),
+        ({"bytes": 3}, "cut off"),
+        ({"sha256": "0"}, "damaged"),
+        ({"service": 5}, "missing"),
+        ({"taken_ms": None}, "missing"),
+        ({"taken_ms": True}, "missing"),
         ({"taken_ms": float("nan")}, "not a moment"),
     ],
-)  # fmt: skip
+)
 def test_a_head_that_is_wrong_is_refused_with_its_reason(change: dict[str, Any], reason: str) -> None:
     line, _, body = encode(ONE).partition(b"\n")
     with pytest.raises(SnapshotError, match=reason):
@@ -78,11 +90,14 @@
 @pytest.mark.parametrize(
     ("service", "after_s", "age", "reason"),
     [
-        ("127.0.0.1:8500", 0.0, 0.0, ""), ("127.0.0.1:8500", 3_600.0, 3_600.0, ""),
-        ("127.0.0.1:8500", -30.0, -30.0, ""), ("127.0.0.1:8500", -3_600.0, -3_600.0, ""),
-        ("127.0.0.1:8500", 3_601.0, 0.0, "3601 s old"), ("127.0.0.1:8501", 1.0, 0.0, "it is of 127.0.0"),
+        ("127.0.0.1:8500", 0.0, 0.0, ""),
+        ("127.0.0.1:8500", 3_600.0, 3_600.0, ""),
+        ("127.0.0.1:8500", -30.0, -30.0, ""),
+        ("127.0.0.1:8500", -3_600.0, -3_600.0, ""),
+        ("127.0.0.1:8500", 3_601.0, 0.0, "3601 s old"),
+        ("127.0.0.1:8501", 1.0, 0.0, "it is of 127.0.0"),
     ],
-)  # fmt: skip
+)
 def test_ages_and_services(service: str, after_s: float, age: float, reason: str) -> None:
     now = ONE.taken_ms + after_s * 1000.0
     if reason:
@@ -106,9 +121,15 @@
     """The node of a world keeps its list there."""
     node = world.node
     node.snapshot_writer = SnapshotWriter(
-        str(path), rule, lambda: "the list", node.registry.table, node.watch.current, node.clock, node.log,
+        str(path),
+        rule,
+        lambda: "the list",
+        node.registry.table,
+        node.watch.current,
+        node.clock,
+        node.log,
         node.loop,
-    )  # fmt: skip
+    )
     return node.snapshot_writer
 
 
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -279,10 +279,12 @@
 @pytest.mark.parametrize(
     ("field", "least", "most"),
     [
-        ("Retry-After: 0.6", 0.6, 5.0), ("retry-after: 3600", 0.8, 5.0), ("Retry-After: soon", 0.0, 0.6),
+        ("Retry-After: 0.6", 0.6, 5.0),
+        ("retry-after: 3600", 0.8, 5.0),
+        ("Retry-After: soon", 0.0, 0.6),
         ("", 0.0, 0.6),
     ],
-)  # fmt: skip
+)
 def test_a_shared_list_service_says_when_to_come_back(field: str, least: float, most: float) -> None:
     """An hour is more than a balancer may go without asking (here one second)."""
 
@@ -306,10 +308,18 @@
 @pytest.mark.parametrize(
     "text",
     [
-        b"", b"[]", b"3", b"{}", b'{"seq":1,"whole":true}', b'{"seq":"1","whole":true,"hosts":[]}',
-        b'{"seq":1,"whole":1,"hosts":[]}', b'{"seq":1,"whole":true,"hosts":[3]}', b"\xff\xfe", b"[" * 100_000,
+        b"",
+        b"[]",
+        b"3",
+        b"{}",
+        b'{"seq":1,"whole":true}',
+        b'{"seq":"1","whole":true,"hosts":[]}',
+        b'{"seq":1,"whole":1,"hosts":[]}',
+        b'{"seq":1,"whole":true,"hosts":[3]}',
+        b"\xff\xfe",
+        b"[" * 100_000,
     ],
-)  # fmt: skip
+)
 def test_a_malformed_list_is_a_value_error(text: bytes) -> None:
     with pytest.raises(ValueError):
         read_listing(text)
@@ -320,8 +330,16 @@
     [{"health": "odd"}, {"dial": "nowhere"}, {"dial": 5}, {"share": -1}, {"born_ms": "x"}, {"host": ""}],
 )
 def test_a_malformed_entry_is_a_value_error(change: dict[str, object]) -> None:
-    row = {"host": "s", "dial": "127.0.0.1:80", "site": "a", "class": "c", "block": 0, "health": "ready",
-           "share": 1.0, "born_ms": 0}  # fmt: skip
+    row = {
+        "host": "s",
+        "dial": "127.0.0.1:80",
+        "site": "a",
+        "class": "c",
+        "block": 0,
+        "health": "ready",
+        "share": 1.0,
+        "born_ms": 0,
+    }
     assert read_listing(json.dumps({"seq": 1, "whole": True, "hosts": [row]}).encode()).entries
     with pytest.raises(ValueError):
         read_listing(json.dumps({"seq": 1, "whole": True, "hosts": [row | change]}).encode())
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -14,11 +14,17 @@
     twelfth of the sends goes on into them (0.08 with the code of before, 0.03 to 0.04 now).
     """
     bad = range(0, UPSTREAMS, 8)
-    result = play(Scenario(
-        balancers=BALANCERS, rate=RATE, seconds=11.0, automatic=True, known="before",
-        service={"per_s": 200.0},
-        nodos={"nodos": UPSTREAMS, "capacity": 20.0, "trouble": " ".join(f"hang@1:{n}" for n in bad)},
-    ))  # fmt: skip
+    result = play(
+        Scenario(
+            balancers=BALANCERS,
+            rate=RATE,
+            seconds=11.0,
+            automatic=True,
+            known="before",
+            service={"per_s": 200.0},
+            nodos={"nodos": UPSTREAMS, "capacity": 20.0, "trouble": " ".join(f"hang@1:{n}" for n in bad)},
+        )
+    )
     assert result["kept"], (result["rules"], result["crashes"])
     sends, names = result["sends"], {f"s{n:04}" for n in bad}
     late = {name: sum(counts[6:10]) for name, counts in sends.items()}
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -22,9 +22,15 @@
 def test_nine_in_ten_restarted_processes_are_ready_within_ten_seconds(name: str, pushed: bool) -> None:
     """Ten of twelve are killed as they start, and start again with the list they had."""
     scenario = Scenario(
-        balancers=12, nodos={"nodos": 6, "capacity": 200.0}, rate=30.0, seconds=3.5, known="before",
-        automatic=pushed, service=SERVICES[name], events="0.1 kill nodes[:10] back 0.2",
-    )  # fmt: skip
+        balancers=12,
+        nodos={"nodos": 6, "capacity": 200.0},
+        rate=30.0,
+        seconds=3.5,
+        known="before",
+        automatic=pushed,
+        service=SERVICES[name],
+        events="0.1 kill nodes[:10] back 0.2",
+    )
     result = play(scenario)
     broken = {rule: count for rule, count in result["rules"].items() if count}
     assert result["kept"], (broken, result["crashes"])
@@ -34,9 +40,13 @@
 
 def test_with_no_list_known_they_are_ready_once_the_service_is_back() -> None:
     scenario = Scenario(
-        balancers=12, nodos={"nodos": 6, "capacity": 200.0}, rate=30.0, seconds=11.5, known="nothing",
+        balancers=12,
+        nodos={"nodos": 6, "capacity": 200.0},
+        rate=30.0,
+        seconds=11.5,
+        known="nothing",
         service=SERVICES["down for 8 s"],
-    )  # fmt: skip
+    )
     result = play(scenario)
     broken = {rule: count for rule, count in result["rules"].items() if count}
     assert result["kept"], (broken, result["crashes"])
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -52,8 +52,9 @@
 def test_the_engine_knows_no_front_no_backend_and_no_socket() -> None:
     for path in (PACKAGE / "engine").glob("*.py"):
         named = imports(path)
-        above = {n for n in named if n.startswith("quartzford.") and n.split(".")[1] not in
-                 ("engine", "decision")}  # fmt: skip
+        above = {
+            n for n in named if n.startswith("quartzford.") and n.split(".")[1] not in ("engine", "decision")
+        }
         assert not above, f"{path.name}: {above}"
         assert not named & {"socket", "ssl", "httptools", "random"}, path.name
 
@@ -68,13 +69,30 @@
 
 def test_modules_that_decide_do_no_io() -> None:
     """Imports alone: a clock, a socket or a draw of their own would be named here."""
-    pure = ("decision/logic.py", "decision/interface.py", "decision/eligibility.py",
-            "decision/admission.py", "decision/memory.py", "decision/estimates.py", "engine/figures.py",
-            "replacement/phases.py", "replacement/state.py", "backends/caller.py",
-            "protocols/http2.py", "protocols/onecall.py", "membership/registry.py",
-            "membership/calls.py", "membership/addresses.py", "membership/relaycalls.py",
-            "membership/snapshot.py", "load/shapes.py", "load/clients.py", "load/trace.py", "load/record.py",
-            *(f"fronts/extproc/{n}.py" for n in ("desk", "intake", "outcome", "token")))  # fmt: skip
+    pure = (
+        "decision/logic.py",
+        "decision/interface.py",
+        "decision/eligibility.py",
+        "decision/admission.py",
+        "decision/memory.py",
+        "decision/estimates.py",
+        "engine/figures.py",
+        "replacement/phases.py",
+        "replacement/state.py",
+        "backends/caller.py",
+        "protocols/http2.py",
+        "protocols/onecall.py",
+        "membership/registry.py",
+        "membership/calls.py",
+        "membership/addresses.py",
+        "membership/relaycalls.py",
+        "membership/snapshot.py",
+        "load/shapes.py",
+        "load/clients.py",
+        "load/trace.py",
+        "load/record.py",
+        *(f"fronts/extproc/{n}.py" for n in ("desk", "intake", "outcome", "token")),
+    )
     for name in pure:
         tops = {n.split(".")[0] for n in imports(PACKAGE / name)}
         assert not tops & {"asyncio", "socket", "time", "os", "ssl", "uvloop", "subprocess"}, name
@@ -90,9 +108,17 @@
     loaded = subprocess.run(
         [sys.executable, "-c", eager], cwd=PACKAGE.parent, capture_output=True, check=True
     )
-    extras = {"numpy", "msgspec", "email", "quartzford.membership.snapshot_writer",
-              "quartzford.membership.snapshot", "quartzford.membership.relaycalls", "quartzford.counting",
-              "quartzford.serve", "quartzford.replacement.succession"}  # fmt: skip
+    extras = {
+        "numpy",
+        "msgspec",
+        "email",
+        "quartzford.membership.snapshot_writer",
+        "quartzford.membership.snapshot",
+        "quartzford.membership.relaycalls",
+        "quartzford.counting",
+        "quartzford.serve",
+        "quartzford.replacement.succession",
+    }
     names = set(loaded.stdout.decode().split())
     assert not extras & names
     assert not any(name.startswith("quartzford.relay") for name in names)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -51,11 +51,15 @@
         )
         self.path = folder / "balancer.json"
         config = {
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "admin_addr": f"127.0.0.1:{self.admin}",
-            "seed": "5", "discovery": f"127.0.0.1:{self.registry.port}", "settings": SETTINGS,
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "admin_addr": f"127.0.0.1:{self.admin}",
+            "seed": "5",
+            "discovery": f"127.0.0.1:{self.registry.port}",
+            "settings": SETTINGS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"seq": 0, "whole": True, "hosts": []},
-        }  # fmt: skip
+        }
         self.path.write_text(json.dumps(config))
 
     async def stop(self) -> None:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -65,8 +65,15 @@
 
 Bad = Callable[[World, asyncio.StreamWriter], Any]
 CALLS: tuple[Bad, ...] = (
-    accepted, head_only, blanks, half_a_line, turned_away, reset, closed, indented,
-)  # fmt: skip
+    accepted,
+    head_only,
+    blanks,
+    half_a_line,
+    turned_away,
+    reset,
+    closed,
+    indented,
+)
 
 
 def site(asked: bool) -> World:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -49,9 +49,15 @@
 
 def row(number: int, born_ms: float = 0.0, health: str = "ready") -> dict[str, Any]:
     return {
-        "host": f"s{number}", "dial": f"10.0.0.1:{8000 + number}", "site": "north", "class": "std",
-        "block": number, "health": health, "share": 1.0, "born_ms": born_ms,
-    }  # fmt: skip
+        "host": f"s{number}",
+        "dial": f"10.0.0.1:{8000 + number}",
+        "site": "north",
+        "class": "std",
+        "block": number,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born_ms,
+    }
 
 
 def lines(version: int, *rows: dict[str, Any], whole: bool = False) -> Listing:
@@ -63,11 +69,19 @@
 
     def __init__(self, clock: AnchoredClock, subset: Subset | None = None) -> None:
         self.clock, self.requests = clock, 0
-        config = read_config(json.dumps({
-            "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "5",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {},
-            "settings": SETTINGS | {"guarantees": GUARANTEES},
-        }))  # fmt: skip
+        config = read_config(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": "127.0.0.1:1",
+                    "discovery": "127.0.0.1:2",
+                    "seed": "5",
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                    "known": {},
+                    "settings": SETTINGS | {"guarantees": GUARANTEES},
+                }
+            )
+        )
         self.side: ControlSide = assemble(config, asyncio.AbstractEventLoop(), clock, Quiet(), subset)
         self.side.watch.start = lambda: None  # type: ignore[method-assign]
         self.balancer = self.side.engine.balancer
@@ -231,9 +245,14 @@
     server = io.ServerMemory("s0", 9.0, 0.5, 1.0, 1.0, 0.0, 0.1, 1, 2_500.0, False, 0.3, 1_900.0, 1_500.0)
     warm = io.ServerMemory("s1", 0.0, 0.5, 1.0, 1.0, 0.0)
     memory = io.Memory(
-        servers=(server, warm), back={"s2": 1_200.0}, arrivals=rate, peaks=((1_700.0, 30.0),),
-        tenants={"acme": rate}, shed_ms=1_800.0, offers=((1.0, "read"),),
-    )  # fmt: skip
+        servers=(server, warm),
+        back={"s2": 1_200.0},
+        arrivals=rate,
+        peaks=((1_700.0, 30.0),),
+        tenants={"acme": rate},
+        shed_ms=1_800.0,
+        offers=((1.0, "read"),),
+    )
     moved = rebase(memory, HOUR_MS)
     first, second = moved.servers
     assert (first.ejected_until, first.tokens_ms, first.cold_from) == tuple(
@@ -313,11 +332,19 @@
         for peer in (*world.ups, world.discovery):
             await peer.start()
         world.current = world.list(world.host(0), world.host(1), whole=True)
-        config = read_config(json.dumps({
-            "name": "n0", "listen": f"127.0.0.1:{reserved_port()}", "seed": "5",
-            "discovery": f"127.0.0.1:{world.discovery.port}", "known": world.current,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": world.settings,
-        }))  # fmt: skip
+        config = read_config(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"127.0.0.1:{reserved_port()}",
+                    "seed": "5",
+                    "discovery": f"127.0.0.1:{world.discovery.port}",
+                    "known": world.current,
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                    "settings": world.settings,
+                }
+            )
+        )
         loop = asyncio.get_running_loop()
         nodes = [Node(config, loop, folder=str(tmp_path))]
         await nodes[0].start()
@@ -365,9 +392,10 @@
         assert tokens.read(text, "c1", clock.unix_ms() + 61_000.0) is Fault.STALE
         recorder.close()
         offsets = [
-            float(line.split()[0]) for line in (tmp_path / "trace").read_text().splitlines()
+            float(line.split()[0])
+            for line in (tmp_path / "trace").read_text().splitlines()
             if line[:1].isdigit()
-        ]  # fmt: skip
+        ]
         assert len(offsets) == 2 and all(0.0 <= at < 30e6 for at in offsets)  # microseconds
 
     test()
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -18,19 +18,35 @@
     "classes": [
         {"name": "read", "sloMs": 100.0, "deadlineMs": 400.0, "value": 1.0, "effect": "free", "group": "all"},
         {"name": "pay", "sloMs": 100.0, "deadlineMs": 400.0, "value": 3.0, "effect": "single_shot"},
-        {"name": "feed", "sloMs": 100.0, "deadlineMs": 400.0, "value": 1.0, "effect": "free",
-         "streaming": True},
+        {
+            "name": "feed",
+            "sloMs": 100.0,
+            "deadlineMs": 400.0,
+            "value": 1.0,
+            "effect": "free",
+            "streaming": True,
+        },
     ],
     "customers": [{"name": "one", "quotaPerS": 50.0, "share": 1.0}],
     "guarantees": {
-        "answerSlackMs": 20.0, "askEveryMs": 1000.0, "coldMs": 5000.0, "drainGraceMs": 250.0,
-        "fallMs": 2000.0, "startCapacity": 0.2, "tipMultiple": 3.0,
+        "answerSlackMs": 20.0,
+        "askEveryMs": 1000.0,
+        "coldMs": 5000.0,
+        "drainGraceMs": 250.0,
+        "fallMs": 2000.0,
+        "startCapacity": 0.2,
+        "tipMultiple": 3.0,
     },
     "limits": {"maxAttempts": 3, "mayCancel": True},
-    "myZone": "a", "nInstances": 3, "prices": {}, "registryMode": "subscribe",
-    "report": {"fields": ["depth"], "source": "inline"}, "tickMs": 1.0, "weightSource": "nominal",
+    "myZone": "a",
+    "nInstances": 3,
+    "prices": {},
+    "registryMode": "subscribe",
+    "report": {"fields": ["depth"], "source": "inline"},
+    "tickMs": 1.0,
+    "weightSource": "nominal",
     "someNewKey": [1, 2],
-}  # fmt: skip
+}
 LIST = [[f"u{n}", "a" if n % 2 else "b", "std", n // 2, "in_service", 1, None] for n in range(4)]
 
 
@@ -55,9 +71,13 @@
     def __init__(self) -> None:
         command = DEPLOY["sim"].replace(".venv/bin/python", f"{sys.executable} -B")
         self.process = subprocess.Popen(
-            ["/bin/sh", "-c", command], cwd=ROOT, text=True,
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
-        )  # fmt: skip
+            ["/bin/sh", "-c", command],
+            cwd=ROOT,
+            text=True,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+        )
 
     def batch(self, now: float, events: list[list[Any]]) -> list[list[Any]]:
         assert self.process.stdin and self.process.stdout
--- a/tests/transcript_site.py
+++ b/tests/transcript_site.py
@@ -36,12 +36,25 @@
 # Attempts are given up early only after seconds: a machine that is busy for a moment changes nothing.
 CLASSES = [
     {"name": "read", "sloMs": 20000.0, "deadlineMs": 20000.0, "value": 1.0, "effect": "free"},
-    {"name": "book", "sloMs": 20000.0, "deadlineMs": 20000.0, "value": 5.0, "effect": "guarded",
-     "group": "cell", "memorySpanMs": 15000.0},
+    {
+        "name": "book",
+        "sloMs": 20000.0,
+        "deadlineMs": 20000.0,
+        "value": 5.0,
+        "effect": "guarded",
+        "group": "cell",
+        "memorySpanMs": 15000.0,
+    },
     {"name": "pay", "sloMs": 20000.0, "deadlineMs": 20000.0, "value": 8.0, "effect": "single_shot"},
-    {"name": "feed", "sloMs": 20000.0, "deadlineMs": 20000.0, "value": 1.0, "effect": "free",
-     "streaming": True},
-]  # fmt: skip
+    {
+        "name": "feed",
+        "sloMs": 20000.0,
+        "deadlineMs": 20000.0,
+        "value": 1.0,
+        "effect": "free",
+        "streaming": True,
+    },
+]
 
 
 class Transcript:
@@ -158,9 +171,15 @@
     def row(self, health: str = "ready") -> dict[str, Any]:
         """Its row in the list."""
         return {
-            "host": self.name, "dial": f"{HOST}:{self.port}", "site": "north", "class": "std", "block": 0,
-            "health": health, "share": 1.0, "born_ms": 0,
-        }  # fmt: skip
+            "host": self.name,
+            "dial": f"{HOST}:{self.port}",
+            "site": "north",
+            "class": "std",
+            "block": 0,
+            "health": health,
+            "share": 1.0,
+            "born_ms": 0,
+        }
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection, attempts = 0, 0
@@ -350,18 +369,26 @@
         self.service.rows = {up.name: up.row()}
         self.port, self.admin = reserved_port(HOST), reserved_port(HOST)
         self.config: dict[str, Any] = {
-            "name": "n0", "listen": f"{HOST}:{self.port}", "seed": "ab12",
-            "discovery": f"{HOST}:{self.service.port}", "admin_addr": f"{HOST}:{self.admin}",
+            "name": "n0",
+            "listen": f"{HOST}:{self.port}",
+            "seed": "ab12",
+            "discovery": f"{HOST}:{self.service.port}",
+            "admin_addr": f"{HOST}:{self.admin}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self.service.table(True, [up.row()]), "settings": SETTINGS | {"classes": CLASSES},
-        }  # fmt: skip
+            "known": self.service.table(True, [up.row()]),
+            "settings": SETTINGS | {"classes": CLASSES},
+        }
         self.write_config(json.dumps(self.config))
         environment = {name: value for name, value in os.environ.items() if name != "EDGE_ADMIN_ADDR"}
         environment |= {"EDGE_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder)}
         self.process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", COMMAND.replace(".venv/bin/python", f"{sys.executable} -B"), cwd=ROOT,
-            env=environment, stderr=asyncio.subprocess.DEVNULL,
-        )  # fmt: skip
+            "/bin/sh",
+            "-c",
+            COMMAND.replace(".venv/bin/python", f"{sys.executable} -B"),
+            cwd=ROOT,
+            env=environment,
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         await self.until_operators_hear("/status", "ready")
         await until(lambda: self.service.watches)
         await asyncio.sleep(REST_S)
