--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -61,8 +61,8 @@
     )
 
 
-def entry(number: int, started: float = 0.0, state: str = "ready") -> io.Entry:
-    return io.Entry(f"s{number}", f"z{number % 3}", "std", number // 4, state, 1.0, started)
+def entry(number: int, started: float = 0.0, state: str = "ready") -> io.Endpoint:
+    return io.Endpoint(f"s{number}", f"z{number % 3}", "std", number // 4, state, 1.0, started)
 
 
 @cache
@@ -88,7 +88,9 @@
         self.rng, self.now, self.number = random.Random(SEED), 100_000.0, 0
         self.out: deque[io.Send] = deque()
         self.spent = 0.0
-        self.join_ms = self.feed(io.ListUpdate("stale", tuple(entry(n) for n in range(servers)))) / 1e3
+        self.join_ms = (
+            self.feed(io.EndpointListUpdate("stale", tuple(entry(n) for n in range(servers)))) / 1e3
+        )
 
     def feed(self, event: io.Event) -> float:
         """The module's time for one event, in microseconds."""
@@ -107,14 +109,14 @@
             send = self.out.popleft()
             took = 5.0 + self.rng.expovariate(0.1)
             said = (self.rng.random() * 3,)
-            spent += self.feed(io.Outcome(send.request, 0, send.server, "ok", took, True, said))
+            spent += self.feed(io.AttemptEnded(send.request, 0, send.server, "ok", took, True, said))
         return spent
 
     def change(self) -> float:
         """A server drains and comes back: one list change, in microseconds."""
         number = self.rng.randrange(self.servers)
-        spent = self.feed(io.ListUpdate("changes", (entry(number, state="draining"),)))
-        return (spent + self.feed(io.ListUpdate("changes", (entry(number),)))) / 2
+        spent = self.feed(io.EndpointListUpdate("changes", (entry(number, state="draining"),)))
+        return (spent + self.feed(io.EndpointListUpdate("changes", (entry(number),)))) / 2
 
 
 def decisions(servers: int, seconds: float, with_old: bool) -> dict[str, Any]:
--- a/bench/fleetmodel.py
+++ b/bench/fleetmodel.py
@@ -128,8 +128,8 @@
         self.use = max(self.use, use)
         return use <= 1.0
 
-    def entry(self, state: str) -> io.Entry:
-        return io.Entry(self.name, self.zone, "std", self.cell, state, 1.0, self.born)
+    def entry(self, state: str) -> io.Endpoint:
+        return io.Endpoint(self.name, self.zone, "std", self.cell, state, 1.0, self.born)
 
 
 @dataclass(eq=False)
@@ -202,7 +202,7 @@
 
     def tell(self, how: str, upstreams: list[tuple[Upstream, str]]) -> None:
         self.known.update({u.name: u for u, _ in upstreams})
-        self.feed(io.ListUpdate(how, tuple(u.entry(state) for u, state in upstreams)))
+        self.feed(io.EndpointListUpdate(how, tuple(u.entry(state) for u, state in upstreams)))
         if how == "stale" and self.calls is not None:  # it has just started
             self.later(1000.0 * self.calls.first(), lambda: self.world.call(self))
 
@@ -217,9 +217,9 @@
         match action:
             case io.Send():
                 self.start(action)
-            case io.Wake(after, token):
+            case io.SetTimer(after, token):
                 self.later(after, lambda: self.feed(io.Timer(token)))
-            case io.Refuse(request, pause, _):
+            case io.Shed(request, pause, _):
                 self.done(request, "refused", pause)
             case io.Fail(request):
                 self.done(request, "failed", 0.0)
@@ -242,7 +242,7 @@
             return
         if (job := self.jobs.get(number)) is not None:
             self.end(job, "cancelled", final=True)
-        self.feed(io.Gone(number))
+        self.feed(io.ClientDisconnected(number))
         self.world.again(ask, 0.0)
 
     def done(self, number: int, how: str, pause: float) -> None:
@@ -306,7 +306,7 @@
             world.serve(ask)
         said = (report,) if code == "ok" else ()
         self.feed(
-            io.Outcome(request, job.number, job.upstream.name, code, spent, final or code == "ok", said)
+            io.AttemptEnded(request, job.number, job.upstream.name, code, spent, final or code == "ok", said)
         )
 
 
@@ -467,7 +467,7 @@
 
     def turned_away(self, node: Node) -> None:
         if node.calls is None:
-            return node.feed(io.ListUpdate("failed"))
+            return node.feed(io.EndpointListUpdate("failed"))
         from quartzford.membership.calls import End
 
         node.later(1000.0 * node.calls.after(End.TURNED_AWAY, 0.0), lambda: self.call(node))
--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -97,7 +97,7 @@
         node.engine.listed = self._listed  # type: ignore[method-assign]
 
     def _listed(
-        self, how: str, entries: tuple[io.Entry, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
+        self, how: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
         self.listed(how, entries, starts)
         if not self.done.done() and self.condition():
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -23,12 +23,12 @@
 PER_CELL, ZONES = 4, 3
 
 
-def entry(number: int, state: str = "ready") -> io.Entry:
+def entry(number: int, state: str = "ready") -> io.Endpoint:
     cell = number // PER_CELL
-    return io.Entry(f"s{number}", f"z{cell % ZONES}", "std", cell, state, 1.0, 0.0)
+    return io.Endpoint(f"s{number}", f"z{cell % ZONES}", "std", cell, state, 1.0, 0.0)
 
 
-def listing(whole: bool, *entries: io.Entry) -> Listing:
+def listing(whole: bool, *entries: io.Endpoint) -> Listing:
     return Listing(1, whole, entries, (("h", 1),) * len(entries))
 
 
--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -120,7 +120,7 @@
         for entry, address in zip(listing.entries, listing.addresses, strict=True):
             self._entry(entry, address)
 
-    def _entry(self, entry: io.Entry, address: tuple[str, int]) -> None:
+    def _entry(self, entry: io.Endpoint, address: tuple[str, int]) -> None:
         held = self.upstreams.get(entry.server)
         if entry.state != "ready":
             if held is not None:
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -97,7 +97,7 @@
         self,
         known: Listing,
         version: int | None = None,
-        memory: io.Memory | None = None,
+        memory: io.LearnedState | None = None,
         inherited: InheritedStarts | None = None,
     ) -> None:
         """Adopt what is known and follow the list from there.
@@ -215,7 +215,7 @@
         """An upstream is taken out by an operator, or put back; nothing if it is so already."""
         if out == (name in self.engine.balancer.by_hand):
             return
-        self.engine.feed(io.ByHand(name, out))
+        self.engine.feed(io.MaintenanceChange(name, out))
         for follower in self.followers:
             follower.listed(self.registry.row_changes(name, out))
         self.log.line("by hand", f"{name[:100]} {'out' if out else 'back in use'}")
--- a/quartzford/decision/eligibility.py
+++ b/quartzford/decision/eligibility.py
@@ -47,7 +47,7 @@
 class Server:
     """A server of the list, and what this balancer has seen of it. at: its slot while in use, else -1."""
 
-    entry: io.Entry
+    entry: io.Endpoint
     fleet: Fleet
     at: int = -1
     started_ms: float = 0.0  # when this incarnation started, on our clock; 0 for long ago
@@ -111,14 +111,14 @@
             self.shares.move(server.at, self._place(server.entry))
             self.cold[server] = None
 
-    def _place(self, entry: io.Entry) -> Place:
+    def _place(self, entry: io.Endpoint) -> Place:
         toll = 0.0 if entry.zone == self.settings.zone else self.toll
         return Place(toll, self.zones.setdefault(entry.zone, len(self.zones)), entry.cell)
 
     # ---- the list
 
     def update(
-        self, entries: tuple[io.Entry, ...], whole: bool, starts: Mapping[str, float] = io.NO_STARTS
+        self, entries: tuple[io.Endpoint, ...], whole: bool, starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
         """Changes, or the complete list. starts: of incarnations, by server, on our clock."""
         self.shares = self.fit(self.shares, len(self.ready) + len(entries))
@@ -180,7 +180,7 @@
             for at, server in enumerate(moved, first):
                 server.at = at
 
-    def _entry(self, entry: io.Entry, started_ms: float | None) -> None:
+    def _entry(self, entry: io.Endpoint, started_ms: float | None) -> None:
         """Take one row. started_ms: of its incarnation, on our clock; None if only the row itself says so."""
         if entry.state == "gone":
             return self._remove(entry.server)
@@ -379,7 +379,7 @@
 
     # ---- the choice
 
-    def pick(self, kind: io.ServiceClass, tried: list[str], bound: io.Entry | None) -> Server | None:
+    def pick(self, kind: io.ServiceClass, tried: list[str], bound: io.Endpoint | None) -> Server | None:
         """A draw for a request of this class. bound: where it may have run; drains are not in self.ready."""
         if not self.ready:
             return None
@@ -393,7 +393,7 @@
         held = (self.servers.get(name) for name in names)
         return [server.at for server in held if server is not None and server.at >= 0]
 
-    def _group(self, kind: io.ServiceClass, home: io.Entry | None) -> tuple[bool, int] | None:
+    def _group(self, kind: io.ServiceClass, home: io.Endpoint | None) -> tuple[bool, int] | None:
         """A keyed request that may have run goes only where its repeats are dropped."""
         if home is None or kind.effect != "keyed" or kind.group == "all":
             return None
--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -159,7 +159,7 @@
 # Events
 
 
-class Entry(NamedTuple):
+class Endpoint(NamedTuple):
     """One server as the list tells of it.
 
     started_ms names the incarnation: another value is another one. As a moment it is of the list's clock,
@@ -178,7 +178,7 @@
 NO_STARTS: Mapping[str, float] = MappingProxyType({})
 
 
-class ListUpdate(NamedTuple):
+class EndpointListUpdate(NamedTuple):
     """News of the servers. whole: the complete list; changes; stale: a complete list, maybe old; failed.
 
     starts: by server, when its incarnation started, on the caller's clock. Where it is missing the list's
@@ -186,11 +186,11 @@
     """
 
     how: str
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[Endpoint, ...] = ()
     starts: Mapping[str, float] = NO_STARTS
 
 
-class ByHand(NamedTuple):
+class MaintenanceChange(NamedTuple):
     """Operators take a server out, or put it back: draining here, whatever lists say meanwhile."""
 
     server: str
@@ -216,7 +216,7 @@
     token: int
 
 
-class Outcome(NamedTuple):
+class AttemptEnded(NamedTuple):
     """How an attempt ended."""
 
     request: int
@@ -229,7 +229,7 @@
     faulted: bool = False  # an error that the server puts down to the request itself
 
 
-class Started(NamedTuple):
+class ResponseStarted(NamedTuple):
     """The answer of a streamed class has begun; the attempt belongs to the client now."""
 
     request: int
@@ -238,17 +238,17 @@
     spent_ms: float
 
 
-class Gone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client has left; nothing is owed any more."""
 
     request: int
 
 
-class Ending(NamedTuple):
+class ShutdownStarted(NamedTuple):
     """The process ends now: what is owed an answer gets its final one, and so does what still comes."""
 
 
-class Probed(NamedTuple):
+class HealthChecked(NamedTuple):
     """The result of a Probe."""
 
     server: str
@@ -257,7 +257,17 @@
     report: Report = ()
 
 
-Event = ListUpdate | ByHand | Request | Timer | Outcome | Started | Gone | Ending | Probed
+Event = (
+    EndpointListUpdate
+    | MaintenanceChange
+    | Request
+    | Timer
+    | AttemptEnded
+    | ResponseStarted
+    | ClientDisconnected
+    | ShutdownStarted
+    | HealthChecked
+)
 
 
 # Actions
@@ -272,7 +282,7 @@
     finish_ms: float = 0.0  # an answer that has begun by then is waited for until this
 
 
-class Refuse(NamedTuple):
+class Shed(NamedTuple):
     """Final answer: not run, a further try is harmless. 0: no advice on when."""
 
     request: int
@@ -293,13 +303,13 @@
     attempt: int
 
 
-class Probe(NamedTuple):
+class HealthCheck(NamedTuple):
     """Check a server."""
 
     server: str
 
 
-class Wake(NamedTuple):
+class SetTimer(NamedTuple):
     """Ask for a Timer event."""
 
     after_ms: float
@@ -316,14 +326,14 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Wake | Watch | Log
+Action = Send | Shed | Fail | Cancel | HealthCheck | SetTimer | Watch | Log
 
 
 # What a balancer knows, for the process that follows it
 
 
 @dataclass(frozen=True, slots=True)
-class RateMemory:
+class LearnedRate:
     """A smoothed rate: since when, the last event, its value; times in Unix milliseconds."""
 
     start: float = 0.0
@@ -335,7 +345,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerMemory:
+class LearnedEndpoint:
     """What a balancer has seen of one life of a ready server."""
 
     name: str
@@ -360,18 +370,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class LearnedState:
     """All that a balancer has learnt, at one instant. peaks: (time, latency); offers: (worth, class)."""
 
-    servers: tuple[ServerMemory, ...] = ()
+    servers: tuple[LearnedEndpoint, ...] = ()
     by_hand: tuple[str, ...] = ()
     back: dict[str, float] = field(default_factory=dict)
-    arrivals: RateMemory = RateMemory()
-    answers: RateMemory = RateMemory()
+    arrivals: LearnedRate = LearnedRate()
+    answers: LearnedRate = LearnedRate()
     usual: dict[str, float] = field(default_factory=dict)
     peaks: tuple[tuple[float, float], ...] = ()
     retry_budget: float = 0.0
-    tenants: dict[str, RateMemory] = field(default_factory=dict)
+    tenants: dict[str, LearnedRate] = field(default_factory=dict)
     ends: float = 0.0
     good: float = 0.0
     refused: float = 0.0
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -43,7 +43,7 @@
     sends: int = 0
     open: int = 0
     tried: list[str] = field(default_factory=list)
-    bound: io.Entry | None = None  # where it may have run first
+    bound: io.Endpoint | None = None  # where it may have run first
     bound_attempt: int = -1
     bound_ms: float = 0.0
 
@@ -95,21 +95,21 @@
         match event:
             case io.Request():
                 self._request(event)
-            case io.Outcome():
+            case io.AttemptEnded():
                 self._outcome(event)
             case io.Timer(token):
                 self._timer(token)
-            case io.ListUpdate():
+            case io.EndpointListUpdate():
                 self._list(event)
-            case io.ByHand(server, out):
+            case io.MaintenanceChange(server, out):
                 self.fleet.hand(server, out)
-            case io.Gone(request):
+            case io.ClientDisconnected(request):
                 self.flights.pop(request, None)
-            case io.Ending():
+            case io.ShutdownStarted():
                 self.ending = True
                 for flight in list(self.flights.values()):
                     self._end(flight, "ending")
-            case io.Started():
+            case io.ResponseStarted():
                 # The stream is the client's now: nothing is owed, and its age is no sign of trouble.
                 self.flights.pop(event.request, None)
                 self._observe(event, "ok")
@@ -117,7 +117,7 @@
 
     # ---- a process that follows this one
 
-    def hand_over(self, now_ms: float) -> io.Memory:
+    def hand_over(self, now_ms: float) -> io.LearnedState:
         """What the successor is to know; from now on this one only ends what it has."""
         self.now = self.fleet.now = max(self.now, now_ms)
         memory = remember(self)
@@ -132,7 +132,7 @@
         for server in self.fleet.cold:
             server.tokens, server.tokens_ms = 0.0, self.now
 
-    def inherit(self, now_ms: float, memory: io.Memory) -> None:
+    def inherit(self, now_ms: float, memory: io.LearnedState) -> None:
         """What the process before knew, after its list was told."""
         self.now = self.fleet.now = max(self.now, now_ms)
         recall(self, memory)
@@ -147,7 +147,7 @@
             return self._end(flight, held)
         server = self.fleet.pick(flight.kind, flight.tried, flight.bound)
         if server is None:
-            return self.out.append(io.Wake(min(HOLD_MS, left), flight.request.request + 1))
+            return self.out.append(io.SetTimer(min(HOLD_MS, left), flight.request.request + 1))
         usual = max(self.usual.get(flight.kind.name, flight.kind.aim_ms / 4), LEAST * flight.kind.aim_ms)
         again = flight.kind.effect != "unsafe" and flight.sends + 1 < self.settings.limits.max_attempts
         again = again and self.retry_budget >= 1.0 and left > (PATIENCE + 1) * usual
@@ -194,11 +194,11 @@
         harmless = kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all")
         if flight.bound is None or harmless:
             pause = min(limits.max_retry_after_ms, kind.aim_ms / 4) if limits.retry_after else 0.0
-            self.out.append(io.Refuse(flight.request.request, pause, over_share))
+            self.out.append(io.Shed(flight.request.request, pause, over_share))
         else:
             self.out.append(io.Fail(flight.request.request))
 
-    def _outcome(self, event: io.Outcome) -> None:
+    def _outcome(self, event: io.AttemptEnded) -> None:
         # What a server finds fault with says nothing of its own health, and fares no better elsewhere.
         self._observe(event, "cancelled" if event.faulted else event.code, event.report)
         flight = self.flights.get(event.request)
@@ -217,14 +217,14 @@
             self.retry_budget -= 1.0
         return self._dispatch(flight)
 
-    def _observe(self, event: io.Outcome | io.Started, code: str, said: io.Report = ()) -> None:
+    def _observe(self, event: io.AttemptEnded | io.ResponseStarted, code: str, said: io.Report = ()) -> None:
         """What an attempt's end tells of the server, in the life that it was sent to."""
         fleet, spent, attempt = self.fleet, event.spent_ms, event.attempt
         server = fleet.servers.get(event.server)
         sent = fleet.returned(server, (event.request, attempt)) if server is not None else None
         if server and sent and said and self.load_field is not None and server.at >= 0:
             fleet.shares.said(server.at, min(MOST_REPORT, said[self.load_field]))
-        answered = code in ("ok", "error", "full") or (isinstance(event, io.Outcome) and event.faulted)
+        answered = code in ("ok", "error", "full") or (isinstance(event, io.AttemptEnded) and event.faulted)
         self.admission.out(self.now, fleet.shares.out, answered and sent is not None)
         if server is None or sent is None or code in ("cancelled", "moot"):
             return
@@ -284,17 +284,17 @@
 
     # ---- list
 
-    def _list(self, update: io.ListUpdate) -> None:
+    def _list(self, update: io.EndpointListUpdate) -> None:
         ask_every = self.settings.rules.ask_every_ms
         if self.watch_failures < 0:
             self.watch_failures = 0
             if self.settings.asks_list:
                 # A whole fleet may start at once: the first calls are spread so as not to drown the list.
-                self.out.append(io.Wake(self.rng.random() * 0.3 * ask_every, WATCH))
+                self.out.append(io.SetTimer(self.rng.random() * 0.3 * ask_every, WATCH))
         elif update.how == "failed":
             self.watch_failures += 1
             wait = min(0.5 * ask_every, 500.0 * 2 ** min(self.watch_failures, 6))
-            self.out.append(io.Wake(wait * self.rng.uniform(0.5, 1.0), WATCH))
+            self.out.append(io.SetTimer(wait * self.rng.uniform(0.5, 1.0), WATCH))
         else:
             self.watch_failures = 0
         self.fleet.update(update.entries, update.how in ("whole", "stale"), update.starts)
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -30,12 +30,12 @@
     now: float
 
 
-def remember(balancer: Learner) -> io.Memory:
+def remember(balancer: Learner) -> io.LearnedState:
     """All that has been learnt, at this instant; half of the retry budget."""
     fleet, admission = balancer.fleet, balancer.admission
     if fleet.cold:
         fleet.accrue()
-    return io.Memory(
+    return io.LearnedState(
         servers=tuple(_server(fleet, server) for server in fleet.ready),
         by_hand=tuple(fleet.by_hand),
         back=dict(fleet.back),
@@ -55,7 +55,7 @@
     )
 
 
-def recall(balancer: Learner, memory: io.Memory) -> None:
+def recall(balancer: Learner, memory: io.LearnedState) -> None:
     """Put it into a balancer that has the list; servers that either does not know stay as they are."""
     fleet, admission, now = balancer.fleet, balancer.admission, balancer.now
     fleet.back.update(memory.back)
@@ -99,7 +99,7 @@
     admission.offers.extend(offer for offer in memory.offers if offer[1] in balancer.classes)
 
 
-def rebase(memory: io.Memory, by_ms: float) -> io.Memory:
+def rebase(memory: io.LearnedState, by_ms: float) -> io.LearnedState:
     """The same memory with its moments on another clock's scale, which is ahead by so many milliseconds.
 
     0 stands for never, or long ago, on either scale.
@@ -116,7 +116,7 @@
     )
 
 
-def _rebase_server(server: io.ServerMemory, by_ms: float) -> io.ServerMemory:
+def _rebase_server(server: io.LearnedEndpoint, by_ms: float) -> io.LearnedEndpoint:
     return replace(
         server,
         ejected_until=_rebase_moment(server.ejected_until, by_ms),
@@ -125,7 +125,7 @@
     )
 
 
-def _rebase_rate(rate: io.RateMemory, by_ms: float) -> io.RateMemory:
+def _rebase_rate(rate: io.LearnedRate, by_ms: float) -> io.LearnedRate:
     return replace(rate, start=_rebase_moment(rate.start, by_ms), last=_rebase_moment(rate.last, by_ms))
 
 
@@ -133,9 +133,9 @@
     return max(0.0, at_ms + by_ms) if at_ms > 0.0 else at_ms
 
 
-def _server(fleet: Fleet, server: Server) -> io.ServerMemory:
+def _server(fleet: Fleet, server: Server) -> io.LearnedEndpoint:
     shares, at = fleet.shares, server.at
-    return io.ServerMemory(
+    return io.LearnedEndpoint(
         server.entry.server,
         server.entry.started_ms,
         max(0.0, float(shares.p[at])),
@@ -152,11 +152,11 @@
     )
 
 
-def _rate(rate: Rate) -> io.RateMemory:
-    return io.RateMemory(rate.start, rate.last, rate.value) if rate.value else io.RateMemory()
+def _rate(rate: Rate) -> io.LearnedRate:
+    return io.LearnedRate(rate.start, rate.last, rate.value) if rate.value else io.LearnedRate()
 
 
-def _read(memory: io.RateMemory, now: float) -> Rate:
+def _read(memory: io.LearnedRate, now: float) -> Rate:
     rate = Rate()
     if memory.value:
         rate.start, rate.last, rate.value = min(memory.start, now), min(memory.last, now), memory.value
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -64,14 +64,14 @@
         self._adopt(settings)
         self.balancer.configure(settings)
 
-    def hand_over(self) -> io.Memory:
+    def hand_over(self) -> io.LearnedState:
         """What a successor is to know; this one only ends what it has from now on."""
         return self.balancer.hand_over(self.clock.unix_ms())
 
     def take_back(self) -> None:
         self.balancer.take_back(self.clock.unix_ms())
 
-    def inherit(self, memory: io.Memory) -> None:
+    def inherit(self, memory: io.LearnedState) -> None:
         self.balancer.inherit(self.clock.unix_ms(), memory)
 
     def start(self) -> None:
@@ -108,12 +108,12 @@
         match action:
             case io.Send():
                 self._send(self.calls[action.request], action)
-            case io.Refuse(request, pause, over_share):
+            case io.Shed(request, pause, over_share):
                 call = self._finish(request, "refused")
                 call.refused(pause, over_share)
             case io.Fail(request):
                 self._finish(request, "failed").failed()
-            case io.Wake(after, token):
+            case io.SetTimer(after, token):
                 self.clock.call_later(max(0.0, after) / 1000.0, self.feed, io.Timer(token))
             case io.Watch():
                 self.watch()
@@ -123,7 +123,7 @@
                     attempt.fail("cancelled")
             case io.Log(text):
                 self.log.line("module", text)
-            case io.Probe(server):
+            case io.HealthCheck(server):
                 self.log.line("module", f"probe of {server} asked for, but this balancer sends none")
 
     def _send(self, call: Call, send: io.Send) -> None:
@@ -177,14 +177,14 @@
         self.counts["client gone"] += 1
         self._close(call, "client gone")
         call.left()
-        self.feed(io.Gone(call.number))
+        self.feed(io.ClientDisconnected(call.number))
         if attempt is not None:
             attempt.fail("cancelled")
 
     def end_all(self) -> None:
         """The process ends now: nothing that is owed an answer waits any longer for an attempt."""
         attempts = [call.attempt for call in self.calls.values() if call.attempt is not None]
-        self.feed(io.Ending())
+        self.feed(io.ShutdownStarted())
         for attempt in attempts:
             if not attempt.over:
                 attempt.fail("cancelled")
@@ -205,7 +205,7 @@
         """The attempt's answer is being passed on from now: it can't be taken back."""
         attempt.streaming = True
         spent = max(0.01, (self.clock.now() - attempt.sent) * 1000.0)
-        self.feed(io.Started(attempt.call.number, attempt.number, attempt.server, spent))
+        self.feed(io.ResponseStarted(attempt.call.number, attempt.number, attempt.server, spent))
 
     def ended(
         self,
@@ -239,15 +239,15 @@
             call.retried()
         self.counts[f"{code} {stage}".rstrip()] += 1
         name, number = attempt.server, attempt.number
-        self.feed(io.Outcome(call.number, number, name, code, spent, final, report, faulted))
+        self.feed(io.AttemptEnded(call.number, number, name, code, spent, final, report, faulted))
 
     # ---- what the list tells
 
     def listed(
-        self, how: str, entries: tuple[io.Entry, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
+        self, how: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
         """The list, or its changes. starts: of incarnations, by server, in ms on the engine's clock."""
-        self.feed(io.ListUpdate(how, entries, starts))
+        self.feed(io.EndpointListUpdate(how, entries, starts))
 
     # ---- rule one
 
--- a/quartzford/membership/listing.py
+++ b/quartzford/membership/listing.py
@@ -17,7 +17,7 @@
 
     version: int
     whole: bool
-    entries: tuple[io.Entry, ...]
+    entries: tuple[io.Endpoint, ...]
     addresses: tuple[tuple[str, int], ...]
 
 
@@ -28,7 +28,7 @@
     return host.strip("[]"), int(port)
 
 
-def _entry(row: dict[str, Any]) -> io.Entry:
+def _entry(row: dict[str, Any]) -> io.Endpoint:
     born, share = float(row.get("born_ms") or 0.0), float(row.get("share") or 1.0)
     host, state = row["host"], row["health"]
     if not isinstance(host, str) or not host or state not in STATES:
@@ -36,7 +36,7 @@
     if not math.isfinite(born) or not 0 < share < math.inf:
         raise ValueError(f"born_ms {born!r}, share {share!r}")
     zone, kind, cell = str(row["site"]), str(row["class"]), int(row["block"])
-    return io.Entry(host, zone, kind, cell, state, share, max(0.0, born))
+    return io.Endpoint(host, zone, kind, cell, state, share, max(0.0, born))
 
 
 def _parse(text: bytes) -> Any:
--- a/quartzford/membership/pieces.py
+++ b/quartzford/membership/pieces.py
@@ -17,7 +17,7 @@
 PIECE = 256  # entries of one turn
 NOWHERE = ("", 0)
 
-Row = tuple[io.Entry, tuple[str, int]]
+Row = tuple[io.Endpoint, tuple[str, int]]
 
 
 def pieces(listing: Listing, known: Collection[str], size: int = PIECE) -> Iterator[Listing]:
@@ -35,7 +35,7 @@
     first: Iterator[Row] = iter(taken.values())
     if listing.whole:
         names = [name for name in known if name not in last]
-        gone = ((io.Entry(name, "", "", 0, "gone", 1.0, 0.0), NOWHERE) for name in names)
+        gone = ((io.Endpoint(name, "", "", 0, "gone", 1.0, 0.0), NOWHERE) for name in names)
         first = chain(first, gone)
     rows = zip(listing.entries, listing.addresses, strict=True)
     rest = (row for row in rows if row[0].server not in taken)
--- a/quartzford/membership/registry.py
+++ b/quartzford/membership/registry.py
@@ -12,7 +12,7 @@
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
 
-Row = tuple[io.Entry, tuple[str, int]]
+Row = tuple[io.Endpoint, tuple[str, int]]
 
 
 class Registry:
--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -92,7 +92,7 @@
             else:
                 self._date(entry, known_ms, now_ms)
 
-    def of(self, entries: Iterable[io.Entry]) -> dict[str, float]:
+    def of(self, entries: Iterable[io.Endpoint]) -> dict[str, float]:
         """The starts of these entries' incarnations by name, as far as they were dated here."""
         return {
             entry.server: self._current[entry.server].started_ms
@@ -108,11 +108,11 @@
             if incarnation.started_ms > since_ms
         }
 
-    def _is_current(self, entry: io.Entry) -> bool:
+    def _is_current(self, entry: io.Endpoint) -> bool:
         incarnation = self._current.get(entry.server)
         return incarnation is not None and incarnation.born_ms == entry.started_ms
 
-    def _date(self, entry: io.Entry, known_ms: float, now_ms: float) -> None:
+    def _date(self, entry: io.Endpoint, known_ms: float, now_ms: float) -> None:
         incarnation = self._current.get(entry.server)
         if incarnation is None:
             incarnation = self._gone.pop(entry.server, None)
--- a/quartzford/membership/subset.py
+++ b/quartzford/membership/subset.py
@@ -17,7 +17,7 @@
 
 # A subset may be so many times its size before blocks are left: else one upstream that flaps would move two.
 SLACK = 1.25
-Row = tuple[io.Entry, tuple[str, int]]
+Row = tuple[io.Endpoint, tuple[str, int]]
 
 
 def score(name: str, block: int) -> int:
@@ -36,7 +36,7 @@
         self.ready: dict[int, Counter[str]] = {}  # ready upstreams of each block by zone
         self.zones: Counter[str] = Counter()  # ready upstreams of each zone
         self.chosen: set[int] = set()
-        self.announced: dict[str, io.Entry] = {}  # as the decision module has them
+        self.announced: dict[str, io.Endpoint] = {}  # as the decision module has them
 
     def filter(self, listing: Listing) -> Listing:
         """What the balancer is told of a listing: upstreams of its blocks, and the end of those that it had.
@@ -78,7 +78,7 @@
             return None
         return entry._replace(state="draining"), address
 
-    def _add(self, entry: io.Entry, address: tuple[str, int]) -> None:
+    def _add(self, entry: io.Endpoint, address: tuple[str, int]) -> None:
         self.known[entry.server] = (entry, address)
         if entry.cell not in self.blocks:
             self.blocks[entry.cell] = set()
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -98,7 +98,7 @@
         self._begun = False
         self._listened = False  # the address takes clients, of this process or of the one before
         self._listener: socket.socket | None = None  # the process before's
-        self._memory: io.Memory | None = None  # the process before's, until the list is adopted
+        self._memory: io.LearnedState | None = None  # the process before's, until the list is adopted
         self._version: int | None = None  # of its list, where it may be followed from there
         self._inherited_starts: InheritedStarts | None = None  # of the upstreams of its list
 
@@ -275,7 +275,7 @@
             except ValueError as error:
                 self.log.line("replacement", f"the list handed over can't be read: {error}")
         for name in names:
-            self.engine.feed(io.ByHand(name, True))
+            self.engine.feed(io.MaintenanceChange(name, True))
         if names != on_file:  # the process before could not write its file
             succession.book.note(self.engine.balancer.by_hand)
         if given is None:
--- a/quartzford/relay/catalog.py
+++ b/quartzford/relay/catalog.py
@@ -58,7 +58,7 @@
     """One row of the list. version: it last changed in; text: its JSON."""
 
     version: int
-    entry: io.Entry
+    entry: io.Endpoint
     address: Address
     text: bytes
 
@@ -72,7 +72,7 @@
         self.position, self.line = position, line
 
 
-def row_text(entry: io.Entry, address: Address) -> bytes:
+def row_text(entry: io.Endpoint, address: Address) -> bytes:
     """A row's JSON in discovery's form."""
     host, port = address
     dial = "" if not host else f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
@@ -148,7 +148,7 @@
         self._changes.clear()
         return True
 
-    def _changed(self, listing: Listing) -> dict[str, tuple[io.Entry, Address]]:
+    def _changed(self, listing: Listing) -> dict[str, tuple[io.Endpoint, Address]]:
         """The rows of a line that are not as they are held; of a whole list also those that it leaves out."""
         incoming = {row[0].server: row for row in zip(listing.entries, listing.addresses, strict=True)}
         if listing.whole:
@@ -186,7 +186,7 @@
             self._held.discard(self._order.popleft())
             self.floor = max(self.floor, self._order[0])
 
-    def _put(self, entry: io.Entry, address: Address, version: int) -> None:
+    def _put(self, entry: io.Endpoint, address: Address, version: int) -> None:
         row = Row(version, entry, address, row_text(entry, address))
         kept, other = (self.gone, self.rows) if entry.state == "gone" else (self.rows, self.gone)
         held = self.rows.get(entry.server)
--- a/quartzford/replacement/state.py
+++ b/quartzford/replacement/state.py
@@ -76,7 +76,7 @@
     discovery: list[str | int]
     heard: bool
     busy: int
-    memory: io.Memory
+    memory: io.LearnedState
     anchor_ms: float | None = None
     listed_ms: float | None = None
     starts: dict[str, float] = {}
--- a/quartzford/wirehost.py
+++ b/quartzford/wirehost.py
@@ -21,9 +21,9 @@
     """A line that breaks the wire's form."""
 
 
-def _entry(row: list[Any]) -> io.Entry:
+def _entry(row: list[Any]) -> io.Endpoint:
     server, zone, kind, cell, state, units, started = row
-    return io.Entry(server, zone, kind, cell, STATES[state], units or 1.0, started or 0.0)
+    return io.Endpoint(server, zone, kind, cell, STATES[state], units or 1.0, started or 0.0)
 
 
 def _request(i: list[Any]) -> io.Event:
@@ -34,16 +34,16 @@
 
 def _outcome(v: list[Any]) -> io.Event:
     request, attempt, server, code, spent, final, report = v
-    return io.Outcome(request, attempt, server, code, spent, bool(final), tuple(report or ()))
+    return io.AttemptEnded(request, attempt, server, code, spent, bool(final), tuple(report or ()))
 
 
 def _probed(v: list[Any]) -> io.Event:
     code, spent, server, report = v
-    return io.Probed(server, code, spent, tuple(report or ()))
+    return io.HealthChecked(server, code, spent, tuple(report or ()))
 
 
 def _list(v: list[Any]) -> io.Event:
-    return io.ListUpdate(KINDS[v[1]], tuple(_entry(row) for row in v[2] or ()))
+    return io.EndpointListUpdate(KINDS[v[1]], tuple(_entry(row) for row in v[2] or ()))
 
 
 # name: (number of values after the instance, reader)
@@ -52,8 +52,8 @@
     "KNOCK": (7, _request),
     "TIMEOUT_FIRED": (1, lambda v: io.Timer(v[0])),
     "VERDICT": (7, _outcome),
-    "VANISHED": (1, lambda v: io.Gone(v[0])),
-    "ACK_FIRST": (4, lambda v: io.Started(*v)),
+    "VANISHED": (1, lambda v: io.ClientDisconnected(v[0])),
+    "ACK_FIRST": (4, lambda v: io.ResponseStarted(*v)),
     "PONG": (4, _probed),
     "PEER": (2, lambda v: None),  # instances share nothing
 }
@@ -63,15 +63,15 @@
     match action:
         case io.Send(request, server, time_out, _):
             return ["ROUTE", instance, request, server, time_out]
-        case io.Refuse(request, pause, _):
+        case io.Shed(request, pause, _):
             return ["NOT_NOW", instance, request, pause]
         case io.Fail(request):
             return ["DROP_REQUEST", instance, request]
         case io.Cancel(request, attempt):
             return ["CANCEL", instance, request, attempt]
-        case io.Probe(server):
+        case io.HealthCheck(server):
             return ["INSPECT", instance, server]
-        case io.Wake(after, token):
+        case io.SetTimer(after, token):
             return ["WAKE_ME", instance, after, token]
         case io.Watch():
             return ["OBSERVE", instance, True]
--- a/tests/canonical.py
+++ b/tests/canonical.py
@@ -19,11 +19,11 @@
 
 ACTION_TAGS: dict[type, str] = {
     io.Send: "send",
-    io.Refuse: "refuse",
+    io.Shed: "refuse",
     io.Fail: "fail",
     io.Cancel: "cancel",
-    io.Probe: "probe",
-    io.Wake: "timer",
+    io.HealthCheck: "probe",
+    io.SetTimer: "timer",
     io.Watch: "watch",
     io.Log: "log",
 }
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -41,14 +41,14 @@
     return io.Settings(**values)  # type: ignore[arg-type]
 
 
-def entry(number: int, state: str = "ready", started: float = 0.0, units: float = 1.0) -> io.Entry:
+def entry(number: int, state: str = "ready", started: float = 0.0, units: float = 1.0) -> io.Endpoint:
     """Server s<number>; cells of two, zones in turn by cell."""
     cell = number // 2
-    return io.Entry(f"s{number}", ZONES[cell % 2], "std", cell, state, units, started)
+    return io.Endpoint(f"s{number}", ZONES[cell % 2], "std", cell, state, units, started)
 
 
-def listed(numbers: Iterable[int], how: str = "stale", started: float = 0.0) -> io.ListUpdate:
-    return io.ListUpdate(how, tuple(entry(n, started=started) for n in numbers))
+def listed(numbers: Iterable[int], how: str = "stale", started: float = 0.0) -> io.EndpointListUpdate:
+    return io.EndpointListUpdate(how, tuple(entry(n, started=started) for n in numbers))
 
 
 def started(servers: int = 4, seed: int = 7, **changes: object) -> Balancer:
@@ -76,15 +76,15 @@
 
 
 def finals(actions: list[io.Action]) -> list[io.Action]:
-    return [a for a in actions if isinstance(a, io.Refuse | io.Fail)]
+    return [a for a in actions if isinstance(a, io.Shed | io.Fail)]
 
 
 def ask(balancer: Balancer, now: float, number: int, name: str = "read", budget: float = 400.0) -> Actions:
     return balancer.handle(now, io.Request(number, name, budget))
 
 
-def outcome(send: io.Send, attempt: int, code: str, spent: float, final: bool = False) -> io.Outcome:
-    return io.Outcome(send.request, attempt, send.server, code, spent, final or code == "ok")
+def outcome(send: io.Send, attempt: int, code: str, spent: float, final: bool = False) -> io.AttemptEnded:
+    return io.AttemptEnded(send.request, attempt, send.server, code, spent, final or code == "ok")
 
 
 def serve(balancer: Balancer, now: float, number: int, latency: float = 10.0, name: str = "read") -> str:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -316,7 +316,7 @@
         return await read_message(reader)
 
     def outcomes(self) -> list[str]:
-        return [e.code for e in self.events if isinstance(e, io.Outcome)]
+        return [e.code for e in self.events if isinstance(e, io.AttemptEnded)]
 
 
 def request(
--- a/tests/streams_of_events.py
+++ b/tests/streams_of_events.py
@@ -64,10 +64,12 @@
     )
 
 
-def entry_of(number: int, rng: random.Random, plan: Plan, now: float, state: str = "ready") -> io.Entry:
+def entry_of(number: int, rng: random.Random, plan: Plan, now: float, state: str = "ready") -> io.Endpoint:
     started = now - rng.random() * 3_000.0 if rng.random() < plan.cold else 0.0
     units = rng.choice((1.0, 2.0)) if plan.sized else 1.0
-    return io.Entry(f"s{number}", f"z{number // 4 % 3}", "std", number // 2, state, units, max(0.0, started))
+    return io.Endpoint(
+        f"s{number}", f"z{number // 4 % 3}", "std", number // 2, state, units, max(0.0, started)
+    )
 
 
 def play(plan: Plan, seed: int, modules: list[Any], check: Callable[[list[list[io.Action]]], None]) -> int:
@@ -90,7 +92,7 @@
             react(action)
 
     def react(action: io.Action) -> None:
-        if isinstance(action, io.Wake):
+        if isinstance(action, io.SetTimer):
             heapq.heappush(queue, (now + action.after_ms, next(numbers), io.Timer(action.token)))
         elif isinstance(action, io.Send):
             number = attempts.get(action.request, 0)
@@ -101,18 +103,18 @@
             if code == "timeout":
                 spent = action.time_out_ms
             report = (rng.random() * 5,) if plan.reports and code in ("ok", "full") else ()
-            event = io.Outcome(
+            event = io.AttemptEnded(
                 action.request, number, action.server, code, spent, code == "ok", report, rng.random() < 0.01
             )
             heapq.heappush(queue, (now + spent, next(numbers), event))
-        elif isinstance(action, io.Refuse | io.Fail):
+        elif isinstance(action, io.Shed | io.Fail):
             attempts.pop(action.request, None)
 
     def churn() -> None:
         what = rng.random()
         if what < 0.2:
             entries = tuple(entry_of(n, rng, plan, now) for n, s in state.items() if s == "ready")
-            return feed(io.ListUpdate(rng.choice(("whole", "stale")), entries))
+            return feed(io.EndpointListUpdate(rng.choice(("whole", "stale")), entries))
         changes = []
         for _ in range(rng.choice((1, 1, 2, max(1, plan.servers // 4)))):
             number = rng.randrange(int(plan.servers * 1.3) + 1)
@@ -121,16 +123,16 @@
             if state[number] == "ready" and rng.random() < 0.3:
                 one = one._replace(started_ms=now)
             changes.append(one)
-        feed(io.ListUpdate("changes", tuple(changes)))
+        feed(io.EndpointListUpdate("changes", tuple(changes)))
 
-    feed(io.ListUpdate("stale", tuple(entry_of(n, rng, plan, now) for n in state)))
+    feed(io.EndpointListUpdate("stale", tuple(entry_of(n, rng, plan, now) for n in state)))
     for request in range(plan.events):
         now += rng.expovariate(1 / plan.step_ms)
         while queue and queue[0][0] <= now:
             due, _, event = heapq.heappop(queue)
             at, now = now, max(due, 1_000.0)
-            if rng.random() < 0.01 and isinstance(event, io.Outcome) and event.code == "ok":
-                feed(io.Started(event.request, event.attempt, event.server, event.spent_ms))
+            if rng.random() < 0.01 and isinstance(event, io.AttemptEnded) and event.code == "ok":
+                feed(io.ResponseStarted(event.request, event.attempt, event.server, event.spent_ms))
             feed(event)
             now = at
         if rng.random() < plan.churn:
@@ -143,5 +145,5 @@
         tenant = rng.choice(("acme", "lima", "made-up")) if plan.tenants else ""
         feed(io.Request(request, name, 800.0, tenant, "k", 0.0, False, rng.random() < 0.95))
         if rng.random() < 0.01:
-            feed(io.Gone(request))
+            feed(io.ClientDisconnected(request))
     return count
--- a/tests/test_automaton.py
+++ b/tests/test_automaton.py
@@ -35,7 +35,7 @@
                 balancer.handle(now + 0.5, outcome(send, 0, what, float(number + 1), final=True))
         else:
             state, begun = ("ready", float(now)) if what == "restart" else (what, 0.0)
-            balancer.handle(float(now), io.ListUpdate("changes", (entry(number, state, begun),)))
+            balancer.handle(float(now), io.EndpointListUpdate("changes", (entry(number, state, begun),)))
         if balancer.ready:
             assert sum(s.p for s in balancer.ready) == approx(1.0)
             assert all(s.p >= 0 for s in balancer.ready)
@@ -43,9 +43,9 @@
 
 def test_newcomer_and_leaver() -> None:
     balancer = started(4)
-    balancer.handle(1.0, io.ListUpdate("changes", (entry(4),)))
+    balancer.handle(1.0, io.EndpointListUpdate("changes", (entry(4),)))
     assert list(shares(balancer).values()) == [approx(0.2)] * 5
-    balancer.handle(2.0, io.ListUpdate("changes", (entry(0, "gone"),)))
+    balancer.handle(2.0, io.EndpointListUpdate("changes", (entry(0, "gone"),)))
     assert shares(balancer) == {f"s{n}": approx(0.25) for n in (1, 2, 3, 4)}
 
 
@@ -59,8 +59,8 @@
     assert play(1) == play(1) != play(2)
     balancer = started(2)
     assert balancer.handle(1.0, io.Timer(99)) == []
-    assert balancer.handle(1.0, io.Gone(99)) == []
-    assert balancer.handle(1.0, io.Outcome(99, 0, "s0", "ok", 1.0, True)) == []
-    assert balancer.handle(1.0, io.Outcome(99, 0, "nobody", "reset", 1.0, True)) == []
-    assert balancer.handle(1.0, io.Started(99, 0, "s0", 1.0)) == []
+    assert balancer.handle(1.0, io.ClientDisconnected(99)) == []
+    assert balancer.handle(1.0, io.AttemptEnded(99, 0, "s0", "ok", 1.0, True)) == []
+    assert balancer.handle(1.0, io.AttemptEnded(99, 0, "nobody", "reset", 1.0, True)) == []
+    assert balancer.handle(1.0, io.ResponseStarted(99, 0, "s0", 1.0)) == []
     assert balancer.handle(1.0, listed(range(2), "failed")) is not None
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -153,8 +153,10 @@
         await until(lambda: sum(up.left for up in world.ups) == came)
         await until(lambda: not world.node.pool.connections)  # a peer sees it a turn before
         assert not world.node.engine.balancer.flights
-        gone = [e for e in world.events if isinstance(e, io.Gone)]
-        assert len(gone) == 30 and not [e for e in world.events if isinstance(e, io.Outcome) and not e.final]
+        gone = [e for e in world.events if isinstance(e, io.ClientDisconnected)]
+        assert len(gone) == 30 and not [
+            e for e in world.events if isinstance(e, io.AttemptEnded) and not e.final
+        ]
         assert world.node.engine.balancer.fleet.shares.out == 0
 
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -31,7 +31,9 @@
             if due and due[0][0] < coming:
                 now, _, send = heapq.heappop(due)
                 code = fails(int(send.server[1:]), self.rng)
-                self.balancer.handle(now, io.Outcome(send.request, 0, send.server, code, LATENCY_MS, True))
+                self.balancer.handle(
+                    now, io.AttemptEnded(send.request, 0, send.server, code, LATENCY_MS, True)
+                )
                 continue
             now, number = coming, number + 1
             coming += self.rng.expovariate(per_s / 1000.0)
@@ -92,14 +94,16 @@
     for number in range(400):  # the rate that it knows
         now = number * span
         (send,) = sends(balancer.handle(now, io.Request(number, "pay", 800.0)))
-        balancer.handle(now + 0.01, io.Outcome(number, 0, send.server, "ok", 5.0, True))
+        balancer.handle(now + 0.01, io.AttemptEnded(number, 0, send.server, "ok", 5.0, True))
     failed: set[str] = set()
     number, once = 1_000, 0
     while len(failed) < 12:
         number, now = number + 1, now + span
         (send,) = sends(balancer.handle(now, io.Request(number, "pay", 800.0)))
         fresh = send.server not in failed and int(send.server[1:]) < 12
-        balancer.handle(now + 0.01, io.Outcome(number, 0, send.server, "error" if fresh else "ok", 5.0, True))
+        balancer.handle(
+            now + 0.01, io.AttemptEnded(number, 0, send.server, "error" if fresh else "ok", 5.0, True)
+        )
         if fresh:
             failed.add(send.server)
             once += balancer.servers[send.server].ejections > 0
@@ -109,27 +113,27 @@
 def test_a_list_that_empties_and_comes_back_while_a_request_waits() -> None:
     balancer = Balancer(settings(rules=RULES), 3)
     balancer.handle(0.0, listed(range(3)))
-    balancer.handle(10.0, io.ListUpdate("whole", ()))
+    balancer.handle(10.0, io.EndpointListUpdate("whole", ()))
     (wake,) = balancer.handle(20.0, io.Request(1, "pay", 800.0))
-    assert isinstance(wake, io.Wake)
+    assert isinstance(wake, io.SetTimer)
     for step in range(3):  # it goes on waiting
         (wake,) = balancer.handle(45.0 + 25.0 * step, io.Timer(wake.token))
-        assert isinstance(wake, io.Wake)
-    balancer.handle(130.0, io.ListUpdate("whole", (entry(7),)))
+        assert isinstance(wake, io.SetTimer)
+    balancer.handle(130.0, io.EndpointListUpdate("whole", (entry(7),)))
     (send,) = balancer.handle(145.0, io.Timer(wake.token))
     assert isinstance(send, io.Send) and send.server == "s7"
-    assert balancer.handle(200.0, io.Outcome(1, 0, "s7", "ok", 55.0, True)) == []
+    assert balancer.handle(200.0, io.AttemptEnded(1, 0, "s7", "ok", 55.0, True)) == []
 
 
 def test_a_list_that_stays_empty_ends_the_request_in_time() -> None:
     balancer = Balancer(settings(), 3)
-    balancer.handle(0.0, io.ListUpdate("whole", ()))
+    balancer.handle(0.0, io.EndpointListUpdate("whole", ()))
     (action,) = balancer.handle(20.0, io.Request(1, "pay", 800.0))
     now = 20.0
-    while isinstance(action, io.Wake):
+    while isinstance(action, io.SetTimer):
         now += action.after_ms
         (action,) = balancer.handle(now, io.Timer(action.token))
-    assert isinstance(action, io.Refuse) and now <= 820.0
+    assert isinstance(action, io.Shed) and now <= 820.0
 
 
 def test_the_last_ready_server_fails_after_it_has_left_the_list() -> None:
@@ -137,7 +141,7 @@
     attempts = []
     for number in range(3):
         attempts += sends(balancer.handle(100.0 * number, io.Request(number, "pay", 800.0)))
-    balancer.handle(310.0, io.ListUpdate("changes", (entry(0, "draining"),)))
+    balancer.handle(310.0, io.EndpointListUpdate("changes", (entry(0, "draining"),)))
     for send in attempts:
-        balancer.handle(320.0, io.Outcome(send.request, 0, send.server, "reset", 20.0, True))
+        balancer.handle(320.0, io.AttemptEnded(send.request, 0, send.server, "reset", 20.0, True))
     assert not balancer.ready and balancer.servers["s0"].failing > 0.35
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -26,7 +26,7 @@
         caller, heard, handle = site.caller(), [], site.node.engine.balancer.handle
 
         def watched(now: float, event: io.Event) -> list[io.Action]:
-            if isinstance(event, io.Outcome):
+            if isinstance(event, io.AttemptEnded):
                 heard.append(event.report)
             return handle(now, event)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -109,7 +109,7 @@
 def test_shares_follow_costs_within_few_answers_of_a_large_fleet() -> None:
     """At 60 servers single steps of Eq. 8 need thousands of answers; the mean of Eq. 8 does not."""
     balancer = Balancer(settings(prices=io.Prices(cross_zone=0.06)), 5)
-    balancer.handle(0.0, io.ListUpdate("stale", tuple(entry(n) for n in range(60))))
+    balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n) for n in range(60))))
     for n in range(300):
         serve(balancer, n * 20.0, n)
     own = sum(s.p for s in balancer.ready if s.entry.zone == "north")
@@ -121,12 +121,12 @@
     waits = []
     for seed in range(20):
         balancer = Balancer(settings(asks_list=True), seed)
-        first = balancer.handle(0.0, io.ListUpdate("stale", (entry(0),)))
-        waits.append(next(a.after_ms for a in first if isinstance(a, io.Wake)))
+        first = balancer.handle(0.0, io.EndpointListUpdate("stale", (entry(0),)))
+        waits.append(next(a.after_ms for a in first if isinstance(a, io.SetTimer)))
         spans = []
         for n in range(5):
-            again = balancer.handle(1.0 + n, io.ListUpdate("failed"))
-            spans.append(next(a.after_ms for a in again if isinstance(a, io.Wake)))
+            again = balancer.handle(1.0 + n, io.EndpointListUpdate("failed"))
+            spans.append(next(a.after_ms for a in again if isinstance(a, io.SetTimer)))
         assert max(spans) <= 5_000.0 and spans[3] > spans[0]
         assert balancer.handle(9.0, io.Timer(0)) == [io.Watch()]
     assert max(waits) - min(waits) > 1_000.0 and max(waits) < 10_000.0
@@ -135,7 +135,7 @@
 def test_a_stream_that_has_begun_owes_nothing() -> None:
     balancer = started(2)
     send = sends(ask(balancer, 0.0, 1, "feed"))[0]
-    assert balancer.handle(5.0, io.Started(1, 0, send.server, 5.0)) == []
+    assert balancer.handle(5.0, io.ResponseStarted(1, 0, send.server, 5.0)) == []
     assert balancer.handle(9_000.0, outcome(send, 0, "reset", 9_000.0, final=True)) == []
     assert not balancer.flights
 
@@ -203,7 +203,7 @@
     balancer = started(2, report_fields=("depth",))
     send = sends(ask(balancer, 0.0, 1, "pay"))[0]
     number = int(send.server[1:])
-    balancer.handle(10.0, io.ListUpdate("changes", (entry(number, started=5.0),)))
+    balancer.handle(10.0, io.EndpointListUpdate("changes", (entry(number, started=5.0),)))
     server = balancer.servers[send.server]
     assert server in balancer.ready and not server.open and sum(s.p for s in balancer.ready) == approx(1.0)
     late = outcome(send, 0, "reset", 2_000.0)._replace(report=(90.0,))
@@ -295,7 +295,7 @@
     balancer = started(2, rules=rules)
     for number in range(500):
         serve(balancer, 10.0 * number, number)
-    balancer.handle(5_000.0, io.ListUpdate("changes", (entry(2, started=4_999.0),)))
+    balancer.handle(5_000.0, io.EndpointListUpdate("changes", (entry(2, started=4_999.0),)))
     counts = [0] * 12
     for step in range(1_200):
         now = 5_000.0 + 10.0 * step
@@ -340,7 +340,7 @@
     patience = []
     for spent, n in coming:
         server = next(s for s in balancer.ready if (n, 0) in s.open)
-        balancer.handle(spent, io.Outcome(n, 0, server.entry.server, "ok", spent, True))
+        balancer.handle(spent, io.AttemptEnded(n, 0, server.entry.server, "ok", spent, True))
         again = sends(ask(balancer, spent, 100 + n))
         patience += [s.time_out_ms for s in again]
         for send in again:  # its client leaves
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -22,8 +22,8 @@
     return True
 
 
-def entry(number: int, cell: int, started_ms: float = 0.0) -> io.Entry:
-    return io.Entry(f"s{number}", "north", "std", cell, "ready", 1.0, started_ms)
+def entry(number: int, cell: int, started_ms: float = 0.0) -> io.Endpoint:
+    return io.Endpoint(f"s{number}", "north", "std", cell, "ready", 1.0, started_ms)
 
 
 def filled(salt: int, servers: int) -> WorkingSet:
@@ -36,7 +36,7 @@
 def first_meetings(upstreams: int, seed: int, cell_of_newcomers: int | None) -> int:
     """Servers that are met over 20 s at ten requests a second, while a twelfth more joins within 8 s."""
     balancer, rng, met = Balancer(settings(), seed), random.Random(seed), set()
-    balancer.handle(0.0, io.ListUpdate("stale", tuple(entry(n, n % CELLS) for n in range(upstreams))))
+    balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n, n % CELLS) for n in range(upstreams))))
     joining = upstreams // 12
     for number in range(200):
         now = 100.0 * number + rng.uniform(0.0, 50.0)
@@ -48,7 +48,7 @@
             cell = newcomer % CELLS if cell_of_newcomers is None else cell_of_newcomers
             rows.append(entry(upstreams + newcomer, cell, now))
         if rows:
-            balancer.handle(now, io.ListUpdate("changes", tuple(rows)))
+            balancer.handle(now, io.EndpointListUpdate("changes", tuple(rows)))
         for send in sends(ask(balancer, now, number)):
             met.add(send.server)
             balancer.handle(now + LATENCY_MS, outcome(send, 0, "ok", LATENCY_MS, final=True))
@@ -110,7 +110,7 @@
 
 def test_a_keyed_request_goes_again_in_its_large_cell() -> None:
     balancer = Balancer(settings(), 2)
-    balancer.handle(0.0, io.ListUpdate("stale", tuple(entry(n, n % CELLS) for n in range(400))))
+    balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n, n % CELLS) for n in range(400))))
     for number in range(40):
         now, balancer.retry_budget = 1_000.0 * number, 5.0
         (send,) = sends(ask(balancer, now, number, "book"))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -73,35 +73,38 @@
     [
         [],
         [listed(range(4), "whole")],
-        [io.ListUpdate("changes", (entry(0),))],
-        [io.ListUpdate("changes", (entry(0, "draining"),)), io.ListUpdate("changes", (entry(0),))],
-        [io.ListUpdate("changes", (entry(0, "gone"),)), listed(range(4), "whole")],
-        [io.ListUpdate("changes", (entry(0, started=900.0),))],
-        [io.ByHand("s0", True), io.ByHand("s0", True)],
+        [io.EndpointListUpdate("changes", (entry(0),))],
+        [
+            io.EndpointListUpdate("changes", (entry(0, "draining"),)),
+            io.EndpointListUpdate("changes", (entry(0),)),
+        ],
+        [io.EndpointListUpdate("changes", (entry(0, "gone"),)), listed(range(4), "whole")],
+        [io.EndpointListUpdate("changes", (entry(0, started=900.0),))],
+        [io.MaintenanceChange("s0", True), io.MaintenanceChange("s0", True)],
     ],
     ids=["calm", "whole", "ready", "drained", "gone and back", "born anew", "twice"],
 )
 def test_what_is_out_by_hand_stays_out_until_it_is_put_back_cold(meanwhile: list[io.Event]) -> None:
     balancer = started(4)
-    balancer.handle(10.0, io.ByHand("s0", True))
+    balancer.handle(10.0, io.MaintenanceChange("s0", True))
     for event in meanwhile:
         balancer.handle(20.0, event)
     assert "s0" not in picks(balancer, 30.0, range(200)) and balancer.fleet.avoided() == 1
-    balancer.handle(1_000.0, io.ByHand("s0", False))
+    balancer.handle(1_000.0, io.MaintenanceChange("s0", False))
     assert balancer.fleet.avoided() == 0
     back = balancer.servers["s0"]
     assert back.cold_from == 1_000.0 and 0 < picks(balancer, 1_100.0, range(200, 300)).count("s0") <= 1
-    balancer.handle(1_200.0, io.ByHand("s0", False))  # a second call back: no second newcomer
+    balancer.handle(1_200.0, io.MaintenanceChange("s0", False))  # a second call back: no second newcomer
     assert back.cold_from == 1_000.0 and sum(s.p for s in balancer.ready) == pytest.approx(1.0)
 
 
 def test_the_last_ready_server_out_by_hand_leaves_requests_to_their_end() -> None:
     balancer = started(1)
-    balancer.handle(0.0, io.ByHand("s0", True))
+    balancer.handle(0.0, io.MaintenanceChange("s0", True))
     assert not sends(ask(balancer, 1.0, 1)) and not balancer.ready
     assert finals(balancer.handle(900.0, io.Timer(2)))
-    balancer.handle(950.0, io.ByHand("s0", False))
-    balancer.handle(951.0, io.ListUpdate("changes", (entry(0, "draining"),)))
+    balancer.handle(950.0, io.MaintenanceChange("s0", False))
+    balancer.handle(951.0, io.EndpointListUpdate("changes", (entry(0, "draining"),)))
     assert not balancer.ready
 
 
@@ -111,7 +114,7 @@
     home = balancer.servers[send.server].entry.cell
     for server in list(balancer.servers.values()):
         if server.entry.cell == home:
-            balancer.handle(1.0, io.ByHand(server.entry.server, True))
+            balancer.handle(1.0, io.MaintenanceChange(server.entry.server, True))
     assert not sends(balancer.handle(5.0, outcome(send, 0, "reset", 5.0)))
     assert isinstance(finals(balancer.handle(100.0, io.Timer(2)))[0], io.Fail)  # past its window
 
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -43,12 +43,12 @@
     update = listing(whole, *rows)
     one, other = Balancer(settings(), 1), Balancer(settings(), 1)
     for balancer in (one, other):
-        balancer.handle(0.0, io.ListUpdate("stale", tuple(entry(n) for n in before)))
+        balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n) for n in before)))
         met_often(balancer)
-    one.handle(1.0, io.ListUpdate("whole" if whole else "changes", update.entries))
+    one.handle(1.0, io.EndpointListUpdate("whole" if whole else "changes", update.entries))
     parts = list(pieces(update, other.servers, size))
     for part in parts:
-        other.handle(1.0, io.ListUpdate("whole" if part.whole else "changes", part.entries))
+        other.handle(1.0, io.EndpointListUpdate("whole" if part.whole else "changes", part.entries))
     mine, theirs = state(one), state(other)
     known = {name for name, row in mine.items() if row[2]}
     assert known == {name for name, row in theirs.items() if row[2]}
@@ -116,7 +116,7 @@
         await until(lambda: len(servers) == 3000, 30)
         left = pool.upstreams.get("s0")  # swept out already, where this took long
         assert "s0" not in servers and (left is None or not left.ready)
-        updates = [e for e in world.events if isinstance(e, io.ListUpdate)]
+        updates = [e for e in world.events if isinstance(e, io.EndpointListUpdate)]
         assert max(len(u.entries) for u in updates) <= 256 and updates[-1].how == "changes"
         # A rolling deploy, and right behind it a drain of one that it brings back.
         world.news(*hosts(2550, born_ms=7))
@@ -154,7 +154,7 @@
             seen = [
                 e.entries[0].started_ms
                 for e in world.events
-                if isinstance(e, io.ListUpdate)
+                if isinstance(e, io.EndpointListUpdate)
                 and e.how == "changes"
                 and e.entries
                 and e.entries[0].server == "h0"
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -60,8 +60,8 @@
 def learnt(**changes: Any) -> Balancer:
     """A balancer with a fast and a failing server, a cold one, one out by hand and one suspect."""
     balancer = started(6, **changes)
-    balancer.handle(5.0, io.ByHand("s5", True))
-    balancer.handle(6.0, io.ListUpdate("changes", (entry(4, started=5.0),)))
+    balancer.handle(5.0, io.MaintenanceChange("s5", True))
+    balancer.handle(6.0, io.EndpointListUpdate("changes", (entry(4, started=5.0),)))
     for number in range(400):
         now = 10.0 + 5 * number
         for send in sends(ask(balancer, now, number)):
@@ -81,7 +81,7 @@
         b"".join(wire.parts(wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, old.hand_over(now))))
     ).memory
     new = Balancer(settings(), 99)
-    new.handle(now, io.ListUpdate("stale", tuple(s.entry for s in old.servers.values())))
+    new.handle(now, io.EndpointListUpdate("stale", tuple(s.entry for s in old.servers.values())))
     new.inherit(now, memory)
     after = {s.entry.server: (s.p, s.cost, s.failing, max(0.0, s.ejected_until)) for s in new.ready}
     assert set(after) == set(before) and "s5" not in after and new.by_hand == {"s5"}
@@ -101,7 +101,7 @@
     old = learnt()
     memory = old.hand_over(2_100.0)
     new = Balancer(settings(), 1)
-    new.handle(2_100.0, io.ListUpdate("stale", (entry(0, started=2_000.0), entry(1), entry(9))))
+    new.handle(2_100.0, io.EndpointListUpdate("stale", (entry(0, started=2_000.0), entry(1), entry(9))))
     new.inherit(2_100.0, memory)
     assert new.servers["s0"].failing == 0.0 and sum(s.p for s in new.ready) == pytest.approx(1.0)
     assert new.servers["s9"].p > 0 and new.servers["s9"].cost == pytest.approx(new.servers["s1"].cost)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,9 +39,9 @@
         self.kind: dict[int, str] = {}
         self.history: dict[int, list[list[Any]]] = {}  # sent, server, code of each attempt
         self.ended: dict[int, float] = {}
-        self.state: dict[int, io.Entry] = {n: entry(n) for n in range(6)}
+        self.state: dict[int, io.Endpoint] = {n: entry(n) for n in range(6)}
         self.plan: list[tuple[str, float]] = []
-        self.feed(io.ListUpdate("stale", tuple(self.state.values())))
+        self.feed(io.EndpointListUpdate("stale", tuple(self.state.values())))
 
     def push(self, at: float, event: Any) -> None:
         self.count += 1
@@ -67,16 +67,16 @@
             if spent >= limit:
                 code, spent = "timeout", max(limit, 0.0)
             self.push(self.now + spent, (request, len(past) - 1, action.server, code, spent))
-        elif isinstance(action, io.Refuse | io.Fail):
+        elif isinstance(action, io.Shed | io.Fail):
             assert action.request not in self.ended, "answered twice"
             assert self.now <= self.deadline[action.request] + RULES.answer_slack_ms, "answered late"
             self.ended[action.request] = self.now
-            if isinstance(action, io.Refuse):
+            if isinstance(action, io.Shed):
                 kind = KIND.get(self.kind[action.request])
                 harmless = kind and (kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all"))
                 ran = [c for _, _, c in self.history[action.request] if c not in PROOF]
                 assert harmless or not ran, "refused though it may have run"
-        elif isinstance(action, io.Wake):
+        elif isinstance(action, io.SetTimer):
             self.push(self.now + max(action.after_ms, 0.0), io.Timer(action.token))
 
     def no_second_effect(self, request: int, number: int) -> None:
@@ -103,7 +103,7 @@
             final = code == "ok" or request in self.ended
             if code == "ok":
                 self.ended.setdefault(request, self.now)
-            self.feed(io.Outcome(request, attempt, server, code, spent, final))
+            self.feed(io.AttemptEnded(request, attempt, server, code, spent, final))
         self.now = time
 
     def step(self, number: int, step: tuple[str, int, str, float, str, float, float]) -> None:
@@ -120,16 +120,16 @@
             open_ones = [r for r in self.deadline if r not in self.ended]
             if open_ones:
                 self.ended[open_ones[0]] = self.now
-                self.feed(io.Gone(open_ones[0]))
+                self.feed(io.ClientDisconnected(open_ones[0]))
             return
         state = {"drain": "draining", "gone": "gone"}.get(what, "ready")
         begun = max(self.now, 0.001) if what == "restart" else old.started_ms
         self.state[who] = old._replace(state=state, started_ms=begun)
         if what == "whole":
             rows = tuple(e for e in self.state.values() if e.state != "gone")
-            self.feed(io.ListUpdate("whole", rows))
+            self.feed(io.EndpointListUpdate("whole", rows))
         else:
-            self.feed(io.ListUpdate("changes", (self.state[who],)))
+            self.feed(io.EndpointListUpdate("changes", (self.state[who],)))
 
 
 @given(st.integers(0, 99), st.lists(STEP, min_size=5, max_size=60))
@@ -188,11 +188,11 @@
     actions = ask(balancer, 0.0, 1, "pay", budget=100.0)
     now = 0.0
     while not finals(actions):
-        wakes = [a for a in actions if isinstance(a, io.Wake)]
+        wakes = [a for a in actions if isinstance(a, io.SetTimer)]
         assert wakes, "held without a timer"
         now += wakes[0].after_ms
         actions = balancer.handle(now, io.Timer(wakes[0].token))
-    assert finals(actions) == [io.Refuse(1, 0.0)] and now <= 100.0
+    assert finals(actions) == [io.Shed(1, 0.0)] and now <= 100.0
 
 
 def cold_share(balancers: int, cold: int, warm: int, per_s: float, span_s: float) -> float:
@@ -206,7 +206,7 @@
         while now < (4.0 + span_s) * 1_000.0:
             if number == int(4.0 * per_s):  # all hear of the newcomers at the same moment
                 news = tuple(entry(100 + n, started=3_900.0) for n in range(cold))
-                balancer.handle(now, io.ListUpdate("changes", news))
+                balancer.handle(now, io.EndpointListUpdate("changes", news))
             number, now = number + 1, now + gap
             for send in sends(ask(balancer, now, number)):
                 balancer.handle(now, outcome(send, 0, "ok", 1.0))
@@ -239,7 +239,7 @@
         for n in range(60):
             now = n * 100.0
             if n == 50:
-                balancer.handle(now, io.ListUpdate("changes", (entry(100, started=now),)))
+                balancer.handle(now, io.EndpointListUpdate("changes", (entry(100, started=now),)))
             got += serve(balancer, now, n, latency=1.0) == "s100"
     assert 20 < got < 90
 
@@ -254,5 +254,5 @@
 def test_stale_lists_drain_at_once() -> None:
     balancer = Balancer(settings(asks_list=True), 3)
     rows = (entry(0), entry(1, "draining"), entry(2))
-    balancer.handle(0.0, io.ListUpdate("stale", rows))
+    balancer.handle(0.0, io.EndpointListUpdate("stale", rows))
     assert {serve(balancer, float(n), n) for n in range(60)} == {"s0", "s2"}
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -67,7 +67,9 @@
     return shares if isinstance(shares, ArrayShares) else ArrayShares(automaton.load_arrays(), shares)
 
 
-def allowed(balancer: Balancer, kind: io.ServiceClass, tried: list[str], bound: io.Entry | None) -> set[str]:
+def allowed(
+    balancer: Balancer, kind: io.ServiceClass, tried: list[str], bound: io.Endpoint | None
+) -> set[str]:
     """Who may be drawn for a request, found out server by server."""
     fleet, now = balancer.fleet, balancer.now
 
@@ -97,7 +99,7 @@
     """One whose every choice is held against who may be drawn."""
     pick = balancer.fleet.pick
 
-    def checked(kind: io.ServiceClass, tried: list[str], bound: io.Entry | None) -> Server | None:
+    def checked(kind: io.ServiceClass, tried: list[str], bound: io.Endpoint | None) -> Server | None:
         server = pick(kind, tried, bound)
         may = allowed(balancer, kind, tried, bound)
         assert (server is None and not may) or (server is not None and server.entry.server in may)
@@ -231,7 +233,7 @@
         seen["ejected"] = seen.get("ejected", 0) + ejected
         if name in ("arrays", "wide"):
             assert isinstance(new.fleet.shares, ArrayShares)
-    assert all(seen[key] > 20 for key in ("Send", "Refuse", "Fail", "Wake")) and seen["ejected"] > 5, seen
+    assert all(seen[key] > 20 for key in ("Send", "Shed", "Fail", "SetTimer")) and seen["ejected"] > 5, seen
 
 
 # ---- hard cases of the arithmetic
@@ -314,10 +316,10 @@
 def test_all_cold_and_all_ejected_are_waited_for_and_served() -> None:
     plan = Plan(servers=60, cold=1.0)
     balancer = Balancer(settings_of(plan), 1)
-    entries = tuple(io.Entry(f"s{n}", "z0", "std", n, "ready", 1.0, 900.0) for n in range(60))
-    balancer.handle(1_000.0, io.ListUpdate("stale", entries))
+    entries = tuple(io.Endpoint(f"s{n}", "z0", "std", n, "ready", 1.0, 900.0) for n in range(60))
+    balancer.handle(1_000.0, io.EndpointListUpdate("stale", entries))
     actions = balancer.handle(1_001.0, io.Request(1, "pay", 800.0))
-    assert isinstance(actions[0], io.Send | io.Wake)
+    assert isinstance(actions[0], io.Send | io.SetTimer)
     for server in balancer.ready:
         server.ejected_until, server.failing = 5_000.0, 0.9
         balancer.fleet.trouble[server] = None
@@ -328,19 +330,19 @@
 
 def test_two_restarts_in_one_update_and_a_leaver_with_attempts_out() -> None:
     balancer = Balancer(settings_of(Plan()), 1)
-    one = io.Entry("s0", "z0", "std", 0, "ready", 1.0, 0.0)
+    one = io.Endpoint("s0", "z0", "std", 0, "ready", 1.0, 0.0)
     other = one._replace(server="s1")
-    balancer.handle(0.0, io.ListUpdate("stale", (one, other)))
+    balancer.handle(0.0, io.EndpointListUpdate("stale", (one, other)))
     sent = [balancer.handle(1.0 + n, io.Request(n, "read", 800.0))[0] for n in range(4)]
     assert all(isinstance(action, io.Send) for action in sent)
     twice = (one._replace(started_ms=5.0), one._replace(started_ms=9.0))
-    balancer.handle(10.0, io.ListUpdate("changes", twice))
+    balancer.handle(10.0, io.EndpointListUpdate("changes", twice))
     assert [s.entry.started_ms for s in balancer.ready] == [0.0, 9.0]
     shares = balancer.fleet.shares
     assert shares.n == 2 and shares.out == len(balancer.servers["s1"].open)
     for n, action in enumerate(sent):
         assert isinstance(action, io.Send)
-        balancer.handle(20.0, io.Outcome(n, 0, action.server, "ok", 5.0, True))
+        balancer.handle(20.0, io.AttemptEnded(n, 0, action.server, "ok", 5.0, True))
     assert shares.out == 0 and sum(s.p for s in balancer.ready) == pytest.approx(1.0)
 
 
@@ -363,11 +365,11 @@
 def test_a_report_beyond_all_bounds_leaves_p_a_probability(said: float) -> None:
     for servers in (4, 60):
         balancer = Balancer(settings_of(Plan()), 1)
-        entries = tuple(io.Entry(f"s{n}", "z0", "std", n, "ready", 1.0, 0.0) for n in range(servers))
-        balancer.handle(0.0, io.ListUpdate("stale", entries))
+        entries = tuple(io.Endpoint(f"s{n}", "z0", "std", n, "ready", 1.0, 0.0) for n in range(servers))
+        balancer.handle(0.0, io.EndpointListUpdate("stale", entries))
         for n in range(3 * servers):
             (send,) = balancer.handle(2.0 * n, io.Request(n, "read", 800.0))
             assert isinstance(send, io.Send)
-            balancer.handle(2.0 * n + 1, io.Outcome(n, 0, send.server, "ok", 5.0, True, (said,)))
+            balancer.handle(2.0 * n + 1, io.AttemptEnded(n, 0, send.server, "ok", 5.0, True, (said,)))
         shares = [server.p for server in balancer.ready]
         assert sum(shares) == pytest.approx(1.0) and all(0.0 <= p <= 1.0 for p in shares)
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -35,7 +35,7 @@
         assert [len(up.came) for up in world.ups] == [0, 0, 5]
         world.news(world.host(1), whole=True)
         await until(lambda: ready(world) == {"s1"})
-        hows = [e.how for e in world.events if isinstance(e, io.ListUpdate)]
+        hows = [e.how for e in world.events if isinstance(e, io.EndpointListUpdate)]
         assert hows == ["stale", "whole", "changes", "changes", "whole"]
 
 
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -173,7 +173,7 @@
         world.ups[0].script = says(reply(fields=fields))
         answer = await world.ask(request())
         assert "x-backend-load" not in answer.fields
-        (outcome,) = (e for e in world.events if isinstance(e, io.Outcome))
+        (outcome,) = (e for e in world.events if isinstance(e, io.AttemptEnded))
         assert outcome.report == (2.0, 0.5)  # the settings say depth, load_share
     # By the names of the settings too: upstreams that write these were taken for idle, all of them.
     assert read_report(b'{"load_share":0.5,"depth":4.404}', ("depth", "load_share")) == (4.404, 0.5)
@@ -215,7 +215,7 @@
         world.ups[0].script = says(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nd")
         world.node.engine.balancer.usual["read"] = 20.0
         await world.ask(request())
-        first = next(e for e in world.events if isinstance(e, io.Outcome))
+        first = next(e for e in world.events if isinstance(e, io.AttemptEnded))
         assert first.code == "timeout" and first.spent_ms < 2000.0
 
 
@@ -239,7 +239,7 @@
             for _ in range(2):
                 writer.write(request("pay", b""))
                 assert (await read_message(reader)).body == body
-            started = [e for e in world.events if isinstance(e, io.Started)]
+            started = [e for e in world.events if isinstance(e, io.ResponseStarted)]
             assert bool(started) == (size > 65_536) and set(world.outcomes()) == {"ok"}
             assert world.node.budget.used == 0 and not world.node.pool.streams
 
@@ -320,7 +320,9 @@
         await until(lambda: world.ups[0].came)
         writer.close()
         await until(lambda: world.ups[0].left == 1)
-        assert world.outcomes() == ["cancelled"] and any(isinstance(e, io.Gone) for e in world.events)
+        assert world.outcomes() == ["cancelled"] and any(
+            isinstance(e, io.ClientDisconnected) for e in world.events
+        )
         assert not world.node.engine.calls and world.node.budget.used == 0
 
 
@@ -436,7 +438,7 @@
             )
             assert (await world.ask(request("pay", b""))).body == b"done"
             assert world.outcomes() == ["ok"]
-            assert [e.report for e in world.events if isinstance(e, io.Outcome)] == [()]
+            assert [e.report for e in world.events if isinstance(e, io.AttemptEnded)] == [()]
 
     uvloop.run(test())
 
@@ -458,5 +460,5 @@
         world.ups[0].script = says(reply(b"first") + reply(b"second", fields=more))
         answer = await world.ask(request("pay", b""))
         assert answer.body == b"first" and "x-second" not in answer.fields
-        assert [e.report for e in world.events if isinstance(e, io.Outcome)] == [()]
+        assert [e.report for e in world.events if isinstance(e, io.AttemptEnded)] == [()]
         await until(lambda: not world.node.pool.connections)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -16,12 +16,12 @@
 ZONES = ("a", "b", "c")
 
 
-def entry(number: int, state: str = "ready", started: float = 0.0) -> io.Entry:
+def entry(number: int, state: str = "ready", started: float = 0.0) -> io.Endpoint:
     cell = number // 4
-    return io.Entry(f"s{number}", ZONES[cell % 3], "std", cell, state, 1.0, started)
+    return io.Endpoint(f"s{number}", ZONES[cell % 3], "std", cell, state, 1.0, started)
 
 
-def listing(whole: bool, *entries: io.Entry) -> Listing:
+def listing(whole: bool, *entries: io.Endpoint) -> Listing:
     return Listing(1, whole, entries, tuple(("h", int(e.server[1:])) for e in entries))
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -102,7 +102,7 @@
             for action in self.balancer.handle(now, io.Request(self.requests, "read", 2_500.0)):
                 if isinstance(action, io.Send):
                     count += action.server == name
-                    end = io.Outcome(self.requests, 0, action.server, "ok", 5.0, True)
+                    end = io.AttemptEnded(self.requests, 0, action.server, "ok", 5.0, True)
                     self.balancer.handle(now + 5.0, end)
         return count
 
@@ -241,10 +241,10 @@
 
 
 def test_what_is_handed_over_is_moved_to_the_receivers_scale() -> None:
-    rate = io.RateMemory(1_000.0, 2_000.0, 3.0)
-    server = io.ServerMemory("s0", 9.0, 0.5, 1.0, 1.0, 0.0, 0.1, 1, 2_500.0, False, 0.3, 1_900.0, 1_500.0)
-    warm = io.ServerMemory("s1", 0.0, 0.5, 1.0, 1.0, 0.0)
-    memory = io.Memory(
+    rate = io.LearnedRate(1_000.0, 2_000.0, 3.0)
+    server = io.LearnedEndpoint("s0", 9.0, 0.5, 1.0, 1.0, 0.0, 0.1, 1, 2_500.0, False, 0.3, 1_900.0, 1_500.0)
+    warm = io.LearnedEndpoint("s1", 0.0, 0.5, 1.0, 1.0, 0.0)
+    memory = io.LearnedState(
         servers=(server, warm),
         back={"s2": 1_200.0},
         arrivals=rate,
@@ -260,7 +260,7 @@
     )
     assert (first.started_ms, second) == (9.0, warm)
     assert moved.back == {"s2": 1_200.0 + HOUR_MS} and moved.peaks == ((1_700.0 + HOUR_MS, 30.0),)
-    assert moved.tenants["acme"] == io.RateMemory(1_000.0 + HOUR_MS, 2_000.0 + HOUR_MS, 3.0)
+    assert moved.tenants["acme"] == io.LearnedRate(1_000.0 + HOUR_MS, 2_000.0 + HOUR_MS, 3.0)
     assert moved.arrivals == moved.tenants["acme"] and moved.shed_ms == 1_800.0 + HOUR_MS
     assert rebase(moved, -HOUR_MS) == memory and moved.answers == memory.answers
 
@@ -297,21 +297,21 @@
     discovery: list[str | int]
     heard: bool
     busy: int
-    memory: io.Memory
+    memory: io.LearnedState
 
 
 def test_the_state_is_read_by_an_earlier_version_and_an_earlier_versions_here() -> None:
-    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.Memory(), 5.0, 7.0, {"s0": 6.0})
+    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState(), 5.0, 7.0, {"s0": 6.0})
     assert wire.read_state(b"".join(wire.parts(state))) == state
     earlier = msgspec.msgpack.decode(b"".join(wire.parts(state)), type=EarlierState)
-    assert earlier == EarlierState(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.Memory())
+    assert earlier == EarlierState(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
     read = wire.read_state(msgspec.msgpack.encode(earlier))
-    assert (read.anchor_ms, read.listed_ms, read.starts, read.memory) == (None, None, {}, io.Memory())
+    assert (read.anchor_ms, read.listed_ms, read.starts, read.memory) == (None, None, {}, io.LearnedState())
 
 
 @pytest.mark.parametrize("changes", [{"anchor_ms": float("nan")}, {"starts": {"s0": float("inf")}}])
 def test_moments_that_can_t_be_are_turned_away(changes: dict[str, Any]) -> None:
-    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.Memory())
+    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
     with pytest.raises(ValueError, match="not finite"):
         wire.read_state(msgspec.msgpack.encode(msgspec.to_builtins(state) | changes))
 
--- a/tests/test_workingset.py
+++ b/tests/test_workingset.py
@@ -109,12 +109,12 @@
         if kind < 0.15:
             states = rng.choice(("ready", "draining", "gone"))
             rows = tuple(entry(n, states, rng.choice((0.0, now))) for n in numbers)
-            balancer.handle(now, io.ListUpdate("changes", rows))
+            balancer.handle(now, io.EndpointListUpdate("changes", rows))
         elif kind < 0.2:
             moved = tuple(entry(n)._replace(cell=rng.randrange(40)) for n in numbers)  # to another cell
-            balancer.handle(now, io.ListUpdate("changes", moved))
+            balancer.handle(now, io.EndpointListUpdate("changes", moved))
         elif kind < 0.25:
-            balancer.handle(now, io.ByHand(f"s{numbers[0]}", rng.random() < 0.5))
+            balancer.handle(now, io.MaintenanceChange(f"s{numbers[0]}", rng.random() < 0.5))
         else:
             for send in sends(ask(balancer, now, step)):
                 code = rng.choice(("ok", "ok", "error"))
