--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -42,9 +42,11 @@
 STALL_MS = 20.0
 MOST_OUT = 60
 CLASSES = (
-    io.ServiceClass("consulta", 500.0, 2_000.0, worth=1.0, effect="free"),
-    io.ServiceClass("reserva", 600.0, 2_000.0, worth=10.0, effect="keyed", group="cell", window_ms=2_000.0),
-    io.ServiceClass("cobro", 600.0, 2_000.0, worth=8.0, effect="unsafe"),
+    io.ServiceClass("consulta", 500.0, 2_000.0, priority_weight=1.0, effect="free"),
+    io.ServiceClass(
+        "reserva", 600.0, 2_000.0, priority_weight=10.0, effect="keyed", group="cell", window_ms=2_000.0
+    ),
+    io.ServiceClass("cobro", 600.0, 2_000.0, priority_weight=8.0, effect="unsafe"),
 )
 MIX = ("consulta",) * 6 + ("reserva",) * 3 + ("cobro",)
 
--- a/bench/fleetlog.py
+++ b/bench/fleetlog.py
@@ -72,7 +72,7 @@
     return [f"{at:.1f} {text}" for at, text in sorted(told)]
 
 
-def cold(folder: Path, span_s: float, cold_ms: float) -> dict[str, tuple[int, float]]:
+def cold(folder: Path, span_s: float, slow_start_ms: float) -> dict[str, tuple[int, float]]:
     """By server that started in the run: the most sends written in any such span, and its age then, in ms.
 
     A window begins with a send: no other holds more.
@@ -83,7 +83,11 @@
     sends: dict[str, list[float]] = {name: [] for name in started}
     for _, way in lines(folder, "way"):
         for server, _, *rest in way["tries"]:
-            if rest and rest[0] is not None and 0 <= rest[0] - started.get(server, rest[0] + 1) < cold_ms:
+            if (
+                rest
+                and rest[0] is not None
+                and 0 <= rest[0] - started.get(server, rest[0] + 1) < slow_start_ms
+            ):
                 sends[server].append(rest[0])
     most: dict[str, tuple[int, float]] = {}
     for name, times in sends.items():
@@ -160,7 +164,7 @@
         print("\n".join(found := follow(options.folder, options.id)))
         return 0 if found else 1
     if options.cold:
-        most = cold(options.folder, options.cold, options.cold_ms)
+        most = cold(options.folder, options.cold, options.slow_start_ms)
         for name, (number, age) in sorted(most.items(), key=lambda item: -item[1][0]):
             print(f"{name}: {number} sends, {age / 1000.0:.1f} s after its start")
         return 0 if most else 1
--- a/bench/fleetmodel.py
+++ b/bench/fleetmodel.py
@@ -42,9 +42,11 @@
 CALL_MS, TURN_MS = 8.0, 2_000.0
 ZONES = ("north", "south", "east")
 CLASSES = (
-    io.ServiceClass("consulta", 500.0, DEADLINE_MS, worth=1.0, effect="free"),
-    io.ServiceClass("reserva", 600.0, DEADLINE_MS, worth=10.0, effect="keyed", group="cell", window_ms=2e3),
-    io.ServiceClass("cobro", 600.0, DEADLINE_MS, worth=8.0, effect="unsafe"),
+    io.ServiceClass("consulta", 500.0, DEADLINE_MS, priority_weight=1.0, effect="free"),
+    io.ServiceClass(
+        "reserva", 600.0, DEADLINE_MS, priority_weight=10.0, effect="keyed", group="cell", window_ms=2e3
+    ),
+    io.ServiceClass("cobro", 600.0, DEADLINE_MS, priority_weight=8.0, effect="unsafe"),
 )
 SHARES, WORK_MS = (0.47, 0.43, 0.10), (115.0, 150.0, 130.0)
 MEAN_MS = sum(share * work for share, work in zip(SHARES, WORK_MS, strict=True))
@@ -60,7 +62,7 @@
         balancers=balancers,
         classes=CLASSES,
         report_fields=("depth",),
-        asks_list=asked,
+        polls_list=asked,
         prices=io.Prices(cross_zone=0.06, waste=0.05, handshake=0.08),
         rules=io.Rules(5.0, 250.0, 10_000.0, START, COLD_MS, TIP, FALL_MS),
         limits=io.Limits(max_attempts=4, may_cancel=True, retry_after=True, max_retry_after_ms=2_000.0),
@@ -376,7 +378,7 @@
         rate = self.rate * (self.plan.burst if burst else 1.0)
         self.later(self.rng.expovariate(rate), self.client)
         ask = Ask(self.rng.choices(range(len(CLASSES)), SHARES)[0], self.now)
-        self.offered[self.second(self.now)] += CLASSES[ask.kind].worth
+        self.offered[self.second(self.now)] += CLASSES[ask.kind].priority_weight
         self.place(ask)
 
     def place(self, ask: Ask) -> None:
@@ -399,8 +401,8 @@
         if ask.served:
             self.broken["served twice"] += 1
         ask.served = True
-        if self.now - ask.first <= kind.aim_ms:
-            self.got[self.second(ask.first)] += kind.worth
+        if self.now - ask.first <= kind.latency_objective_ms:
+            self.got[self.second(ask.first)] += kind.priority_weight
 
     # ---- upstreams
 
@@ -601,7 +603,10 @@
     def result(self) -> dict[str, Any]:
         """Worth in time of what was offered; seconds till it is back; what all took from what all share."""
         last = int(self.plan.seconds) - 2
-        share = [got / max(1e-9, worth) for got, worth in zip(self.got, self.offered, strict=True)][:last]
+        share = [
+            got / max(1e-9, priority_weight)
+            for got, priority_weight in zip(self.got, self.offered, strict=True)
+        ][:last]
         calm = sum(share[1:4]) / 3
         short = [n for n, part in enumerate(share) if n >= 4 and part < 0.95 * calm]
         lives = (*self.upstreams, *self.ended)
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -63,7 +63,7 @@
         self.config, self.engine, self.loop, self.subset = config, engine, loop, subset
         self.clock, self.log = engine.clock, engine.log
         self.lists_per_s = lists_per_s
-        self.asked = config.settings.asks_list  # one service for the whole fleet; else an agent's pushes
+        self.asked = config.settings.polls_list  # one service for the whole fleet; else an agent's pushes
         self.followers: list[Follower] = []
         self.pending = Queue()
         self.registry = Registry()
@@ -83,7 +83,7 @@
             return Agent(own, settings.rules.drain_grace_ms / 1000.0), one
         host, port = self.config.listen
         own = draws(self.config.name, f"{host}:{port}", self.config.seed)
-        most_wait = settings.rules.ask_every_ms / 1000.0
+        most_wait = settings.rules.poll_interval_ms / 1000.0
         if not relays:
             return Shared(settings.balancers, self.lists_per_s, most_wait, own, now), one
         from quartzford.membership.relaycalls import RelayCalls  # only here: the platform's run has none
@@ -153,7 +153,7 @@
         self.config = config
         self.engine.reconfigure(config.settings)
         if isinstance(self.watch.calls, Shared):
-            most_wait = config.settings.rules.ask_every_ms / 1000.0
+            most_wait = config.settings.rules.poll_interval_ms / 1000.0
             self.watch.calls.configure(config.settings.balancers, self.lists_per_s, most_wait)
         elif isinstance(self.watch.calls, Agent):
             self.watch.calls.configure(config.settings.rules.drain_grace_ms / 1000.0)
--- a/quartzford/decision/admission.py
+++ b/quartzford/decision/admission.py
@@ -42,12 +42,15 @@
         self.open, self.began = 0, math.inf  # attempts out; since when there were any
         self.shed, self.shed_ms, self.marginal = 0.0, 0.0, 0.5
         self.offers: deque[tuple[float, str]] = deque(maxlen=OFFERS)  # worth and class
-        self.latency = (settings.classes[0].aim_ms / 4, settings.classes[0].aim_ms)  # usual and aim, smoothed
+        self.latency = (
+            settings.classes[0].latency_objective_ms / 4,
+            settings.classes[0].latency_objective_ms,
+        )  # usual and aim, smoothed
         self.configure(settings)
 
     def configure(self, settings: io.Settings) -> None:
         self.settings = settings
-        aims = [kind.aim_ms for kind in settings.classes]
+        aims = [kind.latency_objective_ms for kind in settings.classes]
         # The counts remember a mean aim: so late is it known how a request has ended, and no later.
         self.span = sum(aims) / len(aims)
         self.quota = {t.name: t.quota_per_s / 1000.0 / settings.balancers for t in settings.tenants}
@@ -63,8 +66,8 @@
         rate = self.rates.setdefault(tenant, Rate())
         rate.add(now)
         within = self.within(now, name)
-        factor = round(within + (1 - within) * self.settings.over_share_worth, 1)
-        self.offers.append((kind.worth * factor, kind.name))
+        factor = round(within + (1 - within) * self.settings.over_quota_weight, 1)
+        self.offers.append((kind.priority_weight * factor, kind.name))
         if self.shed > 0 or self.foreseen(*self.latency) > LATE_TARGET * self.marginal:
             self._settle(now)
         if self.shed <= 0 and self.rng.random() < 0.9:
@@ -72,20 +75,20 @@
         # By what classes take now: remembered with each offer, a rising latency would rank what comes next
         # under its equals of before, and refuse a whole class where a part was meant.
         offers = [(w, usual(which)) for w, which in self.offers]
-        if not self.settings.worth_by_work:
+        if not self.settings.weight_by_work:
             offers = [(w / x, x) for w, x in offers]
-        worth = offers[-1][0]
+        priority_weight = offers[-1][0]
         total = less = same = weighed = 0.0
         for w, x in offers:
             total += x
             weighed += w * x
-            if w < worth:
+            if w < priority_weight:
                 less += x
-            elif w == worth:
+            elif w == priority_weight:
                 same += x
         if less <= self.shed * total <= less + same:
             mean = weighed / total
-            self.marginal = min(0.75, max(0.15, worth / mean)) if mean > 0 else 0.5
+            self.marginal = min(0.75, max(0.15, priority_weight / mean)) if mean > 0 else 0.5
         if self.rng.random() * same < less + same - self.shed * total:
             return True
         self._fade(now)
--- a/quartzford/decision/eligibility.py
+++ b/quartzford/decision/eligibility.py
@@ -256,7 +256,7 @@
                 self._bar(server)
         else:
             self.by_hand.discard(name)
-            since = self.now - self.settings.rules.cold_ms
+            since = self.now - self.settings.rules.slow_start_ms
             self.back = {n: at for n, at in self.back.items() if at > since}
             self.back[name] = self.now
             may = server is not None and server.entry.state == "ready" and server.at < 0
@@ -341,7 +341,7 @@
             ejected = sum(now < s.ejected_until and s.at >= 0 for s in self.trouble)
             if server.failing > EJECT_ABOVE + excuse and ejected + 1 <= EJECT_AT_MOST * len(self.ready):
                 # One that ends before the next send here would have come spares nothing.
-                cold = self.settings.rules.cold_ms
+                cold = self.settings.rules.slow_start_ms
                 most, least = max(EJECT_MAX_MS, min(cold, 8 * visit)), max(EJECT_MS, min(cold, visit))
                 span = min(most, least * 2**server.ejections)
                 server.ejected_until = now + span * self.rng.uniform(0.75, 1.25)
@@ -430,7 +430,7 @@
 
     def _barred(self) -> list[int]:
         """Slow start: a cold server gets its ramp's part of what a warm one takes from this balancer."""
-        since = self.now - self.settings.rules.cold_ms
+        since = self.now - self.settings.rules.slow_start_ms
         for server in [s for s in self.cold if not 0 < s.cold_from > since]:
             del self.cold[server]
         if not self.cold:
@@ -449,12 +449,12 @@
         rate = self.answers.read(now) / warm if len(self.cold) < len(self.ready) else 0.0
         blind = self.arrivals.read(now) / len(self.ready)
         for server in self.cold:
-            age = max(0.0, now - server.cold_from) / rules.cold_ms
+            age = max(0.0, now - server.cold_from) / rules.slow_start_ms
             size = server.entry.units if sized else 1.0
             full = rate * size or blind
-            take = (rules.start_capacity + (1 - rules.start_capacity) * age) * full
+            take = (rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age) * full
             # What it answers well it can do, and as much again does not tip it: it warms as fast as it can.
             proven = server.proven * math.exp((server.proven_ms - now) / PROVEN_MS) / PROVEN_MS
-            take = max(take, min(full, min(GROWTH, rules.tip_multiple / 2) * proven))
+            take = max(take, min(full, min(GROWTH, rules.overload_multiple / 2) * proven))
             server.tokens = min(1.0, server.tokens + take * (now - server.tokens_ms))
             server.tokens_ms = now
--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -26,20 +26,28 @@
     """A request class: what an answer is worth, how long it may take, whether it may run again."""
 
     name: str
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    worth: float = 1.0
-    late_worth: float = 0.0  # fraction of the worth left after the aim
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # fraction of the worth left after the aim
     effect: str = "unsafe"  # free: may be repeated; keyed: repeats are dropped in its group; unsafe
     group: str = "all"  # where repeats of a keyed request are dropped: all, zone or cell
     window_ms: float = 0.0  # for how long, from the first send that may have run
     streaming: bool = False
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
 
     def __post_init__(self) -> None:
-        _not_negative(self, "aim_ms", "deadline_ms", "worth", "late_worth", "window_ms", "aim_stretch")
-        if self.aim_ms <= 0 or self.deadline_ms <= 0:
-            raise ValueError("aim_ms, deadline_ms: must be above 0")
+        _not_negative(
+            self,
+            "latency_objective_ms",
+            "deadline_ms",
+            "priority_weight",
+            "late_weight",
+            "window_ms",
+            "objective_stretch",
+        )
+        if self.latency_objective_ms <= 0 or self.deadline_ms <= 0:
+            raise ValueError("latency_objective_ms, deadline_ms: must be above 0")
         if self.effect not in EFFECTS:
             raise ValueError(f"effect: {self.effect!r} is not one of {EFFECTS}")
         if self.group not in GROUPS:
@@ -63,16 +71,16 @@
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    ask_every_ms: float = 10_000.0  # unsubscribed, a balancer counts as told after this long
-    start_capacity: float = 1.0  # fraction of its capacity at which a server starts
-    cold_ms: float = 0.0
-    tip_multiple: float = 2.0  # sent more than this multiple of what it can do ...
-    fall_ms: float = 1_000.0
+    poll_interval_ms: float = 10_000.0  # unsubscribed, a balancer counts as told after this long
+    slow_start_capacity: float = 1.0  # fraction of its capacity at which a server starts
+    slow_start_ms: float = 0.0
+    overload_multiple: float = 2.0  # sent more than this multiple of what it can do ...
+    overload_window_ms: float = 1_000.0
 
     def __post_init__(self) -> None:
         _not_negative(self, *(f.name for f in fields(self)))
-        if not 0 < self.start_capacity <= 1:
-            raise ValueError("start_capacity: must be above 0 and at most 1")
+        if not 0 < self.slow_start_capacity <= 1:
+            raise ValueError("slow_start_capacity: must be above 0 and at most 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,19 +143,19 @@
     limits: Limits = field(default_factory=Limits)
     goal: Goal = field(default_factory=Goal)
     prices: Prices = field(default_factory=Prices)
-    asks_list: bool = False  # the list must be asked for
+    polls_list: bool = False  # the list must be asked for
     report_fields: tuple[str, ...] = ()
     report_by_probe: bool = False
     sized: bool = False  # the list's sizes tell servers apart
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
+    over_quota_weight: float = 1.0
+    weight_by_work: bool = False
     warm_keys: bool = False
     marks_retry: bool = False
     tick_ms: float = 1.0
     stall_ms: float = 0.0  # the host may stand still for so long between an event's time and its action
 
     def __post_init__(self) -> None:
-        _not_negative(self, "over_share_worth", "tick_ms", "stall_ms")
+        _not_negative(self, "over_quota_weight", "tick_ms", "stall_ms")
         if self.balancers < 1:
             raise ValueError("balancers: must be 1 or more")
         if not self.classes:
@@ -287,7 +295,7 @@
 
     request: int
     pause_ms: float
-    over_share: bool = False  # turned away on arrival while its tenant asks for more than its share
+    over_quota: bool = False  # turned away on arrival while its tenant asks for more than its share
 
 
 class Fail(NamedTuple):
@@ -392,7 +400,9 @@
 
     def __post_init__(self) -> None:
         _not_negative(self, "ends", "good", "refused", "shed", "shed_ms", "marginal")
-        pairs = [number for pair in self.peaks for number in pair] + [worth for worth, _ in self.offers]
+        pairs = [number for pair in self.peaks for number in pair] + [
+            priority_weight for priority_weight, _ in self.offers
+        ]
         for number in (*pairs, *self.back.values(), *self.usual.values()):
             if not 0 <= number < float("inf"):
                 raise ValueError(f"{number!r} is not a figure of 0 or more")
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -148,7 +148,10 @@
         server = self.fleet.pick(flight.kind, flight.tried, flight.bound)
         if server is None:
             return self.out.append(io.SetTimer(min(HOLD_MS, left), flight.request.request + 1))
-        usual = max(self.usual.get(flight.kind.name, flight.kind.aim_ms / 4), LEAST * flight.kind.aim_ms)
+        usual = max(
+            self.usual.get(flight.kind.name, flight.kind.latency_objective_ms / 4),
+            LEAST * flight.kind.latency_objective_ms,
+        )
         again = flight.kind.effect != "unsafe" and flight.sends + 1 < self.settings.limits.max_attempts
         again = again and self.retry_budget >= 1.0 and left > (PATIENCE + 1) * usual
         time_out = PATIENCE * usual if again else left  # giving up early with no retry to spend is a loss
@@ -165,7 +168,7 @@
     def _usual(self, name: str) -> float:
         """What a class's good answers take; before there are any, a quarter of its aim is taken for it."""
         kind = self.classes.get(name)
-        return max(self.usual.get(name, kind.aim_ms / 4 if kind is not None else 1.0), 0.1)
+        return max(self.usual.get(name, kind.latency_objective_ms / 4 if kind is not None else 1.0), 0.1)
 
     def stands_for(self, now_ms: float, request: int) -> float:
         """So many ms more a request's last send may be written: its last byte, too. 0 if it may not."""
@@ -186,15 +189,17 @@
     def _may_send(self, flight: Flight) -> bool:
         return self._window(flight) > 0.0
 
-    def _end(self, flight: Flight, cause: str, over_share: bool = False) -> None:
+    def _end(self, flight: Flight, cause: str, over_quota: bool = False) -> None:
         """The final answer: a refusal where that is true of the request, else a failure."""
         del self.flights[flight.request.request]
         self.causes[cause] += 1
         kind, limits = flight.kind, self.settings.limits
         harmless = kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all")
         if flight.bound is None or harmless:
-            pause = min(limits.max_retry_after_ms, kind.aim_ms / 4) if limits.retry_after else 0.0
-            self.out.append(io.Shed(flight.request.request, pause, over_share))
+            pause = (
+                min(limits.max_retry_after_ms, kind.latency_objective_ms / 4) if limits.retry_after else 0.0
+            )
+            self.out.append(io.Shed(flight.request.request, pause, over_quota))
         else:
             self.out.append(io.Fail(flight.request.request))
 
@@ -230,10 +235,12 @@
             return
         if code == "ok":
             fleet.answers.add(self.now)
-            fleet.answered(server, spent <= WELL * self.usual.get(sent.kind.name, sent.kind.aim_ms / 4))
+            fleet.answered(
+                server, spent <= WELL * self.usual.get(sent.kind.name, sent.kind.latency_objective_ms / 4)
+            )
             # Of many that are out the fastest answers first: a mean that began with it would call good
             # servers late. It begins with what is taken for usual before any answer, PRIOR times over.
-            usual = self.usual.get(sent.kind.name, sent.kind.aim_ms / 4)
+            usual = self.usual.get(sent.kind.name, sent.kind.latency_objective_ms / 4)
             self.known[sent.kind.name] += 1
             weight = max(USUAL_WEIGHT, 1.0 / (PRIOR + self.known[sent.kind.name]))
             self.usual[sent.kind.name] = usual + weight * (spent - usual)
@@ -245,8 +252,8 @@
             return  # it was given less time than an answer takes: that says nothing of the server
         fleet.health(server, code in ("error", "timeout", "reset", "connect_failed"), refused)
         if code in ("ok", "timeout") or (code == "full" and attempt >= 2):
-            late = code == "full" or spent > LATE_FROM * sent.kind.aim_ms
-            self.admission.pace(self.now, late, self._usual(sent.kind.name), sent.kind.aim_ms)
+            late = code == "full" or spent > LATE_FROM * sent.kind.latency_objective_ms
+            self.admission.pace(self.now, late, self._usual(sent.kind.name), sent.kind.latency_objective_ms)
         if code != "ok":
             spent = min(2 * self.peaks.most(self.now), sent.time_out)
         usual = self._usual(sent.kind.name)
@@ -268,11 +275,13 @@
         kind = self.classes.get(request.service_class)
         if kind is None:
             budget = max(request.budget_ms, 1.0)
-            kind = io.ServiceClass("", budget, budget, worth=0.0)  # names that are made up leave no entries
+            kind = io.ServiceClass(
+                "", budget, budget, priority_weight=0.0
+            )  # names that are made up leave no entries
         if kind.effect == "keyed" and not request.keyed:  # with no key its repeats can't be dropped
             kind = replace(kind, effect="unsafe")
-        left, aim = request.budget_ms, kind.aim_ms + kind.aim_stretch * request.work_ms
-        if kind.late_worth == 0:
+        left, aim = request.budget_ms, kind.latency_objective_ms + kind.objective_stretch * request.work_ms
+        if kind.late_weight == 0:
             left = min(left, aim - self.settings.tick_ms - MARGIN_MS)
         flight = Flight(request, kind, self.now + left)
         self.flights[request.request] = flight
@@ -285,15 +294,15 @@
     # ---- list
 
     def _list(self, update: io.EndpointListUpdate) -> None:
-        ask_every = self.settings.rules.ask_every_ms
+        poll_interval = self.settings.rules.poll_interval_ms
         if self.watch_failures < 0:
             self.watch_failures = 0
-            if self.settings.asks_list:
+            if self.settings.polls_list:
                 # A whole fleet may start at once: the first calls are spread so as not to drown the list.
-                self.out.append(io.SetTimer(self.rng.random() * 0.3 * ask_every, WATCH))
+                self.out.append(io.SetTimer(self.rng.random() * 0.3 * poll_interval, WATCH))
         elif update.how == "failed":
             self.watch_failures += 1
-            wait = min(0.5 * ask_every, 500.0 * 2 ** min(self.watch_failures, 6))
+            wait = min(0.5 * poll_interval, 500.0 * 2 ** min(self.watch_failures, 6))
             self.out.append(io.SetTimer(wait * self.rng.uniform(0.5, 1.0), WATCH))
         else:
             self.watch_failures = 0
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -108,9 +108,9 @@
         match action:
             case io.Send():
                 self._send(self.calls[action.request], action)
-            case io.Shed(request, pause, over_share):
+            case io.Shed(request, pause, over_quota):
                 call = self._finish(request, "refused")
-                call.refused(pause, over_share)
+                call.refused(pause, over_quota)
             case io.Fail(request):
                 self._finish(request, "failed").failed()
             case io.SetTimer(after, token):
--- a/quartzford/engine/flight.py
+++ b/quartzford/engine/flight.py
@@ -30,7 +30,7 @@
         """A backend's whole answer, in the form that this front and that backend share."""
 
     @abstractmethod
-    def refused(self, pause_ms: float, over_share: bool) -> None:
+    def refused(self, pause_ms: float, over_quota: bool) -> None:
         """Not run, and harmless to ask again: after pause_ms, if that is above 0."""
 
     @abstractmethod
--- a/quartzford/fronts/extproc/desk.py
+++ b/quartzford/fronts/extproc/desk.py
@@ -64,7 +64,7 @@
     """503, or 429 where the tenant is over its share. It did not run: asking again is harmless."""
 
     pause_ms: float
-    over_share: bool
+    over_quota: bool
 
 
 class Failed(NamedTuple):
@@ -179,8 +179,8 @@
     def served(self, answer: object) -> None:
         self._end(Passed())
 
-    def refused(self, pause_ms: float, over_share: bool) -> None:
-        self._end(Refused(pause_ms, over_share))
+    def refused(self, pause_ms: float, over_quota: bool) -> None:
+        self._end(Refused(pause_ms, over_quota))
 
     def failed(self) -> None:
         self._end(Failed(502))
@@ -375,7 +375,7 @@
     def _pause_ms(self, ask: Ask) -> float:
         """When a request that found no room may come back, as the module would have it."""
         limits, kind = self.engine.settings.limits, self.engine.classes.get(ask.service_class)
-        aim = kind.aim_ms if kind is not None else self.engine.longest_ms
+        aim = kind.latency_objective_ms if kind is not None else self.engine.longest_ms
         return min(limits.max_retry_after_ms, aim / 4) if limits.retry_after else 0.0
 
     def report(self, stream: Stream, result: Result) -> None:
--- a/quartzford/fronts/extproc/intake.py
+++ b/quartzford/fronts/extproc/intake.py
@@ -19,8 +19,8 @@
 class Intake:
     """What waits. worth: of a class by its name."""
 
-    def __init__(self, worth: Callable[[str], float]) -> None:
-        self.worth = worth
+    def __init__(self, priority_weight: Callable[[str], float]) -> None:
+        self.priority_weight = priority_weight
         self.ends: deque[Message] = deque()
         self.asks: dict[float, deque[Message]] = {}
         self.waiting: dict[int, int] = {}  # asks by stream
@@ -36,7 +36,7 @@
         stream = message[1]
         self.waiting[stream] = self.waiting.get(stream, 0) + 1
         self.count += 1
-        self.asks.setdefault(self.worth(message[4]), deque()).append(message)
+        self.asks.setdefault(self.priority_weight(message[4]), deque()).append(message)
 
     def next(self) -> Message | None:
         """What is to be looked at now; None if nothing is left."""
@@ -55,10 +55,10 @@
     def _pop(self) -> Message:
         if self.ends:
             return self.ends.popleft()
-        worth = max(worth for worth, queue in self.asks.items() if queue)
-        message = self.asks[worth].popleft()
-        if not self.asks[worth]:
-            del self.asks[worth]
+        priority_weight = max(priority_weight for priority_weight, queue in self.asks.items() if queue)
+        message = self.asks[priority_weight].popleft()
+        if not self.asks[priority_weight]:
+            del self.asks[priority_weight]
         self.count -= 1
         left = self.waiting[message[1]] - 1
         if left:
--- a/quartzford/fronts/extproc/line.py
+++ b/quartzford/fronts/extproc/line.py
@@ -106,7 +106,7 @@
 
     def _worth(self, name: str) -> float:
         kind = self.desk.engine.classes.get(name)
-        return kind.worth if kind is not None else 0.0
+        return kind.priority_weight if kind is not None else 0.0
 
     def lines_in(self, messages: list[list[Any]]) -> None:
         for message in messages:
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -184,8 +184,8 @@
                 return self._told(rows, self.attempt_mode)
             case Opened(token):
                 return self._told([header(self.names.token, token.encode())], self.opener_mode)
-            case Refused(pause, over_share):
-                return immediate(429 if over_share else 503, pause, self.names.retry)
+            case Refused(pause, over_quota):
+                return immediate(429 if over_quota else 503, pause, self.names.retry)
             case Failed(status):
                 return immediate(status, 0.0, self.names.retry)
             case Passed():
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -220,7 +220,7 @@
     def served(self, answer: Whole) -> None:
         self.client.answer(self, 200, 0.0, answer.fields, answer.chunks)
 
-    def refused(self, pause_ms: float, over_share: bool) -> None:
+    def refused(self, pause_ms: float, over_quota: bool) -> None:
         self.client.answer(self, 503, pause_ms)
 
     def failed(self) -> None:
--- a/quartzford/load/clients.py
+++ b/quartzford/load/clients.py
@@ -19,8 +19,8 @@
     share: float = 1.0
     aim_s: float = 0.5
     deadline_s: float = 2.0
-    worth: float = 1.0
-    late_worth: float = 0.0
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
     effect: str = "free"  # free, keyed or unsafe
     group: str = "all"  # of a keyed one: where its repeats are dropped
 
--- a/quartzford/load/record.py
+++ b/quartzford/load/record.py
@@ -58,20 +58,20 @@
         """A request has come to its end, whatever it is: each is counted once."""
         self.ends[f"{name} {end}"] += 1
         kind = self.kinds.get(name) or Kind(name)
-        worth = 0.0
+        priority_weight = 0.0
         if end == SERVED:
             self._into(self.latency, name, latency_s)
             self.by_second.setdefault(second, Counter())[step_of(latency_s)] += 1
             if latency_s <= kind.aim_s:
-                worth = kind.worth
+                priority_weight = kind.priority_weight
             elif latency_s <= kind.deadline_s:
-                worth = kind.worth * kind.late_worth
-        self.asked[second] = self.asked.get(second, 0.0) + kind.worth
-        self.got[second] = self.got.get(second, 0.0) + worth
+                priority_weight = kind.priority_weight * kind.late_weight
+        self.asked[second] = self.asked.get(second, 0.0) + kind.priority_weight
+        self.got[second] = self.got.get(second, 0.0) + priority_weight
         for table, key in ((self.by_class, name), (self.by_tenant, tenant)):
             pair = table.setdefault(key, [0.0, 0.0])
-            pair[0] += kind.worth
-            pair[1] += worth
+            pair[0] += kind.priority_weight
+            pair[1] += priority_weight
 
     @staticmethod
     def _into(table: dict[str, Any], name: str, seconds: float) -> None:
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -311,7 +311,7 @@
         busy = sum(not client.idle() for client in self.front.clients)
         memory = self.engine.hand_over()
         listed_ms = self.control.list_known_ms()
-        warm_before_ms = self.clock.unix_ms() - self.config.settings.rules.cold_ms
+        warm_before_ms = self.clock.unix_ms() - self.config.settings.rules.slow_start_ms
         return listener, State(
             FORMAT,
             self.registry.table(),
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -38,7 +38,7 @@
 
 def check_together(operator: OperatorSettings, config: Config) -> None:
     """OperatorError where the operator's file asks for what the configuration rules out."""
-    if operator.lists is not None and operator.lists.relays and not config.settings.asks_list:
+    if operator.lists is not None and operator.lists.relays and not config.settings.polls_list:
         raise OperatorError(
             'lists.relays: relays are for registryMode "subscribe"; the configuration\'s lists are pushed'
         )
--- a/quartzford/settings/platform.py
+++ b/quartzford/settings/platform.py
@@ -43,15 +43,15 @@
     classes = tuple(
         io.ServiceClass(
             name=c["name"],
-            aim_ms=c["sloMs"],
+            latency_objective_ms=c["sloMs"],
             deadline_ms=c["deadlineMs"],
-            worth=c["value"],
-            late_worth=c.get("lateWorth", 0.0),
+            priority_weight=c["value"],
+            late_weight=c.get("lateWorth", 0.0),
             effect=EFFECTS.get(c["effect"], c["effect"]),
             group=c.get("group", "all"),
             window_ms=c.get("memorySpanMs", 0.0),
             streaming=c.get("streaming", False),
-            aim_stretch=c.get("aimStretch") or 0.0,
+            objective_stretch=c.get("aimStretch") or 0.0,
         )
         for c in config["classes"]
     )
@@ -63,11 +63,11 @@
         rules=io.Rules(
             answer_slack_ms=rules["answerSlackMs"],
             drain_grace_ms=rules["drainGraceMs"],
-            ask_every_ms=rules["askEveryMs"],
-            start_capacity=rules["startCapacity"],
-            cold_ms=rules["coldMs"],
-            tip_multiple=rules["tipMultiple"],
-            fall_ms=rules["fallMs"],
+            poll_interval_ms=rules["askEveryMs"],
+            slow_start_capacity=rules["startCapacity"],
+            slow_start_ms=rules["coldMs"],
+            overload_multiple=rules["tipMultiple"],
+            overload_window_ms=rules["fallMs"],
         ),
         limits=io.Limits(
             max_attempts=limits["maxAttempts"],
@@ -92,12 +92,12 @@
             connection=prices.get("connection", 0.0),
             handshake=prices.get("handshake", 0.0),
         ),
-        asks_list=config.get("registryMode") == "subscribe",
+        polls_list=config.get("registryMode") == "subscribe",
         report_fields=tuple(report.get("fields") or ()),
         report_by_probe=report.get("source") == "on_probe",
         sized=config.get("weightSource", "off") != "off",
-        over_share_worth=config.get("overShareWorth", 1.0),
-        worth_by_work=config.get("worthBy") == "work",
+        over_quota_weight=config.get("overShareWorth", 1.0),
+        weight_by_work=config.get("worthBy") == "work",
         warm_keys=bool((config.get("specifics") or {}).get("warmKeys", False)),
         marks_retry=bool((config.get("clients") or {}).get("marksRetry", False)),
         tick_ms=config.get("tickMs", 1.0),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,21 +8,27 @@
 from quartzford.decision.eligibility import Server
 from quartzford.decision.logic import Balancer
 
-FREE = io.ServiceClass("read", 200.0, 800.0, worth=1.0, effect="free")
-KEYED = io.ServiceClass("book", 200.0, 800.0, worth=5.0, effect="keyed", group="cell", window_ms=60.0)
-ZONED = io.ServiceClass("hold", 200.0, 800.0, worth=5.0, effect="keyed", group="zone", window_ms=300.0)
-WIDE = io.ServiceClass("note", 200.0, 800.0, worth=5.0, effect="keyed", group="all", window_ms=300.0)
-UNSAFE = io.ServiceClass("pay", 200.0, 800.0, worth=8.0, effect="unsafe", window_ms=5_000.0)
-STREAM = io.ServiceClass("feed", 200.0, 800.0, worth=1.0, effect="free", streaming=True)
+FREE = io.ServiceClass("read", 200.0, 800.0, priority_weight=1.0, effect="free")
+KEYED = io.ServiceClass(
+    "book", 200.0, 800.0, priority_weight=5.0, effect="keyed", group="cell", window_ms=60.0
+)
+ZONED = io.ServiceClass(
+    "hold", 200.0, 800.0, priority_weight=5.0, effect="keyed", group="zone", window_ms=300.0
+)
+WIDE = io.ServiceClass(
+    "note", 200.0, 800.0, priority_weight=5.0, effect="keyed", group="all", window_ms=300.0
+)
+UNSAFE = io.ServiceClass("pay", 200.0, 800.0, priority_weight=8.0, effect="unsafe", window_ms=5_000.0)
+STREAM = io.ServiceClass("feed", 200.0, 800.0, priority_weight=1.0, effect="free", streaming=True)
 CLASSES = (FREE, KEYED, ZONED, WIDE, UNSAFE, STREAM)
 RULES = io.Rules(
     answer_slack_ms=20.0,
     drain_grace_ms=250.0,
-    ask_every_ms=10_000.0,
-    start_capacity=0.2,
-    cold_ms=10_000.0,
-    tip_multiple=3.0,
-    fall_ms=2_000.0,
+    poll_interval_ms=10_000.0,
+    slow_start_capacity=0.2,
+    slow_start_ms=10_000.0,
+    overload_multiple=3.0,
+    overload_window_ms=2_000.0,
 )
 Actions = list[io.Action]
 ZONES = ("north", "south")
--- a/tests/streams_of_events.py
+++ b/tests/streams_of_events.py
@@ -15,20 +15,20 @@
 
 CODES = ("error", "timeout", "reset", "connect_failed", "full", "cancelled", "moot")
 CLASSES = (
-    io.ServiceClass("read", 200.0, 800.0, worth=1.0, effect="free"),
-    io.ServiceClass("book", 200.0, 800.0, worth=5.0, effect="keyed", group="cell", window_ms=400.0),
-    io.ServiceClass("hold", 200.0, 800.0, worth=5.0, effect="keyed", group="zone", window_ms=300.0),
-    io.ServiceClass("note", 200.0, 800.0, worth=5.0, effect="keyed", group="all", window_ms=300.0),
-    io.ServiceClass("pay", 200.0, 800.0, worth=8.0, effect="unsafe"),
+    io.ServiceClass("read", 200.0, 800.0, priority_weight=1.0, effect="free"),
+    io.ServiceClass("book", 200.0, 800.0, priority_weight=5.0, effect="keyed", group="cell", window_ms=400.0),
+    io.ServiceClass("hold", 200.0, 800.0, priority_weight=5.0, effect="keyed", group="zone", window_ms=300.0),
+    io.ServiceClass("note", 200.0, 800.0, priority_weight=5.0, effect="keyed", group="all", window_ms=300.0),
+    io.ServiceClass("pay", 200.0, 800.0, priority_weight=8.0, effect="unsafe"),
 )
 RULES = io.Rules(
     answer_slack_ms=20.0,
     drain_grace_ms=250.0,
-    ask_every_ms=10_000.0,
-    start_capacity=0.2,
-    cold_ms=4_000.0,
-    tip_multiple=3.0,
-    fall_ms=2_000.0,
+    poll_interval_ms=10_000.0,
+    slow_start_capacity=0.2,
+    slow_start_ms=4_000.0,
+    overload_multiple=3.0,
+    overload_window_ms=2_000.0,
 )
 
 
@@ -60,7 +60,7 @@
         limits=io.Limits(max_attempts=4, may_cancel=True, retry_after=True, max_retry_after_ms=500.0),
         prices=io.Prices(cross_zone=0.002),
         report_fields=("depth",) if plan.reports else (),
-        over_share_worth=0.2,
+        over_quota_weight=0.2,
     )
 
 
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -250,7 +250,7 @@
         spent = budget if code != "reset" else 1.0
         balancer.handle(budget, outcome(send, 0, code, spent))
         blamed = balancer.servers[send.server].failing > 0
-        assert blamed == (budget > UNSAFE.aim_ms)
+        assert blamed == (budget > UNSAFE.latency_objective_ms)
 
 
 # ---- the external processor
--- a/tests/test_extproc_line.py
+++ b/tests/test_extproc_line.py
@@ -127,8 +127,8 @@
 )
 @budget(max_examples=300, deadline=None, derandomize=True, database=None)
 def test_intake_gives_each_message_once_in_its_order(steps: list[Any]) -> None:
-    worth = {"a": 1.0, "b": 5.0, "c": 10.0}
-    intake, put, got = Intake(worth.__getitem__), [], []
+    priority_weight = {"a": 1.0, "b": 5.0, "c": 10.0}
+    intake, put, got = Intake(priority_weight.__getitem__), [], []
     dropped: set[int] = set()
     for number, (what, stream, name) in enumerate([*steps, *[("next", 0, "a")] * 70]):
         if what != "next":
@@ -146,7 +146,7 @@
         got.append(message)
         if message[0] == "ask":
             assert not before[0], "an ask went before an end"
-            higher = [m for w, q in before[1].items() if w > worth[message[4]] for m in q]
+            higher = [m for w, q in before[1].items() if w > priority_weight[message[4]] for m in q]
             assert all(m[1] in intake.gone or m[1] in dropped for m in higher), "not by worth"
     assert not len(intake) and not intake.gone and not intake.waiting
     ends = [m for m in put if m[0] != "ask"]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -89,12 +89,12 @@
     for n in range(100):
         serve(balancer, n * 20.0, n)
     first = sends(ask(balancer, 5_000.0, 500))[0]
-    assert first.time_out_ms < FREE.aim_ms / 2
+    assert first.time_out_ms < FREE.latency_objective_ms / 2
     for n in range(40):  # spend the budget
         send = sends(ask(balancer, 5_001.0 + n, 600 + n))[0]
         balancer.handle(5_001.5 + n, outcome(send, 0, "error", 0.5))
     last = sends(ask(balancer, 5_100.0, 700))[0]
-    assert last.time_out_ms > FREE.aim_ms / 2
+    assert last.time_out_ms > FREE.latency_objective_ms / 2
 
 
 def test_bounded_load_spreads_what_is_out() -> None:
@@ -120,7 +120,7 @@
 def test_failed_list_calls_back_off_and_are_spread() -> None:
     waits = []
     for seed in range(20):
-        balancer = Balancer(settings(asks_list=True), seed)
+        balancer = Balancer(settings(polls_list=True), seed)
         first = balancer.handle(0.0, io.EndpointListUpdate("stale", (entry(0),)))
         waits.append(next(a.after_ms for a in first if isinstance(a, io.SetTimer)))
         spans = []
@@ -289,9 +289,11 @@
     assert sum(let_in[200:]) > 0.9 * 400
 
 
-def from_cold(tip_multiple: float) -> list[int]:
+def from_cold(overload_multiple: float) -> list[int]:
     """What a cold server is sent in each of 12 s, of 100 a second; in the last three it answers late."""
-    rules = replace(RULES, cold_ms=1e6, tip_multiple=tip_multiple)  # by its age alone it stays cold
+    rules = replace(
+        RULES, slow_start_ms=1e6, overload_multiple=overload_multiple
+    )  # by its age alone it stays cold
     balancer = started(2, rules=rules)
     for number in range(500):
         serve(balancer, 10.0 * number, number)
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -226,7 +226,12 @@
 
 
 def test_goodput_names_the_worst_window_class_and_tenant() -> None:
-    record = Record((Kind("a", aim_s=0.1, worth=2.0), Kind("b", aim_s=0.1, worth=1.0, late_worth=0.5)))
+    record = Record(
+        (
+            Kind("a", aim_s=0.1, priority_weight=2.0),
+            Kind("b", aim_s=0.1, priority_weight=1.0, late_weight=0.5),
+        )
+    )
     for second in range(30):
         late = 10 <= second < 20
         record.ended("a", "x", SERVED, second, 0.5 if late else 0.05)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -213,8 +213,8 @@
                 if send.server == "s100":
                     arrivals.append(now)
     arrivals.sort()
-    most = max((sum(t <= u < t + RULES.fall_ms for u in arrivals) for t in arrivals), default=0)
-    return most / (balancers * per_s * RULES.fall_ms / 1_000.0 / warm)
+    most = max((sum(t <= u < t + RULES.overload_window_ms for u in arrivals) for t in arrivals), default=0)
+    return most / (balancers * per_s * RULES.overload_window_ms / 1_000.0 / warm)
 
 
 FLEETS = [(200, 1, 8, 10.0), (60, 8, 4, 20.0), (1, 2, 8, 400.0)]
@@ -225,7 +225,7 @@
     balancers: int, cold: int, warm: int, per_s: float
 ) -> None:
     # A warm server takes no more than its capacity, so this is a bound on the multiple of cold capacity.
-    highest = RULES.start_capacity + (1 - RULES.start_capacity) * 0.55
+    highest = RULES.slow_start_capacity + (1 - RULES.slow_start_capacity) * 0.55
     assert 0 < cold_share(balancers, cold, warm, per_s, 5.0) < 2.0 * highest
 
 
@@ -252,7 +252,7 @@
 
 
 def test_stale_lists_drain_at_once() -> None:
-    balancer = Balancer(settings(asks_list=True), 3)
+    balancer = Balancer(settings(polls_list=True), 3)
     rows = (entry(0), entry(1, "draining"), entry(2))
     balancer.handle(0.0, io.EndpointListUpdate("stale", rows))
     assert {serve(balancer, float(n), n) for n in range(60)} == {"s0", "s2"}
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -86,7 +86,7 @@
         trial = server.failing > EJECT_ABOVE and oldest is not None
         return out or trial or mute or (oldest is not None and oldest.due < now)
 
-    cold = [s for s in fleet.ready if 0 < s.cold_from > now - balancer.settings.rules.cold_ms]
+    cold = [s for s in fleet.ready if 0 < s.cold_from > now - balancer.settings.rules.slow_start_ms]
     group = [s for s in fleet.ready if here(s) and (s not in cold or s.tokens >= 1.0)]
     fresh = [s for s in group if s.entry.server not in tried]
     sound = [s for s in fresh if not doubtful(s)]
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -150,5 +150,5 @@
     broken = CONFIG | {"classes": [CONFIG["classes"][0] | {"sloMs": -1.0}]}
     adapter = Adapter()
     actions = adapter.batch(0.0, [["BEGIN", 4, 1, broken]])
-    assert [a[:2] for a in actions] == [["BUG", 4]] and "aim_ms" in actions[0][2]
+    assert [a[:2] for a in actions] == [["BUG", 4]] and "latency_objective_ms" in actions[0][2]
     adapter.close()
