--- a/bench/capacity_assumptions.py
+++ b/bench/capacity_assumptions.py
@@ -53,8 +53,8 @@
 
 def _budgets(model: Model) -> tuple[Assumption, ...]:
     t = model.target
-    whole = model.measured("list bytes").value
-    start = NOT_MEASURED if whole is None else f"{whole / t.control_bytes_per_s:,.0f} s"
+    complete = model.measured("list bytes").value
+    start = NOT_MEASURED if complete is None else f"{complete / t.control_bytes_per_s:,.0f} s"
     return (
         Assumption(
             "15 KB/s and 1.6% of a core: over what span a mean",
--- a/bench/capacity_events.py
+++ b/bench/capacity_events.py
@@ -82,10 +82,10 @@
 
 def _spread_s(model: Model) -> str:
     """How long all whole lists take that relays let out, under their bound."""
-    whole = model.measured("list bytes").value
-    if whole is None:
+    complete = model.measured("list bytes").value
+    if complete is None:
         return NOT_MEASURED
-    return f"{model.behind_relay() * whole / model.program.relay_whole_bytes_per_s:.0f} s"
+    return f"{model.behind_relay() * complete / model.program.relay_whole_bytes_per_s:.0f} s"
 
 
 def _noticed(model: Model, *events: str) -> str:
--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -53,18 +53,18 @@
 def _balancer_lists(model: Model) -> tuple[Row, ...]:
     row, t, changes = partial(Row, "balancer"), model.target, model.rows_per_s()
     lists, cores = model.lists_today(), Bound(t.control_cores, LETTER)
-    whole, budget = model.measured("list bytes"), Bound(t.control_bytes_per_s, LETTER)
+    complete, budget = model.measured("list bytes"), Bound(t.control_bytes_per_s, LETTER)
     longest = Bound(model.program.line_bytes, "longest line that is read (`membership/watch.py`)")
     beats = f"{model.beats():.3g} B/s of beats + {changes:.3g} rows/s x bytes of a change"
     mean = model.derive(beats, lambda size: model.beats() + changes * size, model.change(1.0))
-    seconds = model.derive("bytes of a whole list / 15 KB/s", lambda b: b / t.control_bytes_per_s, whole)
+    seconds = model.derive("bytes of a whole list / 15 KB/s", lambda b: b / t.control_bytes_per_s, complete)
     taken = model.derive(
         f"{changes:.3g} rows/s x time of a row", lambda s: changes * s, model.measured("row time")
     )
     memory, pieces = Bound(t.control_bytes, LETTER), "`membership/pieces.py`"
     reading = by_name(LONG_LISTS).today
     return (
-        row("state", f"whole list, {t.upstreams:,} rows", whole, "bytes", longest, reading, LONG_LISTS),
+        row("state", f"whole list, {t.upstreams:,} rows", complete, "bytes", longest, reading, LONG_LISTS),
         row("messages", "beats and changed rows, mean", mean, "bytes/s", budget, lists, LISTS),
         row("messages", "a whole list at the budget's rate", seconds, "s", today=lists),
         row(
@@ -271,8 +271,10 @@
     row, t, program = partial(Row, "list service"), model.target, model.program
     askers = t.control_machines if program.relay else t.balancers
     policy = f"{program.small} + {program.spread_s:g} s x {program.calls_per_s:g}/s (`membership/calls.py`)"
-    whole = model.measured("list bytes")
-    total = model.derive(f"{t.balancers:,} x bytes of a whole list", lambda size: t.balancers * size, whole)
+    complete = model.measured("list bytes")
+    total = model.derive(
+        f"{t.balancers:,} x bytes of a whole list", lambda size: t.balancers * size, complete
+    )
     lists = model.lists_today()
     return (
         row("state", "rows", given(t.upstreams, LETTER), "number", today="the operators'"),
@@ -429,7 +431,7 @@
         lambda size: behind * (model.beats() + changes * size),
         model.change(1.0),
     )
-    whole = model.derive(
+    complete = model.derive(
         f"{behind:.4g} x bytes of a whole list / {rate / 1e6:g} MB/s",
         lambda size: behind * size / rate,
         model.measured("list bytes"),
@@ -440,7 +442,7 @@
         row(
             "messages",
             "whole lists to all behind it",
-            whole,
+            complete,
             "s",
             Bound(None, "not given for this size"),
             today,
--- a/bench/common.py
+++ b/bench/common.py
@@ -60,7 +60,7 @@
         return Nodo(f"s{number}", books, capacity=1e6, latency_s=0.0005, rng=random.Random(number))
 
     _, _, registry = await fleet(nodos, make)
-    pipe.send((registry.port, registry.whole()))
+    pipe.send((registry.port, registry.complete()))
     await asyncio.get_running_loop().run_in_executor(None, pipe.recv)
 
 
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -163,10 +163,10 @@
     pipe.send(registry.port)
     loop = asyncio.get_running_loop()
     while (order := await loop.run_in_executor(None, pipe.recv)) is not None:
-        whole, first, last, changes = order
+        complete, first, last, changes = order
         registry.version += 1
         hosts = [nodo.entry(**changes) for nodo in nodos[first:last]]
-        line = {"seq": registry.version, "whole": whole, "hosts": hosts}
+        line = {"seq": registry.version, "whole": complete, "hosts": hosts}
         data = json.dumps(line).encode() + b"\n"
         pipe.send((len(data), registry.version))
         registry._write(data)
--- a/bench/extproc.py
+++ b/bench/extproc.py
@@ -73,7 +73,7 @@
         )
     )
     await one.start()
-    pipe.send((one.registry.port, one.registry.whole()))
+    pipe.send((one.registry.port, one.registry.complete()))
     loop = asyncio.get_running_loop()
     await loop.run_in_executor(None, pipe.recv)  # go
     one.begin()
--- a/bench/loadgen.py
+++ b/bench/loadgen.py
@@ -225,8 +225,8 @@
             print(f"  {row}")
     report(result, options.json)
     late = all(row["late_p99_ms"] < LATE_MS or row["said_to_be_late"] for row in result["lateness"])
-    whole = all(row["ended"] == row["sent"] for row in result["lateness"])
-    return 0 if all(row["kept"] for row in result["agreement"]) and late and whole else 1
+    complete = all(row["ended"] == row["sent"] for row in result["lateness"])
+    return 0 if all(row["kept"] for row in result["agreement"]) and late and complete else 1
 
 
 if __name__ == "__main__":
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -336,9 +336,9 @@
     found = [run for name, plan in chosen if (run := played(name, plan)) is not None]
     for run in found:
         run["checks"] = [check._asdict() | {"kept": check.kept()} for check in checks(run)]
-    whole = together(found, options.json if options.add else None)
-    rows = [row for run in whole for row in page_rows(run)]
-    report({"per_s": PER_S, "seed": options.seed, "events": rows, "runs": whole}, options.json)
+    complete = together(found, options.json if options.add else None)
+    rows = [row for run in complete for row in page_rows(run)]
+    report({"per_s": PER_S, "seed": options.seed, "events": rows, "runs": complete}, options.json)
     good = verdict(found)
     print(f"scale: {len(found)} of {len(chosen)} runs, bounds {'kept' if good else 'NOT KEPT'}")
     return 0 if good and len(found) == len(chosen) else 1
--- a/bench/scale_events.py
+++ b/bench/scale_events.py
@@ -224,7 +224,7 @@
         before, after = self.seen[1].before, self.seen[min(cuts, default=len(self.seen)) - 1].after
         hollow = [sum(grown_by(before, after, k)) / self.plan.hollow for k in range(3)]
         real = self.real_counts(before.at, after.at)
-        whole = self.real_counts(0.0, after.at)
+        complete = self.real_counts(0.0, after.at)
         whole_hollow = [sum(side[k] for side in after.sight.sides) / self.plan.hollow for k in range(3)]
         changes = [seen for seen in self.seen if seen.moment.what == "change"]
         every = (self.hollow_times, self.real_times, self.lone_times)
@@ -234,9 +234,9 @@
         spent = {role: 1000 * (after.cpu[role] - before.cpu[role]) for role in after.cpu}
         idle, lone = spent["real idle"] / self.plan.idle, spent["hollow lone"]
         pairs = {
-            "calls, all": (whole_hollow[0], whole[0]),
-            "bytes in, all": (whole_hollow[1], whole[1]),
-            "bytes out, all": (whole_hollow[2], whole[2]),
+            "calls, all": (whole_hollow[0], complete[0]),
+            "bytes in, all": (whole_hollow[1], complete[1]),
+            "bytes out, all": (whole_hollow[2], complete[2]),
             "bytes in, after the start": (hollow[1], real[1]),
             "change in force, p50 ms": (times[0], times[1]),
             "change in force, p50 ms, one hollow in a process": (times[2], times[1]),
--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -224,11 +224,11 @@
 
 
 def _costs(count: int, changes: int, extra: bool) -> dict[str, float]:
-    with source(count) as (port, whole, orders):
+    with source(count) as (port, complete, orders):
         row: dict[str, float] = measured(list_costs, port, orders, count, changes, extra)
         orders.send(("calls", None))
         calls = receive(orders)
-    return row | {"whole_bytes": whole, "call_bytes": calls[0]}
+    return row | {"whole_bytes": complete, "call_bytes": calls[0]}
 
 
 LIST_FIGURES = (
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -145,7 +145,7 @@
         return Nodo(f"s{number}", books, capacity=1e6, latency_s=0.0, rng=random.Random(number))
 
     _, _, registry = await fleet(count, make)
-    pipe.send((registry.port, registry.whole()))
+    pipe.send((registry.port, registry.complete()))
     await asyncio.get_running_loop().create_future()
 
 
@@ -298,11 +298,11 @@
 def figures(sizes: Sizes) -> list[dict[str, Any]]:
     """All figures of requests."""
     modules = {float(n): float(measured(module_cost, n, sizes.batches)) for n in sizes.upstreams}
-    added, whole = path_by_rate(sizes), path_by_upstreams(sizes)
+    added, complete = path_by_rate(sizes), path_by_upstreams(sizes)
     name = "requests: processor time of one in the decision module"
     out = [figure(ROLE, name, "us", "upstreams", modules, sizes.kept_upstreams, TARGET_UPSTREAMS)]
     for name, unit, key in UPSTREAM_FIGURES:
-        points = {count: row[key] for count, row in whole.items()}
+        points = {count: row[key] for count, row in complete.items()}
         out.append(figure(ROLE, name, unit, "upstreams", points, sizes.kept_path_upstreams, TARGET_UPSTREAMS))
     for name, unit, key in PATH_FIGURES:
         points = {rate: row[key] for rate, row in added.items()}
--- a/bench/slopes_services.py
+++ b/bench/slopes_services.py
@@ -399,14 +399,14 @@
         )
     ]
     watched = {count: watcher_costs(role, count, sizes) for count in sizes.watchers}
-    whole = {count: whole_costs(role, count) for count in sizes.upstreams}
+    complete = {count: whole_costs(role, count) for count in sizes.upstreams}
     for name, unit, key in WATCHER_FIGURES:
         points = {float(count): row[key] for count, row in watched.items()}
         out.append(
             figure(role.name, name, unit, "watchers", points, sizes.kept_watchers, role.target_watchers)
         )
     for name, unit, key in WHOLE_FIGURES:
-        points = {float(count): row[key] for count, row in whole.items()}
+        points = {float(count): row[key] for count, row in complete.items()}
         out.append(figure(role.name, name, unit, "upstreams", points, sizes.kept_upstreams, TARGET_UPSTREAMS))
     return out
 
--- a/bench/slopes_source.py
+++ b/bench/slopes_source.py
@@ -55,9 +55,9 @@
     return made
 
 
-def encoded(version: int, whole: bool, hosts: Sequence[Row]) -> bytes:
+def encoded(version: int, complete: bool, hosts: Sequence[Row]) -> bytes:
     """A line of discovery, as the list service writes it."""
-    return json.dumps({"seq": version, "whole": whole, "hosts": hosts}).encode() + b"\n"
+    return json.dumps({"seq": version, "whole": complete, "hosts": hosts}).encode() + b"\n"
 
 
 def chunk(line: bytes) -> bytes:
@@ -70,7 +70,7 @@
 
     def __init__(self, hosts: list[Row], pipe: Connection) -> None:
         self.hosts, self.pipe, self.version, self.next = hosts, pipe, 1, 0
-        self.whole = encoded(1, True, hosts)
+        self.complete = encoded(1, True, hosts)
         self.watchers: set[asyncio.Transport] = set()
         self.call_bytes: list[int] = []  # of each call, its request and the head of the answer
         self.random = random.Random(1)
@@ -82,7 +82,7 @@
         ended = loop.create_future()
         loop.add_reader(self.pipe.fileno(), self._order, ended)
         loop.call_later(BEAT_S, self._beat)
-        self.pipe.send((server.sockets[0].getsockname()[1], len(self.whole)))
+        self.pipe.send((server.sockets[0].getsockname()[1], len(self.complete)))
         await ended
 
     def _beat(self) -> None:
@@ -146,13 +146,13 @@
         if b"stream=1" in asked.split(b"\r\n", 1)[0]:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             index = int(asked.split(b"index=")[1].split()[0])
-            since = encoded(source.version, False, []) if index else source.whole
+            since = encoded(source.version, False, []) if index else source.complete
             self.transport.write(head + chunk(since))
             source.watchers.add(self.transport)
         else:
-            head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(source.whole)
+            head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(source.complete)
             self.transport.write(head)
-            self.transport.write(source.whole)
+            self.transport.write(source.complete)
         source.call_bytes.append(len(asked) + len(head))
 
 
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -58,23 +58,23 @@
     sends: dict[str, list[int]] = result["sends"]
     names = sorted(sends)
     bad = {f"s{n:04}" for n in range(0, max(8, 2 * balancers // 3), EVERY)} if hang else set()
-    whole = int(seconds)
+    complete = int(seconds)
 
     def share(first: int, last: int) -> float:
         """The part of the sends in these seconds that went to those that hang."""
         parts = {name: sum(sends[name][first:last]) for name in names}
         return sum(parts[name] for name in names if name in bad) / max(1, sum(parts.values()))
 
-    sound = [sum(sends[name][1:whole]) for name in names if name not in bad]
+    sound = [sum(sends[name][1:complete]) for name in names if name not in bad]
     good = [row["goodput"] for row in result["seconds"]]
     return {
         "balancers": balancers,
         "code": code,
         "hang": hang,
         "in_time_before": round(mean(good[1:HANG_S]), 3),
-        "in_time_after": round(mean(good[HANG_S + 1 : whole - 1]), 3),
+        "in_time_after": round(mean(good[HANG_S + 1 : complete - 1]), 3),
         "bad_share_first": round(share(HANG_S + 1, HANG_S + 3), 3),
-        "bad_share_last": round(share(whole - 3, whole - 1), 3),
+        "bad_share_last": round(share(complete - 3, complete - 1), 3),
         "busiest": round(max(sound) / mean(sound), 2),
         "least_busy": round(min(sound) / mean(sound), 2),
         "latency_ms": result["latency_ms"],
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -28,8 +28,8 @@
     return io.Endpoint(f"s{number}", f"z{cell % ZONES}", "std", cell, state, 1.0, 0.0)
 
 
-def listing(whole: bool, *entries: io.Endpoint) -> Listing:
-    return Listing(1, whole, entries, (("h", 1),) * len(entries))
+def listing(complete: bool, *entries: io.Endpoint) -> Listing:
+    return Listing(1, complete, entries, (("h", 1),) * len(entries))
 
 
 def used(subset: Subset) -> set[str]:
@@ -81,15 +81,15 @@
     heal_ms: float
 
 
-def live(name: str, size: int, whole: Listing, few: Listing, many: Listing, restart: bool) -> Life:
+def live(name: str, size: int, complete: Listing, few: Listing, many: Listing, restart: bool) -> Life:
     subset = Subset(name, size, size // 10)
     begun = time.perf_counter()
-    subset.filter(whole)
+    subset.filter(complete)
     first_ms, before = (time.perf_counter() - begun) * 1000, used(subset)
     again = before
     if restart:
         other = Subset(name, size, size // 10)
-        other.filter(whole)
+        other.filter(complete)
         again = used(other)
     subset.filter(few)
     after = used(subset)
@@ -101,10 +101,10 @@
 def play(balancers: int, nodos: int, size: int) -> dict[str, Any]:
     rng = random.Random(7)
     few, many = rng.sample(range(nodos), nodos // 100), rng.sample(range(nodos), int(nodos * 0.22))
-    whole = listing(True, *(entry(n) for n in range(nodos)))
+    complete = listing(True, *(entry(n) for n in range(nodos)))
     some = listing(False, *(entry(n, "gone") for n in few))
     dead = listing(False, *(entry(n, "gone") for n in many))
-    lives = [live(f"balancer-{b}", size, whole, some, dead, b < 20) for b in range(balancers)]
+    lives = [live(f"balancer-{b}", size, complete, some, dead, b < 20) for b in range(balancers)]
     before = [one.before for one in lives]
     rings = [aperture(b, balancers, nodos, size) for b in range(balancers)]
     shuffled = [at_random(b, nodos, size, 1) for b in range(balancers)]
--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -48,7 +48,7 @@
         self.hosts: dict[str, Host] = {}
 
     def listed(self, listing: Listing) -> None:
-        if listing.whole:
+        if listing.complete:
             self.hosts.clear()
         for entry, (host, port) in zip(listing.entries, listing.addresses, strict=True):
             if entry.state == "ready":
--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -113,7 +113,7 @@
             upstream.expire(math.inf)
 
     def listed(self, listing: Listing) -> None:
-        if listing.whole:
+        if listing.complete:
             named = {entry.server for entry in listing.entries}
             for name in [name for name in self.upstreams if name not in named]:
                 self.upstreams[name].retire()
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -173,7 +173,7 @@
         """Short lists at once; long ones in pieces, one a turn of the loop, and later ones behind them."""
         in_progress = self.pending.waiting()
         snapshot_listing, self._snapshot_listing = self._snapshot_listing, None
-        if snapshot_listing is not None and not listing.whole:
+        if snapshot_listing is not None and not listing.complete:
             # The service has spoken: these are changes to the list as it was written.
             self._take_up(snapshot_listing)
         self._take_up(listing)
@@ -193,7 +193,7 @@
         if piece is None:
             return
         try:
-            self._adopt(piece, "whole" if piece.whole else "changes")
+            self._adopt(piece, "whole" if piece.complete else "changes")
         finally:
             if self.pending.waiting():
                 self.loop.call_soon(self._take_in)
--- a/quartzford/counting.py
+++ b/quartzford/counting.py
@@ -74,11 +74,11 @@
         """News of the list, before the module hears of them."""
         held = self.node.engine.balancer.servers
         rows = [tuple(e) for e in listing.entries if e.server not in held or held[e.server].entry != e]
-        named = {e.server for e in listing.entries} if listing.whole else set(held)
+        named = {e.server for e in listing.entries} if listing.complete else set(held)
         news = {
             "at": self._unix(),
             "version": listing.version,
-            "whole": listing.whole,
+            "whole": listing.complete,
             "rows": rows,
             "missing": [name for name in held if name not in named],
         }
--- a/quartzford/decision/eligibility.py
+++ b/quartzford/decision/eligibility.py
@@ -118,13 +118,13 @@
     # ---- the list
 
     def update(
-        self, entries: tuple[io.Endpoint, ...], whole: bool, starts: Mapping[str, float] = io.NO_STARTS
+        self, entries: tuple[io.Endpoint, ...], complete: bool, starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
         """Changes, or the complete list. starts: of incarnations, by server, on our clock."""
         self.shares = self.fit(self.shares, len(self.ready) + len(entries))
         self.shares.begin()
         self.units = None
-        if whole:
+        if complete:
             named = {entry.server for entry in entries}
             for name in [name for name in self.servers if name not in named]:
                 self._remove(name)
--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -107,7 +107,7 @@
 class Goal:
     """How the parts of the result are weighed."""
 
-    whole: float = 1.0
+    complete: float = 1.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
--- a/quartzford/decision/workingset.py
+++ b/quartzford/decision/workingset.py
@@ -65,12 +65,12 @@
         if cell not in self.cells:
             self.cells[cell] = {}
             insort(self.order, (self._score(cell), cell))
-        whole = len(self.used.get(cell, ())) == len(self.cells[cell]) > 0
+        complete = len(self.used.get(cell, ())) == len(self.cells[cell]) > 0
         self.cells[cell][name] = None
         self._rank(name, cell)
-        if whole:
+        if complete:
             self._use(name)
-        return whole
+        return complete
 
     def drop(self, name: str) -> None:
         """This server may not be used."""
--- a/quartzford/engine/flight.py
+++ b/quartzford/engine/flight.py
@@ -45,7 +45,7 @@
         """Whether the client is still there, asked of the system now: the loop may not have been told yet."""
         return True
 
-    def streamed(self, whole: bool) -> None:
+    def streamed(self, complete: bool) -> None:
         """The end of an answer that its attempt has begun to pass on."""
         return None
 
--- a/quartzford/fronts/extproc/line.py
+++ b/quartzford/fronts/extproc/line.py
@@ -53,8 +53,8 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        *whole, self.rest = (self.rest + data).split(b"\n")
-        self.lines_in([json.loads(line) for line in whole])
+        *complete, self.rest = (self.rest + data).split(b"\n")
+        self.lines_in([json.loads(line) for line in complete])
 
     def send(self, *values: Any) -> None:
         if not self.out:
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -229,8 +229,8 @@
     def broken(self) -> None:
         self.client.answer(self, 500)
 
-    def streamed(self, whole: bool) -> None:
-        self.client.end(self, whole)
+    def streamed(self, complete: bool) -> None:
+        self.client.end(self, complete)
 
     def left(self) -> None:
         self.release()
@@ -603,11 +603,11 @@
         else:
             self.transport.write(data)
 
-    def end(self, exchange: Exchange, whole: bool) -> None:
+    def end(self, exchange: Exchange, complete: bool) -> None:
         """The end of a streamed answer; one that is not whole ends so that the client can tell."""
         if self.exchange is not exchange:
             return exchange.release()
-        if not whole:
+        if not complete:
             if exchange.lengthless:  # its close would look like the end: a reset does not
                 sock = self.transport.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
--- a/quartzford/load/live.py
+++ b/quartzford/load/live.py
@@ -74,12 +74,12 @@
     def table(self) -> Table:
         sums = self.sums
         last = max(sums.seconds, default=0)
-        whole = max(0, last - 1)  # the last second that is over
-        goodput, served, p50, p99 = sums.row(whole)
+        complete = max(0, last - 1)  # the last second that is over
+        goodput, served, p50, p99 = sums.row(complete)
         out = Table.grid(padding=(0, 2))
-        out.add_row("second", f"{whole}", "sent", f"{sums.sent}", "open", f"{sums.live}")
+        out.add_row("second", f"{complete}", "sent", f"{sums.sent}", "open", f"{sums.live}")
         out.add_row("served/s", f"{served}", "p50", f"{p50:.1f} ms", "p99", f"{p99:.1f} ms")
-        shown = range(max(0, whole - WIDTH + 1), whole + 1)
+        shown = range(max(0, complete - WIDTH + 1), complete + 1)
         rows = [sums.row(second) for second in shown]
         grid = Table.grid(padding=(0, 2))
         grid.add_row("goodput", Text(bars([r[0] for r in rows], 1.0)), f"{goodput:.3f}")
--- a/quartzford/load/record.py
+++ b/quartzford/load/record.py
@@ -121,7 +121,7 @@
 
     # ---- figures
 
-    def whole(self, table: dict[str, Any]) -> Any:
+    def complete(self, table: dict[str, Any]) -> Any:
         """The histograms of all classes in one."""
         out = histogram()
         for one in table.values():
--- a/quartzford/load/run.py
+++ b/quartzford/load/run.py
@@ -288,16 +288,16 @@
         "late": was_late,
         "trouble": trouble,
         "lateness_ms": late,
-        "latency_ms": {"all": figures(record.whole(record.latency))}
+        "latency_ms": {"all": figures(record.complete(record.latency))}
         | {name: figures(one) for name, one in sorted(record.latency.items())},
-        "service_ms": {"all": figures(record.whole(record.service))}
+        "service_ms": {"all": figures(record.complete(record.service))}
         | {name: figures(one) for name, one in sorted(record.service.items())},
         "ends": dict(sorted(record.ends.items())),
         "tries": dict(sorted(record.tries.items())),
         "goodput": {name: round(value, 4) for name, value in record.goodput().items()},
         "cpu_s": [round(part["cpu_s"], 2) for part in parts],
         "by_second": record.seconds(),
-        "curve": {"all": curve(record.whole(record.latency))}
+        "curve": {"all": curve(record.complete(record.latency))}
         | {name: curve(one) for name, one in sorted(record.latency.items())},
         "rules": {},
         "record": record.dump(),
--- a/quartzford/membership/addresses.py
+++ b/quartzford/membership/addresses.py
@@ -36,7 +36,7 @@
     """A choice of addresses; it learns how each call has ended."""
 
     address: Callable[[], Address]  # of the configuration: the agent's, or the list service's
-    whole_by_watch: bool  # the first line of a watch at index 0 is the whole list, whatever it says
+    complete_list_by_watch: bool  # the first line of a watch at index 0 is the whole list, whatever it says
 
     def choose(self, known: bool) -> Target:
         """Where a new call goes. known: a version of the list is held."""
@@ -57,12 +57,12 @@
 class Single:
     """One address. whole_by_watch: the whole list is asked for by a watch at index 0, in one call."""
 
-    def __init__(self, address: Callable[[], Address], whole_by_watch: bool = False) -> None:
-        self.address, self.whole_by_watch = address, whole_by_watch
+    def __init__(self, address: Callable[[], Address], complete_list_by_watch: bool = False) -> None:
+        self.address, self.complete_list_by_watch = address, complete_list_by_watch
 
     def choose(self, known: bool) -> Target:
         """The one address: the whole list where no version is held, else a watch."""
-        return Target(self.address(), Ask.WATCH if known or self.whole_by_watch else Ask.WHOLE)
+        return Target(self.address(), Ask.WATCH if known or self.complete_list_by_watch else Ask.WHOLE)
 
     def failed(self, target: Target, end: End) -> None:
         """Nothing follows: there is no other."""
@@ -96,7 +96,7 @@
     turned a call away lives; one that was not reached, said nothing or broke off is taken for gone.
     """
 
-    whole_by_watch = True
+    complete_list_by_watch = True
 
     def __init__(self, name: str, relays: Iterable[Address], address: Callable[[], Address]) -> None:
         self.order = ranked(name, relays)
@@ -118,8 +118,8 @@
             self.asked = Target(self.address(), Ask.WATCH)
         else:
             # Relays that have lost the list service turn watches away, and give a list to who has none.
-            whole = not self.ever_answered and self.all_failed() and self.one_lives()
-            self.asked = Target(self.order[self._next], Ask.WHOLE if whole else Ask.WATCH)
+            complete = not self.ever_answered and self.all_failed() and self.one_lives()
+            self.asked = Target(self.order[self._next], Ask.WHOLE if complete else Ask.WATCH)
         return self.asked
 
     def failed(self, target: Target, end: End) -> None:
--- a/quartzford/membership/listing.py
+++ b/quartzford/membership/listing.py
@@ -16,7 +16,7 @@
     """A list or its changes, with the address that goes with each entry."""
 
     version: int
-    whole: bool
+    complete: bool
     entries: tuple[io.Endpoint, ...]
     addresses: tuple[tuple[str, int], ...]
 
@@ -54,14 +54,14 @@
     """A line of discovery; ValueError if it breaks the form."""
     try:
         table = text if isinstance(text, dict) else _parse(text)
-        version, whole, rows = table["seq"], table["whole"], table["hosts"]
-        if not isinstance(version, int) or not isinstance(whole, bool) or not isinstance(rows, list):
+        version, complete, rows = table["seq"], table["whole"], table["hosts"]
+        if not isinstance(version, int) or not isinstance(complete, bool) or not isinstance(rows, list):
             raise ValueError("seq, whole or hosts is not what it should be")
         entries = tuple(_entry(row) for row in rows)
         addresses = tuple(("", 0) if row["health"] == "gone" else _address(row["dial"]) for row in rows)
     except (KeyError, TypeError, AttributeError, RecursionError, OverflowError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
-    return Listing(version, whole, entries, addresses)
+    return Listing(version, complete, entries, addresses)
 
 
 class Sink(Protocol):
--- a/quartzford/membership/pieces.py
+++ b/quartzford/membership/pieces.py
@@ -26,14 +26,14 @@
     known: the names that are in use, of which a whole list takes away those that it does not name. Where a
     server is taken away in the end, earlier entries of it are left out.
     """
-    if len(listing.entries) <= size and (not listing.whole or len(known) <= size):
+    if len(listing.entries) <= size and (not listing.complete or len(known) <= size):
         yield listing
         return
     last = {entry.server: entry.state for entry in listing.entries}
     rows = zip(listing.entries, listing.addresses, strict=True)
     taken = {row[0].server: row for row in rows if row[0].state != "ready" and last[row[0].server] != "ready"}
     first: Iterator[Row] = iter(taken.values())
-    if listing.whole:
+    if listing.complete:
         names = [name for name in known if name not in last]
         gone = ((io.Endpoint(name, "", "", 0, "gone", 1.0, 0.0), NOWHERE) for name in names)
         first = chain(first, gone)
@@ -55,7 +55,7 @@
 
     def put(self, listing: Listing) -> None:
         """Add a listing; a whole one replaces all that waits."""
-        if listing.whole:  # it covers all that is left
+        if listing.complete:  # it covers all that is left
             self.listings.clear()
             self.parts, self.following = iter(()), None
         self.listings.append(listing)
--- a/quartzford/membership/registry.py
+++ b/quartzford/membership/registry.py
@@ -25,7 +25,7 @@
     def apply(self, listing: Listing) -> None:
         """Apply a listing: a whole one replaces all rows, changes replace or remove the rows they name."""
         self.version = listing.version
-        if listing.whole:
+        if listing.complete:
             self.rows.clear()
         for row in zip(listing.entries, listing.addresses, strict=True):
             if row[0].state == "gone":
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -82,7 +82,7 @@
             snapshot = decode(data)
             age = usable(snapshot, self.service(), now, self.rule)
             listing = read_listing(snapshot.table)
-            if not listing.whole:
+            if not listing.complete:
                 raise SnapshotError("it is not a whole list")
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self.log.line("snapshot", f"{self.path} is not used: {error}")
--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -79,7 +79,7 @@
         known_ms: the last moment before this line at which the list was known; minus infinity for never.
         """
         self._most_gone = min(MOST_GONE, max(LEAST_GONE, len(self._current)))
-        if listing.whole:
+        if listing.complete:
             if self._source_changed and not any(map(self._is_current, listing.entries)):
                 known_ms = -math.inf
             self._source_changed = False
--- a/quartzford/membership/subset.py
+++ b/quartzford/membership/subset.py
@@ -44,7 +44,7 @@
         An upstream that is left, since its block is, is told to be draining: what is out there finishes.
         """
         touched: dict[str, None] = {}
-        if listing.whole:
+        if listing.complete:
             named = {entry.server for entry in listing.entries}
             for name in [name for name in self.known if name not in named]:
                 self._remove(name)
@@ -64,7 +64,7 @@
             else:
                 self.announced[entry.server] = entry
         entries, addresses = tuple(e for e, _ in rows), tuple(a for _, a in rows)
-        return Listing(listing.version, listing.whole and first, entries, addresses)
+        return Listing(listing.version, listing.complete and first, entries, addresses)
 
     def _row(self, name: str) -> Row | None:
         """What is to be told of an upstream now; None if nothing."""
--- a/quartzford/membership/watch.py
+++ b/quartzford/membership/watch.py
@@ -94,7 +94,7 @@
         if self.stopped or self.call is not None:
             return
         # A version of 0 is that of a configuration that knows nobody.
-        known = bool(self.version) if self.addresses.whole_by_watch else self.version is not None
+        known = bool(self.version) if self.addresses.complete_list_by_watch else self.version is not None
         target = self.addresses.choose(known)
         self.counts["asked" if target.ask is Ask.WHOLE else "watched"] += 1
         self.call = Call(self, target)
@@ -175,7 +175,7 @@
             return not call.watch
         if call.everything and not call.answered:
             listing = everything(listing)
-        if listing.whole:
+        if listing.complete:
             if self.beside is not None and call is not self.beside:
                 self.beside.close()  # it may be about to bring changes to another life's list
         elif self.version is None or listing.version < self.version:
@@ -247,7 +247,7 @@
         self.clock, self.loop = owner.clock, owner.loop
         self.watch = target.ask is Ask.WATCH
         self.index = owner.version or 0
-        self.everything = self.watch and self.index == 0 and owner.addresses.whole_by_watch
+        self.everything = self.watch and self.index == 0 and owner.addresses.complete_list_by_watch
         self.patience, self.flowing = owner.calls.patience(), owner.calls.flowing()
         self.transport = None
         self.buffer = bytearray()
--- a/quartzford/relay/caller.py
+++ b/quartzford/relay/caller.py
@@ -341,7 +341,7 @@
         self.server.waiting.pop(self, None)
         if self.server.stopping:
             return self.leave()
-        size = self.server.catalog.whole_bytes()
+        size = self.server.catalog.complete_list_bytes()
         turn = self.server.turns.ask(self.server.clock.now(), size)
         if not turn.granted:
             if self._head_sent:
@@ -357,7 +357,7 @@
         if self.server.stopping:
             return self.leave()
         self._reserved = 0
-        self._whole = self.server.catalog.whole(exact=self.index is None, since=self._since())
+        self._whole = self.server.catalog.complete(exact=self.index is None, since=self._since())
         if self._whole.position.version < self._since():
             return self._turn_away(LOST_RETRY_S, "turned away")
         line = self._whole.line
--- a/quartzford/relay/catalog.py
+++ b/quartzford/relay/catalog.py
@@ -85,8 +85,8 @@
     ).encode("ascii")
 
 
-def _line(version: int, whole: bool, rows: list[bytes]) -> bytes:
-    head = b'{"seq":%d,"whole":%b,"hosts":[' % (version, b"true" if whole else b"false")
+def _line(version: int, complete: bool, rows: list[bytes]) -> bytes:
+    head = b'{"seq":%d,"whole":%b,"hosts":[' % (version, b"true" if complete else b"false")
     if not rows:
         return head + b"]}\n"
     rows[0] = head + rows[0]  # no second copy of millions of bytes
@@ -133,7 +133,7 @@
         """
         rows = self._changed(listing)
         if self.version is None or listing.version < self.version:
-            if not listing.whole:
+            if not listing.complete:
                 return False
             self._begin_life(listing.version)
         elif listing.version == self.version:
@@ -151,7 +151,7 @@
     def _changed(self, listing: Listing) -> dict[str, tuple[io.Endpoint, Address]]:
         """The rows of a line that are not as they are held; of a whole list also those that it leaves out."""
         incoming = {row[0].server: row for row in zip(listing.entries, listing.addresses, strict=True)}
-        if listing.whole:
+        if listing.complete:
             incoming = {name: row for name, row in incoming.items() if row[0].state != "gone"}
             for name, row in self.rows.items():
                 if name not in incoming:
@@ -246,11 +246,11 @@
         """The line that says that there are no changes; a watch by the version held begins with it."""
         return _line(self.position().version, False, [])
 
-    def whole_bytes(self) -> int:
+    def complete_list_bytes(self) -> int:
         """How long the whole list's line is, about."""
         return self.row_bytes + len(self.rows) + len(self.nothing())
 
-    def whole(self, exact: bool = False, since: int = 0) -> Whole:
+    def complete(self, exact: bool = False, since: int = 0) -> Whole:
         """The whole list, at most a few versions old: who watches is owed the changes behind it.
 
         exact: of the version held; since: of that version or a later one. Both unless too many older
@@ -269,6 +269,6 @@
         self._wholes.add(self._whole)
         return self._whole
 
-    def _few_behind(self, whole: Whole) -> bool:
-        owed = self.owed(whole.position)
-        return owed.due is Due.CHANGES and len(owed.line) <= REUSE_PART * len(whole.line)
+    def _few_behind(self, complete: Whole) -> bool:
+        owed = self.owed(complete.position)
+        return owed.due is Due.CHANGES and len(owed.line) <= REUSE_PART * len(complete.line)
--- a/quartzford/relay/source.py
+++ b/quartzford/relay/source.py
@@ -24,5 +24,5 @@
     rng = draws("relay", settings.listen, secrets.randbits(32))
     calls = Shared(settings.relays, settings.source_calls_per_s, NOTIFY_BOUND_S, rng, clock.now)
     source = endpoint(settings.source)
-    addresses = Single(lambda: source, whole_by_watch=True)
+    addresses = Single(lambda: source, complete_list_by_watch=True)
     return Watch(sink, addresses, calls, clock, log, loop, resync=True)
--- a/quartzford/settings/platform.py
+++ b/quartzford/settings/platform.py
@@ -79,7 +79,7 @@
             multiplex=limits.get("multiplex", 1),
         ),
         goal=io.Goal(
-            whole=goal.get("whole", 1.0),
+            complete=goal.get("whole", 1.0),
             worst_window=goal.get("worstWindow", 0.0),
             worst_class=goal.get("worstClass", 0.0),
             worst_tenant=goal.get("worstTenant", 0.0),
--- a/rig/capacity.py
+++ b/rig/capacity.py
@@ -86,14 +86,14 @@
     def memory_mb(self) -> float:
         """All of it together, with a list of rows in each that holds one."""
         row_kb = HOLLOW_ROW_KB[self.share]
-        whole = (self.real + 2 * self.relays + 2 * self.hollow_processes) * self.rows * REAL_ROW_KB
+        complete = (self.real + 2 * self.relays + 2 * self.hollow_processes) * self.rows * REAL_ROW_KB
         return (
             RIG_MB
             + self.real * PROCESS_MB
             + self.relays * RELAY_MB
             + self.hollow_processes * HOLLOW_PROCESS_MB
             + self.hollow * HOLLOW_MB
-            + (whole + self.hollow * self.rows * row_kb) / 1024
+            + (complete + self.hollow * self.rows * row_kb) / 1024
         )
 
     def cores(self) -> float:
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -234,7 +234,7 @@
         "twice": record.counts["answered twice"],
         "lost": [[identity, *row] for identity, row in driver.at.items()],
         "ends": dict(record.ends),
-        "latency_ms": figures(record.whole(record.latency)),
+        "latency_ms": figures(record.complete(record.latency)),
         "late_ms": figures(record.late),
         "goodput": record.goodput(),
         "seconds": record.seconds(),
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -159,7 +159,7 @@
     ended: asyncio.Future[None] = loop.create_future()
     loop.add_signal_handler(signal.SIGTERM, ended.cancel)
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # who started it says when
-    print(json.dumps({"port": one.registry.port, "list": one.registry.whole()}), flush=True)
+    print(json.dumps({"port": one.registry.port, "list": one.registry.complete()}), flush=True)
     begun = loop.run_in_executor(None, sys.stdin.readline)
     begun.add_done_callback(lambda line: one.begin() if line.result() else None)
     await asyncio.wait((ended,))
--- a/standins/listservice.py
+++ b/standins/listservice.py
@@ -167,8 +167,8 @@
             self.encoded_changes[since] = self._encode(False, rows)
         return self.encoded_changes[since]
 
-    def _encode(self, whole: bool, rows: list[dict[str, Any]]) -> bytes:
-        return json.dumps({"seq": self.version, "whole": whole, "hosts": rows}).encode() + b"\n"
+    def _encode(self, complete: bool, rows: list[dict[str, Any]]) -> bytes:
+        return json.dumps({"seq": self.version, "whole": complete, "hosts": rows}).encode() + b"\n"
 
     def send_changes(self, watch: Connection, since: int | None) -> None:
         """Write what changed after a version to a watch, as one chunk."""
--- a/standins/nodo.py
+++ b/standins/nodo.py
@@ -378,7 +378,7 @@
             self._write(b"\n")
             asyncio.get_running_loop().call_later(2.0, self._beat)
 
-    def whole(self) -> dict[str, Any]:
+    def complete(self) -> dict[str, Any]:
         return {"seq": self.version, "whole": True, "hosts": [n.entry() for n in self.nodos]}
 
     def tell(self, nodo: Nodo, **changes: Any) -> None:
@@ -445,13 +445,13 @@
             book = json.dumps(self.registry.account()).encode()
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(book) + book)
             return
-        whole = json.dumps(self.registry.whole()).encode()
+        complete = json.dumps(self.registry.complete()).encode()
         if b"stream=1" not in line:
-            self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(whole) + whole)
+            self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(complete) + complete)
             return
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.registry.watchers.add(self.transport)
-        self.transport.write(b"%x\r\n%b\n\r\n" % (len(whole) + 1, whole))
+        self.transport.write(b"%x\r\n%b\n\r\n" % (len(complete) + 1, complete))
 
 
 async def fleet(count: int, make: Callable[[int, Books], Nodo]) -> tuple[list[Nodo], Books, Registry]:
--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -41,7 +41,7 @@
             "seed": "5",
             "discovery": f"127.0.0.1:{self.registry.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self.registry.whole(),
+            "known": self.registry.complete(),
             "settings": self.settings,
         }
         self.config = read_config(json.dumps(config))
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -227,19 +227,19 @@
             "born_ms": born,
         } | changes
 
-    def list(self, *hosts: dict[str, Any], whole: bool = True) -> dict[str, Any]:
-        return {"seq": self.version, "whole": whole, "hosts": list(hosts)}
+    def list(self, *hosts: dict[str, Any], complete: bool = True) -> dict[str, Any]:
+        return {"seq": self.version, "whole": complete, "hosts": list(hosts)}
 
     async def _discover(self, message: Message, writer: asyncio.StreamWriter) -> None:
-        whole = json.dumps(
+        complete = json.dumps(
             self.list(*(self.host(n) for n in range(len(self.ups)))) if not self.current else self.current
         )
         if "stream=1" not in message.line:
-            writer.write(reply(whole.encode()))
+            writer.write(reply(complete.encode()))
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches.append(writer)
-        self.tell(whole, writer)
+        self.tell(complete, writer)
 
     current: dict[str, Any] | None = None
 
@@ -253,10 +253,10 @@
     def raw(self, data: bytes, writer: asyncio.StreamWriter | None = None) -> None:
         (writer or self.watches[-1]).write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def news(self, *hosts: dict[str, Any], whole: bool = False) -> None:
+    def news(self, *hosts: dict[str, Any], complete: bool = False) -> None:
         """Changes, or a whole list, told on the watch."""
         self.version += 1
-        self.tell(self.list(*hosts, whole=whole))
+        self.tell(self.list(*hosts, complete=complete))
 
     async def __aenter__(self) -> World:
         for peer in (*self.ups, self.discovery):
--- a/tests/relay_site.py
+++ b/tests/relay_site.py
@@ -257,7 +257,7 @@
         return [listing.version for _, listing in self.told]
 
     def wholes(self) -> int:
-        return sum(listing.whole for _, listing in self.told)
+        return sum(listing.complete for _, listing in self.told)
 
     def rows(self) -> dict[str, dict[str, Any]]:
         return {row["host"]: row for row in self.registry.table()["hosts"]}
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -175,7 +175,7 @@
     assert one.ask() and one.relays.better() is None and not one.relays.follows()
     single = Single(lambda: SOURCE)
     assert single.better() is None and single.choose(False).ask is Ask.WHOLE
-    assert Single(lambda: SOURCE, whole_by_watch=True).choose(False).ask is Ask.WATCH
+    assert Single(lambda: SOURCE, complete_list_by_watch=True).choose(False).ask is Ask.WATCH
 
 
 def test_a_start_is_spread_and_who_is_turned_away_in_turn_comes_back_when_told_to() -> None:
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -139,19 +139,19 @@
         plans = [(rng.randrange(2), bytes(rng.randrange(1, 30_000))) for _ in range(24)]
 
         async def script(message: Message, writer: asyncio.StreamWriter) -> None:
-            whole, body = plans[int(message.fields["x-number"])]
+            complete, body = plans[int(message.fields["x-number"])]
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n")
             for at in range(0, len(body), 7_000):
                 writer.write(body[at : at + 7_000])
                 await asyncio.sleep(0.001 * (at % 3))
-            (closes if whole else resets)(writer)
+            (closes if complete else resets)(writer)
 
         async with World() as world:
             world.ups[0].script = script
-            for number, (whole, body) in enumerate(plans):
+            for number, (complete, body) in enumerate(plans):
                 answer = await world.ask(request("pay", b"", fields=f"X-Number: {number}\r\n"))
-                assert answer.status == (200 if whole else 502)
-                assert not whole or answer.body == body
+                assert answer.status == (200 if complete else 502)
+                assert not complete or answer.body == body
 
     uvloop.run(test())
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -67,7 +67,7 @@
                 lives = [
                     world.host(n, host=f"s{life}-{n}", site=f"zone{n}", born=life + 1.0) for n in range(2)
                 ]
-                world.news(*lives, whole=True)
+                world.news(*lives, complete=True)
                 await until(lambda life=life: f"s{life}-0" in world.node.engine.balancer.servers)  # type: ignore[misc]
 
         await asyncio.gather(discovery(), *(client(number) for number in range(8)))
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -25,7 +25,7 @@
     async def test() -> None:
         async with World(2) as world:
             if how == "empties":
-                world.news(whole=True)
+                world.news(complete=True)
             else:
                 health = "draining" if how == "none ready" else "gone"
                 world.news(*(world.host(n, health) for n in range(2)))
@@ -35,7 +35,7 @@
             answers = await asyncio.gather(*asked)
             assert {a.status for a in answers} == {503} and time.monotonic() - began > 0.2
             assert not world.ups[0].came and not world.ups[1].came and not world.node.engine.calls
-            world.news(world.host(1, born=5.0), whole=True)
+            world.news(world.host(1, born=5.0), complete=True)
             await until(lambda: ready(world) == {"s1"})
             assert (await world.ask(request("pay", b""))).status == 200
 
@@ -49,7 +49,7 @@
         world.ups[0].script = says(reply(b"", "500 Bad"))
         assert (await world.ask(request("pay", b""))).status == 502
         assert world.node.engine.balancer.servers["s0"].failing > 0
-        world.news(world.host(0, host="s9"), whole=True)
+        world.news(world.host(0, host="s9"), complete=True)
         await until(lambda: ready(world) == {"s9"})
         await until(lambda: world.ups[0].left == len(world.ups[0].writers))
         assert world.node.engine.balancer.servers["s9"].failing == 0.0
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -145,8 +145,8 @@
 
 
 def test_a_missing_figure_is_not_measured_and_takes_along_what_follows_from_it() -> None:
-    whole = row(model(slope("list bytes", 8.7e6)), "balancer", "whole list")
-    assert whole.basis.value == 8.7e6 and whole.factor() == pytest.approx(8.7e6 / PROGRAM.line_bytes)
+    complete = row(model(slope("list bytes", 8.7e6)), "balancer", "whole list")
+    assert complete.basis.value == 8.7e6 and complete.factor() == pytest.approx(8.7e6 / PROGRAM.line_bytes)
     for start in ("whole list", "a whole list at the budget's rate", "beats and changed rows"):
         missing = row(model(), "balancer", start)
         assert missing.basis.value is None and missing.factor() is None and missing.basis.run == ""
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -87,7 +87,7 @@
             sock.send(request() * {"pipelined": 2, "unread": 40}.get(where, 1))
             if where == "wait":
                 await until(lambda: world.node.engine.calls)
-                world.news(world.host(0), world.host(1), whole=True)
+                world.news(world.host(0), world.host(1), complete=True)
             await until(lambda: departure.heads > before and not world.node.front.unread)
             await until(lambda: not world.node.engine.calls)
             assert departure.heads == before + 1 and departure.unread == (where == "unread")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -216,7 +216,7 @@
                     one.setblocking(False)
                     one.connect_ex(hang.getsockname())
                 address = f"127.0.0.1:{hang.getsockname()[1]}"
-                world.news(world.host(0, dial=address), world.host(1, dial=address), whole=True)
+                world.news(world.host(0, dial=address), world.host(1, dial=address), complete=True)
                 await until(lambda: len(world.node.pool.upstreams) == 2)
             elif where == "between attempts":
                 for up in world.ups:
@@ -238,7 +238,7 @@
             await until(lambda: not world.node.front.clients, 2)
             before = len(sends())
             assert not world.node.engine.calls and not world.node.pool.connects
-            world.news(world.host(0), world.host(1), whole=True)
+            world.news(world.host(0), world.host(1), complete=True)
             for up in world.ups:
                 up.script = gated(gate, reply())
             gate.set()
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -130,7 +130,7 @@
             "name": "n0",
             "listen": "127.0.0.1:0",
             "seed": "5",
-            "known": self.registry.whole(),
+            "known": self.registry.complete(),
             "discovery": f"127.0.0.1:{self.registry.port}",
             "settings": SETTINGS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
--- a/tests/test_frozen_relay.py
+++ b/tests/test_frozen_relay.py
@@ -145,7 +145,7 @@
         await call(transcript, port, title, data)
     transcript.step("the list service has begun again")
     service.version = 0
-    service.send(row(4), row(5), whole=True)
+    service.send(row(4), row(5), complete=True)
     await first.line()
     return first
 
--- a/tests/test_frozen_transcript.py
+++ b/tests/test_frozen_transcript.py
@@ -223,10 +223,10 @@
     head = await client.reader.readuntil(b"\r\n\r\n")
     site.transcript.data(client.label, head)
     try:
-        whole = len(await client.reader.read()) >= len(LONG_BODY)
+        complete = len(await client.reader.read()) >= len(LONG_BODY)
     except ConnectionResetError:
-        whole = False
-    site.transcript.note(client.label, "whole" if whole else "broken off")
+        complete = False
+    site.transcript.note(client.label, "whole" if complete else "broken off")
 
 
 async def client_leaves(site: Site) -> None:
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -207,9 +207,9 @@
     both.merge(one.dump())
     both.merge(other.dump())
     assert sum(both.ends.values()) == 1000 and both.ends == one.ends + other.ends
-    whole = both.whole(both.latency)
-    assert whole.get_total_count() == 800
-    assert whole.get_max_value() >= one.whole(one.latency).get_max_value()
+    complete = both.complete(both.latency)
+    assert complete.get_total_count() == 800
+    assert complete.get_max_value() >= one.complete(one.latency).get_max_value()
     assert both.goodput()["whole"] == pytest.approx(
         (sum(one.got.values()) + sum(other.got.values()))
         / (sum(one.asked.values()) + sum(other.asked.values()))
--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -62,7 +62,7 @@
     """Bounds wide enough for any machine; bench.loadgen holds the narrow ones."""
     with server(spec) as (target, _):
         record = driven(Load(target, "constant:200", 3.0, kinds=ONE, manners=SINGLE))
-    got = figures(record.whole(record.latency))
+    got = figures(record.complete(record.latency))
     assert got["count"] > 450 and record.ends == {"consulta served": got["count"]}
     assert p50 <= got["p50"] <= p50 * 1.5 + 5 and p99 <= got["p99"]
 
@@ -77,21 +77,21 @@
         for timer in timers:
             timer.start()
         record = driven(Load(target, "constant:300", 4.0, "fixed", kinds=ONE, manners=SINGLE))
-    whole = record.whole(record.latency)
+    complete = record.complete(record.latency)
     assert sum(record.ends.values()) == 1200
     half = sum(
         item.count_added_in_this_iter_step
-        for item in whole.get_recorded_iterator()
+        for item in complete.get_recorded_iterator()
         if item.value_iterated_to > 500_000
     )
-    assert 100 <= half <= 260 and whole.get_max_value() > 900_000
+    assert 100 <= half <= 260 and complete.get_max_value() > 900_000
 
 
 def test_latency_counts_the_wait_for_a_connection_and_service_does_not() -> None:
     with server("constant:20") as (target, _):
         bounded = Target(target.host, target.port, connections=1)
         record = driven(Load(bounded, "burst:100@0+0.3", 1.0, "fixed", kinds=ONE, manners=SINGLE))
-    latency, service = figures(record.whole(record.latency)), figures(record.whole(record.service))
+    latency, service = figures(record.complete(record.latency)), figures(record.complete(record.service))
     assert latency["count"] >= 29 and latency["max"] > 250 > service["p50"] >= 20
     assert figures(record.late)["max"] > 200  # its own bound: the generator says that it was late
 
@@ -136,7 +136,7 @@
     record = uvloop.run(main())
     assert record.ends == {"consulta served": 1} and record.tries == {"refused": 1, "served": 1}
     assert 0.28 <= moments[1] - moments[0] < 2.0
-    assert figures(record.whole(record.latency))["max"] >= 300  # from the first try's intended send
+    assert figures(record.complete(record.latency))["max"] >= 300  # from the first try's intended send
 
 
 def test_an_answer_to_nothing_is_counted() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -187,7 +187,7 @@
         assert [await put(world, "enter", "s0"), await put(world, "enter", "s0")] == [200, 200]
         before = len(world.ups[0].came)
         await until(lambda: world.ups[0].left == len(world.ups[0].writers))  # nothing rests there
-        world.news(world.host(0), world.host(1), whole=True)
+        world.news(world.host(0), world.host(1), complete=True)
         await until(lambda: world.node.watch.version == world.version)
         for _ in range(40):
             assert (await world.ask(request())).status == 200
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -23,9 +23,9 @@
 CHANGE = st.tuples(NUMBERS, st.sampled_from(("ready", "draining", "gone")), st.sampled_from((0.0, 5.0, 9.0)))
 
 
-def listing(whole: bool, *rows: tuple[int, str, float]) -> Listing:
+def listing(complete: bool, *rows: tuple[int, str, float]) -> Listing:
     entries = tuple(entry(n, state, started) for n, state, started in rows)
-    return Listing(1, whole, entries, tuple(("s", n) for n, _, _ in rows))
+    return Listing(1, complete, entries, tuple(("s", n) for n, _, _ in rows))
 
 
 def state(balancer: Balancer) -> dict[str, tuple[str, float, bool]]:
@@ -35,20 +35,20 @@
 @given(st.lists(NUMBERS, unique=True), st.booleans(), st.lists(CHANGE, max_size=40), st.integers(1, 9))
 @budget(max_examples=300, deadline=None, derandomize=True, database=None)
 def test_pieces_leave_the_fleet_as_the_whole_would(
-    before: list[int], whole: bool, rows: list[Any], size: int
+    before: list[int], complete: bool, rows: list[Any], size: int
 ) -> None:
     """Of a server that is in the end drained or gone, only that matters; of the others, all that was said."""
-    if whole:  # a whole list names each server once, and none that is gone
+    if complete:  # a whole list names each server once, and none that is gone
         rows = [row for row in {n: (n, s, b) for n, s, b in rows}.values() if row[1] != "gone"]
-    update = listing(whole, *rows)
+    update = listing(complete, *rows)
     one, other = Balancer(settings(), 1), Balancer(settings(), 1)
     for balancer in (one, other):
         balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n) for n in before)))
         met_often(balancer)
-    one.handle(1.0, io.EndpointListUpdate("whole" if whole else "changes", update.entries))
+    one.handle(1.0, io.EndpointListUpdate("whole" if complete else "changes", update.entries))
     parts = list(pieces(update, other.servers, size))
     for part in parts:
-        other.handle(1.0, io.EndpointListUpdate("whole" if part.whole else "changes", part.entries))
+        other.handle(1.0, io.EndpointListUpdate("whole" if part.complete else "changes", part.entries))
     mine, theirs = state(one), state(other)
     known = {name for name, row in mine.items() if row[2]}
     assert known == {name for name, row in theirs.items() if row[2]}
@@ -61,7 +61,8 @@
         away = {n for n, row in mine.items() if not row[2]} | {f"s{n}" for n in before} - set(mine)
         last = {e.server: e.state for e in update.entries}
         count = len(
-            {n for n in last if last[n] != "ready"} | ({n for n in away if n not in last} if whole else set())
+            {n for n in last if last[n] != "ready"}
+            | ({n for n in away if n not in last} if complete else set())
         )
         assert "ready" not in states[:count] and count <= len(states)
 
@@ -72,7 +73,7 @@
     rows = [(n, "ready", 0.0) for n in range(10)] + [(3, "draining", 0.0)]
     parts = list(pieces(listing(True, *rows), {"s77", "s1"}, 4))
     first = [(e.server, e.state) for e in parts[0].entries]
-    assert first[:2] == [("s3", "draining"), ("s77", "gone")] and not any(p.whole for p in parts)
+    assert first[:2] == [("s3", "draining"), ("s77", "gone")] and not any(p.complete for p in parts)
     assert [len(p.entries) for p in parts] == [4, 4, 3]
     assert all(len(p.entries) == len(p.addresses) for p in parts)
 
@@ -81,10 +82,10 @@
     queue = Queue()
     queue.put(listing(False, *((n, "ready", 0.0) for n in range(1000))))
     assert queue.next(set()) is not None and queue.waiting()
-    whole, change = listing(True, (1, "ready", 0.0)), listing(False, (2, "gone", 0.0))
-    queue.put(whole)
+    complete, change = listing(True, (1, "ready", 0.0)), listing(False, (2, "gone", 0.0))
+    queue.put(complete)
     queue.put(change)
-    assert [queue.next(set()), queue.next(set()), queue.next(set())] == [whole, change, None]
+    assert [queue.next(set()), queue.next(set()), queue.next(set())] == [complete, change, None]
     assert not queue.waiting()
 
 
@@ -112,7 +113,7 @@
 async def test_a_list_of_thousands_is_taken_in_beside_the_service() -> None:
     async with World(1) as world:
         pool, servers = world.node.pool, met_often(world.node.engine.balancer).servers
-        world.news(*hosts(3000), whole=True)
+        world.news(*hosts(3000), complete=True)
         await until(lambda: len(servers) == 3000, 30)
         left = pool.upstreams.get("s0")  # swept out already, where this took long
         assert "s0" not in servers and (left is None or not left.ready)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -106,7 +106,7 @@
             "name": "n0",
             "listen": "127.0.0.1:0",
             "seed": "5",
-            "known": registry.whole(),
+            "known": registry.complete(),
             "discovery": f"127.0.0.1:{registry.port}",
             "settings": SETTINGS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
--- a/tests/test_relay_catalog.py
+++ b/tests/test_relay_catalog.py
@@ -29,8 +29,8 @@
     } | changes
 
 
-def line(version: int, *rows: dict[str, Any], whole: bool = False) -> Listing:
-    return read_listing({"seq": version, "whole": whole, "hosts": list(rows)})
+def line(version: int, *rows: dict[str, Any], complete: bool = False) -> Listing:
+    return read_listing({"seq": version, "whole": complete, "hosts": list(rows)})
 
 
 def held(*lines: Listing) -> Catalog:
@@ -61,10 +61,10 @@
 
 
 def test_rows_come_out_as_they_came_in() -> None:
-    catalog = held(line(3, *ROWS, whole=True))
-    told = json.loads(catalog.whole().line)
+    catalog = held(line(3, *ROWS, complete=True))
+    told = json.loads(catalog.complete().line)
     assert told == {"seq": 3, "whole": True, "hosts": ROWS}
-    assert catalog.whole().line.count(b"\n") == 1 and catalog.whole() is catalog.whole()
+    assert catalog.complete().line.count(b"\n") == 1 and catalog.complete() is catalog.complete()
     catalog.apply(line(4, *ROWS[::-1]))
     assert json.loads(catalog.nothing()) == {"seq": 4, "whole": False, "hosts": []}
     catalog.apply(line(5, *[r | {"block": 9} for r in ROWS]))
@@ -72,7 +72,7 @@
 
 
 def test_what_goes_keeps_its_row_and_what_changes_twice_is_told_once() -> None:
-    catalog = held(line(1, row("a"), row("b"), row("c"), whole=True))
+    catalog = held(line(1, row("a"), row("b"), row("c"), complete=True))
     for version in (2, 3):
         catalog.apply(line(version, row("a", born_ms=version)))
     gone = row("b", health="gone")
@@ -93,9 +93,9 @@
     catalog = Catalog()
     assert owed(catalog, None, 7) is Due.AHEAD and not catalog.apply(line(3, row("a")))
     with pytest.raises(ValueError, match="no list"):
-        catalog.whole()
+        catalog.complete()
     for version in (7, 9, 10):
-        catalog.apply(line(version, row("a", block=version), whole=version == 7))
+        catalog.apply(line(version, row("a", block=version), complete=version == 7))
     assert [catalog.owed(None, n).due for n in (0, 6, 8)] == [Due.WHOLE] * 3
     assert [catalog.owed(None, n).due for n in (7, 9, 10, 11)] == [
         Due.CHANGES,
@@ -108,10 +108,10 @@
 @pytest.mark.parametrize("version", [4, 9])
 def test_a_source_that_begins_again_owes_the_whole_to_all(version: int) -> None:
     """Lower, or the same version with other rows: who watched throughout, and who comes by an old index."""
-    catalog = held(line(8, row("a"), row("b"), whole=True), line(9, row("a", block=4)))
+    catalog = held(line(8, row("a"), row("b"), complete=True), line(9, row("a", block=4)))
     before = catalog.position()
-    assert not catalog.apply(line(9, row("b"), row("a", block=4), whole=True))
-    assert catalog.apply(line(version, row("a", block=5), whole=True))
+    assert not catalog.apply(line(9, row("b"), row("a", block=4), complete=True))
+    assert catalog.apply(line(version, row("a", block=5), complete=True))
     assert catalog.position() == (before.life + 1, version)
     assert owed(catalog, before) is Due.WHOLE and owed(catalog, Position(before.life, version)) is Due.WHOLE
     assert [catalog.owed(None, n).due for n in range(1, 11)] == [Due.WHOLE] * 9 + [Due.AHEAD]
@@ -123,7 +123,7 @@
 
 def test_bounds_on_gone_rows_and_versions_raise_the_floor() -> None:
     catalog = Catalog(most_gone=3, most_versions=6)
-    catalog.apply(line(1, *(row(f"s{n}") for n in range(9)), whole=True))
+    catalog.apply(line(1, *(row(f"s{n}") for n in range(9)), complete=True))
     for n in range(5):
         catalog.apply(line(n + 2, row(f"s{n}", health="gone")))
     assert len(catalog.gone) == 3 and catalog.floor == 3
@@ -137,7 +137,7 @@
 
 def test_changes_of_most_of_a_long_list_are_told_as_the_whole() -> None:
     rows = [row(f"s{n}") for n in range(1_500)]
-    catalog = held(line(1, *rows, whole=True))
+    catalog = held(line(1, *rows, complete=True))
     catalog.apply(line(2, *(r | {"block": 4} for r in rows[:1_000])))
     assert len(owed(catalog, None, 1)) == 1_000
     catalog.apply(line(3, rows[-1] | {"block": 4}))
@@ -145,26 +145,26 @@
 
 
 def test_encodings_of_the_whole_that_are_in_use_are_bounded() -> None:
-    catalog = held(line(1, row("a"), whole=True))
-    taken = [catalog.whole(exact=True)]
+    catalog = held(line(1, row("a"), complete=True))
+    taken = [catalog.complete(exact=True)]
     for version in range(2, 20):
         catalog.apply(line(version, row("a", block=version)))
-        taken.append(catalog.whole(exact=True))
-    assert len({id(whole) for whole in taken}) == MOST_WHOLES
+        taken.append(catalog.complete(exact=True))
+    assert len({id(complete) for complete in taken}) == MOST_WHOLES
     assert names(owed(catalog, taken[-1].position)) == ["a ready"]  # it is followed by the changes behind it
     del taken
-    assert catalog.whole(exact=True).position.version == 19
+    assert catalog.complete(exact=True).position.version == 19
     rows = [row(f"s{n}") for n in range(20)]
-    catalog = held(line(1, *rows, whole=True))
-    first = catalog.whole()
+    catalog = held(line(1, *rows, complete=True))
+    first = catalog.complete()
     for version, changed in ((2, row("s3", block=8)), (3, row("s4", health="gone")), (4, row("new"))):
         catalog.apply(line(version, changed))
-        assert catalog.whole_bytes() - len(catalog.whole(exact=True).line) == 2
+        assert catalog.complete_list_bytes() - len(catalog.complete(exact=True).line) == 2
     catalog._whole = first
-    assert catalog.whole().position.version == 4  # three of twenty rows have changed since
-    last = catalog.whole()
+    assert catalog.complete().position.version == 4  # three of twenty rows have changed since
+    last = catalog.complete()
     catalog.apply(line(5, row("s3", block=7)))
-    assert catalog.whole() is last and catalog.whole(exact=True).position.version == 5
+    assert catalog.complete() is last and catalog.complete(exact=True).position.version == 5
 
 
 class Model:
@@ -193,7 +193,7 @@
 
     def line(self, since: int | None) -> Listing:
         if since is None or since not in self.past:
-            return line(self.version, *self.table.values(), whole=True)
+            return line(self.version, *self.table.values(), complete=True)
         old = self.past[since]
         rows = [r for name, r in self.table.items() if old.get(name) != r]
         rows += [r | {"health": "gone"} for name, r in old.items() if name not in self.table]
@@ -222,9 +222,9 @@
     def follow(self, catalog: Catalog) -> None:
         due, text = catalog.owed(self.position, self.version)
         if due in (Due.WHOLE, Due.AHEAD):  # the test's relays are never behind when this is asked
-            whole = catalog.whole()
-            self.kept.append(whole)
-            text, self.position = whole.line, whole.position
+            complete = catalog.complete()
+            self.kept.append(complete)
+            text, self.position = complete.line, complete.position
         else:
             text, self.position = text or catalog.nothing(), catalog.position()
         told = json.loads(text)
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -25,7 +25,7 @@
 
 @run
 async def test_a_relay_killed_in_the_middle_of_a_whole_list_and_of_a_change() -> None:
-    async def whole() -> None:
+    async def complete() -> None:
         async with site(2, rows(8_000)) as at:
             one = at.relays[0]
             one.gate.allowed = 100_000
@@ -56,7 +56,7 @@
             assert [row["health"] for row in balancer.rows().values()].count("draining") == 2_000
             assert two.gate.down - before < 2_000 * 200
 
-    await beside(whole, change)
+    await beside(complete, change)
 
 
 async def stopped_for_ten_seconds() -> None:
@@ -413,7 +413,7 @@
             balancer.calls.rng = Latest()
         assert all(balancer.at(one.gate) for balancer in balancers)
         before = [relay.gate.down for relay in others]
-        whole = len(at.service.encoded(None))
+        complete = len(at.service.encoded(None))
         since = time.monotonic()
         one.send(signal.SIGTERM)
         elsewhere = [relay.gate for relay in others]
@@ -421,7 +421,7 @@
         assert time.monotonic() - since <= 1.0 + 2 * lag.worst
         assert one.process is not None and await one.process.wait() == 0
         sent = [relay.gate.down - was for relay, was in zip(others, before, strict=True)]
-        assert all(sent) and sum(sent) < 30 * 1_000 < whole
+        assert all(sent) and sum(sent) < 30 * 1_000 < complete
         assert all(balancer.wholes() == 1 for balancer in balancers)
         _, version = at.change("host-00000001", health="draining")
         await at.settled()
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -28,8 +28,8 @@
 PATH = "/catalog/members"
 
 
-def table(version: int, *rows: dict[str, Any], whole: bool = True) -> dict[str, Any]:
-    return {"seq": version, "whole": whole, "hosts": list(rows)}
+def table(version: int, *rows: dict[str, Any], complete: bool = True) -> dict[str, Any]:
+    return {"seq": version, "whole": complete, "hosts": list(rows)}
 
 
 class Source:
@@ -156,16 +156,16 @@
     async def main() -> None:
         async with site() as here:
             current, old = await here.watch(8), await here.watch(3)
-            assert await current.line() == table(8, whole=False)
+            assert await current.line() == table(8, complete=False)
             assert await old.line() == table(8, row("a"), row("b"))
             here.source.silent = True  # the line that decides is the one below
             behind, other = await here.call(9), await here.call(50)
             await until(lambda: len(here.server.waiting) == 2)
-            here.source.say(table(9, row("a", block=7), whole=False))
+            here.source.say(table(9, row("a", block=7), complete=False))
             here.source.silent = False
             for watch in (current, old):
-                assert await watch.line() == table(9, row("a", block=7), whole=False)
-            assert await behind.status() == 200 and await behind.line() == table(9, whole=False)
+                assert await watch.line() == table(9, row("a", block=7), complete=False)
+            assert await behind.status() == 200 and await behind.line() == table(9, complete=False)
             assert await other.status() == 200 and (await other.line())["whole"]
             assert await current.reader.readuntil(b"\n\r\n") == b"1\r\n\n\r\n"
             assert len(here.source.peer.came) == 1 and "index=0" in here.source.peer.came[0].line
@@ -190,9 +190,9 @@
             for text, status in asked.items():
                 call = await here.raw(text)
                 assert await call.status() == status and await call.reader.read() == b""
-            whole = await here.get()
-            assert await whole.status() == 200
-            assert json.loads(await whole.reader.read()) == here.source.now
+            complete = await here.get()
+            assert await complete.status() == 200
+            assert json.loads(await complete.reader.read()) == here.source.now
             assert await silent.reader.read() == b"" and await slow.status() == 408
             assert await slow.reader.read() == b""
 
@@ -210,7 +210,7 @@
             while not kept._paused:
                 version += 1
                 here.source.say(
-                    table(version, *(row(f"s{n}", born_ms=version) for n in range(900)), whole=False)
+                    table(version, *(row(f"s{n}", born_ms=version) for n in range(900)), complete=False)
                 )
                 await quick.lines_to(version)
             mid = version
@@ -222,12 +222,12 @@
                 row("c", health="gone"),
             ):
                 version += 1
-                here.source.say(table(version, changed, whole=False))
+                here.source.say(table(version, changed, complete=False))
                 assert (await quick.lines_to(version))[-1]["hosts"] == [changed]
             assert kept.transport.get_write_buffer_size() <= 200_000  # one change's rest: nothing was queued
             lines = await slow.lines_to(version)
             assert lines[-1] == table(
-                version, row("a", block=2), row("b", block=5), row("c", health="gone"), whole=False
+                version, row("a", block=2), row("b", block=5), row("c", health="gone"), complete=False
             )
             assert lines[-2]["seq"] == mid and len(lines) == mid - 8 + 2
 
@@ -241,11 +241,11 @@
         rows = [row(f"s{n}") for n in range(63_000)]
         async with site(*rows, whole_bytes_per_s=1e9) as here:
             quick = await here.watch(8)
-            assert await quick.line() == table(8, whole=False)
+            assert await quick.line() == table(8, complete=False)
             drips = []
             for version in range(9, 14):
                 drips.append(await here.watch(0, receive=4096))
-                here.source.say(table(version, row("s5", block=version), whole=False))
+                here.source.say(table(version, row("s5", block=version), complete=False))
                 assert (await quick.lines_to(version))[-1]["hosts"] == [row("s5", block=version)]
                 for drip in drips:
                     drip.taken += await drip.reader.readexactly(1)
@@ -276,9 +276,11 @@
             assert await watch.line() == again
             moved = await here.watch(version)  # by an index that may be of the life before
             assert await moved.line() == again
-            here.source.say(table(version + 1, row("d", block=2), whole=False))
+            here.source.say(table(version + 1, row("d", block=2), complete=False))
             assert (
-                await watch.line() == await moved.line() == table(version + 1, row("d", block=2), whole=False)
+                await watch.line()
+                == await moved.line()
+                == table(version + 1, row("d", block=2), complete=False)
             )
 
     run(main)()
@@ -289,7 +291,7 @@
     b'{"seq":9}\n',
     b'{"seq":9,"whole":true,"hosts":[{"host":""}]}\n',
     json.dumps(table(9, row("x", share=-1))).encode() + b"\n",
-    json.dumps(table(4, whole=False)).encode() + b"\n",
+    json.dumps(table(4, complete=False)).encode() + b"\n",
 ]
 
 
@@ -299,7 +301,7 @@
     async def main() -> None:
         async with site(*(row(f"s{n}") for n in range(100))) as here:
             assert (await (await here.watch(0)).line())["seq"] == 8
-            here.source.say(table(11, row("c"), whole=False))
+            here.source.say(table(11, row("c"), complete=False))
             await until(lambda: here.relay.catalog.version == 11)
             told = await (await here.watch(10)).line()
             assert told["whole"] and told["seq"] == 11
@@ -338,8 +340,8 @@
             await until(lambda: len(here.source.peer.came) == 2)
             assert here.relay.catalog.version == 8 and len(here.server.watchers) == 1
             await until(lambda: len(here.source.watches) == 2)
-            here.source.say(table(9, row("a", block=1), whole=False))
-            assert await watch.line() == table(9, row("a", block=1), whole=False)
+            here.source.say(table(9, row("a", block=1), complete=False))
+            assert await watch.line() == table(9, row("a", block=1), complete=False)
 
     run(main)()
 
@@ -354,8 +356,10 @@
             assert all([await watch.ended() for watch in watches])
             late = await here.call(8)
             assert await late.status() == 503 and "Retry-After" in late.head
-            whole = await here.get()
-            assert await whole.status() == 200 and json.loads(await whole.reader.read()) == here.source.now
+            complete = await here.get()
+            assert (
+                await complete.status() == 200 and json.loads(await complete.reader.read()) == here.source.now
+            )
             await here.source.peer.stop()
             await until(lambda: here.relay.watch.counts["ended unreached"] >= 2)
             before = len(here.source.peer.came)
@@ -363,7 +367,7 @@
             await here.source.peer.start(here.source.peer.port)
             await until(lambda: here.relay.watch.current())
             back = await here.watch(8)
-            assert await back.line() == table(8, whole=False)
+            assert await back.line() == table(8, complete=False)
             assert len(here.source.peer.came) == before + 1
 
     run(main)()
@@ -377,7 +381,7 @@
             calls = [await here.get() for _ in range(20)] + [await here.call(0) for _ in range(20)]
             told = [await call.status() for call in calls]
             took = time.monotonic() - began
-            size = len(here.relay.catalog.whole().line)
+            size = len(here.relay.catalog.complete().line)
             assert 6 <= told.count(200) <= 2 + (1.5 + took) * 200_000 / size and told.count(503) >= 6
             waits = [float(re.findall(r"Retry-After: (\S+)", c.head)[0]) for c in calls if "503" in c.head]
             assert min(waits) > 0 and len(set(waits)) >= 4
@@ -442,7 +446,7 @@
             for _ in range(30):
                 watch = Balancer(*await asyncio.open_connection("127.0.0.1", int(line.rpartition(":")[2])))
                 watch.writer.write(f"GET {PATH}?stream=1&index=8 HTTP/1.1\r\n\r\n".encode())
-                assert await watch.status() == 200 and await watch.line() == table(8, whole=False)
+                assert await watch.status() == 200 and await watch.line() == table(8, complete=False)
                 watches.append(watch)
             process.send_signal(signal.SIGTERM)
             assert all([await watch.ended() for watch in watches])
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -27,12 +27,12 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def line(version: int, whole: bool, *hosts: str) -> bytes:
+def line(version: int, complete: bool, *hosts: str) -> bytes:
     rows = [
         {"host": host, "dial": "127.0.0.1:9", "site": "a", "class": "m", "block": 0, "health": "ready"}
         for host in hosts
     ]
-    return json.dumps({"seq": version, "whole": whole, "hosts": rows}).encode() + b"\n"
+    return json.dumps({"seq": version, "whole": complete, "hosts": rows}).encode() + b"\n"
 
 
 class Relay(Peer):
@@ -43,13 +43,13 @@
         self.version = version
         self.mode = "tell"  # or mute, or lost
         self.indexes: list[int] = []
-        self.whole = 0  # lists that were asked for alone
+        self.complete = 0  # lists that were asked for alone
         self.watches: list[asyncio.StreamWriter] = []
         self.beats: set[asyncio.Task[None]] = set()
 
     async def _answer(self, message: Message, writer: asyncio.StreamWriter) -> None:
         if "stream=1" not in message.line:
-            self.whole += 1
+            self.complete += 1
             return writer.write(reply(line(self.version, True, "w")))
         index = int(message.line.split("index=")[1].split()[0])
         self.indexes.append(index)
@@ -151,14 +151,14 @@
         one, two, three = site.relays
         site.watch.start()
         await site.at(one)
-        assert one.indexes == [0] and site.told[0].whole and site.told[0].version == 7
+        assert one.indexes == [0] and site.told[0].complete and site.told[0].version == 7
         before = site.watch.clock.now()
         one.end_watches()
         await one.stop()
         await site.at(two)
         assert site.watch.clock.now() - before <= 1.0 + 2 * lag.worst
-        assert two.indexes == [7] and not site.told[-1].whole and not three.indexes
-        assert not any(relay.whole for relay in site.relays) and not site.source.came
+        assert two.indexes == [7] and not site.told[-1].complete and not three.indexes
+        assert not any(relay.complete for relay in site.relays) and not site.source.came
 
 
 @run
@@ -216,10 +216,10 @@
 
 @run
 async def test_a_relays_own_watch_asks_for_everything_in_one_call_again_after_each_watch() -> None:
-    """Its source says `whole` false to index 0, and may have begun again by the next watch."""
+    """Its source says `complete` false to index 0, and may have begun again by the next watch."""
     async with Site(7) as site:
         clock, source = site.watch.clock, site.source
-        single = Single(lambda: ("127.0.0.1", source.port), whole_by_watch=True)
+        single = Single(lambda: ("127.0.0.1", source.port), complete_list_by_watch=True)
         calls = Shared(1, 50.0, 10.0, random.Random(1), clock.now)
         watch = Watch(site, single, calls, clock, site.watch.log, site.watch.loop, resync=True)
         assert watch.last_line_at == -math.inf
@@ -236,8 +236,8 @@
         source.mode = "tell"
         writer.close()
         await until(lambda: len(site.told) == 2)
-        assert source.indexes == [0, 0] and not source.whole
-        assert [(told.whole, len(told.entries)) for told in site.told] == [(True, 2), (True, 1)]
+        assert source.indexes == [0, 0] and not source.complete
+        assert [(told.complete, len(told.entries)) for told in site.told] == [(True, 2), (True, 1)]
         watch.stop()
 
 
@@ -259,7 +259,7 @@
         one.writers[-1].transport.abort()  # the next try is answered
         await site.at(one)
         await until(lambda: two.left == 1)
-        assert one.indexes[-1] == 9 and two.indexes == [0] and not site.told[-1].whole
+        assert one.indexes[-1] == 9 and two.indexes == [0] and not site.told[-1].complete
 
 
 @run
@@ -320,7 +320,7 @@
         one.change(10)
         await until(lambda: site.watch.version == 10)
         assert site.versions() == [7, 9, 9, 10]
-        assert [listing.whole for listing in site.told] == [True, False, False, False]
+        assert [listing.complete for listing in site.told] == [True, False, False, False]
 
 
 @run
@@ -330,12 +330,12 @@
             relay.mode = "lost"
         site.watch.start()
         await until(lambda: site.told)
-        assert sum(relay.whole for relay in site.relays) == 1 and site.watch.version == 7
+        assert sum(relay.complete for relay in site.relays) == 1 and site.watch.version == 7
         await until(lambda: all(relay.indexes.count(7) >= 2 for relay in site.relays))
         assert len(site.told) == 1 and not site.source.came
         site.relays[1].mode = "tell"
         await site.at(site.relays[1])
-        assert sum(relay.whole for relay in site.relays) == 1 and not site.told[-1].whole
+        assert sum(relay.complete for relay in site.relays) == 1 and not site.told[-1].complete
 
 
 @run
@@ -346,7 +346,7 @@
             relay.mode = "lost"
         site.watch.start()
         await until(lambda: all(relay.indexes.count(9) >= 3 for relay in site.relays))
-        assert site.told == [] and sum(relay.whole for relay in site.relays) == 1
+        assert site.told == [] and sum(relay.complete for relay in site.relays) == 1
 
 
 @run
@@ -358,14 +358,14 @@
         for relay in site.relays:
             await relay.stop()
         await site.at(site.source)
-        assert site.source.indexes == [7] and not site.told[-1].whole
+        assert site.source.indexes == [7] and not site.told[-1].complete
         site.source.change(8)
         await until(lambda: site.watch.version == 8)
         two.version = 8
         await two.start(two.port)
         await site.at(two)
         await until(lambda: site.source.left == 1)
-        assert two.indexes[-1] == 8 and site.source.indexes == [7] and not site.told[-1].whole
+        assert two.indexes[-1] == 8 and site.source.indexes == [7] and not site.told[-1].complete
 
 
 @run
@@ -376,7 +376,7 @@
         await site.at(one)
         one.tell(b'{"seq":8,"whole":false,"hosts":[{}]}\n')
         await site.at(two)
-        assert two.indexes == [0] and site.told[-1].whole and len(site.told) == 2
+        assert two.indexes == [0] and site.told[-1].complete and len(site.told) == 2
 
 
 @run
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -428,12 +428,12 @@
 
 
 @pytest.mark.parametrize("whole", [True, False], ids=["another version", "killed half way"])
-def test_a_predecessor_of_another_version_or_one_that_dies_half_way(whole: bool) -> None:
+def test_a_predecessor_of_another_version_or_one_that_dies_half_way(complete: bool) -> None:
     """State of a format that this process does not read: the listener is used, what was learnt is not."""
-    uvloop.run(asyncio.wait_for(_predecessor(whole), 60))
+    uvloop.run(asyncio.wait_for(_predecessor(complete), 60))
 
 
-async def _predecessor(whole: bool) -> None:
+async def _predecessor(complete: bool) -> None:
     loop = asyncio.get_running_loop()
     clock = LoopClock(loop)
     with tempfile.TemporaryDirectory() as folder:
@@ -447,13 +447,13 @@
         )
         sock, _ = await loop.run_in_executor(None, server.accept)
         assert isinstance(wire.read(sock.recv(65_536)), wire.Hello)
-        socket.send_fds(sock, [wire.write(wire.Listener(1 if whole else 3))], [listener.fileno()])
+        socket.send_fds(sock, [wire.write(wire.Listener(1 if complete else 3))], [listener.fileno()])
         sock.send(wire.write(wire.Part(0, msgspec.msgpack.encode({"format": 7, "news": [1, 2]}))))
-        if not whole:
+        if not complete:
             sock.close()
         given = await asked
         server.close()
-        if not whole:  # killed in the middle: nothing is taken that is not whole
+        if not complete:  # killed in the middle: nothing is taken that is not whole
             assert given is None
             return listener.close()
         assert given is not None and given.state is None
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -33,7 +33,7 @@
         for _ in range(5):
             assert (await world.ask(request())).status == 200
         assert [len(up.came) for up in world.ups] == [0, 0, 5]
-        world.news(world.host(1), whole=True)
+        world.news(world.host(1), complete=True)
         await until(lambda: ready(world) == {"s1"})
         hows = [e.how for e in world.events if isinstance(e, io.EndpointListUpdate)]
         assert hows == ["stale", "whole", "changes", "changes", "whole"]
@@ -259,10 +259,10 @@
 
     async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(1.8)
-        whole = json.dumps(world.list(world.host(0))).encode() + b"\n"
+        complete = json.dumps(world.list(world.host(0))).encode() + b"\n"
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for at in range(0, len(whole), 40):
-            piece = whole[at : at + 40]
+        for at in range(0, len(complete), 40):
+            piece = complete[at : at + 40]
             writer.write(b"%x\r\n%b\r\n" % (len(piece), piece))
             await asyncio.sleep(0.05)
         world.watches.append(writer)
--- a/tests/test_sockets_requests.py
+++ b/tests/test_sockets_requests.py
@@ -123,10 +123,10 @@
 async def test_expect_100_continue() -> None:
     async with World() as world:
         reader, writer = await world.connect()
-        whole = request("pay", b"body", "Expect: 100-continue\r\n")
-        writer.write(whole[:-4])
+        complete = request("pay", b"body", "Expect: 100-continue\r\n")
+        writer.write(complete[:-4])
         assert (await read_message(reader, head_only=True)).status == 100
-        writer.write(whole[-4:])
+        writer.write(complete[-4:])
         assert (await read_message(reader)).status == 200
         assert "expect" not in world.ups[0].came[0].fields
 
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -95,7 +95,7 @@
     """Thousands are not gone through four times a second; what has gone is forgotten all the same."""
     async with World(2) as world:
         rows = [world.host(0), world.host(1), *(world.host(0, host=f"x{n}") for n in range(3_000))]
-        world.news(*rows, whole=True)
+        world.news(*rows, complete=True)
         await until(lambda: len(world.node.pool.upstreams) == 3_002)
         world.news(*(row | {"health": "draining"} for row in rows[2:1_000]))
         world.news(*(row | {"health": "gone"} for row in rows[2:900]))
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -21,8 +21,8 @@
     return io.Endpoint(f"s{number}", ZONES[cell % 3], "std", cell, state, 1.0, started)
 
 
-def listing(whole: bool, *entries: io.Endpoint) -> Listing:
-    return Listing(1, whole, entries, tuple(("h", int(e.server[1:])) for e in entries))
+def listing(complete: bool, *entries: io.Endpoint) -> Listing:
+    return Listing(1, complete, entries, tuple(("h", int(e.server[1:])) for e in entries))
 
 
 def full(count: int) -> Listing:
@@ -40,7 +40,7 @@
     def hear(self, news: Listing) -> Listing:
         out = self.subset.filter(news)
         assert len(out.entries) == len(out.addresses) == len({e.server for e in out.entries})
-        if out.whole:
+        if out.complete:
             self.states.clear()
         for e in out.entries:
             self.changes += 1
@@ -66,9 +66,9 @@
     told = Told(Subset("b1", size, per_zone))
     truth = {f"s{n}": entry(n) for n in range(count)}
     told.hear(listing(True, *truth.values()))
-    for whole, rows in steps:
+    for complete, rows in steps:
         changes = {f"s{n}": entry(n, state) for n, state in rows}
-        if whole:
+        if complete:
             truth = {name: e for name, e in changes.items() if e.state != "gone"}
             told.hear(listing(True, *truth.values()))
         else:
@@ -173,7 +173,7 @@
         node = world.node
         node.subset = Subset("n0", 2)
         hosts = [world.host(n, block=n // 2) for n in range(4)]
-        world.news(*hosts, whole=True)
+        world.news(*hosts, complete=True)
         await until(lambda: len(node.engine.balancer.ready) == 2)
         used = {s.entry.server for s in node.engine.balancer.ready}
         assert used in ({"s0", "s1"}, {"s2", "s3"})
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -60,8 +60,8 @@
     }
 
 
-def lines(version: int, *rows: dict[str, Any], whole: bool = False) -> Listing:
-    return read_listing({"seq": version, "whole": whole, "hosts": list(rows)})
+def lines(version: int, *rows: dict[str, Any], complete: bool = False) -> Listing:
+    return read_listing({"seq": version, "whole": complete, "hosts": list(rows)})
 
 
 class Site:
@@ -115,8 +115,8 @@
     """Four old upstreams that have served for ten seconds."""
     site = Site(AnchoredClock())
     old = [row(n, 0.0 if n % 2 else UNIX_MS + skew_ms - 9 * HOUR_MS) for n in range(4)]
-    site.side.begin(lines(0, whole=True))
-    site.hears(lines(1, *old, whole=True))
+    site.side.begin(lines(0, complete=True))
+    site.hears(lines(1, *old, complete=True))
     site.sends_to("s0", 10.0)
     return site
 
@@ -151,10 +151,10 @@
     site.hears(lines(2, row(4, born)))
     site.sends_to("s4", 1.0)
     old_born = UNIX_MS + skew_ms - 9 * HOUR_MS
-    whole = [*(row(n, 0.0 if n % 2 else old_born) for n in range(4)), row(4, born)]
+    complete = [*(row(n, 0.0 if n % 2 else old_born) for n in range(4)), row(4, born)]
     for version, what in enumerate(between, 3):
         if isinstance(what, str):
-            site.hears(lines(version, *(whole if what == "whole" else []), whole=True))
+            site.hears(lines(version, *(complete if what == "whole" else []), complete=True))
         else:
             site.hears(lines(version, row(4, born, what[2])))
         site.clock.at += 1.0
@@ -188,8 +188,8 @@
 def test_at_the_process_own_start_an_age_is_bounded_at_both_ends(skew_ms: float) -> None:
     """Nothing but born_ms is known of the list's upstreams: one dated in the future is cold from now."""
     site = Site(AnchoredClock())
-    site.side.begin(lines(1, row(0), row(1, UNIX_MS + skew_ms), whole=True))
-    site.hears(lines(1, row(0), row(1, UNIX_MS + skew_ms), whole=True))
+    site.side.begin(lines(1, row(0), row(1, UNIX_MS + skew_ms), complete=True))
+    site.hears(lines(1, row(0), row(1, UNIX_MS + skew_ms), complete=True))
     site.clock.at += 1.0
     site.hears(lines(2, row(1, UNIX_MS + skew_ms)))
     assert site.age_ms("s1") == pytest.approx(1_000.0 + max(0.0, -skew_ms))
@@ -200,8 +200,8 @@
 def test_an_upstream_that_is_taken_into_the_subset_later_is_no_newcomer() -> None:
     site = Site(AnchoredClock(), subset=Subset("n0", 2))
     rows = [row(n, UNIX_MS - HOUR_MS) for n in range(4)]
-    site.side.begin(lines(0, whole=True))
-    site.hears(lines(1, *rows, whole=True))
+    site.side.begin(lines(0, complete=True))
+    site.hears(lines(1, *rows, complete=True))
     used = {server.entry.server for server in site.balancer.ready}
     site.sends_to("s0", 4.0)
     changes = [row(int(name[1:]), UNIX_MS - HOUR_MS, "draining") for name in used]
@@ -213,13 +213,13 @@
 
 def test_a_list_of_another_service_has_no_last_moment_without_its_upstreams() -> None:
     times, now = StartTimes(), 100_000.0
-    times.learn(lines(1, row(0, 5.0), whole=True), -float("inf"), now)
+    times.learn(lines(1, row(0, 5.0), complete=True), -float("inf"), now)
     times.source_changed()
-    other = lines(1, row(7, 10.0), row(8, now * 2), whole=True)
+    other = lines(1, row(7, 10.0), row(8, now * 2), complete=True)
     times.learn(other, now - 1_000.0, now)
     assert times.of(other.entries) == {"s7": 10.0, "s8": now}
     times.source_changed()
-    same = lines(2, row(7, 10.0), row(9, 10.0), whole=True)  # the same fleet at another address
+    same = lines(2, row(7, 10.0), row(9, 10.0), complete=True)  # the same fleet at another address
     times.learn(same, now - 1_000.0, now)
     assert times.of(same.entries) == {"s7": 10.0, "s9": now}
 
@@ -232,8 +232,8 @@
         times.learn(lines(number, row(number, 5.0, "gone")), 50.0, 100.0)
     assert list(times._gone) == ["s7", "s8", "s9"] and not times.after(0.0)
     long = [row(number, 5.0) for number in range(20)]
-    times.learn(lines(20, *long, whole=True), 50.0, 100.0)
-    times.learn(lines(21, whole=True), 50.0, 100.0)
+    times.learn(lines(20, *long, complete=True), 50.0, 100.0)
+    times.learn(lines(21, complete=True), 50.0, 100.0)
     assert len(times._gone) == 20
 
 
@@ -270,7 +270,7 @@
     before = serving(skew_ms)
     born = before.clock.unix_ms() + skew_ms
     listing = (*(row(n) for n in range(4)), row(4, born))
-    before.hears(lines(2, *listing, whole=True))
+    before.hears(lines(2, *listing, complete=True))
     before.sends_to("s4", 1.0)
     memory, starts = before.side.engine.hand_over(), before.side.start_times.after(0.0)
     after = Site(AnchoredClock(UNIX_MS - skew_ms))  # the machine's clock was stepped between the two starts
@@ -279,7 +279,7 @@
     inherited = InheritedStarts(
         before.side.list_known_ms() + by_ms, {name: at + by_ms for name, at in starts.items()}
     )
-    after.side.begin(lines(2, *listing, whole=True), 2, rebase(memory, by_ms), inherited)
+    after.side.begin(lines(2, *listing, complete=True), 2, rebase(memory, by_ms), inherited)
     assert after.age_ms("s4") == pytest.approx(before.age_ms("s4"), abs=1.0)
     assert after.balancer.servers["s4"].tokens == before.balancer.servers["s4"].tokens
     after.hears(lines(3, row(5, born)))
@@ -331,7 +331,7 @@
         world = World(4, guarantees=GUARANTEES)
         for peer in (*world.ups, world.discovery):
             await peer.start()
-        world.current = world.list(world.host(0), world.host(1), whole=True)
+        world.current = world.list(world.host(0), world.host(1), complete=True)
         config = read_config(
             json.dumps(
                 {
@@ -422,7 +422,7 @@
         for peer in (*world.ups, world.discovery):
             await peer.start()
         world.discovery.script = turned_away
-        world.known = world.list(world.host(0), whole=True)
+        world.known = world.list(world.host(0), complete=True)
         enter = asyncio.ensure_future(world.enter(heard=False))
         await until(lambda: hasattr(world, "node"))
         after = world.node.watch.calls.after
--- a/tests/transcript_site.py
+++ b/tests/transcript_site.py
@@ -244,22 +244,22 @@
         self.server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def table(self, whole: bool, rows: list[dict[str, Any]]) -> dict[str, Any]:
+    def table(self, complete: bool, rows: list[dict[str, Any]]) -> dict[str, Any]:
         """A line of the list."""
-        return {"seq": self.version, "whole": whole, "hosts": rows}
+        return {"seq": self.version, "whole": complete, "hosts": rows}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 wire = await read_wire(reader)
                 self.transcript.data(self.label, wire.raw)
-                whole = json.dumps(self.table(True, list(self.rows.values()))).encode()
+                complete = json.dumps(self.table(True, list(self.rows.values()))).encode()
                 if b"stream=1" in wire.raw:
                     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                     self.watches.append(writer)
-                    self.write_line(whole)
+                    self.write_line(complete)
                 else:
-                    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(whole) + whole)
+                    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(complete) + complete)
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
@@ -284,12 +284,12 @@
         for writer in self.watches:
             writer.transport.abort()
 
-    def send(self, *rows: dict[str, Any], whole: bool = False) -> None:
+    def send(self, *rows: dict[str, Any], complete: bool = False) -> None:
         """The list, or changes of it."""
         self.version += 1
-        self.rows = ({} if whole else self.rows) | {row["host"]: row for row in rows}
+        self.rows = ({} if complete else self.rows) | {row["host"]: row for row in rows}
         self.rows = {name: row for name, row in self.rows.items() if row["health"] != "gone"}
-        self.write_line(json.dumps(self.table(whole, list(rows))).encode())
+        self.write_line(json.dumps(self.table(complete, list(rows))).encode())
 
 
 class Client:
@@ -451,7 +451,7 @@
         rows = [up.row() for up in ups]
         if count == before:  # the figure tells by the count alone that the list is in force
             rows.append((await self.upstream()).row("draining"))
-        self.service.send(*rows, whole=True)
+        self.service.send(*rows, complete=True)
         await self.figure("upstreams_known", len(rows))
         await asyncio.sleep(REST_S)
         return ups
