--- a/bench/callmodel.py
+++ b/bench/callmodel.py
@@ -2,8 +2,8 @@
 
     python -m bench.callmodel [--quick] [--json FILE]
 
-The policy in force is the real one (quartzford/membership/calls.py); what was weighed against it stands here.
-All else is a model:
+The policy in force is the real one (quartzford/membership/call_policy.py); what was weighed against it stands
+here. All else is a model:
 
 - The service works through calls one at a time, `per_s` of them a second. "queues": it works on for callers
   who have left. "turns away": what would wait for over a second gets a 503 at once. "down": it refuses
@@ -29,7 +29,13 @@
 from typing import Any, NamedTuple
 
 from bench.common import report
-from quartzford.membership.calls import Agent, Calls, End, Shared, backoff
+from quartzford.membership.call_policy import (
+    AgentCallPolicy,
+    CallOutcome,
+    CallPolicy,
+    SharedServiceCallPolicy,
+    backoff,
+)
 
 PER_S, ASK_S, START_S, TURN_S = 50.0, 10.0, 0.5, 1.0
 GRACE_S = 2.5  # so that what asks alone waits up to a second, as it did
@@ -65,26 +71,26 @@
 )
 
 
-class Jitter(Agent):
+class Jitter(AgentCallPolicy):
     """Exponential back-off with full jitter over a bound that is the same for every fleet."""
 
     bound = 10.0
 
-    def after(self, end: End, took: float, retry_after: float = 0.0) -> float:
-        if end is End.DONE:
+    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        if end is CallOutcome.DONE:
             return 0.0
         wait = self.rng.random() * min(self.bound, 0.05 * 2.0**self.tries)
         self.tries = min(self.tries + 1, 10)
         return wait
 
 
-class Decorrelated(Agent):
+class Decorrelated(AgentCallPolicy):
     """Each wait drawn from 0.05 s to three times the last one, at most 10 s."""
 
     last = 0.05
 
-    def after(self, end: End, took: float, retry_after: float = 0.0) -> float:
-        if end is End.DONE:
+    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        if end is CallOutcome.DONE:
             return 0.0
         self.last = min(10.0, self.rng.uniform(0.05, 3 * self.last))
         return self.last
@@ -93,28 +99,28 @@
         self.last = 0.05
 
 
-class Bucket(Agent):
+class Bucket(AgentCallPolicy):
     """A bucket of tokens of this balancer's part of the service: one at the start, then one an interval."""
 
     def __init__(self, rng: random.Random, balancers: int) -> None:
         super().__init__(rng, GRACE_S)
         self.interval = balancers / PER_S
 
-    def after(self, end: End, took: float, retry_after: float = 0.0) -> float:
-        return 0.0 if end is End.DONE else max(self.interval, backoff(self.tries, self.rng))
+    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        return 0.0 if end is CallOutcome.DONE else max(self.interval, backoff(self.tries, self.rng))
 
 
-class Patient(Agent):
+class Patient(AgentCallPolicy):
     """As before, but an accepted call is waited for without end."""
 
     def patience(self) -> float:
         return 3_600.0
 
 
-class FullJitterSpread(Shared):
+class FullJitterSpread(SharedServiceCallPolicy):
     """The policy in force with full jitter over two spread intervals in place of about one."""
 
-    def after(self, end: End, took: float, retry_after: float = 0.0) -> float:
+    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         wait = super().after(end, took, retry_after)
         if wait < self.spread_interval / 2:
             return wait
@@ -122,15 +128,15 @@
         return max(backoff(self.tries, self.rng), self.rng.random() * interval)
 
 
-Make = Callable[[random.Random, int, Callable[[], float]], Calls]
+Make = Callable[[random.Random, int, Callable[[], float]], CallPolicy]
 POLICIES: dict[str, Make] = {
-    "before": lambda rng, n, now: Agent(rng, GRACE_S),
+    "before": lambda rng, n, now: AgentCallPolicy(rng, GRACE_S),
     "patient": lambda rng, n, now: Patient(rng, GRACE_S),
     "full jitter": lambda rng, n, now: Jitter(rng, GRACE_S),
     "decorrelated": lambda rng, n, now: Decorrelated(rng, GRACE_S),
     "bucket": lambda rng, n, now: Bucket(rng, n),
     "spread, full jitter": lambda rng, n, now: FullJitterSpread(n, PER_S, ASK_S, rng, now),
-    "spread": lambda rng, n, now: Shared(n, PER_S, ASK_S, rng, now),
+    "spread": lambda rng, n, now: SharedServiceCallPolicy(n, PER_S, ASK_S, rng, now),
 }
 # The recorded figures were drawn with these names in the seed: the same seed plays the same run as then.
 SEED_NAMES = {"spread, full jitter": "lap, full jitter", "spread": "lap"}
@@ -140,7 +146,7 @@
 class Asker:
     """One balancer."""
 
-    calls: Calls
+    calls: CallPolicy
     served: float = -1.0  # when it first had the list
     made: int = 0
     out: int = -1  # its call that is out
@@ -174,7 +180,7 @@
         self.askers = [Asker(self.make()) for _ in range(self.balancers)]
         self.loops = int(self.trouble.looping * self.balancers)
 
-    def make(self) -> Calls:
+    def make(self) -> CallPolicy:
         rng = random.Random(self.rng.random())
         return POLICIES[self.policy](rng, self.balancers, lambda: self.now)
 
@@ -230,18 +236,18 @@
         one.since = self.now
         self.calls.append(self.now)
         if self.down():
-            return self.end(one, number, End.UNREACHED)
+            return self.end(one, number, CallOutcome.UNREACHED)
         rate = PER_S * self.trouble.rate
         if self.trouble.turns and len(self.queue) / rate > TURN_S:
-            return self.end(one, number, End.TURNED_AWAY)
+            return self.end(one, number, CallOutcome.TURNED_AWAY)
         self.queue.append((one, number))
-        self.later(one.calls.patience(), lambda: self.end(one, number, End.SILENT))
+        self.later(one.calls.first_line_timeout(), lambda: self.end(one, number, CallOutcome.SILENT))
         self.work()
 
-    def end(self, one: Asker, number: int, how: End) -> None:
+    def end(self, one: Asker, number: int, how: CallOutcome) -> None:
         if one.out == number:
             one.out = -1
-            if how is End.SILENT and one.calls.keeps and one.kept < 0:
+            if how is CallOutcome.SILENT and one.calls.keeps_late_calls and one.kept < 0:
                 one.kept = number
             self.soon(one, one.calls.after(how, self.now - one.since))
 
@@ -253,12 +259,12 @@
         for one, number in list(self.queue):
             if one.kept == number:
                 one.kept = -1
-            self.end(one, number, End.BROKEN)
+            self.end(one, number, CallOutcome.BROKEN)
         self.queue.clear()
         for one in self.askers:
             if one.watching:
                 one.watching = False
-                self.soon(one, one.calls.after(End.LOST, self.rng.random() * BEAT_S))
+                self.soon(one, one.calls.after(CallOutcome.LOST, self.rng.random() * BEAT_S))
 
     def work(self) -> None:
         if self.busy or not self.queue:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -32,7 +32,7 @@
 from bench.capacity_model import Model as Capacity
 from bench.common import ROOT
 from quartzford.decision.workingset import LEAST, MEET_MS
-from quartzford.membership.calls import NOTIFY_BOUND_S, QUEUE_S, SMALL
+from quartzford.membership.call_policy import NOTIFY_BOUND_S, QUEUE_S, SMALL
 from quartzford.membership.watch import LINE_BYTES
 from quartzford.node import LISTS_PER_S
 
--- a/bench/capacity_events.py
+++ b/bench/capacity_events.py
@@ -138,7 +138,7 @@
             _told(model, zone, t.balancers - zone_balancers),
             in_force(model, "zone"),
             _noticed(model, "zone"),
-            f"{lists}; `membership/pieces.py`; ejection until told",
+            f"{lists}; `membership/list_chunks.py`; ejection until told",
         ),
         EventRow(
             "regions parted",
@@ -187,7 +187,7 @@
             f"one call of each at {model.program.calls_per_s:g}/s: {call_s:.0f} s",
             in_force(model, "all relays killed"),
             "by design: the list as last told is used on",
-            "the fleet's bounded rate (`membership/calls.py`)",
+            "the fleet's bounded rate (`membership/call_policy.py`)",
         ),
         EventRow(
             "bad configuration, can't be used",
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -18,7 +18,7 @@
 ARITHMETIC = "arithmetic"
 RESTART_ROWS, FAILURE_ROWS = 3, 2  # of the list: draining, gone, ready; gone, ready
 NONE = "none"
-EACH_ASKS = "each balancer asks the one list service (`membership/calls.py`)"
+EACH_ASKS = "each balancer asks the one list service (`membership/call_policy.py`)"
 RELAY = "relay (`docs/relay.md`)"
 
 # Figures of slopes.json that the model uses, by its own names.
--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -61,7 +61,7 @@
     taken = model.derive(
         f"{changes:.3g} rows/s x time of a row", lambda s: changes * s, model.measured("row time")
     )
-    memory, pieces = Bound(t.control_bytes, LETTER), "`membership/pieces.py`"
+    memory, pieces = Bound(t.control_bytes, LETTER), "`membership/list_chunks.py`"
     reading = by_name(LONG_LISTS).today
     return (
         row("state", f"whole list, {t.upstreams:,} rows", complete, "bytes", longest, reading, LONG_LISTS),
@@ -270,7 +270,9 @@
     """The one source of the list: with every balancer asking it, and with relays where there are any."""
     row, t, program = partial(Row, "list service"), model.target, model.program
     askers = t.control_machines if program.relay else t.balancers
-    policy = f"{program.small} + {program.spread_s:g} s x {program.calls_per_s:g}/s (`membership/calls.py`)"
+    policy = (
+        f"{program.small} + {program.spread_s:g} s x {program.calls_per_s:g}/s (`membership/call_policy.py`)"
+    )
     complete = model.measured("list bytes")
     total = model.derive(
         f"{t.balancers:,} x bytes of a whole list", lambda size: t.balancers * size, complete
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -14,10 +14,10 @@
 
 from quartzford.decision import interface as io
 from quartzford.engine import Clock, Engine, Log
-from quartzford.membership.addresses import Address, Addresses, Relays, Single
-from quartzford.membership.calls import Agent, Calls, Shared, draws
+from quartzford.membership.addresses import Address, Addresses, RelayAddresses, SingleAddress
+from quartzford.membership.call_policy import AgentCallPolicy, CallPolicy, SharedServiceCallPolicy, draws
+from quartzford.membership.list_chunks import ListingQueue
 from quartzford.membership.listing import Listing
-from quartzford.membership.pieces import Queue
 from quartzford.membership.registry import Registry
 from quartzford.membership.start_times import StartTimes
 from quartzford.membership.subset import Subset
@@ -65,7 +65,7 @@
         self.lists_per_s = lists_per_s
         self.asked = config.settings.polls_list  # one service for the whole fleet; else an agent's pushes
         self.followers: list[Follower] = []
-        self.pending = Queue()
+        self.pending = ListingQueue()
         self.registry = Registry()
         self.start_times = StartTimes()
         self._inherited_known_ms = -math.inf  # when the predecessor last knew the list
@@ -74,22 +74,24 @@
         # The snapshot's list, while its upstreams are presumed to have just started.
         self._snapshot_listing: Listing | None = None
 
-    def policy(self, relays: Sequence[Address]) -> tuple[Calls, Addresses]:
+    def policy(self, relays: Sequence[Address]) -> tuple[CallPolicy, Addresses]:
         """When calls are made and to whom, by the configuration. relays: asked in discovery's place."""
         settings, now = self.config.settings, self.clock.now
-        one = Single(lambda: self.config.discovery)
+        one = SingleAddress(lambda: self.config.discovery)
         if not self.asked:
             own = random.Random(self.config.seed ^ 1)
-            return Agent(own, settings.rules.drain_grace_ms / 1000.0), one
+            return AgentCallPolicy(own, settings.rules.drain_grace_ms / 1000.0), one
         host, port = self.config.listen
         own = draws(self.config.name, f"{host}:{port}", self.config.seed)
         most_wait = settings.rules.poll_interval_ms / 1000.0
         if not relays:
-            return Shared(settings.balancers, self.lists_per_s, most_wait, own, now), one
-        from quartzford.membership.relaycalls import RelayCalls  # only here: the platform's run has none
+            return SharedServiceCallPolicy(settings.balancers, self.lists_per_s, most_wait, own, now), one
+        from quartzford.membership.relay_call_policy import (
+            RelayCallPolicy,  # only here: the platform's run has none
+        )
 
-        several = Relays(self.config.name, relays, one.address)
-        return RelayCalls(several, settings.balancers, self.lists_per_s, most_wait, own, now), several
+        several = RelayAddresses(self.config.name, relays, one.address)
+        return RelayCallPolicy(several, settings.balancers, self.lists_per_s, most_wait, own, now), several
 
     # ---- start, reload, end
 
@@ -152,10 +154,10 @@
         moved = config.discovery != self.config.discovery
         self.config = config
         self.engine.reconfigure(config.settings)
-        if isinstance(self.watch.calls, Shared):
+        if isinstance(self.watch.calls, SharedServiceCallPolicy):
             most_wait = config.settings.rules.poll_interval_ms / 1000.0
             self.watch.calls.configure(config.settings.balancers, self.lists_per_s, most_wait)
-        elif isinstance(self.watch.calls, Agent):
+        elif isinstance(self.watch.calls, AgentCallPolicy):
             self.watch.calls.configure(config.settings.rules.drain_grace_ms / 1000.0)
         if moved:
             self.start_times.source_changed()
--- a/quartzford/membership/addresses.py
+++ b/quartzford/membership/addresses.py
@@ -1,10 +1,10 @@
 """Which address the next call for the list goes to. No I/O.
 
-When a call is made is for the policy of calls to say (calls.py, relaycalls.py). `Single` is one address: an
-agent, or the list service. `Relays` are several that pass one list service's lists on: each balancer has an
-order of its own over them by rendezvous hashing, so that the loss of one moves only its own balancers, and
-those spread over all others. The load is bounded by the relays: one that is full turns a watch away (503) and
-the balancer takes the next in its order.
+When a call is made is for the policy of calls to say (call_policy.py, relay_call_policy.py). `SingleAddress`
+is one address: an agent, or the list service. `RelayAddresses` are several that pass one list service's lists
+on: each balancer has an order of its own over them by rendezvous hashing, so that the loss of one moves only
+its own balancers, and those spread over all others. The load is bounded by the relays: one that is full turns
+a watch away (503) and the balancer takes the next in its order.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from quartzford.membership.calls import End
+from quartzford.membership.call_policy import CallOutcome
 
 Address = tuple[str, int]
 
 
-class Ask(Enum):
+class RequestKind(Enum):
     """What is asked."""
 
-    WHOLE = "whole"  # GET of the whole list; the connection ends with it
+    COMPLETE_LIST = "whole"  # GET of the whole list; the connection ends with it
     WATCH = "watch"  # changes after the version that is held, or everything after 0
 
 
@@ -29,7 +29,7 @@
     """Where a call goes, and what it asks."""
 
     address: Address
-    ask: Ask
+    ask: RequestKind
 
 
 class Addresses(Protocol):
@@ -41,7 +41,7 @@
     def choose(self, known: bool) -> Target:
         """Where a new call goes. known: a version of the list is held."""
 
-    def failed(self, target: Target, end: End) -> None:
+    def failed(self, target: Target, end: CallOutcome) -> None:
         """A call has ended, or has had its time without an answer."""
 
     def answered(self, target: Target) -> None:
@@ -54,7 +54,7 @@
         """Whether what is asked now moves with the address of the configuration."""
 
 
-class Single:
+class SingleAddress:
     """One address. whole_by_watch: the whole list is asked for by a watch at index 0, in one call."""
 
     def __init__(self, address: Callable[[], Address], complete_list_by_watch: bool = False) -> None:
@@ -62,9 +62,12 @@
 
     def choose(self, known: bool) -> Target:
         """The one address: the whole list where no version is held, else a watch."""
-        return Target(self.address(), Ask.WATCH if known or self.complete_list_by_watch else Ask.WHOLE)
+        return Target(
+            self.address(),
+            RequestKind.WATCH if known or self.complete_list_by_watch else RequestKind.COMPLETE_LIST,
+        )
 
-    def failed(self, target: Target, end: End) -> None:
+    def failed(self, target: Target, end: CallOutcome) -> None:
         """Nothing follows: there is no other."""
 
     def answered(self, target: Target) -> None:
@@ -89,7 +92,7 @@
     return tuple(sorted(relays, key=lambda relay: (weight(relay), relay), reverse=True))
 
 
-class Relays:
+class RelayAddresses:
     """Several relays, and the list service itself where `direct` says so.
 
     A call that fails moves on to the next relay in the balancer's order, round and round. A relay that has
@@ -101,40 +104,44 @@
     def __init__(self, name: str, relays: Iterable[Address], address: Callable[[], Address]) -> None:
         self.order = ranked(name, relays)
         self.address = address
-        self.direct = False  # the next call goes to the list service
+        self.next_call_direct = False  # the next call goes to the list service
         self.asked: Target | None = None  # by the last call
-        self.asked_direct = self.failed_direct = False  # the last call, the last failure: at the list service
+        self.last_call_direct = self.last_failure_direct = (
+            False  # the last call, the last failure: at the list service
+        )
         self.known = False  # a version was held then
         self.ever_answered = False  # a relay has answered since the start
         self.place: int | None = None  # in the order, where the watch stands; len(order): at the list service
         self._next = 0
         self._tried = 0  # better places since the watch stands
-        self._ends: dict[Address, End] = {}  # of each relay's last call since one has answered
+        self._ends: dict[Address, CallOutcome] = {}  # of each relay's last call since one has answered
 
     def choose(self, known: bool) -> Target:
         """The next relay in the order, or the list service where `direct` says so."""
-        self.known, self.asked_direct, self.direct = known, self.direct, False
-        if self.asked_direct:
-            self.asked = Target(self.address(), Ask.WATCH)
+        self.known, self.last_call_direct, self.next_call_direct = known, self.next_call_direct, False
+        if self.last_call_direct:
+            self.asked = Target(self.address(), RequestKind.WATCH)
         else:
             # Relays that have lost the list service turn watches away, and give a list to who has none.
-            complete = not self.ever_answered and self.all_failed() and self.one_lives()
-            self.asked = Target(self.order[self._next], Ask.WHOLE if complete else Ask.WATCH)
+            complete = not self.ever_answered and self.all_failed() and self.any_relay_alive()
+            self.asked = Target(
+                self.order[self._next], RequestKind.COMPLETE_LIST if complete else RequestKind.WATCH
+            )
         return self.asked
 
-    def failed(self, target: Target, end: End) -> None:
+    def failed(self, target: Target, end: CallOutcome) -> None:
         """The next call goes to the relay behind the one that failed."""
         self.place = None
-        self.failed_direct = target.address not in self.order
-        if not self.failed_direct:
+        self.last_failure_direct = target.address not in self.order
+        if not self.last_failure_direct:
             self._next = (self.order.index(target.address) + 1) % len(self.order)
-            if end is not End.LOST:  # that it answers no more is for the next call to find
+            if end is not CallOutcome.LOST:  # that it answers no more is for the next call to find
                 self._ends[target.address] = end
 
     def answered(self, target: Target) -> None:
         """A watch stands at the target; what relays did before counts no more."""
         self.ever_answered = True
-        if target.ask is Ask.WHOLE:
+        if target.ask is RequestKind.COMPLETE_LIST:
             return  # of a relay that has lost the list service, perhaps
         self._ends.clear()
         self._tried = 0
@@ -148,17 +155,17 @@
             return None
         relay = self.order[self._tried % self.place]
         self._tried += 1
-        self.asked, self.known, self.asked_direct = Target(relay, Ask.WATCH), True, False
+        self.asked, self.known, self.last_call_direct = Target(relay, RequestKind.WATCH), True, False
         return self.asked
 
     def follows(self) -> bool:
         """True at the list service: a relay's address is not the configuration's."""
-        return self.asked_direct or self.place == len(self.order)
+        return self.last_call_direct or self.place == len(self.order)
 
     def all_failed(self) -> bool:
         """Each relay's last call has failed."""
         return len(self._ends) == len(self.order)
 
-    def one_lives(self) -> bool:
+    def any_relay_alive(self) -> bool:
         """A relay has turned a call away: it lives, and has lost the list service or is full."""
-        return End.TURNED_AWAY in self._ends.values()
+        return CallOutcome.TURNED_AWAY in self._ends.values()
--- a/quartzford/membership/calls.py
+++ b/quartzford/membership/call_policy.py
@@ -6,9 +6,9 @@
 time that the call took, the wait behind it and the time that the next may take; all that makes waits longer
 ends at its bound.
 
-Two policies. `Agent` is for a list that is pushed: the address is an agent on this machine, a call costs
-nobody anything, and the sooner the better. `Shared` is for one service that all balancers of a fleet ask. It
-bounds what they ask of it together, though no balancer knows what another does:
+Two policies. `AgentCallPolicy` is for a list that is pushed: the address is an agent on this machine, a call
+costs nobody anything, and the sooner the better. `SharedServiceCallPolicy` is for one service that all
+balancers of a fleet ask. It bounds what they ask of it together, though no balancer knows what another does:
 
 - The first call of a start is put at a moment drawn evenly from the spread interval, the time in which the
   service can answer one call of each balancer. It is 0 for a small fleet: its calls go out at once. A
@@ -36,17 +36,17 @@
 CONNECT_S = 1.5  # nobody took the connection for so long
 ANSWER_S = 1.5  # an agent's whole answer, from the connection on
 QUEUE_S = 2.0  # the same of a service that all ask: calls wait in turn there
-LINE_S = 2.75  # between two whole lines of a watch, which says something every two seconds
+LINE_TIMEOUT_S = 2.75  # between two whole lines of a watch, which says something every two seconds
 RETRY_S = (0.05, 1.0)  # from one failed call to the next where the spread interval is not longer, doubling
 GRACE_PART = 0.4  # of the time that sends to what drains may go on, that an agent may be left unasked
 SMALL = 16  # so many balancers may call at once
 WAIT_SPREAD = (0.75, 1.25)  # of the spread interval, from a failed call to the next
 WAIT_BOUND = (0.8, 1.0)  # of the longest wait that NOTIFY_BOUND_S leaves
-KEPT_S = 60.0  # a call that was accepted may still be answered for so long
+LATE_CALL_KEPT_S = 60.0  # a call that was accepted may still be answered for so long
 STRETCH, STRETCH_MOST = 1.5, 16.0  # the interval grows by this with each call that the service could not bear
 
 
-class End(Enum):
+class CallOutcome(Enum):
     """How a call ended."""
 
     DONE = "in order"  # a whole list was read
@@ -58,16 +58,16 @@
     LOST = "lost"  # a watch that had brought a list or changes
 
 
-class Calls(Protocol):
+class CallPolicy(Protocol):
     """A policy of calls to the list service."""
 
     tries: int  # failed calls since the last answer
-    keeps: bool  # an accepted call that is late is kept beside the next one
+    keeps_late_calls: bool  # an accepted call that is late is kept beside the next one
 
     def first(self) -> float:
         """Wait before the first call of a start, or to an address that is new."""
 
-    def after(self, end: End, took: float, retry_after: float = 0.0) -> float:
+    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         """Wait before the next call. retry_after: what the service asked for, or 0.
 
         took: by the call that has ended; of a watch that had brought something, since its last whole line.
@@ -76,10 +76,10 @@
     def connect(self) -> float:
         """How long a connection may take."""
 
-    def patience(self) -> float:
+    def first_line_timeout(self) -> float:
         """How long the first whole list, or change, may take, from the connection on."""
 
-    def flowing(self) -> float:
+    def long_line_extra_time(self) -> float:
         """How much longer the first line may take once a good part of it has come."""
 
     def answered(self) -> None:
@@ -94,14 +94,14 @@
     return min(most, RETRY_S[0] * 2.0 ** min(tries, 10)) * rng.uniform(0.5, 1.0)
 
 
-class Agent:
+class AgentCallPolicy:
     """Lists are pushed to this machine.
 
     What the agent gets when discovery is back counts as told in that moment, and a call that hangs is
     answered then. So it is left unasked only for a part of the time that sends to what drains may go on.
     """
 
-    keeps = False
+    keeps_late_calls = False
 
     def __init__(self, rng: random.Random, drain_grace: float) -> None:
         self.rng = rng
@@ -117,9 +117,9 @@
         self.tries = 0
         return 0.0
 
-    def after(self, end: End, took: float, retry_after: float = 0.0) -> float:
+    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         """Wait before the next call, in seconds: none in order, else exponential backoff with jitter."""
-        if end is End.DONE or end is End.UNREAD:
+        if end is CallOutcome.DONE or end is CallOutcome.UNREAD:
             return 0.0
         wait = backoff(self.tries, self.rng, self.most)
         self.tries = min(self.tries + 1, 10)
@@ -129,11 +129,11 @@
         """How long a connection may take, in seconds."""
         return CONNECT_S
 
-    def patience(self) -> float:
+    def first_line_timeout(self) -> float:
         """How long the first line may take, in seconds."""
         return ANSWER_S
 
-    def flowing(self) -> float:
+    def long_line_extra_time(self) -> float:
         """No longer: an agent answers at once."""
         return 0.0
 
@@ -146,14 +146,14 @@
         return math.inf
 
 
-class Shared:
+class SharedServiceCallPolicy:
     """One service for a whole fleet.
 
     balancers: how many ask it; per_s: calls a second that it can answer; most_wait: it is asked again after
     so long, whatever it said (a balancer must not go longer without asking).
     """
 
-    keeps = True
+    keeps_late_calls = True
 
     def __init__(
         self, balancers: int, per_s: float, most_wait: float, rng: random.Random, now: Callable[[], float]
@@ -174,18 +174,18 @@
         self.tries = 0
         return self.rng.random() * min(self.spread_interval, NOTIFY_BOUND_S - QUEUE_S)
 
-    def after(self, end: End, took: float, retry_after: float = 0.0) -> float:
+    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         """Wait before the next call, in seconds: spread over the fleet, under the bound of the list's age."""
-        if end is End.DONE:
+        if end is CallOutcome.DONE:
             return 0.0
-        if end is End.UNREAD and self.now() >= self.unread_until:  # again and again, it is a failure
+        if end is CallOutcome.UNREAD and self.now() >= self.unread_until:  # again and again, it is a failure
             self.unread_until = self.now() + max(RETRY_S[1], self.spread_interval)
             return 0.0
         interval = self.spread_interval * self.stretch
         most = max(0.0, min(self.most_wait, NOTIFY_BOUND_S - QUEUE_S - took))
-        if end is End.LOST:  # all watches end in one moment when the service does
+        if end is CallOutcome.LOST:  # all watches end in one moment when the service does
             return max(self.rng.random() * min(interval, most), min(most, backoff(0, self.rng)))
-        if end is End.TURNED_AWAY or end is End.SILENT:
+        if end is CallOutcome.TURNED_AWAY or end is CallOutcome.SILENT:
             self.stretch = min(STRETCH_MOST, self.stretch * STRETCH)
         alone = backoff(self.tries, self.rng)
         self.tries = min(self.tries + 1, 10)
@@ -201,11 +201,11 @@
         """How long a connection may take, in seconds."""
         return CONNECT_S
 
-    def patience(self) -> float:
+    def first_line_timeout(self) -> float:
         """How long the first line may take, in seconds: the service may have a queue."""
         return QUEUE_S
 
-    def flowing(self) -> float:
+    def long_line_extra_time(self) -> float:
         """No longer: to the service all calls are alike."""
         return 0.0
 
--- a/quartzford/membership/pieces.py
+++ b/quartzford/membership/list_chunks.py
@@ -20,7 +20,7 @@
 Row = tuple[io.Endpoint, tuple[str, int]]
 
 
-def pieces(listing: Listing, known: Collection[str], size: int = PIECE) -> Iterator[Listing]:
+def split_into_chunks(listing: Listing, known: Collection[str], size: int = PIECE) -> Iterator[Listing]:
     """A listing as changes of so many entries at most, first what takes servers away; a short one as it is.
 
     known: the names that are in use, of which a whole list takes away those that it does not name. Where a
@@ -45,7 +45,7 @@
         yield Listing(listing.version, False, entries, addresses)
 
 
-class Queue:
+class ListingQueue:
     """Listings that wait, handed out piece by piece."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         """The next piece; None if nothing waits. known: the names in use at this moment."""
         piece, self.following = self.following, None
         if piece is None and self.listings:
-            self.parts = pieces(self.listings.popleft(), known)
+            self.parts = split_into_chunks(self.listings.popleft(), known)
             piece = next(self.parts, None)
         if piece is not None:
             self.following = next(self.parts, None)
--- a/quartzford/membership/relaycalls.py
+++ b/quartzford/membership/relay_call_policy.py
@@ -1,7 +1,7 @@
 """When the relays of a list service are called, and when the service itself. No I/O.
 
-Six seconds hold as in calls.py. A relay that says nothing is noticed 2.75 s after its last line, and up to
-two more may be dead or stopped in a row: 2.75 + 0.5 (spread) + 2 * (1.0 + 0.2) = 5.65 s, and the fourth
+Six seconds hold as in call_policy.py. A relay that says nothing is noticed 2.75 s after its last line, and up
+to two more may be dead or stopped in a row: 2.75 + 0.5 (spread) + 2 * (1.0 + 0.2) = 5.65 s, and the fourth
 answers by index at once. So a connection has 0.6 s, the first line by index 1.0 s, and the next relay is
 asked within 0.2 s. A call that was accepted and is late is kept beside the next (a whole list takes longer).
 
@@ -31,8 +31,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from quartzford.membership.addresses import Relays
-from quartzford.membership.calls import (
+from quartzford.membership.addresses import RelayAddresses
+from quartzford.membership.call_policy import (
     CONNECT_S,
     NOTIFY_BOUND_S,
     QUEUE_S,
@@ -42,8 +42,8 @@
     STRETCH_MOST,
     WAIT_BOUND,
     WAIT_SPREAD,
-    End,
-    Shared,
+    CallOutcome,
+    SharedServiceCallPolicy,
     backoff,
 )
 
@@ -57,15 +57,15 @@
 LATER = (1.0, 1.25)  # of the time after which a relay wants to be asked again
 
 
-class RelayCalls(Shared):
-    """The policy for relays, with `Relays` as its addresses; see the module.
+class RelayCallPolicy(SharedServiceCallPolicy):
+    """The policy for relays, with `RelayAddresses` as its addresses; see the module.
 
-    balancers and per_s are the fleet's size and the list service's rate, as in `Shared`.
+    balancers and per_s are the fleet's size and the list service's rate, as in `SharedServiceCallPolicy`.
     """
 
     def __init__(
         self,
-        relays: Relays,
+        relays: RelayAddresses,
         balancers: int,
         per_s: float,
         most_wait: float,
@@ -90,15 +90,15 @@
 
     def connect(self) -> float:
         """As long as the place that was chosen last may take."""
-        return CONNECT_S if self.relays.asked_direct else RELAY_CONNECT_S
+        return CONNECT_S if self.relays.last_call_direct else RELAY_CONNECT_S
 
-    def patience(self) -> float:
+    def first_line_timeout(self) -> float:
         """As long as the place that was chosen last may take; longer for a whole list."""
-        return RELAY_LINE_S if self.relays.known and not self.relays.asked_direct else QUEUE_S
+        return RELAY_LINE_S if self.relays.known and not self.relays.last_call_direct else QUEUE_S
 
-    def flowing(self) -> float:
+    def long_line_extra_time(self) -> float:
         """From a relay, as long again as its patience by index."""
-        return 0.0 if self.relays.asked_direct else FLOW_S
+        return 0.0 if self.relays.last_call_direct else FLOW_S
 
     def answered(self) -> None:
         """Forget what failed before."""
@@ -110,16 +110,16 @@
         """A wait drawn from RETURN_S."""
         return self.rng.uniform(*RETURN_S)
 
-    def after(self, end: End, took: float, retry_after: float = 0.0) -> float:
+    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         """The wait before the next relay's turn, or the source's: see the module."""
-        if end is End.DONE:
+        if end is CallOutcome.DONE:
             return 0.0
-        if end is End.LOST:
+        if end is CallOutcome.LOST:
             return self.rng.random() * LOST_SPREAD_S
-        if end is End.UNREAD and self.now() >= self.unread_until:
+        if end is CallOutcome.UNREAD and self.now() >= self.unread_until:
             self.unread_until = self.now() + RETRY_S[1]
             return 0.0
-        if self.relays.failed_direct:
+        if self.relays.last_failure_direct:
             self._direct_failed(end)
         else:
             self.costs.append(took)
@@ -140,13 +140,13 @@
         self.tries = min(self.tries + 1, 10)
         return max(RETRY_S[0], min(pace, max(alone, self.relay_spread_interval, later / count)))
 
-    def _direct_failed(self, end: End) -> None:
-        if end is End.TURNED_AWAY or end is End.SILENT:
+    def _direct_failed(self, end: CallOutcome) -> None:
+        if end is CallOutcome.TURNED_AWAY or end is CallOutcome.SILENT:
             self.stretch = min(STRETCH_MOST, self.stretch * STRETCH)
 
     def _direct_first(self, wait: float) -> float:
         """The wait, or a shorter one after which the list service is asked."""
-        if not self.relays.all_failed() or self.relays.one_lives():
+        if not self.relays.all_failed() or self.relays.any_relay_alive():
             self.direct_at = None
             return wait
         now = self.now()
@@ -157,5 +157,5 @@
         wait = max(0.0, self.direct_at - now)
         interval = max(RETRY_S[1], self.spread_interval) * self.stretch
         self.direct_at = self.direct_free = now + wait + interval * self.rng.uniform(*WAIT_SPREAD)
-        self.relays.direct = True
+        self.relays.next_call_direct = True
         return wait
--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -19,11 +19,13 @@
 from typing import NamedTuple
 
 from quartzford.decision import interface as io
-from quartzford.membership.calls import LINE_S
+from quartzford.membership.call_policy import LINE_TIMEOUT_S
 from quartzford.membership.listing import Listing
 
 LONG_AGO_MS = 0.0
-CURRENT_MS = LINE_S * 1000.0  # a list that was known so short a time ago has been watched without a break
+CURRENT_MS = (
+    LINE_TIMEOUT_S * 1000.0
+)  # a list that was known so short a time ago has been watched without a break
 # Incarnations that are remembered after the list has dropped them: as many as it named, between these bounds.
 LEAST_GONE = 128
 MOST_GONE = 8_192
--- a/quartzford/membership/watch.py
+++ b/quartzford/membership/watch.py
@@ -1,6 +1,7 @@
 """The list of upstreams: a watch on discovery that is made again whenever it ends or falls silent.
 
-When that is, and how long an answer may take, is for calls.py to say; where the call goes, for addresses.py.
+When that is, and how long an answer may take, is for call_policy.py to say; where the call goes, for
+addresses.py.
 """
 
 from __future__ import annotations
@@ -15,8 +16,14 @@
 import httptools
 
 from quartzford.engine import Clock, Handle, Log
-from quartzford.membership.addresses import Address, Addresses, Ask, Target
-from quartzford.membership.calls import KEPT_S, LINE_S, Calls, End, retry_after
+from quartzford.membership.addresses import Address, Addresses, RequestKind, Target
+from quartzford.membership.call_policy import (
+    LATE_CALL_KEPT_S,
+    LINE_TIMEOUT_S,
+    CallOutcome,
+    CallPolicy,
+    retry_after,
+)
 from quartzford.membership.listing import LONG_BYTES, Listing, Sink, read_listing
 from quartzford.protocols.socketerrors import is_local_to_connect
 
@@ -48,7 +55,7 @@
         self,
         sink: Sink,
         addresses: Addresses,
-        calls: Calls,
+        calls: CallPolicy,
         clock: Clock,
         log: Log,
         loop: asyncio.AbstractEventLoop,
@@ -61,8 +68,8 @@
         self.version: int | None = None
         self.ever_answered = False  # discovery has answered since the start
         self.call: Call | None = None
-        self.kept: Call | None = None  # an earlier one that was accepted and may still be answered
-        self.beside: Call | None = None  # at a better place, while the watch stands
+        self.late_call: Call | None = None  # an earlier one that was accepted and may still be answered
+        self.candidate: Call | None = None  # at a better place, while the watch stands
         self.timer: Handle | None = None
         self.back_timer: Handle | None = None
         self.last_line_at = -math.inf  # a list, changes or an empty line, in seconds of the clock
@@ -96,18 +103,18 @@
         # A version of 0 is that of a configuration that knows nobody.
         known = bool(self.version) if self.addresses.complete_list_by_watch else self.version is not None
         target = self.addresses.choose(known)
-        self.counts["asked" if target.ask is Ask.WHOLE else "watched"] += 1
+        self.counts["asked" if target.ask is RequestKind.COMPLETE_LIST else "watched"] += 1
         self.call = Call(self, target)
 
     def _try_better(self) -> None:
         """Make before break: the watch stands on until the new one has answered."""
         self.back_timer = None
-        if self.stopped or self.beside is not None or not self.current():
+        if self.stopped or self.candidate is not None or not self.current():
             return
         target = self.addresses.better()
         if target is not None:
             self.counts["tried better"] += 1
-            self.beside = Call(self, target)
+            self.candidate = Call(self, target)
 
     def _plan_better(self) -> None:
         if self.back_timer is not None:
@@ -125,7 +132,12 @@
             self.timer.cancel()
             self.timer = None
         self.version = None
-        calls, self.call, self.kept, self.beside = (self.call, self.kept, self.beside), None, None, None
+        calls, self.call, self.late_call, self.candidate = (
+            (self.call, self.late_call, self.candidate),
+            None,
+            None,
+            None,
+        )
         for call in calls:
             if call is not None:
                 call.close()
@@ -141,7 +153,7 @@
         for timer in (self.timer, self.back_timer):
             if timer is not None:
                 timer.cancel()
-        for call in (self.call, self.kept, self.beside):
+        for call in (self.call, self.late_call, self.candidate):
             if call is not None:
                 call.close()
 
@@ -156,7 +168,7 @@
     def bad(self, error: Exception, call: Call) -> bool:
         """Log a line that can't be read and forget the version, so that the next call asks for all."""
         self.log.line("discovery", f"a bad line: {error}")
-        if call is not self.beside:
+        if call is not self.candidate:
             self.version = None
         return False
 
@@ -167,17 +179,17 @@
         version is held is one of a relay that has lost the service.
         """
         held = self.version is not None and listing.version < self.version
-        return held and (call is self.beside or not call.watch)
+        return held and (call is self.candidate or not call.watch)
 
     def read(self, listing: Listing, call: Call) -> bool:
         """A line that could be read; whether the watch may go on."""
         if self._outdated(listing, call):
             return not call.watch
-        if call.everything and not call.answered:
-            listing = everything(listing)
+        if call.expects_complete_list and not call.answered:
+            listing = as_complete_list(listing)
         if listing.complete:
-            if self.beside is not None and call is not self.beside:
-                self.beside.close()  # it may be about to bring changes to another life's list
+            if self.candidate is not None and call is not self.candidate:
+                self.candidate.close()  # it may be about to bring changes to another life's list
         elif self.version is None or listing.version < self.version:
             self.version = None
             return False
@@ -190,8 +202,10 @@
         """The list has come by this call; any other is of no use now."""
         self.addresses.answered(call.target)
         self.calls.answered()
-        others = [one for one in (self.call, self.kept, self.beside) if one is not None and one is not call]
-        self.call, self.kept, self.beside = call, None, None
+        others = [
+            one for one in (self.call, self.late_call, self.candidate) if one is not None and one is not call
+        ]
+        self.call, self.late_call, self.candidate = call, None, None
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -201,29 +215,34 @@
 
     def late(self, call: Call) -> bool:
         """A call has had its time without an answer; whether it stands on beside the next one."""
-        if call is not self.call or self.kept is not None or not self.calls.keeps or self.stopped:
+        if (
+            call is not self.call
+            or self.late_call is not None
+            or not self.calls.keeps_late_calls
+            or self.stopped
+        ):
             return False
-        self.call, self.kept = None, call
+        self.call, self.late_call = None, call
         self.counts["kept"] += 1
-        self.addresses.failed(call.target, End.SILENT)
-        wait = self.calls.after(End.SILENT, self.clock.now() - call.since)
+        self.addresses.failed(call.target, CallOutcome.SILENT)
+        wait = self.calls.after(CallOutcome.SILENT, self.clock.now() - call.since)
         self.timer = self.clock.call_later(wait, self._call)
         return True
 
     def ended(self, call: Call, again: bool) -> None:
         """A call is over: schedule the next. again: it ended in order."""
-        if call is self.kept:
-            self.kept = None
-        if call is self.beside:
-            self.beside = None
+        if call is self.late_call:
+            self.late_call = None
+        if call is self.candidate:
+            self.candidate = None
             self._plan_better()
         if call is not self.call:
             return
         self.call = None
         self.counts["ended in order" if again else f"ended {call.why}"] += 1
         if not self.stopped:
-            end = call.end if not again else End.UNREAD if call.watch else End.DONE
-            if end is not End.DONE:
+            end = call.end if not again else CallOutcome.UNREAD if call.watch else CallOutcome.DONE
+            if end is not CallOutcome.DONE:
                 self.addresses.failed(call.target, end)
                 if self.resync:
                     self.version = None
@@ -231,7 +250,7 @@
             self.timer = self.clock.call_later(wait, self._call)
 
 
-def everything(listing: Listing) -> Listing:
+def as_complete_list(listing: Listing) -> Listing:
     """The same rows as a whole list."""
     rows = [row for row in zip(listing.entries, listing.addresses, strict=True) if row[0].state != "gone"]
     return Listing(listing.version, True, tuple(row[0] for row in rows), tuple(row[1] for row in rows))
@@ -245,10 +264,13 @@
     def __init__(self, owner: Watch, target: Target) -> None:
         self.owner, self.target = owner, target
         self.clock, self.loop = owner.clock, owner.loop
-        self.watch = target.ask is Ask.WATCH
+        self.watch = target.ask is RequestKind.WATCH
         self.index = owner.version or 0
-        self.everything = self.watch and self.index == 0 and owner.addresses.complete_list_by_watch
-        self.patience, self.flowing = owner.calls.patience(), owner.calls.flowing()
+        self.expects_complete_list = self.watch and self.index == 0 and owner.addresses.complete_list_by_watch
+        self.first_line_timeout, self.long_line_extra_time = (
+            owner.calls.first_line_timeout(),
+            owner.calls.long_line_extra_time(),
+        )
         self.transport = None
         self.buffer = bytearray()
         self.scanned = self.depth = 0  # of the buffer: lines of an object that is not whole yet
@@ -258,7 +280,7 @@
         self.lost = False
         self.parser: Any = httptools.HttpResponseParser(self)
         self.why = "closed"  # what ended it, for the counts
-        self.end = End.BROKEN
+        self.end = CallOutcome.BROKEN
         self.fields = {b"retry-after": "", b"date": ""}  # of the answer, as far as they are of use
         self.retry_after = 0.0
         self.since = self.clock.now()  # it was begun, or last brought a whole line
@@ -284,7 +306,7 @@
         self._end(again=False)
 
     def _unreached(self) -> None:
-        self.why, self.end = "unreached", End.UNREACHED
+        self.why, self.end = "unreached", CallOutcome.UNREACHED
         self.close()
 
     def _await_line(self, seconds: float) -> None:
@@ -298,13 +320,13 @@
             self._await_line(HELD_UP_S)
             self.silent_at = math.inf  # once
             return
-        if not self.answered and self.flowing > 0.0 and len(self.buffer) >= FLOW_BYTES:
-            more, self.flowing = self.flowing, 0.0  # once
+        if not self.answered and self.long_line_extra_time > 0.0 and len(self.buffer) >= FLOW_BYTES:
+            more, self.long_line_extra_time = self.long_line_extra_time, 0.0  # once
             return self._await_line(more)
         if not self.answered and self.owner.late(self):
-            self.timer = self.clock.call_later(KEPT_S, self.close)
+            self.timer = self.clock.call_later(LATE_CALL_KEPT_S, self.close)
             return
-        self.why, self.end = "silent", End.SILENT
+        self.why, self.end = "silent", CallOutcome.SILENT
         self.close()
 
     def _end(self, again: bool) -> None:
@@ -312,7 +334,7 @@
             return
         self.over = True
         if self.answered and self.watch:
-            self.end = End.LOST
+            self.end = CallOutcome.LOST
         self.timer.cancel()
         if self.transport is not None:
             self.transport.abort()
@@ -325,7 +347,7 @@
         self.transport = cast(asyncio.Transport, transport)
         if self.over:
             return self.transport.abort()
-        self._await_line(self.patience)
+        self._await_line(self.first_line_timeout)
         host, port = self.target.address
         path = "/catalog/members" + (f"?stream=1&index={self.index}" if self.watch else "")
         close = "" if self.watch else "Connection: close\r\n"
@@ -376,7 +398,7 @@
         """Only what is whole shows that the watch stands: bytes may drip in for ever and form no line."""
         if self.answered and not self.over:
             self.since = self.owner.last_line_at = self.clock.now()
-            self._await_line(LINE_S)
+            self._await_line(LINE_TIMEOUT_S)
 
     def _aside(self, text: bytes, done: Callable[[bool], None]) -> bool:
         """Read a long text in a thread, for it would hold the loop; whether it is that long."""
@@ -420,7 +442,7 @@
         if (status := self.parser.get_status_code()) != 200:
             self.why = str(status)
             if status in (429, 503):
-                self.end = End.TURNED_AWAY
+                self.end = CallOutcome.TURNED_AWAY
             self.close()
 
     def on_body(self, data: bytes) -> None:
@@ -429,7 +451,7 @@
             return
         self.buffer += data
         if len(self.buffer) > LINE_BYTES:
-            if self is not self.owner.beside:
+            if self is not self.owner.candidate:
                 self.owner.version = None
             return self.close()
         if self.watch:
--- a/quartzford/relay/source.py
+++ b/quartzford/relay/source.py
@@ -10,8 +10,8 @@
 import secrets
 
 from quartzford.engine import Clock, Log
-from quartzford.membership.addresses import Single
-from quartzford.membership.calls import NOTIFY_BOUND_S, Shared, draws
+from quartzford.membership.addresses import SingleAddress
+from quartzford.membership.call_policy import NOTIFY_BOUND_S, SharedServiceCallPolicy, draws
 from quartzford.membership.listing import Sink
 from quartzford.membership.watch import Watch
 from quartzford.settings.operatorfile import RelaySettings, endpoint
@@ -22,7 +22,9 @@
 ) -> Watch:
     """A watch on the source, not yet started; its calls are spread with those of the other relays."""
     rng = draws("relay", settings.listen, secrets.randbits(32))
-    calls = Shared(settings.relays, settings.source_calls_per_s, NOTIFY_BOUND_S, rng, clock.now)
+    calls = SharedServiceCallPolicy(
+        settings.relays, settings.source_calls_per_s, NOTIFY_BOUND_S, rng, clock.now
+    )
     source = endpoint(settings.source)
-    addresses = Single(lambda: source, complete_list_by_watch=True)
+    addresses = SingleAddress(lambda: source, complete_list_by_watch=True)
     return Watch(sink, addresses, calls, clock, log, loop, resync=True)
--- a/tests/relay_site.py
+++ b/tests/relay_site.py
@@ -17,10 +17,10 @@
 from peers import Lag, until
 
 from quartzford.engine import LoopClock, StderrLog
-from quartzford.membership.addresses import Relays
+from quartzford.membership.addresses import RelayAddresses
 from quartzford.membership.listing import Listing
 from quartzford.membership.registry import Registry
-from quartzford.membership.relaycalls import RelayCalls
+from quartzford.membership.relay_call_policy import RelayCallPolicy
 from quartzford.membership.watch import Watch
 from standins.listservice import Plan, Service
 
@@ -236,9 +236,9 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self.clock = LoopClock(loop)
-        self.addresses = Relays(name, [gate.address for gate in relays], lambda: direct.address)
+        self.addresses = RelayAddresses(name, [gate.address for gate in relays], lambda: direct.address)
         rng = random.Random(seed)  # a name depends on the kernel's ports
-        self.calls = RelayCalls(self.addresses, fleet, 50.0, 10.0, rng, self.clock.now)
+        self.calls = RelayCallPolicy(self.addresses, fleet, 50.0, 10.0, rng, self.clock.now)
         self.calls.back = lambda: back  # type: ignore[method-assign]
         self.registry = Registry()
         self.told: list[tuple[float, Listing]] = []
@@ -291,7 +291,7 @@
         self.service.replace_list(self.hosts)
         await self.service.start()
         source = ("127.0.0.1", self.service.port)
-        self.direct = await self.gate(source)
+        self.next_call_direct = await self.gate(source)
         for _ in range(relays):
             to_source, gate = await self.gate(source), await self.gate(("127.0.0.1", 9))
             self.relays.append(RelayProcess(self.folder, to_source, gate, relays))
@@ -318,7 +318,7 @@
         number = len(self.balancers) * 1_000_000
         while True:
             seed = len(self.balancers)
-            one = Balancer(f"b{number}", gates, direct or self.direct, fleet, back, seed)
+            one = Balancer(f"b{number}", gates, direct or self.next_call_direct, fleet, back, seed)
             if list(one.addresses.order[: len(wanted)]) == wanted:
                 break
             number += 1
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from quartzford.membership.addresses import Address, Ask, Relays, Single, ranked
-from quartzford.membership.calls import CONNECT_S, LINE_S, NOTIFY_BOUND_S, QUEUE_S, End
-from quartzford.membership.relaycalls import (
+from quartzford.membership.addresses import Address, RelayAddresses, RequestKind, SingleAddress, ranked
+from quartzford.membership.call_policy import CONNECT_S, LINE_TIMEOUT_S, NOTIFY_BOUND_S, QUEUE_S, CallOutcome
+from quartzford.membership.relay_call_policy import (
     RELAY_CONNECT_S,
     RELAY_LINE_S,
     RETURN_S,
-    RelayCalls,
+    RelayCallPolicy,
 )
 
 FLEET = 4_600
@@ -22,10 +22,10 @@
 SOURCE = ("10.1.0.1", 8500)
 # What a call to a relay in this state takes, and how it ends.
 STATES = {
-    "dead": (0.0, End.UNREACHED),
-    "vanished": (RELAY_CONNECT_S, End.UNREACHED),
-    "stopped": (RELAY_LINE_S, End.SILENT),
-    "lost": (0.0, End.TURNED_AWAY),
+    "dead": (0.0, CallOutcome.UNREACHED),
+    "vanished": (RELAY_CONNECT_S, CallOutcome.UNREACHED),
+    "stopped": (RELAY_LINE_S, CallOutcome.SILENT),
+    "lost": (0.0, CallOutcome.TURNED_AWAY),
 }
 
 
@@ -36,30 +36,32 @@
         self, number: int, states: dict[Address, str], fleet: int = FLEET, per_s: float = 50.0
     ) -> None:
         self.now, self.states = 0.0, states
-        self.relays = Relays(f"b{number}", ELEVEN, lambda: SOURCE)
+        self.relays = RelayAddresses(f"b{number}", ELEVEN, lambda: SOURCE)
         rng = random.Random(number)
-        self.calls = RelayCalls(self.relays, fleet, per_s, 10.0, rng, lambda: self.now)
-        self.made: list[tuple[float, Address, Ask]] = []
+        self.calls = RelayCallPolicy(self.relays, fleet, per_s, 10.0, rng, lambda: self.now)
+        self.made: list[tuple[float, Address, RequestKind]] = []
 
     def lose(self) -> None:
         """The watch at the first relay stood, and has said nothing since 0.0."""
         target = self.relays.choose(True)
         self.relays.answered(target)
-        self.now = LINE_S
-        self.relays.failed(target, End.LOST)
-        self.now += self.calls.after(End.LOST, LINE_S)
+        self.now = LINE_TIMEOUT_S
+        self.relays.failed(target, CallOutcome.LOST)
+        self.now += self.calls.after(CallOutcome.LOST, LINE_TIMEOUT_S)
 
     def ask(self, known: bool = True, retry_after: float = 0.0) -> bool:
         """One call, and the wait behind it if it fails; whether it was answered."""
         target = self.relays.choose(known)
         self.made.append((self.now, *target))
         state = self.states.get(target.address, "")
-        if not state or (state == "lost" and target.ask is Ask.WHOLE):
+        if not state or (state == "lost" and target.ask is RequestKind.WHOLE):
             self.relays.answered(target)
             self.calls.answered()
             return True
         took, end = STATES[state]
-        assert took <= (self.calls.connect() if end is End.UNREACHED else self.calls.patience())
+        assert took <= (
+            self.calls.connect() if end is CallOutcome.UNREACHED else self.calls.first_line_timeout()
+        )
         self.relays.failed(target, end)
         self.now += took + self.calls.after(end, took, retry_after)
         return False
@@ -110,7 +112,7 @@
         rounds = [at for at, address, _ in one.made if address == ELEVEN[7]]
         # The answer comes at once from who lives, and within the patience from who would be stopped next.
         assert max(b - a for a, b in itertools.pairwise(rounds[2:])) + RELAY_LINE_S <= NOTIFY_BOUND_S + 0.25
-        assert all(address != SOURCE and ask is Ask.WATCH for _, address, ask in one.made)
+        assert all(address != SOURCE and ask is RequestKind.WATCH for _, address, ask in one.made)
         assert len(one.made) / one.now <= 11 / 3.5  # and not in a circle
 
 
@@ -118,8 +120,8 @@
     one = Balancer(3, dict.fromkeys(ELEVEN, "lost"))
     while not one.ask(known=False):
         pass
-    assert [ask for *_, ask in one.made] == [Ask.WATCH] * 11 + [Ask.WHOLE]
-    assert not any(one.ask() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {Ask.WATCH}
+    assert [ask for *_, ask in one.made] == [RequestKind.WATCH] * 11 + [RequestKind.WHOLE]
+    assert not any(one.ask() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {RequestKind.WATCH}
 
 
 def direct_calls(balancers: int, per_s: float, until: float) -> list[float]:
@@ -143,7 +145,7 @@
     times = direct_calls(balancers, per_s, until)
     seconds = Counter(int(at) for at in times)
     assert max(seconds.values()) <= per_s + 5 * per_s**0.5
-    assert 0.8 * per_s <= len(times) / (until - LINE_S) <= 1.1 * per_s
+    assert 0.8 * per_s <= len(times) / (until - LINE_TIMEOUT_S) <= 1.1 * per_s
 
 
 def test_a_small_fleet_asks_the_source_after_one_round_and_then_once_a_second_at_most() -> None:
@@ -158,12 +160,12 @@
 
 def test_at_the_source_the_patience_is_that_of_a_service_that_all_ask() -> None:
     one = Balancer(1, {})
-    one.relays.direct = True
-    assert one.ask() and (one.calls.connect(), one.calls.patience()) == (CONNECT_S, QUEUE_S)
+    one.relays.next_call_direct = True
+    assert one.ask() and (one.calls.connect(), one.calls.first_line_timeout()) == (CONNECT_S, QUEUE_S)
     assert one.relays.place == 11 and one.relays.follows()
     better = [one.relays.better() for _ in range(12)]
     assert [target.address for target in better if target] == [*one.relays.order, one.relays.order[0]]
-    assert (one.calls.connect(), one.calls.patience()) == (RELAY_CONNECT_S, RELAY_LINE_S)
+    assert (one.calls.connect(), one.calls.first_line_timeout()) == (RELAY_CONNECT_S, RELAY_LINE_S)
 
 
 def test_those_of_a_relay_that_came_back_return_over_a_minute() -> None:
@@ -173,9 +175,9 @@
     assert max(Counter(int(wait) for wait in waits).values()) <= 20
     one = Balancer(5, {})
     assert one.ask() and one.relays.better() is None and not one.relays.follows()
-    single = Single(lambda: SOURCE)
-    assert single.better() is None and single.choose(False).ask is Ask.WHOLE
-    assert Single(lambda: SOURCE, complete_list_by_watch=True).choose(False).ask is Ask.WATCH
+    single = SingleAddress(lambda: SOURCE)
+    assert single.better() is None and single.choose(False).ask is RequestKind.WHOLE
+    assert SingleAddress(lambda: SOURCE, complete_list_by_watch=True).choose(False).ask is RequestKind.WATCH
 
 
 def test_a_start_is_spread_and_who_is_turned_away_in_turn_comes_back_when_told_to() -> None:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -8,17 +8,17 @@
 import pytest
 
 from bench.callmodel import PER_S, TROUBLES, Model, Trouble, bound_s
-from quartzford.membership.calls import (
+from quartzford.membership.call_policy import (
     CONNECT_S,
-    LINE_S,
+    LINE_TIMEOUT_S,
     NOTIFY_BOUND_S,
     QUEUE_S,
     RETRY_S,
     SMALL,
-    Agent,
-    Calls,
-    End,
-    Shared,
+    AgentCallPolicy,
+    CallOutcome,
+    CallPolicy,
+    SharedServiceCallPolicy,
     draws,
     retry_after,
 )
@@ -26,9 +26,11 @@
 TROUBLE = {trouble.name: trouble for trouble in TROUBLES}
 
 
-def shared(balancers: int, seed: int = 1, per_s: float = 50.0, now: list[float] | None = None) -> Shared:
+def shared(
+    balancers: int, seed: int = 1, per_s: float = 50.0, now: list[float] | None = None
+) -> SharedServiceCallPolicy:
     clock = now if now is not None else [0.0]
-    return Shared(balancers, per_s, 10.0, random.Random(seed), lambda: clock[0])
+    return SharedServiceCallPolicy(balancers, per_s, 10.0, random.Random(seed), lambda: clock[0])
 
 
 @pytest.mark.parametrize("name", TROUBLE)
@@ -83,7 +85,8 @@
 
 def test_equal_names_and_equal_seeds_do_not_call_in_step() -> None:
     firsts = [
-        Shared(200, 50.0, 10.0, draws("n1", f"127.0.0.{n}:80", 7), lambda: 0.0).first() for n in range(64)
+        SharedServiceCallPolicy(200, 50.0, 10.0, draws("n1", f"127.0.0.{n}:80", 7), lambda: 0.0).first()
+        for n in range(64)
     ]
     busiest = max(sum(abs(a - b) < 0.1 for b in firsts) for a in firsts)
     assert len(set(firsts)) == 64 and busiest < 16
@@ -92,13 +95,15 @@
 
 
 def test_small_fleets_and_pushed_lists_are_asked_for_at_once() -> None:
-    assert shared(SMALL).first() == shared(1).first() == Agent(random.Random(1), 0.25).first() == 0.0
-    agent = Agent(random.Random(1), 10.0)
-    waits = [agent.after(End.UNREACHED, 0.0) for _ in range(12)]
+    assert (
+        shared(SMALL).first() == shared(1).first() == AgentCallPolicy(random.Random(1), 0.25).first() == 0.0
+    )
+    agent = AgentCallPolicy(random.Random(1), 10.0)
+    waits = [agent.after(CallOutcome.UNREACHED, 0.0) for _ in range(12)]
     assert all(w <= min(RETRY_S[1], RETRY_S[0] * 2.0**n) for n, w in enumerate(waits))
-    assert agent.after(End.DONE, 0.0) == agent.after(End.UNREAD, 0.0) == 0.0
+    assert agent.after(CallOutcome.DONE, 0.0) == agent.after(CallOutcome.UNREAD, 0.0) == 0.0
     agent.answered()
-    assert agent.after(End.LOST, 0.0) <= RETRY_S[0]
+    assert agent.after(CallOutcome.LOST, 0.0) <= RETRY_S[0]
 
 
 @pytest.mark.parametrize("balancers", [0, 1, 16, 200, 1_000])  # 0: pushed
@@ -109,31 +114,39 @@
     took: the longest that a call of this end can last; of a watch, since it last told something.
     """
     ends = {
-        End.UNREACHED: CONNECT_S,
-        End.TURNED_AWAY: QUEUE_S,
-        End.BROKEN: QUEUE_S,
-        End.LOST: LINE_S,
-        End.SILENT: QUEUE_S,
-        End.UNREAD: QUEUE_S,
+        CallOutcome.UNREACHED: CONNECT_S,
+        CallOutcome.TURNED_AWAY: QUEUE_S,
+        CallOutcome.BROKEN: QUEUE_S,
+        CallOutcome.LOST: LINE_TIMEOUT_S,
+        CallOutcome.SILENT: QUEUE_S,
+        CallOutcome.UNREAD: QUEUE_S,
     }
     for seed in range(200):
         rng = random.Random(seed)
-        calls: Calls = shared(balancers, seed) if balancers else Agent(random.Random(seed), 0.25)
-        assert calls.first() + calls.patience() <= 6.0
+        calls: CallPolicy = (
+            shared(balancers, seed) if balancers else AgentCallPolicy(random.Random(seed), 0.25)
+        )
+        assert calls.first() + calls.first_line_timeout() <= 6.0
         for _ in range(40):
             end = rng.choice(list(ends))
             took = ends[end] * rng.choice((0.0, rng.random(), 1.0))
-            assert took + calls.after(end, took, retry_after) + calls.patience() <= 6.0
+            assert took + calls.after(end, took, retry_after) + calls.first_line_timeout() <= 6.0
 
 
 def test_an_agent_is_never_left_unasked_for_as_long_as_a_drain_may_be_broken() -> None:
     """What it gets when discovery is back counts as told in that moment; waits of up to 1 s told it late."""
     for grace in (0.25, 0.5, 2.0):
-        agent = Agent(random.Random(1), grace)
-        ends = (End.SILENT, End.UNREACHED, End.LOST, End.BROKEN, End.TURNED_AWAY)
+        agent = AgentCallPolicy(random.Random(1), grace)
+        ends = (
+            CallOutcome.SILENT,
+            CallOutcome.UNREACHED,
+            CallOutcome.LOST,
+            CallOutcome.BROKEN,
+            CallOutcome.TURNED_AWAY,
+        )
         assert max(agent.after(end, 1.5) for _ in range(20) for end in ends) <= grace / 2
     agent.configure(0.25)
-    assert agent.after(End.SILENT, 1.5) <= 0.125
+    assert agent.after(CallOutcome.SILENT, 1.5) <= 0.125
 
 
 @pytest.mark.parametrize(
@@ -165,23 +178,23 @@
 @pytest.mark.parametrize("balancers", [4, 200])
 def test_a_time_to_come_back_is_kept_but_never_for_longer_than_a_change_may_be_late(balancers: int) -> None:
     calls = shared(balancers)
-    waits = [calls.after(End.TURNED_AWAY, 0.0, 1.5) for _ in range(200)]
+    waits = [calls.after(CallOutcome.TURNED_AWAY, 0.0, 1.5) for _ in range(200)]
     assert min(waits) >= 1.5
-    told = [calls.after(End.TURNED_AWAY, 0.0, 3600.0) for _ in range(50)]
+    told = [calls.after(CallOutcome.TURNED_AWAY, 0.0, 3600.0) for _ in range(50)]
     assert min(told) >= 0.75 * (NOTIFY_BOUND_S - QUEUE_S) and max(told) <= NOTIFY_BOUND_S - QUEUE_S
     assert len(set(told)) == 50  # told to all alike, they don't come back together
-    assert 0.0 < shared(balancers).after(End.TURNED_AWAY, 0.0) <= 10.0
+    assert 0.0 < shared(balancers).after(CallOutcome.TURNED_AWAY, 0.0) <= 10.0
 
 
 def test_a_service_whose_answers_are_of_no_use_is_not_asked_in_a_circle() -> None:
     now = [0.0]
     calls = shared(200, now=now)
-    assert calls.after(End.UNREAD, 0.0) == 0.0  # the whole is asked for at once
+    assert calls.after(CallOutcome.UNREAD, 0.0) == 0.0  # the whole is asked for at once
     calls.answered()
-    waits = [calls.after(End.UNREAD, 0.0) for _ in range(5)]
+    waits = [calls.after(CallOutcome.UNREAD, 0.0) for _ in range(5)]
     assert min(waits) > 1.0 and all(math.isfinite(w) for w in waits)
     now[0] = 60.0
-    assert calls.after(End.UNREAD, 0.0) == 0.0
+    assert calls.after(CallOutcome.UNREAD, 0.0) == 0.0
 
 
 def test_discovery_moved_under_all_is_asked_over_a_spread_interval() -> None:
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -16,8 +16,8 @@
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
 from quartzford.membership import watch as source
+from quartzford.membership.list_chunks import ListingQueue, split_into_chunks
 from quartzford.membership.listing import Listing
-from quartzford.membership.pieces import Queue, pieces
 
 NUMBERS = st.integers(0, 30)
 CHANGE = st.tuples(NUMBERS, st.sampled_from(("ready", "draining", "gone")), st.sampled_from((0.0, 5.0, 9.0)))
@@ -46,7 +46,7 @@
         balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n) for n in before)))
         met_often(balancer)
     one.handle(1.0, io.EndpointListUpdate("whole" if complete else "changes", update.entries))
-    parts = list(pieces(update, other.servers, size))
+    parts = list(split_into_chunks(update, other.servers, size))
     for part in parts:
         other.handle(1.0, io.EndpointListUpdate("whole" if part.complete else "changes", part.entries))
     mine, theirs = state(one), state(other)
@@ -69,9 +69,9 @@
 
 def test_a_short_list_stays_whole_and_a_long_one_takes_away_first() -> None:
     short = listing(True, (1, "ready", 0.0))
-    assert list(pieces(short, {"s7"})) == [short]
+    assert list(split_into_chunks(short, {"s7"})) == [short]
     rows = [(n, "ready", 0.0) for n in range(10)] + [(3, "draining", 0.0)]
-    parts = list(pieces(listing(True, *rows), {"s77", "s1"}, 4))
+    parts = list(split_into_chunks(listing(True, *rows), {"s77", "s1"}, 4))
     first = [(e.server, e.state) for e in parts[0].entries]
     assert first[:2] == [("s3", "draining"), ("s77", "gone")] and not any(p.complete for p in parts)
     assert [len(p.entries) for p in parts] == [4, 4, 3]
@@ -79,7 +79,7 @@
 
 
 def test_a_whole_list_replaces_what_waits_and_changes_follow_it() -> None:
-    queue = Queue()
+    queue = ListingQueue()
     queue.put(listing(False, *((n, "ready", 0.0) for n in range(1000))))
     assert queue.next(set()) is not None and queue.waiting()
     complete, change = listing(True, (1, "ready", 0.0)), listing(False, (2, "gone", 0.0))
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -36,7 +36,7 @@
             one.gate.drop()
             await at.settled()
             assert balancer.at(at.relays[1].gate) and balancer.wholes() == 1 and len(balancer.told) == 1
-            assert at.direct.came == 0
+            assert at.next_call_direct.came == 0
 
     async def change() -> None:
         async with site(2, rows(8_000)) as at:
@@ -80,7 +80,7 @@
         at.change("host-00000005", health="draining")
         await at.settled()
         assert all(never_falls(balancer) and balancer.wholes() == 1 for balancer in balancers)
-        assert at.direct.came == 0
+        assert at.next_call_direct.came == 0
 
 
 async def cut_on_one_side() -> None:
@@ -104,7 +104,7 @@
         one.to_source.held = two.gate.held = False
         at.change("host-00000005", health="draining")
         await at.settled()
-        assert all(never_falls(balancer) for balancer in balancers) and at.direct.came == 0
+        assert all(never_falls(balancer) for balancer in balancers) and at.next_call_direct.came == 0
 
 
 @run
@@ -117,7 +117,7 @@
     config = {
         "name": "n0",
         "listen": "127.0.0.1:0",
-        "discovery": "{}:{}".format(*at.direct.address),
+        "discovery": "{}:{}".format(*at.next_call_direct.address),
         "seed": "5",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"seq": 0, "whole": True, "hosts": []},
@@ -168,7 +168,7 @@
             assert len(ups[0].came) - at_drained <= 4  # what was on its way, of four clients
             ends.set()
             await clients
-            assert set(statuses) == {200} and at.direct.came == 0
+            assert set(statuses) == {200} and at.next_call_direct.came == 0
         finally:
             clients.cancel()
             node.watch.stop()
@@ -206,7 +206,7 @@
             await at.settled()
         at.change("host-00000002", health="draining")
         await at.settled()
-        assert at.direct.came == 0
+        assert at.next_call_direct.came == 0
 
 
 async def index_of_an_earlier_life(anew: bool) -> None:
@@ -234,7 +234,9 @@
         at.change("host-00000002", health="draining")
         await at.settled()
         # The new relay lets an index above its version wait, which may look as if no relay were there.
-        assert anew or (all(balancer.at(two.gate) for balancer in balancers) and at.direct.came == 0)
+        assert anew or (
+            all(balancer.at(two.gate) for balancer in balancers) and at.next_call_direct.came == 0
+        )
 
 
 @run
@@ -346,7 +348,7 @@
         await at.service.start()
         await at.settled()
         assert len(at.service.calls) - calls == len(at.service.answers) - answers == 2
-        assert at.direct.came == 0
+        assert at.next_call_direct.came == 0
         at.change("host-00000002", health="draining")
         await at.settled()
         assert [balancer.watches_ended() - was for balancer, was in zip(balancers, ended, strict=True)] == [
@@ -360,22 +362,22 @@
 async def all_relays_gone() -> None:
     """The spread interval: 92 s in a fleet of 4,600, 2 s in one of 116 that is not let in, 0 in one of 10."""
     async with site(2, rows(20)) as at:
-        closed = await at.gate(at.direct.target)
+        closed = await at.gate(at.next_call_direct.target)
         closed.refusing = True
         many = [at.balancer(number % 2, fleet=4_600, back=1.0) for number in range(20)]
         middle = [at.balancer(number % 2, fleet=116, back=1.0, direct=closed) for number in range(20)]
         await at.settled(seconds=30.0)
-        assert at.direct.came == closed.came == 0
+        assert at.next_call_direct.came == closed.came == 0
         for relay in at.relays:
             await relay.kill()
             relay.gate.drop()
         since = time.monotonic()
         await asyncio.sleep(8.0)
         took = time.monotonic() - since  # longer on a busy machine
-        assert at.direct.came < 10 * took / 8.0  # on average 20 * 8 / 92
+        assert at.next_call_direct.came < 10 * took / 8.0  # on average 20 * 8 / 92
         assert 20 <= closed.came <= 100 * took / 8.0  # on average 20 * 8 / 2
         few = [at.balancer(0, fleet=10, back=1.0) for _ in range(3)]
-        await until(lambda: all(balancer.at(at.direct) for balancer in few), 20.0)
+        await until(lambda: all(balancer.at(at.next_call_direct) for balancer in few), 20.0)
         at.change("host-00000001", health="draining")
         await at.settled(*few)
         await at.relays[0].start()
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -14,10 +14,10 @@
 from peers import SETTINGS, Lag, Message, Peer, reply, run, until
 
 from quartzford.engine import LoopClock, StderrLog
-from quartzford.membership.addresses import Relays, Single
-from quartzford.membership.calls import Shared
+from quartzford.membership.addresses import RelayAddresses, SingleAddress
+from quartzford.membership.call_policy import SharedServiceCallPolicy
 from quartzford.membership.listing import Listing
-from quartzford.membership.relaycalls import RelayCalls
+from quartzford.membership.relay_call_policy import RelayCallPolicy
 from quartzford.membership.watch import Watch
 from quartzford.node import Node
 from quartzford.serve import Service
@@ -107,14 +107,14 @@
         for peer in (*self.peers, self.source):
             await peer.start()
         by_address = {("127.0.0.1", peer.port): peer for peer in self.peers}
-        self.addresses = Relays("b1", by_address, lambda: ("127.0.0.1", self.source.port))
+        self.addresses = RelayAddresses("b1", by_address, lambda: ("127.0.0.1", self.source.port))
         versions = [peer.version for peer in self.peers]
         self.relays = [by_address[address] for address in self.addresses.order]
         for relay, version in zip(self.relays, versions, strict=True):
             relay.version = version
         loop = asyncio.get_running_loop()
         clock = LoopClock(loop)
-        self.calls = RelayCalls(self.addresses, self.fleet, 50.0, 10.0, random.Random(4), clock.now)
+        self.calls = RelayCallPolicy(self.addresses, self.fleet, 50.0, 10.0, random.Random(4), clock.now)
         self.calls.back = lambda: self.back  # type: ignore[method-assign]
         log = StderrLog(clock.now)
         self.watch = Watch(self, self.addresses, self.calls, clock, log, loop)
@@ -137,9 +137,9 @@
 
     async def silent_beside(self, relay: Relay) -> None:
         """Until a call to a better place is out there beside the watch, and gets no answer."""
-        self.calls.patience = lambda: 30.0  # type: ignore[method-assign]
+        self.calls.first_line_timeout = lambda: 30.0  # type: ignore[method-assign]
         relay.mode, before = "mute", len(relay.indexes)
-        await until(lambda: len(relay.indexes) > before and self.watch.beside is not None)
+        await until(lambda: len(relay.indexes) > before and self.watch.candidate is not None)
 
     def versions(self) -> list[int]:
         return [listing.version for listing in self.told]
@@ -168,7 +168,7 @@
         async with Site(7, 7, 7) as site:
             one, two, three = site.relays
             patience = iter([0.3])
-            site.calls.patience = lambda patience=patience: next(patience, 30.0)  # type: ignore[misc]
+            site.calls.first_line_timeout = lambda patience=patience: next(patience, 30.0)  # type: ignore[misc]
             site.watch.version = 7
             one.mode = two.mode = "mute"
             site.watch.start()
@@ -178,7 +178,7 @@
             answering.begin(answering.writers[-1], 7)
             await site.at(answering)
             await until(lambda other=other: other.left == 1)
-            assert site.watch.kept is None and not three.indexes
+            assert site.watch.late_call is None and not three.indexes
             answering.change(8)
             await until(lambda site=site: site.watch.version == 8)
             assert site.versions() == [7, 8]
@@ -200,14 +200,14 @@
     text = line(7, True, *(f"host-{number:010}" for number in range(45_000)))
     async with Site(7, 7) as site:
         one, two = site.relays
-        site.calls.flowing = lambda: 30.0  # type: ignore[method-assign]
+        site.calls.long_line_extra_time = lambda: 30.0  # type: ignore[method-assign]
         site.watch.version = 5
         one.mode = "mute"
         site.watch.start()
         await until(lambda: one.indexes)
         one.writers[-1].write(HEAD)
         one.tell(text[:200_000], one.writers[-1])
-        await until(lambda: site.watch.call is not None and site.watch.call.flowing == 0.0)
+        await until(lambda: site.watch.call is not None and site.watch.call.long_line_extra_time == 0.0)
         one.tell(text[200_000:], one.writers[-1])
         await site.at(one)
         assert len(text) > 4 * 2**20 and len(site.told[0].entries) == 45_000
@@ -219,8 +219,8 @@
     """Its source says `complete` false to index 0, and may have begun again by the next watch."""
     async with Site(7) as site:
         clock, source = site.watch.clock, site.source
-        single = Single(lambda: ("127.0.0.1", source.port), complete_list_by_watch=True)
-        calls = Shared(1, 50.0, 10.0, random.Random(1), clock.now)
+        single = SingleAddress(lambda: ("127.0.0.1", source.port), complete_list_by_watch=True)
+        calls = SharedServiceCallPolicy(1, 50.0, 10.0, random.Random(1), clock.now)
         watch = Watch(site, single, calls, clock, site.watch.log, site.watch.loop, resync=True)
         assert watch.last_line_at == -math.inf
         source.mode = "mute"
@@ -274,7 +274,7 @@
             await site.silent_beside(one)
             two.change(9)
             await until(lambda site=site: site.watch.version == 9)
-            beside = site.watch.beside
+            beside = site.watch.candidate
             left = one.left
             one.begin(one.writers[-1], index)
             await until(lambda one=one, left=left: one.left > left)
@@ -309,7 +309,7 @@
         one.end_watches()
         await site.at(two)
         assert two.indexes == [7] and site.watch.version == 9
-        site.calls.patience = lambda: 30.0  # type: ignore[method-assign]
+        site.calls.first_line_timeout = lambda: 30.0  # type: ignore[method-assign]
         one.mode = "mute"  # it is at 7, and 9 ahead of it
         two.mode = "lost"
         two.end_watches()
@@ -418,9 +418,9 @@
 ) -> None:
     monkeypatch.delenv("EDGE_CONFIG", raising=False)
     node = made(tmp_path, "subscribe", NAMED)
-    assert isinstance(node.watch.calls, RelayCalls) and isinstance(node.watch.addresses, Relays)
+    assert isinstance(node.watch.calls, RelayCallPolicy) and isinstance(node.watch.addresses, RelayAddresses)
     assert sorted(node.watch.addresses.order) == [("127.0.0.1", 1), ("127.0.0.1", 2)]
     node.reconfigure(read_config(json.dumps(site_config("subscribe"))))
-    assert not isinstance(made(tmp_path, "subscribe", "").watch.calls, RelayCalls)
+    assert not isinstance(made(tmp_path, "subscribe", "").watch.calls, RelayCallPolicy)
     with pytest.raises(OperatorError, match="lists.relays: .*subscribe"):
         made(tmp_path, "automatic", NAMED)
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -13,7 +13,7 @@
 
 from quartzford import node
 from quartzford.decision import interface as io
-from quartzford.membership import calls
+from quartzford.membership import call_policy
 from quartzford.membership import watch as source
 from quartzford.membership.listing import read_listing
 
@@ -188,8 +188,8 @@
     asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A start; known is old: its only upstream is gone. In the end the list holds, and nothing was lost."""
-    monkeypatch.setattr(calls, "ANSWER_S", 0.3)
-    monkeypatch.setattr(calls, "QUEUE_S", 0.5)
+    monkeypatch.setattr(call_policy, "ANSWER_S", 0.3)
+    monkeypatch.setattr(call_policy, "QUEUE_S", 0.5)
     monkeypatch.setattr(source, "LINE_S", 0.5)
 
     async def test() -> None:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -19,8 +19,8 @@
 
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.fronts.listener import Listener, bind
-from quartzford.membership.addresses import Single
-from quartzford.membership.calls import Agent
+from quartzford.membership.addresses import SingleAddress
+from quartzford.membership.call_policy import AgentCallPolicy
 from quartzford.membership.listing import Listing
 from quartzford.membership.watch import Watch
 from standins.listservice import Plan, Service
@@ -342,8 +342,8 @@
             await peer.start()
         loop: Any = FailingLoop(asyncio.get_running_loop(), error)
         clock = LoopClock(loop)
-        addresses = Single(lambda: ("127.0.0.1", world.discovery.port))
-        watch = Watch(lists, addresses, Agent(Random(1), 0.25), clock, StderrLog(clock.now), loop)
+        addresses = SingleAddress(lambda: ("127.0.0.1", world.discovery.port))
+        watch = Watch(lists, addresses, AgentCallPolicy(Random(1), 0.25), clock, StderrLog(clock.now), loop)
         watch.start()
         await until(lambda: lists.heard)
         assert not loop.left and watch.counts["ended unreached"] == failures
