--- a/bench/callmodel.py
+++ b/bench/callmodel.py
@@ -76,11 +76,11 @@
 
     bound = 10.0
 
-    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         if end is CallOutcome.DONE:
             return 0.0
-        wait = self.rng.random() * min(self.bound, 0.05 * 2.0**self.tries)
-        self.tries = min(self.tries + 1, 10)
+        wait = self.rng.random() * min(self.bound, 0.05 * 2.0**self.failed_calls)
+        self.failed_calls = min(self.failed_calls + 1, 10)
         return wait
 
 
@@ -89,7 +89,7 @@
 
     last = 0.05
 
-    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         if end is CallOutcome.DONE:
             return 0.0
         self.last = min(10.0, self.rng.uniform(0.05, 3 * self.last))
@@ -106,8 +106,8 @@
         super().__init__(rng, GRACE_S)
         self.interval = balancers / PER_S
 
-    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        return 0.0 if end is CallOutcome.DONE else max(self.interval, backoff(self.tries, self.rng))
+    def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        return 0.0 if end is CallOutcome.DONE else max(self.interval, backoff(self.failed_calls, self.rng))
 
 
 class Patient(AgentCallPolicy):
@@ -120,12 +120,12 @@
 class FullJitterSpread(SharedServiceCallPolicy):
     """The policy in force with full jitter over two spread intervals in place of about one."""
 
-    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        wait = super().after(end, took, retry_after)
+    def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        wait = super().delay_after(end, took, retry_after)
         if wait < self.spread_interval / 2:
             return wait
         interval = 2.0 * self.spread_interval * self.stretch
-        return max(backoff(self.tries, self.rng), self.rng.random() * interval)
+        return max(backoff(self.failed_calls, self.rng), self.rng.random() * interval)
 
 
 Make = Callable[[random.Random, int, Callable[[], float]], CallPolicy]
@@ -211,7 +211,7 @@
     # ---- balancers
 
     def start(self, one: Asker) -> None:
-        self.soon(one, one.calls.first())
+        self.soon(one, one.calls.initial_delay())
 
     def soon(self, one: Asker, wait: float) -> None:
         life = one.life
@@ -239,7 +239,7 @@
             return self.end(one, number, CallOutcome.UNREACHED)
         rate = PER_S * self.trouble.rate
         if self.trouble.turns and len(self.queue) / rate > TURN_S:
-            return self.end(one, number, CallOutcome.TURNED_AWAY)
+            return self.end(one, number, CallOutcome.REJECTED)
         self.queue.append((one, number))
         self.later(one.calls.first_line_timeout(), lambda: self.end(one, number, CallOutcome.SILENT))
         self.work()
@@ -249,7 +249,7 @@
             one.out = -1
             if how is CallOutcome.SILENT and one.calls.keeps_late_calls and one.kept < 0:
                 one.kept = number
-            self.soon(one, one.calls.after(how, self.now - one.since))
+            self.soon(one, one.calls.delay_after(how, self.now - one.since))
 
     # ---- the service
 
@@ -264,7 +264,7 @@
         for one in self.askers:
             if one.watching:
                 one.watching = False
-                self.soon(one, one.calls.after(CallOutcome.LOST, self.rng.random() * BEAT_S))
+                self.soon(one, one.calls.delay_after(CallOutcome.LOST, self.rng.random() * BEAT_S))
 
     def work(self) -> None:
         if self.busy or not self.queue:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,7 +33,7 @@
 from bench.common import ROOT
 from quartzford.decision.workingset import LEAST, MEET_MS
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, QUEUE_S, SMALL
-from quartzford.membership.watch import LINE_BYTES
+from quartzford.membership.list_watch import LINE_BYTES
 from quartzford.node import LISTS_PER_S
 
 PAGE = Path("docs/CAPACITY.md")
--- a/bench/capacity_events.py
+++ b/bench/capacity_events.py
@@ -147,7 +147,7 @@
             f"{remote:,.0f} balancers come back",
             in_force(model, "cut off"),
             "by design: the list as last told is used on; what fails is ejected by each balancer alone",
-            f"{NONE} for changes in a parted region; last list kept (`membership/watch.py`)",
+            f"{NONE} for changes in a parted region; last list kept (`membership/list_watch.py`)",
         ),
         EventRow(
             "source down and back",
--- a/bench/capacity_mechanisms.py
+++ b/bench/capacity_mechanisms.py
@@ -46,7 +46,7 @@
     ),
     Mechanism(
         LONG_LISTS,
-        "a list is one line, read whole (`membership/watch.py`)",
+        "a list is one line, read whole (`membership/list_watch.py`)",
         (),
         "a bound on a line that follows from the size of the list, rows read as they come",
     ),
--- a/bench/fleetmodel.py
+++ b/bench/fleetmodel.py
@@ -206,7 +206,7 @@
         self.known.update({u.name: u for u, _ in upstreams})
         self.feed(io.EndpointListUpdate(how, tuple(u.entry(state) for u, state in upstreams)))
         if how == "stale" and self.calls is not None:  # it has just started
-            self.later(1000.0 * self.calls.first(), lambda: self.world.call(self))
+            self.later(1000.0 * self.calls.initial_delay(), lambda: self.world.call(self))
 
     def feed(self, event: io.Event) -> None:
         begun = time.perf_counter()
@@ -472,7 +472,7 @@
             return node.feed(io.EndpointListUpdate("failed"))
         from quartzford.membership.call_policy import CallOutcome
 
-        node.later(1000.0 * node.calls.after(CallOutcome.TURNED_AWAY, 0.0), lambda: self.call(node))
+        node.later(1000.0 * node.calls.delay_after(CallOutcome.REJECTED, 0.0), lambda: self.call(node))
 
     def told(self, node: Node) -> None:
         if node.calls is not None:
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -17,11 +17,11 @@
 from quartzford.membership.addresses import Address, Addresses, RelayAddresses, SingleAddress
 from quartzford.membership.call_policy import AgentCallPolicy, CallPolicy, SharedServiceCallPolicy, draws
 from quartzford.membership.list_chunks import ListingQueue
+from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Listing
 from quartzford.membership.registry import Registry
 from quartzford.membership.start_times import StartTimes
 from quartzford.membership.subset import Subset
-from quartzford.membership.watch import Watch
 from quartzford.settings.platform import Config
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
 class ControlSide:
     """What a balancer knows and by which policy it learns it. Made by `assemble`, which sets the watch."""
 
-    watch: Watch
+    watch: ListWatch
 
     def __init__(
         self,
@@ -154,14 +154,14 @@
         moved = config.discovery != self.config.discovery
         self.config = config
         self.engine.reconfigure(config.settings)
-        if isinstance(self.watch.calls, SharedServiceCallPolicy):
+        if isinstance(self.watch.policy, SharedServiceCallPolicy):
             most_wait = config.settings.rules.poll_interval_ms / 1000.0
-            self.watch.calls.configure(config.settings.balancers, self.lists_per_s, most_wait)
-        elif isinstance(self.watch.calls, AgentCallPolicy):
-            self.watch.calls.configure(config.settings.rules.drain_grace_ms / 1000.0)
+            self.watch.policy.configure(config.settings.balancers, self.lists_per_s, most_wait)
+        elif isinstance(self.watch.policy, AgentCallPolicy):
+            self.watch.policy.configure(config.settings.rules.drain_grace_ms / 1000.0)
         if moved:
             self.start_times.source_changed()
-            self.watch.follow()
+            self.watch.follow_address()
 
     def stop(self) -> None:
         """No more calls, and no more writes of the list."""
@@ -240,6 +240,6 @@
     engine = Engine(config.settings, config.seed, clock, log)
     side = ControlSide(config, engine, loop, subset, lists_per_s)
     calls, addresses = side.policy(relays)
-    side.watch = Watch(side, addresses, calls, clock, log, loop)
+    side.watch = ListWatch(side, addresses, calls, clock, log, loop)
     engine.watch = side.watch.start
     return side
--- a/quartzford/membership/addresses.py
+++ b/quartzford/membership/addresses.py
@@ -168,4 +168,4 @@
 
     def any_relay_alive(self) -> bool:
         """A relay has turned a call away: it lives, and has lost the list service or is full."""
-        return CallOutcome.TURNED_AWAY in self._ends.values()
+        return CallOutcome.REJECTED in self._ends.values()
--- a/quartzford/membership/call_policy.py
+++ b/quartzford/membership/call_policy.py
@@ -53,7 +53,7 @@
     UNREAD = "unread"  # what came is no change to what is held: the whole has to be asked for
     UNREACHED = "unreached"  # refused, or nobody took the connection
     SILENT = "silent"  # accepted, and nothing more came
-    TURNED_AWAY = "turned away"  # 429 or 503
+    REJECTED = "turned away"  # 429 or 503
     BROKEN = "broken"  # anything else before the list had come
     LOST = "lost"  # a watch that had brought a list or changes
 
@@ -61,19 +61,19 @@
 class CallPolicy(Protocol):
     """A policy of calls to the list service."""
 
-    tries: int  # failed calls since the last answer
+    failed_calls: int  # failed calls since the last answer
     keeps_late_calls: bool  # an accepted call that is late is kept beside the next one
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """Wait before the first call of a start, or to an address that is new."""
 
-    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         """Wait before the next call. retry_after: what the service asked for, or 0.
 
         took: by the call that has ended; of a watch that had brought something, since its last whole line.
         """
 
-    def connect(self) -> float:
+    def connect_timeout(self) -> float:
         """How long a connection may take."""
 
     def first_line_timeout(self) -> float:
@@ -85,13 +85,13 @@
     def answered(self) -> None:
         """The list, or its changes, came."""
 
-    def back(self) -> float:
+    def better_address_delay(self) -> float:
         """Wait, while a watch stands, before a better place is tried."""
 
 
-def backoff(tries: int, rng: random.Random, most: float = RETRY_S[1]) -> float:
+def backoff(failed_calls: int, rng: random.Random, most: float = RETRY_S[1]) -> float:
     """The wait of one that asks alone."""
-    return min(most, RETRY_S[0] * 2.0 ** min(tries, 10)) * rng.uniform(0.5, 1.0)
+    return min(most, RETRY_S[0] * 2.0 ** min(failed_calls, 10)) * rng.uniform(0.5, 1.0)
 
 
 class AgentCallPolicy:
@@ -105,27 +105,27 @@
 
     def __init__(self, rng: random.Random, drain_grace: float) -> None:
         self.rng = rng
-        self.tries = 0
+        self.failed_calls = 0
         self.configure(drain_grace)
 
     def configure(self, drain_grace: float) -> None:
         """Take over a new drain grace, in seconds; waits between calls stay under a part of it."""
         self.most = min(RETRY_S[1], max(RETRY_S[0], GRACE_PART * drain_grace))
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """Ask at once: an agent on the same machine answers one balancer."""
-        self.tries = 0
+        self.failed_calls = 0
         return 0.0
 
-    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         """Wait before the next call, in seconds: none in order, else exponential backoff with jitter."""
-        if end is CallOutcome.DONE or end is CallOutcome.UNREAD:
+        if outcome is CallOutcome.DONE or outcome is CallOutcome.UNREAD:
             return 0.0
-        wait = backoff(self.tries, self.rng, self.most)
-        self.tries = min(self.tries + 1, 10)
+        wait = backoff(self.failed_calls, self.rng, self.most)
+        self.failed_calls = min(self.failed_calls + 1, 10)
         return wait
 
-    def connect(self) -> float:
+    def connect_timeout(self) -> float:
         """How long a connection may take, in seconds."""
         return CONNECT_S
 
@@ -139,9 +139,9 @@
 
     def answered(self) -> None:
         """Begin the backoff anew."""
-        self.tries = 0
+        self.failed_calls = 0
 
-    def back(self) -> float:
+    def better_address_delay(self) -> float:
         """Never: there is one address."""
         return math.inf
 
@@ -160,7 +160,7 @@
     ) -> None:
         self.rng, self.now = rng, now
         self.configure(balancers, per_s, most_wait)
-        self.tries = 0
+        self.failed_calls = 0
         self.stretch = 1.0  # factor on the spread interval
         self.unread_until = -math.inf  # till then an answer of no use is not followed by a call at once
 
@@ -169,26 +169,28 @@
         self.spread_interval = max(0, balancers - SMALL) / per_s
         self.most_wait = most_wait
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """Wait before the first call, in seconds: drawn from the spread interval of the fleet."""
-        self.tries = 0
+        self.failed_calls = 0
         return self.rng.random() * min(self.spread_interval, NOTIFY_BOUND_S - QUEUE_S)
 
-    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         """Wait before the next call, in seconds: spread over the fleet, under the bound of the list's age."""
-        if end is CallOutcome.DONE:
+        if outcome is CallOutcome.DONE:
             return 0.0
-        if end is CallOutcome.UNREAD and self.now() >= self.unread_until:  # again and again, it is a failure
+        if (
+            outcome is CallOutcome.UNREAD and self.now() >= self.unread_until
+        ):  # again and again, it is a failure
             self.unread_until = self.now() + max(RETRY_S[1], self.spread_interval)
             return 0.0
         interval = self.spread_interval * self.stretch
         most = max(0.0, min(self.most_wait, NOTIFY_BOUND_S - QUEUE_S - took))
-        if end is CallOutcome.LOST:  # all watches end in one moment when the service does
+        if outcome is CallOutcome.LOST:  # all watches end in one moment when the service does
             return max(self.rng.random() * min(interval, most), min(most, backoff(0, self.rng)))
-        if end is CallOutcome.TURNED_AWAY or end is CallOutcome.SILENT:
+        if outcome is CallOutcome.REJECTED or outcome is CallOutcome.SILENT:
             self.stretch = min(STRETCH_MOST, self.stretch * STRETCH)
-        alone = backoff(self.tries, self.rng)
-        self.tries = min(self.tries + 1, 10)
+        alone = backoff(self.failed_calls, self.rng)
+        self.failed_calls = min(self.failed_calls + 1, 10)
         # Drawn under the bound, and not cut at it: who is cut comes together with all others.
         most *= self.rng.uniform(*WAIT_BOUND)
         wait = max(alone, self.spread_interval * self.stretch * self.rng.uniform(*WAIT_SPREAD))
@@ -197,7 +199,7 @@
             wait = max(wait, retry_after + self.rng.random() * self.spread_interval * self.stretch)
         return min(wait, most)
 
-    def connect(self) -> float:
+    def connect_timeout(self) -> float:
         """How long a connection may take, in seconds."""
         return CONNECT_S
 
@@ -211,9 +213,9 @@
 
     def answered(self) -> None:
         """Begin backoff and spread anew."""
-        self.tries, self.stretch = 0, 1.0
+        self.failed_calls, self.stretch = 0, 1.0
 
-    def back(self) -> float:
+    def better_address_delay(self) -> float:
         """Never: there is one address."""
         return math.inf
 
--- a/quartzford/membership/watch.py
+++ b/quartzford/membership/list_watch.py
@@ -45,7 +45,7 @@
     return bare.count(b"{") - bare.count(b"}")
 
 
-class Watch:
+class ListWatch:
     """Keeps one watch open, and knows which version of the list this balancer has.
 
     resync: the version is forgotten with each watch that ends, so that the next call asks for everything.
@@ -55,7 +55,7 @@
         self,
         sink: Sink,
         addresses: Addresses,
-        calls: CallPolicy,
+        policy: CallPolicy,
         clock: Clock,
         log: Log,
         loop: asyncio.AbstractEventLoop,
@@ -64,12 +64,12 @@
     ) -> None:
         self.sink, self.addresses, self.clock, self.log, self.loop = sink, addresses, clock, log, loop
         self.resync = resync
-        self.calls = calls
+        self.policy = policy
         self.version: int | None = None
         self.ever_answered = False  # discovery has answered since the start
-        self.call: Call | None = None
-        self.late_call: Call | None = None  # an earlier one that was accepted and may still be answered
-        self.candidate: Call | None = None  # at a better place, while the watch stands
+        self.call: ListCall | None = None
+        self.late_call: ListCall | None = None  # an earlier one that was accepted and may still be answered
+        self.candidate: ListCall | None = None  # at a better place, while the watch stands
         self.timer: Handle | None = None
         self.back_timer: Handle | None = None
         self.last_line_at = -math.inf  # a list, changes or an empty line, in seconds of the clock
@@ -88,7 +88,7 @@
     def start(self) -> None:
         """The list is wanted from now on."""
         if not self.stopped and self.call is None and self.timer is None:
-            self._later(self.calls.first())
+            self._later(self.policy.initial_delay())
 
     def _later(self, wait: float) -> None:
         if wait <= 0.0:
@@ -104,27 +104,27 @@
         known = bool(self.version) if self.addresses.complete_list_by_watch else self.version is not None
         target = self.addresses.choose(known)
         self.counts["asked" if target.ask is RequestKind.COMPLETE_LIST else "watched"] += 1
-        self.call = Call(self, target)
+        self.call = ListCall(self, target)
 
     def _try_better(self) -> None:
         """Make before break: the watch stands on until the new one has answered."""
         self.back_timer = None
-        if self.stopped or self.candidate is not None or not self.current():
+        if self.stopped or self.candidate is not None or not self.is_current():
             return
         target = self.addresses.better()
         if target is not None:
             self.counts["tried better"] += 1
-            self.candidate = Call(self, target)
+            self.candidate = ListCall(self, target)
 
     def _plan_better(self) -> None:
         if self.back_timer is not None:
             self.back_timer.cancel()
             self.back_timer = None
-        wait = self.calls.back()
+        wait = self.policy.better_address_delay()
         if wait < math.inf and not self.stopped:
             self.back_timer = self.clock.call_later(wait, self._try_better)
 
-    def follow(self) -> None:
+    def follow_address(self) -> None:
         """The address has changed: the new one is asked for the whole list, its versions may be its own."""
         if not self.addresses.follows():
             return
@@ -132,18 +132,18 @@
             self.timer.cancel()
             self.timer = None
         self.version = None
-        calls, self.call, self.late_call, self.candidate = (
+        policy, self.call, self.late_call, self.candidate = (
             (self.call, self.late_call, self.candidate),
             None,
             None,
             None,
         )
-        for call in calls:
+        for call in policy:
             if call is not None:
                 call.close()
         self.start()
 
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """The list that is held is the service's current one: a watch stands."""
         return self.call is not None and self.call.answered
 
@@ -157,7 +157,7 @@
             if call is not None:
                 call.close()
 
-    def line(self, text: bytes, call: Call) -> bool:
+    def line(self, text: bytes, call: ListCall) -> bool:
         """Read one line of a watch; False where it is of no use and the call has to end."""
         try:
             listing = read_listing(text)
@@ -165,14 +165,14 @@
             return self.bad(error, call)
         return self.read(listing, call)
 
-    def bad(self, error: Exception, call: Call) -> bool:
+    def bad(self, error: Exception, call: ListCall) -> bool:
         """Log a line that can't be read and forget the version, so that the next call asks for all."""
         self.log.line("discovery", f"a bad line: {error}")
         if call is not self.candidate:
             self.version = None
         return False
 
-    def _outdated(self, listing: Listing, call: Call) -> bool:
+    def _outdated(self, listing: Listing, call: ListCall) -> bool:
         """Older than what is held, and no sign that the service has begun again.
 
         Beside a watch that stands, who is behind says nothing new; and a list that was asked for while a
@@ -181,7 +181,7 @@
         held = self.version is not None and listing.version < self.version
         return held and (call is self.candidate or not call.watch)
 
-    def read(self, listing: Listing, call: Call) -> bool:
+    def read(self, listing: Listing, call: ListCall) -> bool:
         """A line that could be read; whether the watch may go on."""
         if self._outdated(listing, call):
             return not call.watch
@@ -198,10 +198,10 @@
         self.sink.listed(listing)
         return True
 
-    def answered(self, call: Call) -> None:
+    def answered(self, call: ListCall) -> None:
         """The list has come by this call; any other is of no use now."""
         self.addresses.answered(call.target)
-        self.calls.answered()
+        self.policy.answered()
         others = [
             one for one in (self.call, self.late_call, self.candidate) if one is not None and one is not call
         ]
@@ -213,23 +213,23 @@
             other.close()
         self._plan_better()
 
-    def late(self, call: Call) -> bool:
+    def late(self, call: ListCall) -> bool:
         """A call has had its time without an answer; whether it stands on beside the next one."""
         if (
             call is not self.call
             or self.late_call is not None
-            or not self.calls.keeps_late_calls
+            or not self.policy.keeps_late_calls
             or self.stopped
         ):
             return False
         self.call, self.late_call = None, call
         self.counts["kept"] += 1
         self.addresses.failed(call.target, CallOutcome.SILENT)
-        wait = self.calls.after(CallOutcome.SILENT, self.clock.now() - call.since)
+        wait = self.policy.delay_after(CallOutcome.SILENT, self.clock.now() - call.since)
         self.timer = self.clock.call_later(wait, self._call)
         return True
 
-    def ended(self, call: Call, again: bool) -> None:
+    def ended(self, call: ListCall, again: bool) -> None:
         """A call is over: schedule the next. again: it ended in order."""
         if call is self.late_call:
             self.late_call = None
@@ -246,7 +246,7 @@
                 self.addresses.failed(call.target, end)
                 if self.resync:
                     self.version = None
-            wait = self.calls.after(end, self.clock.now() - call.since, call.retry_after)
+            wait = self.policy.delay_after(end, self.clock.now() - call.since, call.retry_after)
             self.timer = self.clock.call_later(wait, self._call)
 
 
@@ -256,20 +256,20 @@
     return Listing(listing.version, True, tuple(row[0] for row in rows), tuple(row[1] for row in rows))
 
 
-class Call(asyncio.Protocol):
+class ListCall(asyncio.Protocol):
     """One GET of the whole list, or one watch."""
 
     transport: asyncio.Transport | None
 
-    def __init__(self, owner: Watch, target: Target) -> None:
+    def __init__(self, owner: ListWatch, target: Target) -> None:
         self.owner, self.target = owner, target
         self.clock, self.loop = owner.clock, owner.loop
         self.watch = target.ask is RequestKind.WATCH
         self.index = owner.version or 0
         self.expects_complete_list = self.watch and self.index == 0 and owner.addresses.complete_list_by_watch
         self.first_line_timeout, self.long_line_extra_time = (
-            owner.calls.first_line_timeout(),
-            owner.calls.long_line_extra_time(),
+            owner.policy.first_line_timeout(),
+            owner.policy.long_line_extra_time(),
         )
         self.transport = None
         self.buffer = bytearray()
@@ -286,7 +286,7 @@
         self.since = self.clock.now()  # it was begun, or last brought a whole line
         self.answered = False  # a list or changes have come
         self.silent_at = math.inf  # no line is waited for any longer
-        self.timer = self.clock.call_later(owner.calls.connect(), self._unreached)
+        self.timer = self.clock.call_later(owner.policy.connect_timeout(), self._unreached)
         self.task = self.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
@@ -442,7 +442,7 @@
         if (status := self.parser.get_status_code()) != 200:
             self.why = str(status)
             if status in (429, 503):
-                self.end = CallOutcome.TURNED_AWAY
+                self.end = CallOutcome.REJECTED
             self.close()
 
     def on_body(self, data: bytes) -> None:
--- a/quartzford/membership/relay_call_policy.py
+++ b/quartzford/membership/relay_call_policy.py
@@ -83,12 +83,12 @@
         super().configure(balancers, per_s, most_wait)
         self.relay_spread_interval = max(0.0, balancers / len(self.relays.order) - SMALL) / RELAY_CALLS_PER_S
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """A wait drawn from the time in which a relay can answer all of its balancers."""
-        self.tries = 0
+        self.failed_calls = 0
         return self.rng.random() * min(self.relay_spread_interval, NOTIFY_BOUND_S - QUEUE_S)
 
-    def connect(self) -> float:
+    def connect_timeout(self) -> float:
         """As long as the place that was chosen last may take."""
         return CONNECT_S if self.relays.last_call_direct else RELAY_CONNECT_S
 
@@ -106,21 +106,21 @@
         self.costs.clear()
         self.direct_at = None
 
-    def back(self) -> float:
+    def better_address_delay(self) -> float:
         """A wait drawn from RETURN_S."""
         return self.rng.uniform(*RETURN_S)
 
-    def after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         """The wait before the next relay's turn, or the source's: see the module."""
-        if end is CallOutcome.DONE:
+        if outcome is CallOutcome.DONE:
             return 0.0
-        if end is CallOutcome.LOST:
+        if outcome is CallOutcome.LOST:
             return self.rng.random() * LOST_SPREAD_S
-        if end is CallOutcome.UNREAD and self.now() >= self.unread_until:
+        if outcome is CallOutcome.UNREAD and self.now() >= self.unread_until:
             self.unread_until = self.now() + RETRY_S[1]
             return 0.0
         if self.relays.last_failure_direct:
-            self._direct_failed(end)
+            self._direct_failed(outcome)
         else:
             self.costs.append(took)
         return self._direct_first(self._next_relay(retry_after))
@@ -136,12 +136,12 @@
         # Each relay is asked again within the six seconds, as far as those that say nothing leave them.
         left = max(0.0, NOTIFY_BOUND_S - RELAY_LINE_S - sum(self.costs))
         pace = left / count * self.rng.uniform(*WAIT_BOUND)
-        alone = backoff(self.tries, self.rng)
-        self.tries = min(self.tries + 1, 10)
+        alone = backoff(self.failed_calls, self.rng)
+        self.failed_calls = min(self.failed_calls + 1, 10)
         return max(RETRY_S[0], min(pace, max(alone, self.relay_spread_interval, later / count)))
 
-    def _direct_failed(self, end: CallOutcome) -> None:
-        if end is CallOutcome.TURNED_AWAY or end is CallOutcome.SILENT:
+    def _direct_failed(self, outcome: CallOutcome) -> None:
+        if outcome is CallOutcome.REJECTED or outcome is CallOutcome.SILENT:
             self.stretch = min(STRETCH_MOST, self.stretch * STRETCH)
 
     def _direct_first(self, wait: float) -> float:
--- a/quartzford/relay/relay.py
+++ b/quartzford/relay/relay.py
@@ -26,7 +26,7 @@
         self.server = Server(
             self.catalog,
             lambda: self.watch.last_line_at,
-            self.watch.current,
+            self.watch.is_current,
             settings.whole_bytes_per_s,
             settings.watchers(),
             clock,
--- a/quartzford/relay/source.py
+++ b/quartzford/relay/source.py
@@ -12,14 +12,14 @@
 from quartzford.engine import Clock, Log
 from quartzford.membership.addresses import SingleAddress
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, SharedServiceCallPolicy, draws
+from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Sink
-from quartzford.membership.watch import Watch
 from quartzford.settings.operatorfile import RelaySettings, endpoint
 
 
 def follow(
     settings: RelaySettings, sink: Sink, clock: Clock, log: Log, loop: asyncio.AbstractEventLoop
-) -> Watch:
+) -> ListWatch:
     """A watch on the source, not yet started; its calls are spread with those of the other relays."""
     rng = draws("relay", settings.listen, secrets.randbits(32))
     calls = SharedServiceCallPolicy(
@@ -27,4 +27,4 @@
     )
     source = endpoint(settings.source)
     addresses = SingleAddress(lambda: source, complete_list_by_watch=True)
-    return Watch(sink, addresses, calls, clock, log, loop, resync=True)
+    return ListWatch(sink, addresses, calls, clock, log, loop, resync=True)
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -90,7 +90,7 @@
             rule,
             lambda: "{}:{}".format(*node.config.discovery),
             node.registry.table,
-            node.watch.current,
+            node.watch.is_current,
             node.clock,
             node.log,
             node.loop,
--- a/rig/meter.py
+++ b/rig/meter.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from quartzford.control import ControlSide
-from quartzford.membership import watch
+from quartzford.membership import list_watch
 from quartzford.membership.listing import Listing
 
 VARIABLE = "QUARTZFORD_RIG_METER"  # read by the gate
@@ -67,15 +67,19 @@
         self._transport.write(data)
 
 
-def _of(call: watch.Call) -> Meter | None:
+def _of(call: list_watch.ListCall) -> Meter | None:
     return getattr(call.owner.sink, "meter", None)
 
 
 def _wrap_calls() -> None:
-    begin, connected, received = watch.Call.__init__, watch.Call.connection_made, watch.Call.data_received
+    begin, connected, received = (
+        list_watch.ListCall.__init__,
+        list_watch.ListCall.connection_made,
+        list_watch.ListCall.data_received,
+    )
 
     @functools.wraps(begin)
-    def init(self: watch.Call, owner: Any, *rest: Any, **named: Any) -> None:
+    def init(self: list_watch.ListCall, owner: Any, *rest: Any, **named: Any) -> None:
         meter = getattr(owner.sink, "meter", None)
         if meter is not None:
             meter.calls += 1
@@ -83,21 +87,21 @@
         begin(self, owner, *rest, **named)
 
     @functools.wraps(connected)
-    def made(self: watch.Call, transport: Any) -> None:
+    def made(self: list_watch.ListCall, transport: Any) -> None:
         meter = _of(self)
         connected(self, transport if meter is None else CountingTransport(transport, meter))
 
     @functools.wraps(received)
-    def data(self: watch.Call, data: bytes) -> None:
+    def data(self: list_watch.ListCall, data: bytes) -> None:
         meter = _of(self)
         if meter is not None:
             meter.bytes_in += len(data)
             meter.counted()
         received(self, data)
 
-    watch.Call.__init__ = init  # type: ignore[method-assign]
-    watch.Call.connection_made = made  # type: ignore[method-assign]
-    watch.Call.data_received = data  # type: ignore[method-assign]
+    list_watch.ListCall.__init__ = init  # type: ignore[method-assign]
+    list_watch.ListCall.connection_made = made  # type: ignore[method-assign]
+    list_watch.ListCall.data_received = data  # type: ignore[method-assign]
 
 
 def _wrap_sides(make: Callable[[], Meter]) -> None:
--- a/tests/relay_site.py
+++ b/tests/relay_site.py
@@ -18,10 +18,10 @@
 
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.membership.addresses import RelayAddresses
+from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Listing
 from quartzford.membership.registry import Registry
 from quartzford.membership.relay_call_policy import RelayCallPolicy
-from quartzford.membership.watch import Watch
 from standins.listservice import Plan, Service
 
 RECEIVE_BYTES = 32 * 1024  # of a gate's socket: who is before it is soon in the middle of what it writes
@@ -239,10 +239,10 @@
         self.addresses = RelayAddresses(name, [gate.address for gate in relays], lambda: direct.address)
         rng = random.Random(seed)  # a name depends on the kernel's ports
         self.calls = RelayCallPolicy(self.addresses, fleet, 50.0, 10.0, rng, self.clock.now)
-        self.calls.back = lambda: back  # type: ignore[method-assign]
+        self.calls.better_address_delay = lambda: back  # type: ignore[method-assign]
         self.registry = Registry()
         self.told: list[tuple[float, Listing]] = []
-        self.watch = Watch(self, self.addresses, self.calls, self.clock, StderrLog(self.clock.now), loop)
+        self.watch = ListWatch(self, self.addresses, self.calls, self.clock, StderrLog(self.clock.now), loop)
 
     def listed(self, listing: Listing) -> None:
         self.registry.apply(listing)
@@ -251,7 +251,7 @@
     def at(self, gate: Gate) -> bool:
         """The watch stands there."""
         call = self.watch.call
-        return self.watch.current() and call is not None and call.target.address == gate.address
+        return self.watch.is_current() and call is not None and call.target.address == gate.address
 
     def versions(self) -> list[int]:
         return [listing.version for _, listing in self.told]
@@ -329,7 +329,7 @@
     async def settled(self, *balancers: Balancer, seconds: float = 20.0) -> None:
         """Until these, or all, have a watch and the source's rows."""
         whom = balancers or self.balancers
-        await until(lambda: all(one.watch.current() for one in whom), seconds)
+        await until(lambda: all(one.watch.is_current() for one in whom), seconds)
         await until(lambda: all(self.has_all(one) for one in whom), seconds)
 
     def has_all(self, balancer: Balancer) -> bool:
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -25,7 +25,7 @@
     "dead": (0.0, CallOutcome.UNREACHED),
     "vanished": (RELAY_CONNECT_S, CallOutcome.UNREACHED),
     "stopped": (RELAY_LINE_S, CallOutcome.SILENT),
-    "lost": (0.0, CallOutcome.TURNED_AWAY),
+    "lost": (0.0, CallOutcome.REJECTED),
 }
 
 
@@ -47,23 +47,23 @@
         self.relays.answered(target)
         self.now = LINE_TIMEOUT_S
         self.relays.failed(target, CallOutcome.LOST)
-        self.now += self.calls.after(CallOutcome.LOST, LINE_TIMEOUT_S)
+        self.now += self.calls.delay_after(CallOutcome.LOST, LINE_TIMEOUT_S)
 
     def ask(self, known: bool = True, retry_after: float = 0.0) -> bool:
         """One call, and the wait behind it if it fails; whether it was answered."""
         target = self.relays.choose(known)
         self.made.append((self.now, *target))
         state = self.states.get(target.address, "")
-        if not state or (state == "lost" and target.ask is RequestKind.WHOLE):
+        if not state or (state == "lost" and target.ask is RequestKind.COMPLETE_LIST):
             self.relays.answered(target)
             self.calls.answered()
             return True
         took, end = STATES[state]
         assert took <= (
-            self.calls.connect() if end is CallOutcome.UNREACHED else self.calls.first_line_timeout()
+            self.calls.connect_timeout() if end is CallOutcome.UNREACHED else self.calls.first_line_timeout()
         )
         self.relays.failed(target, end)
-        self.now += took + self.calls.after(end, took, retry_after)
+        self.now += took + self.calls.delay_after(end, took, retry_after)
         return False
 
 
@@ -120,7 +120,7 @@
     one = Balancer(3, dict.fromkeys(ELEVEN, "lost"))
     while not one.ask(known=False):
         pass
-    assert [ask for *_, ask in one.made] == [RequestKind.WATCH] * 11 + [RequestKind.WHOLE]
+    assert [ask for *_, ask in one.made] == [RequestKind.WATCH] * 11 + [RequestKind.COMPLETE_LIST]
     assert not any(one.ask() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {RequestKind.WATCH}
 
 
@@ -155,33 +155,33 @@
         one.ask()
     direct = [at for at, address, _ in one.made if address == SOURCE]
     assert one.made[11][1] == SOURCE and min(b - a for a, b in itertools.pairwise(direct)) >= 0.75
-    assert one.calls.connect() in (RELAY_CONNECT_S, CONNECT_S)
+    assert one.calls.connect_timeout() in (RELAY_CONNECT_S, CONNECT_S)
 
 
 def test_at_the_source_the_patience_is_that_of_a_service_that_all_ask() -> None:
     one = Balancer(1, {})
     one.relays.next_call_direct = True
-    assert one.ask() and (one.calls.connect(), one.calls.first_line_timeout()) == (CONNECT_S, QUEUE_S)
+    assert one.ask() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (CONNECT_S, QUEUE_S)
     assert one.relays.place == 11 and one.relays.follows()
     better = [one.relays.better() for _ in range(12)]
     assert [target.address for target in better if target] == [*one.relays.order, one.relays.order[0]]
-    assert (one.calls.connect(), one.calls.first_line_timeout()) == (RELAY_CONNECT_S, RELAY_LINE_S)
+    assert (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (RELAY_CONNECT_S, RELAY_LINE_S)
 
 
 def test_those_of_a_relay_that_came_back_return_over_a_minute() -> None:
     """418 of them: seven a second in the mean; at their first place nothing is better."""
-    waits = [Balancer(number, {}).calls.back() for number in range(418)]
+    waits = [Balancer(number, {}).calls.better_address_delay() for number in range(418)]
     assert RETURN_S[0] <= min(waits) and max(waits) <= RETURN_S[1]
     assert max(Counter(int(wait) for wait in waits).values()) <= 20
     one = Balancer(5, {})
     assert one.ask() and one.relays.better() is None and not one.relays.follows()
     single = SingleAddress(lambda: SOURCE)
-    assert single.better() is None and single.choose(False).ask is RequestKind.WHOLE
+    assert single.better() is None and single.choose(False).ask is RequestKind.COMPLETE_LIST
     assert SingleAddress(lambda: SOURCE, complete_list_by_watch=True).choose(False).ask is RequestKind.WATCH
 
 
 def test_a_start_is_spread_and_who_is_turned_away_in_turn_comes_back_when_told_to() -> None:
-    firsts = [Balancer(number, {}).calls.first() for number in range(418)]
+    firsts = [Balancer(number, {}).calls.initial_delay() for number in range(418)]
     assert max(firsts) > 1.5 and max(Counter(int(10 * wait) for wait in firsts).values()) < 50
     one = Balancer(2, dict.fromkeys(ELEVEN, "lost"))
     assert not one.ask(known=False, retry_after=1.2) and 1.2 <= one.now <= 1.5
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -34,7 +34,7 @@
             asked = [world.ask(request(name, b"", left="300m")) for name in ("read", "book", "pay") * 3]
             answers = await asyncio.gather(*asked)
             assert {a.status for a in answers} == {503} and time.monotonic() - began > 0.2
-            assert not world.ups[0].came and not world.ups[1].came and not world.node.engine.calls
+            assert not world.ups[0].came and not world.ups[1].came and not world.node.engine.policy
             world.news(world.host(1, born=5.0), complete=True)
             await until(lambda: ready(world) == {"s1"})
             assert (await world.ask(request("pay", b""))).status == 200
@@ -66,12 +66,12 @@
             world.watches[-1].transport.abort()
             await until(lambda: world.node.watch.counts[f"ended {status[:3]}"] >= 4)
             # 50 ms, doubling, each with jitter of a half: the fifth call comes no sooner than this.
-            assert world.node.watch.calls.tries >= 4 and ready(world) == {"s0", "s1"}
+            assert world.node.watch.policy.failed_calls >= 4 and ready(world) == {"s0", "s1"}
             assert (await world.ask(request("pay", b""))).status == 200
             world.discovery.script = world._discover
             watches = len(world.watches)
             await until(lambda: len(world.watches) > watches)
-            await until(lambda: world.node.watch.calls.tries == 0)
+            await until(lambda: world.node.watch.policy.failed_calls == 0)
 
     uvloop.run(asyncio.wait_for(test(), 60))
 
@@ -111,7 +111,7 @@
                     assert answer.status == 200 and answer.body == b"made once"
                 else:
                     assert answer.status == 502, "a refusal would say that it has not run"
-            assert not world.node.engine.calls
+            assert not world.node.engine.policy
 
     uvloop.run(asyncio.wait_for(test(), 60))
 
@@ -131,7 +131,7 @@
         assert all(a.status == 502 for a in answers[2::3]), "a cobro that may have run"
         assert all(a.status == 503 for a in answers[0::3]), "as the module decides, and not as a last resort"
         assert not world.node.engine.balancer.flights and world.node.engine.balancer.fleet.shares.out == 0
-        assert not world.node.engine.calls and [len(up.came) for up in world.ups] == sent
+        assert not world.node.engine.policy and [len(up.came) for up in world.ups] == sent
         for up in world.ups:
             up.script = says(reply())
         for _, writer in clients:
@@ -146,9 +146,9 @@
         for round_ in range(30):
             _, writer = await world.connect()
             writer.write(request(("read", "book", "pay")[round_ % 3], b""))
-            await until(lambda: world.node.engine.calls)
+            await until(lambda: world.node.engine.policy)
             writer.transport.abort()
-            await until(lambda: not world.node.engine.calls)
+            await until(lambda: not world.node.engine.policy)
         came = sum(len(up.writers) for up in world.ups)
         await until(lambda: sum(up.left for up in world.ups) == came)
         await until(lambda: not world.node.pool.connections)  # a peer sees it a turn before
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -79,13 +79,15 @@
         # A longer one would tell a change too late.
         interval = min(shared(balancers).spread_interval, NOTIFY_BOUND_S - QUEUE_S)
         starts = 4_000
-        calls = sum(shared(balancers, seed).first() < life_s for seed in range(starts))
+        calls = sum(shared(balancers, seed).initial_delay() < life_s for seed in range(starts))
         assert calls / (starts * life_s) <= 1.1 / interval
 
 
 def test_equal_names_and_equal_seeds_do_not_call_in_step() -> None:
     firsts = [
-        SharedServiceCallPolicy(200, 50.0, 10.0, draws("n1", f"127.0.0.{n}:80", 7), lambda: 0.0).first()
+        SharedServiceCallPolicy(
+            200, 50.0, 10.0, draws("n1", f"127.0.0.{n}:80", 7), lambda: 0.0
+        ).initial_delay()
         for n in range(64)
     ]
     busiest = max(sum(abs(a - b) < 0.1 for b in firsts) for a in firsts)
@@ -96,14 +98,17 @@
 
 def test_small_fleets_and_pushed_lists_are_asked_for_at_once() -> None:
     assert (
-        shared(SMALL).first() == shared(1).first() == AgentCallPolicy(random.Random(1), 0.25).first() == 0.0
+        shared(SMALL).initial_delay()
+        == shared(1).initial_delay()
+        == AgentCallPolicy(random.Random(1), 0.25).initial_delay()
+        == 0.0
     )
     agent = AgentCallPolicy(random.Random(1), 10.0)
-    waits = [agent.after(CallOutcome.UNREACHED, 0.0) for _ in range(12)]
+    waits = [agent.delay_after(CallOutcome.UNREACHED, 0.0) for _ in range(12)]
     assert all(w <= min(RETRY_S[1], RETRY_S[0] * 2.0**n) for n, w in enumerate(waits))
-    assert agent.after(CallOutcome.DONE, 0.0) == agent.after(CallOutcome.UNREAD, 0.0) == 0.0
+    assert agent.delay_after(CallOutcome.DONE, 0.0) == agent.delay_after(CallOutcome.UNREAD, 0.0) == 0.0
     agent.answered()
-    assert agent.after(CallOutcome.LOST, 0.0) <= RETRY_S[0]
+    assert agent.delay_after(CallOutcome.LOST, 0.0) <= RETRY_S[0]
 
 
 @pytest.mark.parametrize("balancers", [0, 1, 16, 200, 1_000])  # 0: pushed
@@ -115,7 +120,7 @@
     """
     ends = {
         CallOutcome.UNREACHED: CONNECT_S,
-        CallOutcome.TURNED_AWAY: QUEUE_S,
+        CallOutcome.REJECTED: QUEUE_S,
         CallOutcome.BROKEN: QUEUE_S,
         CallOutcome.LOST: LINE_TIMEOUT_S,
         CallOutcome.SILENT: QUEUE_S,
@@ -126,11 +131,11 @@
         calls: CallPolicy = (
             shared(balancers, seed) if balancers else AgentCallPolicy(random.Random(seed), 0.25)
         )
-        assert calls.first() + calls.first_line_timeout() <= 6.0
+        assert calls.initial_delay() + calls.first_line_timeout() <= 6.0
         for _ in range(40):
             end = rng.choice(list(ends))
             took = ends[end] * rng.choice((0.0, rng.random(), 1.0))
-            assert took + calls.after(end, took, retry_after) + calls.first_line_timeout() <= 6.0
+            assert took + calls.delay_after(end, took, retry_after) + calls.first_line_timeout() <= 6.0
 
 
 def test_an_agent_is_never_left_unasked_for_as_long_as_a_drain_may_be_broken() -> None:
@@ -142,11 +147,11 @@
             CallOutcome.UNREACHED,
             CallOutcome.LOST,
             CallOutcome.BROKEN,
-            CallOutcome.TURNED_AWAY,
+            CallOutcome.REJECTED,
         )
-        assert max(agent.after(end, 1.5) for _ in range(20) for end in ends) <= grace / 2
+        assert max(agent.delay_after(end, 1.5) for _ in range(20) for end in ends) <= grace / 2
     agent.configure(0.25)
-    assert agent.after(CallOutcome.SILENT, 1.5) <= 0.125
+    assert agent.delay_after(CallOutcome.SILENT, 1.5) <= 0.125
 
 
 @pytest.mark.parametrize(
@@ -178,27 +183,27 @@
 @pytest.mark.parametrize("balancers", [4, 200])
 def test_a_time_to_come_back_is_kept_but_never_for_longer_than_a_change_may_be_late(balancers: int) -> None:
     calls = shared(balancers)
-    waits = [calls.after(CallOutcome.TURNED_AWAY, 0.0, 1.5) for _ in range(200)]
+    waits = [calls.delay_after(CallOutcome.REJECTED, 0.0, 1.5) for _ in range(200)]
     assert min(waits) >= 1.5
-    told = [calls.after(CallOutcome.TURNED_AWAY, 0.0, 3600.0) for _ in range(50)]
+    told = [calls.delay_after(CallOutcome.REJECTED, 0.0, 3600.0) for _ in range(50)]
     assert min(told) >= 0.75 * (NOTIFY_BOUND_S - QUEUE_S) and max(told) <= NOTIFY_BOUND_S - QUEUE_S
     assert len(set(told)) == 50  # told to all alike, they don't come back together
-    assert 0.0 < shared(balancers).after(CallOutcome.TURNED_AWAY, 0.0) <= 10.0
+    assert 0.0 < shared(balancers).delay_after(CallOutcome.REJECTED, 0.0) <= 10.0
 
 
 def test_a_service_whose_answers_are_of_no_use_is_not_asked_in_a_circle() -> None:
     now = [0.0]
     calls = shared(200, now=now)
-    assert calls.after(CallOutcome.UNREAD, 0.0) == 0.0  # the whole is asked for at once
+    assert calls.delay_after(CallOutcome.UNREAD, 0.0) == 0.0  # the whole is asked for at once
     calls.answered()
-    waits = [calls.after(CallOutcome.UNREAD, 0.0) for _ in range(5)]
+    waits = [calls.delay_after(CallOutcome.UNREAD, 0.0) for _ in range(5)]
     assert min(waits) > 1.0 and all(math.isfinite(w) for w in waits)
     now[0] = 60.0
-    assert calls.after(CallOutcome.UNREAD, 0.0) == 0.0
+    assert calls.delay_after(CallOutcome.UNREAD, 0.0) == 0.0
 
 
 def test_discovery_moved_under_all_is_asked_over_a_spread_interval() -> None:
-    firsts = sorted(shared(200, seed).first() for seed in range(200))
+    firsts = sorted(shared(200, seed).initial_delay() for seed in range(200))
     interval = min(184 / 50.0, NOTIFY_BOUND_S - QUEUE_S)
     for tenth in range(10):
         inside = sum(tenth * interval / 10 <= f < (tenth + 1) * interval / 10 for f in firsts)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -15,7 +15,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
-from quartzford.membership import watch as source
+from quartzford.membership import list_watch as source
 from quartzford.membership.list_chunks import ListingQueue, split_into_chunks
 from quartzford.membership.listing import Listing
 
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -126,7 +126,7 @@
     relays = [relay.gate.address for relay in at.relays]
     node = Node(read_config(json.dumps(config)), asyncio.get_running_loop(), relays=relays)
     await node.start()
-    await until(lambda: node.watch.current(), 20.0)
+    await until(lambda: node.watch.is_current(), 20.0)
     return node
 
 
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -316,7 +316,7 @@
         async with site() as here:
             here.source.silent = True
             here.source.watches[-1].close()
-            await until(lambda: not here.relay.watch.current())
+            await until(lambda: not here.relay.watch.is_current())
             call = await here.call(8)
             await until(lambda: here.server.waiting)
             here.source.now = table(3, row("z"))
@@ -365,7 +365,7 @@
             before = len(here.source.peer.came)
             here.source.silent = False
             await here.source.peer.start(here.source.peer.port)
-            await until(lambda: here.relay.watch.current())
+            await until(lambda: here.relay.watch.is_current())
             back = await here.watch(8)
             assert await back.line() == table(8, complete=False)
             assert len(here.source.peer.came) == before + 1
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -16,9 +16,9 @@
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.membership.addresses import RelayAddresses, SingleAddress
 from quartzford.membership.call_policy import SharedServiceCallPolicy
+from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Listing
 from quartzford.membership.relay_call_policy import RelayCallPolicy
-from quartzford.membership.watch import Watch
 from quartzford.node import Node
 from quartzford.serve import Service
 from quartzford.settings.operatorfile import OperatorError
@@ -115,9 +115,9 @@
         loop = asyncio.get_running_loop()
         clock = LoopClock(loop)
         self.calls = RelayCallPolicy(self.addresses, self.fleet, 50.0, 10.0, random.Random(4), clock.now)
-        self.calls.back = lambda: self.back  # type: ignore[method-assign]
+        self.calls.better_address_delay = lambda: self.back  # type: ignore[method-assign]
         log = StderrLog(clock.now)
-        self.watch = Watch(self, self.addresses, self.calls, clock, log, loop)
+        self.watch = ListWatch(self, self.addresses, self.calls, clock, log, loop)
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -131,7 +131,7 @@
 
         def there() -> bool:
             call = self.watch.call
-            return self.watch.current() and call is not None and call.target.address[1] == port
+            return self.watch.is_current() and call is not None and call.target.address[1] == port
 
         await until(there, seconds)
 
@@ -221,7 +221,7 @@
         clock, source = site.watch.clock, site.source
         single = SingleAddress(lambda: ("127.0.0.1", source.port), complete_list_by_watch=True)
         calls = SharedServiceCallPolicy(1, 50.0, 10.0, random.Random(1), clock.now)
-        watch = Watch(site, single, calls, clock, site.watch.log, site.watch.loop, resync=True)
+        watch = ListWatch(site, single, calls, clock, site.watch.log, site.watch.loop, resync=True)
         assert watch.last_line_at == -math.inf
         source.mode = "mute"
         watch.start()
@@ -229,7 +229,7 @@
         writer = source.writers[-1]
         writer.write(HEAD)
         source.tell(line(7, False, "x", "y"), writer)
-        await until(lambda: watch.current() and site.told)
+        await until(lambda: watch.is_current() and site.told)
         first = watch.last_line_at
         source.tell(b"\n", writer)
         await until(lambda: watch.last_line_at > first)
@@ -278,7 +278,7 @@
             left = one.left
             one.begin(one.writers[-1], index)
             await until(lambda one=one, left=left: one.left > left)
-            assert beside is not site.watch.call and site.watch.version == 9 and site.watch.current()
+            assert beside is not site.watch.call and site.watch.version == 9 and site.watch.is_current()
             assert site.versions() == [7, 9] and two.left == 0
 
 
@@ -316,7 +316,7 @@
         await until(lambda: one.indexes[-1] == 9)
         one.mode, one.version = "tell", 9
         one.begin(one.writers[-1], 9)
-        await until(lambda: site.watch.current())
+        await until(lambda: site.watch.is_current())
         one.change(10)
         await until(lambda: site.watch.version == 10)
         assert site.versions() == [7, 9, 9, 10]
@@ -384,8 +384,8 @@
     async with Site(7, 7) as site:
         site.watch.start()
         await site.at(site.relays[0])
-        site.watch.follow()
-        assert site.watch.version == 7 and site.watch.current() and site.relays[0].left == 0
+        site.watch.follow_address()
+        assert site.watch.version == 7 and site.watch.is_current() and site.relays[0].left == 0
 
 
 def site_config(mode: str) -> dict[str, Any]:
@@ -418,9 +418,9 @@
 ) -> None:
     monkeypatch.delenv("EDGE_CONFIG", raising=False)
     node = made(tmp_path, "subscribe", NAMED)
-    assert isinstance(node.watch.calls, RelayCallPolicy) and isinstance(node.watch.addresses, RelayAddresses)
+    assert isinstance(node.watch.policy, RelayCallPolicy) and isinstance(node.watch.addresses, RelayAddresses)
     assert sorted(node.watch.addresses.order) == [("127.0.0.1", 1), ("127.0.0.1", 2)]
     node.reconfigure(read_config(json.dumps(site_config("subscribe"))))
-    assert not isinstance(made(tmp_path, "subscribe", "").watch.calls, RelayCallPolicy)
+    assert not isinstance(made(tmp_path, "subscribe", "").watch.policy, RelayCallPolicy)
     with pytest.raises(OperatorError, match="lists.relays: .*subscribe"):
         made(tmp_path, "automatic", NAMED)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -125,7 +125,7 @@
         rule,
         lambda: "the list",
         node.registry.table,
-        node.watch.current,
+        node.watch.is_current,
         node.clock,
         node.log,
         node.loop,
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -14,7 +14,7 @@
 from quartzford import node
 from quartzford.decision import interface as io
 from quartzford.membership import call_policy
-from quartzford.membership import watch as source
+from quartzford.membership import list_watch as source
 from quartzford.membership.listing import read_listing
 
 
@@ -63,7 +63,7 @@
 def test_a_watch_that_goes_wrong_is_made_again(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         if how == "stalls":
-            monkeypatch.setattr(source, "LINE_S", 0.3)
+            monkeypatch.setattr(source, "LINE_TIMEOUT_S", 0.3)
         async with World(2) as world:
             before = len(world.discovery.came)
             world.version = 9
@@ -93,7 +93,7 @@
     async with World(2) as world:
         port = world.discovery.port
         await world.discovery.stop()
-        await until(lambda: world.node.watch.calls.tries > 2)
+        await until(lambda: world.node.watch.policy.failed_calls > 2)
         assert (await world.ask(request())).status == 200
         world.version, world.current = 5, None
         await world.discovery.start(port)
@@ -190,7 +190,7 @@
     """A start; known is old: its only upstream is gone. In the end the list holds, and nothing was lost."""
     monkeypatch.setattr(call_policy, "ANSWER_S", 0.3)
     monkeypatch.setattr(call_policy, "QUEUE_S", 0.5)
-    monkeypatch.setattr(source, "LINE_S", 0.5)
+    monkeypatch.setattr(source, "LINE_TIMEOUT_S", 0.5)
 
     async def test() -> None:
         world = asking() if asked else World()
@@ -273,7 +273,7 @@
         await step.wait()
         await until(lambda: world.node.watch.ever_answered)
         counts = {name: count for name, count in world.node.watch.counts.items() if name != "kept"}
-        assert len(world.discovery.came) == 1 and counts == {"watched": 1} and world.node.watch.current()
+        assert len(world.discovery.came) == 1 and counts == {"watched": 1} and world.node.watch.is_current()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -21,8 +21,8 @@
 from quartzford.fronts.listener import Listener, bind
 from quartzford.membership.addresses import SingleAddress
 from quartzford.membership.call_policy import AgentCallPolicy
+from quartzford.membership.list_watch import Watch
 from quartzford.membership.listing import Listing
-from quartzford.membership.watch import Watch
 from standins.listservice import Plan, Service
 from standins.nodo import Nodo, fleet
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -151,7 +151,7 @@
         moved = Peer(world._discover)
         await moved.start()
         world.node.watch.address = lambda: ("127.0.0.1", moved.port)
-        world.node.watch.follow()
+        world.node.watch.follow_address()
         took = await drained(world)
         await moved.stop()
         return took
@@ -208,5 +208,5 @@
     world.version = 7
     world.tell(world.list(world.host(0)), writers[0])
     await until(lambda: world.node.watch.version == 7)
-    assert world.node.watch.current() and world.node.watch.late_call is None
+    assert world.node.watch.is_current() and world.node.watch.late_call is None
     await world.__aexit__()
