--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,7 +33,7 @@
 from bench.common import ROOT
 from quartzford.decision.workingset import LEAST, MEET_MS
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, QUEUE_S, SMALL
-from quartzford.membership.list_watch import LINE_BYTES
+from quartzford.membership.line_splitter import MAX_LINE_BYTES
 from quartzford.node import LISTS_PER_S
 
 PAGE = Path("docs/CAPACITY.md")
@@ -51,7 +51,7 @@
         calls_per_s=LISTS_PER_S,
         spread_s=NOTIFY_BOUND_S - QUEUE_S,
         small=SMALL,
-        line_bytes=LINE_BYTES,
+        line_bytes=MAX_LINE_BYTES,
         meet_s=MEET_MS / 1000.0,
         least_used=LEAST,
         log_lines_per_s=LOG_LINES_PER_S,
--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -54,7 +54,7 @@
     row, t, changes = partial(Row, "balancer"), model.target, model.rows_per_s()
     lists, cores = model.lists_today(), Bound(t.control_cores, LETTER)
     complete, budget = model.measured("list bytes"), Bound(t.control_bytes_per_s, LETTER)
-    longest = Bound(model.program.line_bytes, "longest line that is read (`membership/list_watch.py`)")
+    longest = Bound(model.program.line_bytes, "longest line that is read (`membership/line_splitter.py`)")
     beats = f"{model.beats():.3g} B/s of beats + {changes:.3g} rows/s x bytes of a change"
     mean = model.derive(beats, lambda size: model.beats() + changes * size, model.change(1.0))
     seconds = model.derive("bytes of a whole list / 15 KB/s", lambda b: b / t.control_bytes_per_s, complete)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -75,7 +75,7 @@
     ]
     if (most := slopes_list.line_bytes_in_force()) < slopes_list.LINE_BYTES:
         said.append(
-            f"membership/list_watch.py refuses a list over {most:,} bytes, some {most // ROW_BYTES:,} rows: "
+            f"membership/line_splitter.py refuses a list over {most:,} bytes, {most // ROW_BYTES:,} rows: "
             "its bound was raised in the processes that measure longer ones. As it stands, nobody gets them."
         )
     return said
--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -22,7 +22,7 @@
 from bench.slopes_source import BEAT, Written, chunk, encoded, rows, source
 from quartzford.decision import interface as io
 from quartzford.decision.columns import load_arrays
-from quartzford.membership import list_watch
+from quartzford.membership import line_splitter
 from quartzford.node import Node
 from quartzford.settings.platform import Config, read_config
 from standins.site import config, free_port
@@ -70,7 +70,7 @@
 
 def line_bytes_in_force() -> int:
     """The longest line of discovery that the program takes as it stands."""
-    return list_watch.LINE_BYTES
+    return line_splitter.MAX_LINE_BYTES
 
 
 def balancer_config(discovery: int, tick_ms: float = SITE_TICK_MS) -> Config:
@@ -167,7 +167,7 @@
     """A list of so many rows taken in whole, and then single rows of it changed; extra: with orjson."""
     if not extra:
         sys.modules["orjson"] = None  # type: ignore[assignment]
-    list_watch.LINE_BYTES = max(list_watch.LINE_BYTES, LINE_BYTES)
+    line_splitter.MAX_LINE_BYTES = max(line_splitter.MAX_LINE_BYTES, LINE_BYTES)
     uvloop.run(_list_costs(pipe, port, orders, count, changes))
 
 
@@ -190,7 +190,7 @@
 
 def at_rest(pipe: Connection, port: int, count: int, tick_ms: float, window_s: float, stall_s: float) -> None:
     """Processor time in ms a second of a balancer with its list and no clients, and its worst stall."""
-    list_watch.LINE_BYTES = max(list_watch.LINE_BYTES, LINE_BYTES)
+    line_splitter.MAX_LINE_BYTES = max(line_splitter.MAX_LINE_BYTES, LINE_BYTES)
     uvloop.run(_at_rest(pipe, port, count, tick_ms, window_s, stall_s))
 
 
--- a/quartzford/membership/listing.py
+++ b/quartzford/membership/listing.py
@@ -64,6 +64,15 @@
     return Listing(version, complete, entries, addresses)
 
 
+def as_complete_list(listing: Listing) -> Listing:
+    """The same rows as a complete list: what the listing names as gone is left out."""
+    rows = zip(listing.entries, listing.addresses, strict=True)
+    remaining = [(entry, address) for entry, address in rows if entry.state != "gone"]
+    entries = tuple(entry for entry, _ in remaining)
+    addresses = tuple(address for _, address in remaining)
+    return Listing(listing.version, True, entries, addresses)
+
+
 class Sink(Protocol):
     """What a watch hands each list and its changes to."""
 
--- a/quartzford/membership/relay_call_policy.py
+++ b/quartzford/membership/relay_call_policy.py
@@ -94,7 +94,7 @@
 
     def first_line_timeout(self) -> float:
         """As long as the place that was chosen last may take; longer for a whole list."""
-        return RELAY_LINE_S if self.relays.known and not self.relays.last_call_direct else QUEUE_S
+        return RELAY_LINE_S if self.relays.version_was_known and not self.relays.last_call_direct else QUEUE_S
 
     def long_line_extra_time(self) -> float:
         """From a relay, as long again as its patience by index."""
@@ -129,7 +129,7 @@
         """Wait before the next relay is asked."""
         relays, count = self.relays, len(self.relays.order)
         later = retry_after * self.rng.uniform(*LATER)
-        if not relays.known and later > 0:  # a whole list, in turn: the others have no less to do
+        if not relays.version_was_known and later > 0:  # a whole list, in turn: the others have no less to do
             return min(later, NOTIFY_BOUND_S - QUEUE_S)
         if not relays.all_failed():
             return self.rng.random() * JITTER_S
--- a/rig/hollow.py
+++ b/rig/hollow.py
@@ -35,7 +35,7 @@
 from quartzford.control import ControlSide, assemble
 from quartzford.decision.columns import load_arrays
 from quartzford.engine import LoopClock, StderrLog
-from quartzford.membership import list_watch
+from quartzford.membership import list_call, list_watch
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.settings.operatorfile import endpoint
 from quartzford.settings.platform import Config, read_config
@@ -201,7 +201,8 @@
         if plan["share"] not in SHARES:
             raise ValueError(f"share: {plan['share']!r} is not one of {', '.join(SHARES)}")
         if plan["share"] != "nothing":
-            list_watch.__dict__["read_listing"] = SharedReader()
+            reader = SharedReader()
+            list_watch.__dict__["read_listing"] = list_call.__dict__["read_listing"] = reader
         clock = LoopClock(self.loop)
         self.clock, self.log = clock, StderrLog(clock.now)
         self.base = self._config()
--- a/rig/meter.py
+++ b/rig/meter.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from quartzford.control import ControlSide
-from quartzford.membership import list_watch
+from quartzford.membership import list_call
 from quartzford.membership.listing import Listing
 
 VARIABLE = "QUARTZFORD_RIG_METER"  # read by the gate
@@ -67,19 +67,20 @@
         self._transport.write(data)
 
 
-def _of(call: list_watch.ListCall) -> Meter | None:
-    return getattr(call.owner.sink, "meter", None)
+def _of(call: list_call.ListCall) -> Meter | None:
+    owner: Any = call.owner
+    return getattr(owner.sink, "meter", None)
 
 
 def _wrap_calls() -> None:
     begin, connected, received = (
-        list_watch.ListCall.__init__,
-        list_watch.ListCall.connection_made,
-        list_watch.ListCall.data_received,
+        list_call.ListCall.__init__,
+        list_call.ListCall.connection_made,
+        list_call.ListCall.data_received,
     )
 
     @functools.wraps(begin)
-    def init(self: list_watch.ListCall, owner: Any, *rest: Any, **named: Any) -> None:
+    def init(self: list_call.ListCall, owner: Any, *rest: Any, **named: Any) -> None:
         meter = getattr(owner.sink, "meter", None)
         if meter is not None:
             meter.calls += 1
@@ -87,21 +88,21 @@
         begin(self, owner, *rest, **named)
 
     @functools.wraps(connected)
-    def made(self: list_watch.ListCall, transport: Any) -> None:
+    def made(self: list_call.ListCall, transport: Any) -> None:
         meter = _of(self)
         connected(self, transport if meter is None else CountingTransport(transport, meter))
 
     @functools.wraps(received)
-    def data(self: list_watch.ListCall, data: bytes) -> None:
+    def data(self: list_call.ListCall, data: bytes) -> None:
         meter = _of(self)
         if meter is not None:
             meter.bytes_in += len(data)
             meter.counted()
         received(self, data)
 
-    list_watch.ListCall.__init__ = init  # type: ignore[method-assign]
-    list_watch.ListCall.connection_made = made  # type: ignore[method-assign]
-    list_watch.ListCall.data_received = data  # type: ignore[method-assign]
+    list_call.ListCall.__init__ = init  # type: ignore[method-assign]
+    list_call.ListCall.connection_made = made  # type: ignore[method-assign]
+    list_call.ListCall.data_received = data  # type: ignore[method-assign]
 
 
 def _wrap_sides(make: Callable[[], Meter]) -> None:
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from quartzford.membership.addresses import Address, RelayAddresses, RequestKind, SingleAddress, ranked
+from quartzford.membership.addresses import Address, RelayAddresses, RequestKind, SingleAddress, rank_relays
 from quartzford.membership.call_policy import CONNECT_S, LINE_TIMEOUT_S, NOTIFY_BOUND_S, QUEUE_S, CallOutcome
 from quartzford.membership.relay_call_policy import (
     RELAY_CONNECT_S,
@@ -54,7 +54,7 @@
         target = self.relays.choose(known)
         self.made.append((self.now, *target))
         state = self.states.get(target.address, "")
-        if not state or (state == "lost" and target.ask is RequestKind.COMPLETE_LIST):
+        if not state or (state == "lost" and target.kind is RequestKind.COMPLETE_LIST):
             self.relays.answered(target)
             self.calls.answered()
             return True
@@ -69,22 +69,22 @@
 
 def test_4600_balancers_spread_evenly_over_eleven_and_the_loss_of_one_moves_only_its_own() -> None:
     """A share of 418; drawn by chance the deviation is 20, and 72 stands for 3.7 of them."""
-    orders = [ranked(f"b{n}", ELEVEN) for n in range(FLEET)]
+    orders = [rank_relays(f"b{n}", ELEVEN) for n in range(FLEET)]
     firsts = Counter(order[0] for order in orders)
     assert set(firsts) == set(ELEVEN) and max(abs(count - FLEET / 11) for count in firsts.values()) <= 72
     gone = ELEVEN[4]
     left = [relay for relay in ELEVEN if relay != gone]
-    after = [ranked(f"b{n}", left) for n in range(FLEET)]
+    after = [rank_relays(f"b{n}", left) for n in range(FLEET)]
     assert all(one[0] == two[0] for one, two in zip(orders, after, strict=True) if one[0] != gone)
     moved = Counter(two[0] for one, two in zip(orders, after, strict=True) if one[0] == gone)
     assert set(moved) == set(left) and max(moved.values()) <= 2.0 * firsts[gone] / 10
 
 
 def test_an_order_depends_on_the_name_and_the_set_alone() -> None:
-    order = ranked("b1", ELEVEN)
-    assert order == ranked("b1", reversed(ELEVEN)) and sorted(order) == sorted(ELEVEN)
-    assert ranked("b1", order[:3] + order[4:]) == order[:3] + order[4:]
-    assert len({ranked(f"b{n}", ELEVEN) for n in range(100)}) == 100
+    order = rank_relays("b1", ELEVEN)
+    assert order == rank_relays("b1", reversed(ELEVEN)) and sorted(order) == sorted(ELEVEN)
+    assert rank_relays("b1", order[:3] + order[4:]) == order[:3] + order[4:]
+    assert len({rank_relays(f"b{n}", ELEVEN) for n in range(100)}) == 100
 
 
 @pytest.mark.parametrize("states", itertools.product(("dead", "vanished", "stopped"), repeat=3))
@@ -94,9 +94,9 @@
         one = Balancer(number, {})
         one.states = dict(zip(one.relays.order, states, strict=False))
         one.lose()
-        while not one.ask():
+        while not one.kind():
             pass
-        assert one.now <= NOTIFY_BOUND_S and one.relays.place == 3
+        assert one.now <= NOTIFY_BOUND_S and one.relays.watch_position == 3
 
 
 @pytest.mark.parametrize("stopped", [0, 3])
@@ -108,7 +108,7 @@
         one = Balancer(number, dict.fromkeys(ELEVEN, "lost") | dict.fromkeys(ELEVEN[:stopped], "stopped"))
         one.lose()
         for _ in range(200):
-            assert not one.ask(retry_after=retry_after)
+            assert not one.kind(retry_after=retry_after)
         rounds = [at for at, address, _ in one.made if address == ELEVEN[7]]
         # The answer comes at once from who lives, and within the patience from who would be stopped next.
         assert max(b - a for a, b in itertools.pairwise(rounds[2:])) + RELAY_LINE_S <= NOTIFY_BOUND_S + 0.25
@@ -118,10 +118,12 @@
 
 def test_who_never_had_a_list_asks_relays_that_lost_the_source_for_theirs_once() -> None:
     one = Balancer(3, dict.fromkeys(ELEVEN, "lost"))
-    while not one.ask(known=False):
+    while not one.kind(known=False):
         pass
     assert [ask for *_, ask in one.made] == [RequestKind.WATCH] * 11 + [RequestKind.COMPLETE_LIST]
-    assert not any(one.ask() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {RequestKind.WATCH}
+    assert not any(one.kind() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {
+        RequestKind.WATCH
+    }
 
 
 def direct_calls(balancers: int, per_s: float, until: float) -> list[float]:
@@ -132,7 +134,7 @@
         one = Balancer(number, states, balancers, per_s)
         one.lose()
         while one.now < until:
-            one.ask()
+            one.kind()
         times += [at for at, address, _ in one.made if address == SOURCE]
     return times
 
@@ -152,7 +154,7 @@
     one = Balancer(1, dict.fromkeys([*ELEVEN, SOURCE], "dead"), fleet=10)
     one.lose()
     for _ in range(100):
-        one.ask()
+        one.kind()
     direct = [at for at, address, _ in one.made if address == SOURCE]
     assert one.made[11][1] == SOURCE and min(b - a for a, b in itertools.pairwise(direct)) >= 0.75
     assert one.calls.connect_timeout() in (RELAY_CONNECT_S, CONNECT_S)
@@ -161,8 +163,11 @@
 def test_at_the_source_the_patience_is_that_of_a_service_that_all_ask() -> None:
     one = Balancer(1, {})
     one.relays.next_call_direct = True
-    assert one.ask() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (CONNECT_S, QUEUE_S)
-    assert one.relays.place == 11 and one.relays.follows()
+    assert one.kind() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (
+        CONNECT_S,
+        QUEUE_S,
+    )
+    assert one.relays.watch_position == 11 and one.relays.follows_configuration()
     better = [one.relays.better() for _ in range(12)]
     assert [target.address for target in better if target] == [*one.relays.order, one.relays.order[0]]
     assert (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (RELAY_CONNECT_S, RELAY_LINE_S)
@@ -174,14 +179,14 @@
     assert RETURN_S[0] <= min(waits) and max(waits) <= RETURN_S[1]
     assert max(Counter(int(wait) for wait in waits).values()) <= 20
     one = Balancer(5, {})
-    assert one.ask() and one.relays.better() is None and not one.relays.follows()
+    assert one.kind() and one.relays.better() is None and not one.relays.follows_configuration()
     single = SingleAddress(lambda: SOURCE)
-    assert single.better() is None and single.choose(False).ask is RequestKind.COMPLETE_LIST
-    assert SingleAddress(lambda: SOURCE, complete_list_by_watch=True).choose(False).ask is RequestKind.WATCH
+    assert single.better() is None and single.choose(False).kind is RequestKind.COMPLETE_LIST
+    assert SingleAddress(lambda: SOURCE, complete_list_by_watch=True).choose(False).kind is RequestKind.WATCH
 
 
 def test_a_start_is_spread_and_who_is_turned_away_in_turn_comes_back_when_told_to() -> None:
     firsts = [Balancer(number, {}).calls.initial_delay() for number in range(418)]
     assert max(firsts) > 1.5 and max(Counter(int(10 * wait) for wait in firsts).values()) < 50
     one = Balancer(2, dict.fromkeys(ELEVEN, "lost"))
-    assert not one.ask(known=False, retry_after=1.2) and 1.2 <= one.now <= 1.5
+    assert not one.kind(known=False, retry_after=1.2) and 1.2 <= one.now <= 1.5
--- a/tests/test_extproc_desk.py
+++ b/tests/test_extproc_desk.py
@@ -17,6 +17,7 @@
 from quartzford.engine import Engine
 from quartzford.fronts.extproc.desk import (
     Again,
+    Ask,
     Cut,
     Desk,
     Failed,
@@ -24,7 +25,6 @@
     Passed,
     Refused,
     Reply,
-    RequestKind,
     Stream,
     Told,
 )
@@ -138,7 +138,7 @@
         replies = [r for r in self.heard if not isinstance(r, Cut)]
         assert len(replies) <= self.asked + self.reported, "a reply that nobody waits for"
 
-    def ask(self, ask: RequestKind) -> Peer:
+    def ask(self, ask: Ask) -> Peer:
         self.asked += 1
         self.world.desk.ask(self.stream, ask)
         return self
@@ -178,12 +178,12 @@
         self.final: list[str] = []
         self.token = ""
         self.peer = Peer(world, slow)
-        self.peer.ask(RequestKind(self.identity, name, left_ms, keyed=name != "pay", opens=opens))
+        self.peer.ask(Ask(self.identity, name, left_ms, keyed=name != "pay", opens=opens))
         self.opens, self.spare = opens, 0
         self.look()
 
     def next(self) -> None:
-        self.peer = Peer(self.world).ask(RequestKind(self.identity, self.name, token=self.token))
+        self.peer = Peer(self.world).ask(Ask(self.identity, self.name, token=self.token))
         self.look()
 
     def look(self) -> None:
@@ -309,12 +309,12 @@
         else:
             customer.final.append("left")
     elif what == "overlap" and peer.out():
-        other = Peer(world).ask(RequestKind(customer.identity, customer.name, token=customer.token))
+        other = Peer(world).ask(Ask(customer.identity, customer.name, token=customer.token))
         world.clock.pass_time(0.02)
         assert not other.told(), "a second attempt beside one that is out"
         other.drop()
     elif what == "copy" and peer.out():
-        other = Peer(world).ask(RequestKind(customer.identity, customer.name, 100.0))
+        other = Peer(world).ask(Ask(customer.identity, customer.name, 100.0))
         assert other.heard == [Failed(409)]
         other.drop()
 
@@ -357,7 +357,7 @@
 
 
 def told(world: World, name: str = "pay", identity: str = "c1") -> Peer:
-    peer = Peer(world).ask(RequestKind(identity, name, 500.0, keyed=name != "pay"))
+    peer = Peer(world).ask(Ask(identity, name, 500.0, keyed=name != "pay"))
     assert peer.told()
     return peer
 
@@ -368,7 +368,7 @@
     peer = told(world)
     peer.report(code)
     assert peer.heard[1:] == [Failed(502)]
-    assert Peer(world).ask(RequestKind("c1", "pay")).heard == [Failed(409)]
+    assert Peer(world).ask(Ask("c1", "pay")).heard == [Failed(409)]
 
 
 @pytest.mark.parametrize("code", PROOF)
@@ -378,18 +378,18 @@
     first = peer.told()
     peer.report(code)
     assert peer.heard[1:] == [Again(True)] and first is not None
-    following = Peer(world).ask(RequestKind("c1", "pay", token=first.token))
+    following = Peer(world).ask(Ask("c1", "pay", token=first.token))
     assert following.told() and following.told().address != first.address  # type: ignore[union-attr]
 
 
 def test_decided_and_never_claimed_counts_as_never_sent() -> None:
     world = World()
-    opener = Peer(world).ask(RequestKind("c1", "pay", 500.0, opens=True))
+    opener = Peer(world).ask(Ask("c1", "pay", 500.0, opens=True))
     assert isinstance(opener.heard[0], Opened)
     world.clock.pass_time(0.25)  # nobody comes for it
     assert not world.desk.flights and not world.engine.counts["overdue"]
     assert world.desk.past["c1"].harmless
-    again = Peer(world).ask(RequestKind("c1", "pay", 500.0))
+    again = Peer(world).ask(Ask("c1", "pay", 500.0))
     assert again.told()
 
 
@@ -427,7 +427,7 @@
     world = World()
     world.desk.most = 1
     told(world)
-    assert Peer(world).ask(RequestKind("c2", "pay")).heard == [Refused(0.0, False)]
+    assert Peer(world).ask(Ask("c2", "pay")).heard == [Refused(0.0, False)]
     assert len(world.engine.calls) == 1
 
 
@@ -435,11 +435,11 @@
     world = World()
     peer = Peer(world)
     peer.asked += 1
-    world.desk.ask(peer.stream, RequestKind("c1", "pay", 500.0), world.clock.at - 0.2)
+    world.desk.ask(peer.stream, Ask("c1", "pay", 500.0), world.clock.at - 0.2)
     assert peer.heard == [Refused(0.0, False)] and not world.engine.calls
     late = Peer(world)
     late.asked += 1
-    world.desk.ask(late.stream, RequestKind("c2", "pay", 500.0), world.clock.at - 0.05)
+    world.desk.ask(late.stream, Ask("c2", "pay", 500.0), world.clock.at - 0.05)
     (call,) = world.engine.calls.values()
     assert late.told() and call.deadline == pytest.approx(world.clock.at + 0.45)
 
@@ -511,7 +511,7 @@
 
 def test_a_decision_not_written_in_time_is_made_anew_and_nothing_ran() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(RequestKind("c1", "pay", 500.0))
+    peer = Peer(world, slow=True).ask(Ask("c1", "pay", 500.0))
     first = peer.held
     assert first is not None and abs(first.within_ms - 100.0) < 1e-6
     world.move(int(first.address.rpartition(":")[2]), "draining")
@@ -529,19 +529,19 @@
 
 def test_a_stream_that_ends_before_its_decision_is_written_ran_nothing() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(RequestKind("c1", "pay", 500.0))
+    peer = Peer(world, slow=True).ask(Ask("c1", "pay", 500.0))
     assert peer.held is not None
     peer.drop()
     assert not world.desk.flights and world.engine.counts["client gone"] == 1
-    again = Peer(world).ask(RequestKind("c1", "pay", 500.0))
+    again = Peer(world).ask(Ask("c1", "pay", 500.0))
     assert isinstance(again.heard[0], Told)
     again.drop()  # this one was written: it may run
-    assert Peer(world).ask(RequestKind("c1", "pay", 500.0)).heard == [Failed(409)]
+    assert Peer(world).ask(Ask("c1", "pay", 500.0)).heard == [Failed(409)]
 
 
 def test_a_late_word_after_the_clients_time_changes_nothing() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(RequestKind("c1", "pay", 80.0))
+    peer = Peer(world, slow=True).ask(Ask("c1", "pay", 80.0))
     world.clock.pass_time(0.5)
     assert peer.heard == [Cut()] and not world.desk.flights
     assert world.engine.counts["written too late"] == 0 and world.engine.counts["timeout"] == 1
@@ -550,12 +550,12 @@
 def test_after_a_proven_failure_a_late_decision_is_still_harmless() -> None:
     """What was known before the decision is known again once it is taken back: here, that nothing ran."""
     world = World()
-    first = Peer(world).ask(RequestKind("c1", "pay", 500.0))
+    first = Peer(world).ask(Ask("c1", "pay", 500.0))
     told = first.told()
     assert told is not None
     first.report("full")
     assert first.heard[-1] == Again(True)
-    second = Peer(world, slow=True).ask(RequestKind("c1", "pay", token=told.token))
+    second = Peer(world, slow=True).ask(Ask("c1", "pay", token=told.token))
     assert second.held is not None
     world.clock.pass_time(0.102)
     assert second.told() is not None
--- a/tests/test_extproc_line.py
+++ b/tests/test_extproc_line.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from test_extproc_desk import World
 
-from quartzford.fronts.extproc.desk import RequestKind
+from quartzford.fronts.extproc.desk import Ask
 from quartzford.fronts.extproc.intake import Intake
 from quartzford.fronts.extproc.line import DeskLine
 
@@ -42,7 +42,7 @@
 
 
 def ask(number: int, at: float, name: str, identity: str = "") -> list[Any]:
-    return ["ask", number, at, *RequestKind(identity or f"c{number}", name, 500.0)]
+    return ["ask", number, at, *Ask(identity or f"c{number}", name, 500.0)]
 
 
 def on_loop(test: Any) -> None:
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -23,7 +23,7 @@
 from quartzford.engine import Clock
 from quartzford.fronts import http1 as front
 from quartzford.fronts.extproc import server
-from quartzford.fronts.extproc.desk import Reply, RequestKind
+from quartzford.fronts.extproc.desk import Ask, Reply
 from quartzford.fronts.extproc.messages import Writer
 from quartzford.serve import decision_valid_s
 
@@ -108,13 +108,13 @@
     """What stands for longer as a decision ends with its request's window, less what a hold-up may take."""
     world = Desk()
     world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
-    first = Peer(world).ask(RequestKind("c1", "hold", 700.0, keyed=True))
+    first = Peer(world).ask(Ask("c1", "hold", 700.0, keyed=True))
     begun = world.clock.at
     told = first.told()
     assert told is not None and told.by == pytest.approx(begun + 0.1)
     world.clock.pass_time(0.12)
     first.report("reset")
-    second = Peer(world).ask(RequestKind("c1", "hold", 700.0, keyed=True, token=told.token))
+    second = Peer(world).ask(Ask("c1", "hold", 700.0, keyed=True, token=told.token))
     again = second.told()
     assert again is not None and again.by <= begun + ZONED.window_ms / 1000.0 - HELD_S
 
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -15,7 +15,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
-from quartzford.membership import list_watch as source
+from quartzford.membership import list_call
 from quartzford.membership.list_chunks import ListingQueue, split_into_chunks
 from quartzford.membership.listing import Listing
 
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_long_lines_do_not_overtake_each_other(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Read in threads, one after the other, with short lines between them."""
-    monkeypatch.setattr(source, "LONG_BYTES", 2_000)
+    monkeypatch.setattr(list_call, "LONG_BYTES", 2_000)
 
     @run
     async def test() -> None:
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -427,7 +427,7 @@
     uvloop.run(asyncio.wait_for(test(), 60))
 
 
-@pytest.mark.parametrize("whole", [True, False], ids=["another version", "killed half way"])
+@pytest.mark.parametrize("complete", [True, False], ids=["another version", "killed half way"])
 def test_a_predecessor_of_another_version_or_one_that_dies_half_way(complete: bool) -> None:
     """State of a format that this process does not read: the listener is used, what was learnt is not."""
     uvloop.run(asyncio.wait_for(_predecessor(complete), 60))
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -13,8 +13,7 @@
 
 from quartzford import node
 from quartzford.decision import interface as io
-from quartzford.membership import call_policy
-from quartzford.membership import list_watch as source
+from quartzford.membership import call_policy, list_call
 from quartzford.membership.listing import read_listing
 
 
@@ -63,7 +62,7 @@
 def test_a_watch_that_goes_wrong_is_made_again(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         if how == "stalls":
-            monkeypatch.setattr(source, "LINE_TIMEOUT_S", 0.3)
+            monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.3)
         async with World(2) as world:
             before = len(world.discovery.came)
             world.version = 9
@@ -190,7 +189,7 @@
     """A start; known is old: its only upstream is gone. In the end the list holds, and nothing was lost."""
     monkeypatch.setattr(call_policy, "ANSWER_S", 0.3)
     monkeypatch.setattr(call_policy, "QUEUE_S", 0.5)
-    monkeypatch.setattr(source, "LINE_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.5)
 
     async def test() -> None:
         world = asking() if asked else World()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -21,7 +21,7 @@
 from quartzford.fronts.listener import Listener, bind
 from quartzford.membership.addresses import SingleAddress
 from quartzford.membership.call_policy import AgentCallPolicy
-from quartzford.membership.list_watch import Watch
+from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Listing
 from standins.listservice import Plan, Service
 from standins.nodo import Nodo, fleet
@@ -343,7 +343,8 @@
         loop: Any = FailingLoop(asyncio.get_running_loop(), error)
         clock = LoopClock(loop)
         addresses = SingleAddress(lambda: ("127.0.0.1", world.discovery.port))
-        watch = Watch(lists, addresses, AgentCallPolicy(Random(1), 0.25), clock, StderrLog(clock.now), loop)
+        policy = AgentCallPolicy(Random(1), 0.25)
+        watch = ListWatch(lists, addresses, policy, clock, StderrLog(clock.now), loop)
         watch.start()
         await until(lambda: lists.heard)
         assert not loop.left and watch.counts["ended unreached"] == failures
