--- a/quartzford/membership/call_policy.py
+++ b/quartzford/membership/call_policy.py
@@ -1,26 +1,29 @@
-"""When the list service is called, how long an answer is waited for, and what is asked. No I/O.
+"""When the list service is called, and how long an answer is waited for. No I/O.
 
 A change that the service has, and could be reached for, has to be known here NOTIFY_BOUND_S later, whatever
-went before. So from the beginning of one call to the answer of the next no more than that may pass: a change
-that comes just after a call has begun that will never be answered comes with the next one. A cycle is the
-time that the call took, the wait behind it and the time that the next may take; all that makes waits longer
-ends at its bound.
-
-Two policies. `AgentCallPolicy` is for a list that is pushed: the address is an agent on this machine, a call
-costs nobody anything, and the sooner the better. `SharedServiceCallPolicy` is for one service that all
-balancers of a fleet ask. It bounds what they ask of it together, though no balancer knows what another does:
-
-- The first call of a start is put at a moment drawn evenly from the spread interval, the time in which the
-  service can answer one call of each balancer. It is 0 for a small fleet: its calls go out at once. A
-  balancer that dies again within the interval of each start calls once in an interval on average, its share,
-  however often it starts.
+went before. So no more than that may pass from the beginning of one call to the answer of the next: a change
+that comes just after the beginning of a call that is never answered arrives with the next call. One cycle is
+the time that the call took, the delay behind it and the time that the next call may take; everything that
+makes delays longer is capped by this bound.
+
+There are two policies. `AgentCallPolicy` is for lists that are pushed: the address is an agent on this
+machine, a call costs nobody anything, and the sooner the better. `SharedServiceCallPolicy` is for one list
+service that all balancers of a fleet poll. It bounds the fleet's rate of calls, though no balancer knows what
+another does:
+
+- The first call after a start is made at a moment drawn evenly from the spread interval, the time in which
+  the service can answer one call of each balancer. It is 0 for a small fleet, which calls at once. A balancer
+  that dies again within the interval of each start calls once in an interval on average, however often it
+  starts.
 - After a failure the next call follows about one spread interval later: calls that were spread stay spread,
-  and the fleet's rate stays the same. (Full jitter would let a third of a fleet come in a quarter of it.)
-- What turns calls away, or lets them wait for nothing, is asked at longer intervals until it has answered.
-- A call that was accepted and is late is kept beside the next one, for KEPT_S: a service that works through a
-  long queue answers it in its turn, and to leave would make that work for nobody.
-
-Times are in seconds. docs/coldstart.md holds what was weighed, with numbers, and what the bound costs.
+  and the fleet's rate stays the same. (Full jitter would let a third of a fleet come in a quarter of the
+  interval.)
+- A service that rejects calls, or leaves them unanswered, is called at longer intervals until it has
+  answered.
+- A call that was accepted and is late is kept open beside the next one for LATE_CALL_KEPT_S: a service that
+  works through a long queue answers it in its turn, and to close it would make that work useless.
+
+Times are in seconds. docs/coldstart.md holds what was weighed, with figures, and what the bound costs.
 """
 
 from __future__ import annotations
@@ -33,51 +36,52 @@
 
 # From the beginning of a call to the next one's answer: 6 s, less what the loop may be late.
 NOTIFY_BOUND_S = 5.75
-CONNECT_S = 1.5  # nobody took the connection for so long
-ANSWER_S = 1.5  # an agent's whole answer, from the connection on
-QUEUE_S = 2.0  # the same of a service that all ask: calls wait in turn there
-LINE_TIMEOUT_S = 2.75  # between two whole lines of a watch, which says something every two seconds
-RETRY_S = (0.05, 1.0)  # from one failed call to the next where the spread interval is not longer, doubling
-GRACE_PART = 0.4  # of the time that sends to what drains may go on, that an agent may be left unasked
+CONNECT_S = 1.5  # for a connection to come up
+ANSWER_S = 1.5  # for an agent's complete answer, from the connection on
+QUEUE_S = 2.0  # the same for a service that a fleet polls: calls wait in a queue there
+LINE_TIMEOUT_S = 2.75  # between two complete lines of a watch, which has one every two seconds
+RETRY_S = (0.05, 1.0)  # first and longest backoff where the spread interval is not longer
+GRACE_PART = 0.4  # the longest backoff at an agent, as a part of the drain grace
 SMALL = 16  # so many balancers may call at once
 WAIT_SPREAD = (0.75, 1.25)  # of the spread interval, from a failed call to the next
-WAIT_BOUND = (0.8, 1.0)  # of the longest wait that NOTIFY_BOUND_S leaves
-LATE_CALL_KEPT_S = 60.0  # a call that was accepted may still be answered for so long
-STRETCH, STRETCH_MOST = 1.5, 16.0  # the interval grows by this with each call that the service could not bear
+WAIT_BOUND = (0.8, 1.0)  # of the longest delay that NOTIFY_BOUND_S leaves
+LATE_CALL_KEPT_S = 60.0  # an accepted call may still be answered for so long
+# The spread interval grows by this factor with each call that overloaded the service, up to the second.
+STRETCH, STRETCH_MOST = 1.5, 16.0
 
 
 class CallOutcome(Enum):
     """How a call ended."""
 
-    DONE = "in order"  # a whole list was read
-    UNREAD = "unread"  # what came is no change to what is held: the whole has to be asked for
-    UNREACHED = "unreached"  # refused, or nobody took the connection
+    DONE = "in order"  # a complete list was read
+    UNREAD = "unread"  # what came does not follow the version held: everything has to be requested
+    UNREACHED = "unreached"  # the connection was refused, or did not come up in time
     SILENT = "silent"  # accepted, and nothing more came
-    REJECTED = "turned away"  # 429 or 503
+    REJECTED = "rejected"  # 429 or 503
     BROKEN = "broken"  # anything else before the list had come
     LOST = "lost"  # a watch that had brought a list or changes
 
 
 class CallPolicy(Protocol):
-    """A policy of calls to the list service."""
+    """When calls to the list service are made, and how long each step of one may take; in seconds."""
 
     failed_calls: int  # failed calls since the last answer
     keeps_late_calls: bool  # an accepted call that is late is kept beside the next one
 
     def initial_delay(self) -> float:
-        """Wait before the first call of a start, or to an address that is new."""
+        """Delay before the first call after a start, or to a new address."""
 
     def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        """Wait before the next call. retry_after: what the service asked for, or 0.
+        """Delay before the next call. retry_after: what the service asked for, or 0.
 
-        took: by the call that has ended; of a watch that had brought something, since its last whole line.
+        took: by the call that has ended; of a watch that had brought something, since its last complete line.
         """
 
     def connect_timeout(self) -> float:
         """How long a connection may take."""
 
     def first_line_timeout(self) -> float:
-        """How long the first whole list, or change, may take, from the connection on."""
+        """How long the first complete line may take, from the connection on."""
 
     def long_line_extra_time(self) -> float:
         """How much longer the first line may take once a good part of it has come."""
@@ -86,19 +90,19 @@
         """The list, or its changes, came."""
 
     def better_address_delay(self) -> float:
-        """Wait, while a watch stands, before a better place is tried."""
+        """Delay, while a watch stands, before a better address is tried."""
 
 
 def backoff(failed_calls: int, rng: random.Random, most: float = RETRY_S[1]) -> float:
-    """The wait of one that asks alone."""
+    """Exponential backoff with jitter, in seconds, without regard to the rest of the fleet."""
     return min(most, RETRY_S[0] * 2.0 ** min(failed_calls, 10)) * rng.uniform(0.5, 1.0)
 
 
 class AgentCallPolicy:
-    """Lists are pushed to this machine.
+    """For an agent on this machine, to which lists are pushed.
 
-    What the agent gets when discovery is back counts as told in that moment, and a call that hangs is
-    answered then. So it is left unasked only for a part of the time that sends to what drains may go on.
+    Balancers count as notified of what the agent receives in that moment, and a call that hangs is answered
+    then. So the backoff stays under a part of the drain grace.
     """
 
     keeps_late_calls = False
@@ -109,16 +113,16 @@
         self.configure(drain_grace)
 
     def configure(self, drain_grace: float) -> None:
-        """Take over a new drain grace, in seconds; waits between calls stay under a part of it."""
+        """Take over a new drain grace, in seconds."""
         self.most = min(RETRY_S[1], max(RETRY_S[0], GRACE_PART * drain_grace))
 
     def initial_delay(self) -> float:
-        """Ask at once: an agent on the same machine answers one balancer."""
+        """None: the agent answers this balancer alone."""
         self.failed_calls = 0
         return 0.0
 
     def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        """Wait before the next call, in seconds: none in order, else exponential backoff with jitter."""
+        """None after a call that ended in order, else exponential backoff with jitter."""
         if outcome is CallOutcome.DONE or outcome is CallOutcome.UNREAD:
             return 0.0
         wait = backoff(self.failed_calls, self.rng, self.most)
@@ -134,7 +138,7 @@
         return ANSWER_S
 
     def long_line_extra_time(self) -> float:
-        """No longer: an agent answers at once."""
+        """None: an agent answers at once."""
         return 0.0
 
     def answered(self) -> None:
@@ -147,10 +151,10 @@
 
 
 class SharedServiceCallPolicy:
-    """One service for a whole fleet.
+    """For one list service that a fleet polls.
 
-    balancers: how many ask it; per_s: calls a second that it can answer; most_wait: it is asked again after
-    so long, whatever it said (a balancer must not go longer without asking).
+    balancers: size of the fleet; per_s: calls a second that the service can answer; most_wait: the longest
+    delay between two calls, in seconds.
     """
 
     keeps_late_calls = True
@@ -162,7 +166,7 @@
         self.configure(balancers, per_s, most_wait)
         self.failed_calls = 0
         self.stretch = 1.0  # factor on the spread interval
-        self.unread_until = -math.inf  # till then an answer of no use is not followed by a call at once
+        self.unread_until = -math.inf  # until then an answer of no use is not followed by a call at once
 
     def configure(self, balancers: int, per_s: float, most_wait: float) -> None:
         """New settings; what was learnt of the service stays."""
@@ -170,34 +174,40 @@
         self.most_wait = most_wait
 
     def initial_delay(self) -> float:
-        """Wait before the first call, in seconds: drawn from the spread interval of the fleet."""
+        """Drawn evenly from the spread interval."""
         self.failed_calls = 0
         return self.rng.random() * min(self.spread_interval, NOTIFY_BOUND_S - QUEUE_S)
 
     def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        """Wait before the next call, in seconds: spread over the fleet, under the bound of the list's age."""
+        """About a spread interval, under the bound of NOTIFY_BOUND_S on the whole cycle."""
         if outcome is CallOutcome.DONE:
             return 0.0
-        if (
-            outcome is CallOutcome.UNREAD and self.now() >= self.unread_until
-        ):  # again and again, it is a failure
+        if outcome is CallOutcome.UNREAD and self.now() >= self.unread_until:  # repeated, it is a failure
             self.unread_until = self.now() + max(RETRY_S[1], self.spread_interval)
             return 0.0
-        interval = self.spread_interval * self.stretch
         most = max(0.0, min(self.most_wait, NOTIFY_BOUND_S - QUEUE_S - took))
-        if outcome is CallOutcome.LOST:  # all watches end in one moment when the service does
-            return max(self.rng.random() * min(interval, most), min(most, backoff(0, self.rng)))
+        if outcome is CallOutcome.LOST:
+            return self._delay_after_lost_watch(most)
         if outcome is CallOutcome.REJECTED or outcome is CallOutcome.SILENT:
             self.stretch = min(STRETCH_MOST, self.stretch * STRETCH)
+        return self._delay_after_failure(most, retry_after)
+
+    def _delay_after_lost_watch(self, most: float) -> float:
+        """All watches end in one moment when the service does."""
+        interval = self.spread_interval * self.stretch
+        return max(self.rng.random() * min(interval, most), min(most, backoff(0, self.rng)))
+
+    def _delay_after_failure(self, most: float, retry_after: float) -> float:
+        interval = self.spread_interval * self.stretch
         alone = backoff(self.failed_calls, self.rng)
         self.failed_calls = min(self.failed_calls + 1, 10)
-        # Drawn under the bound, and not cut at it: who is cut comes together with all others.
+        # Drawn under the bound and not cut at it: delays that are cut would end in one moment.
         most *= self.rng.uniform(*WAIT_BOUND)
-        wait = max(alone, self.spread_interval * self.stretch * self.rng.uniform(*WAIT_SPREAD))
+        delay = max(alone, interval * self.rng.uniform(*WAIT_SPREAD))
         if retry_after > 0:
-            # All get the same value: who came together would come back together.
-            wait = max(wait, retry_after + self.rng.random() * self.spread_interval * self.stretch)
-        return min(wait, most)
+            # The whole fleet gets the same value: who came together would come back together.
+            delay = max(delay, retry_after + self.rng.random() * interval)
+        return min(delay, most)
 
     def connect_timeout(self) -> float:
         """How long a connection may take, in seconds."""
@@ -208,11 +218,11 @@
         return QUEUE_S
 
     def long_line_extra_time(self) -> float:
-        """No longer: to the service all calls are alike."""
+        """None: the service queues all calls alike."""
         return 0.0
 
     def answered(self) -> None:
-        """Begin backoff and spread anew."""
+        """Begin backoff and spread interval anew."""
         self.failed_calls, self.stretch = 0, 1.0
 
     def better_address_delay(self) -> float:
@@ -244,9 +254,9 @@
 
 
 def draws(name: str, listen: str, seed: int) -> random.Random:
-    """A balancer's own random numbers: no two of a fleet share them, though they have a name or a seed alike.
+    """A balancer's own random numbers, shared with no other of the fleet, whatever names and seeds are alike.
 
-    An address is nobody else's, and the seed is new with each start.
+    An address belongs to one balancer, and the seed is new with each start.
     """
     import hashlib
 
