--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -94,7 +94,7 @@
         one = Balancer(number, {})
         one.states = dict(zip(one.relays.order, states, strict=False))
         one.lose()
-        while not one.kind():
+        while not one.ask():
             pass
         assert one.now <= NOTIFY_BOUND_S and one.relays.watch_position == 3
 
@@ -108,7 +108,7 @@
         one = Balancer(number, dict.fromkeys(ELEVEN, "lost") | dict.fromkeys(ELEVEN[:stopped], "stopped"))
         one.lose()
         for _ in range(200):
-            assert not one.kind(retry_after=retry_after)
+            assert not one.ask(retry_after=retry_after)
         rounds = [at for at, address, _ in one.made if address == ELEVEN[7]]
         # The answer comes at once from who lives, and within the patience from who would be stopped next.
         assert max(b - a for a, b in itertools.pairwise(rounds[2:])) + RELAY_LINE_S <= NOTIFY_BOUND_S + 0.25
@@ -118,10 +118,10 @@
 
 def test_who_never_had_a_list_asks_relays_that_lost_the_source_for_theirs_once() -> None:
     one = Balancer(3, dict.fromkeys(ELEVEN, "lost"))
-    while not one.kind(known=False):
+    while not one.ask(known=False):
         pass
     assert [ask for *_, ask in one.made] == [RequestKind.WATCH] * 11 + [RequestKind.COMPLETE_LIST]
-    assert not any(one.kind() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {
+    assert not any(one.ask() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {
         RequestKind.WATCH
     }
 
@@ -134,7 +134,7 @@
         one = Balancer(number, states, balancers, per_s)
         one.lose()
         while one.now < until:
-            one.kind()
+            one.ask()
         times += [at for at, address, _ in one.made if address == SOURCE]
     return times
 
@@ -154,7 +154,7 @@
     one = Balancer(1, dict.fromkeys([*ELEVEN, SOURCE], "dead"), fleet=10)
     one.lose()
     for _ in range(100):
-        one.kind()
+        one.ask()
     direct = [at for at, address, _ in one.made if address == SOURCE]
     assert one.made[11][1] == SOURCE and min(b - a for a, b in itertools.pairwise(direct)) >= 0.75
     assert one.calls.connect_timeout() in (RELAY_CONNECT_S, CONNECT_S)
@@ -163,7 +163,7 @@
 def test_at_the_source_the_patience_is_that_of_a_service_that_all_ask() -> None:
     one = Balancer(1, {})
     one.relays.next_call_direct = True
-    assert one.kind() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (
+    assert one.ask() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (
         CONNECT_S,
         QUEUE_S,
     )
@@ -179,7 +179,7 @@
     assert RETURN_S[0] <= min(waits) and max(waits) <= RETURN_S[1]
     assert max(Counter(int(wait) for wait in waits).values()) <= 20
     one = Balancer(5, {})
-    assert one.kind() and one.relays.better() is None and not one.relays.follows_configuration()
+    assert one.ask() and one.relays.better() is None and not one.relays.follows_configuration()
     single = SingleAddress(lambda: SOURCE)
     assert single.better() is None and single.choose(False).kind is RequestKind.COMPLETE_LIST
     assert SingleAddress(lambda: SOURCE, complete_list_by_watch=True).choose(False).kind is RequestKind.WATCH
@@ -189,4 +189,4 @@
     firsts = [Balancer(number, {}).calls.initial_delay() for number in range(418)]
     assert max(firsts) > 1.5 and max(Counter(int(10 * wait) for wait in firsts).values()) < 50
     one = Balancer(2, dict.fromkeys(ELEVEN, "lost"))
-    assert not one.kind(known=False, retry_after=1.2) and 1.2 <= one.now <= 1.5
+    assert not one.ask(known=False, retry_after=1.2) and 1.2 <= one.now <= 1.5
