--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -26,9 +26,7 @@
 CURRENT_MS = (
     LINE_TIMEOUT_S * 1000.0
 )  # a list that was known so short a time ago has been watched without a break
-# Incarnations that are remembered after the list has dropped them: as many as it named, between these bounds.
-LEAST_GONE = 128
-MOST_GONE = 8_192
+LEAST_GONE = 64  # incarnations that the list has dropped are remembered: so many, or as the longest list had
 
 
 class Incarnation(NamedTuple):
@@ -80,7 +78,7 @@
 
         known_ms: the last moment before this line at which the list was known; minus infinity for never.
         """
-        self._most_gone = min(MOST_GONE, max(LEAST_GONE, len(self._current)))
+        self._most_gone = max(self._most_gone, len(self._current))
         if listing.complete:
             if self._source_changed and not any(map(self._is_current, listing.entries)):
                 known_ms = -math.inf
@@ -132,5 +130,5 @@
             return
         self._gone[name] = incarnation
         self._gone.move_to_end(name)
-        while len(self._gone) > self._most_gone:
+        if len(self._gone) > self._most_gone:
             self._gone.popitem(last=False)
