--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -352,9 +352,9 @@
         call = watch.call
         assert call is not None
         world.node.clock.now = lambda: now() + 10.0  # type: ignore[method-assign]
-        call._silent()
+        call._timed_out()
         world.news(world.host(0, "draining"))
         await until(lambda: watch.version == world.version)
         assert watch.call is call and not watch.counts["ended silent"]
-        call._silent()
+        call._timed_out()
         assert watch.counts["ended silent"] == 1
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -425,13 +425,13 @@
         world.known = world.list(world.host(0), complete=True)
         enter = asyncio.ensure_future(world.enter(heard=False))
         await until(lambda: hasattr(world, "node"))
-        after = world.node.watch.policy.after
+        delay_after = world.node.watch.policy.delay_after
 
         def told(end: Any, took: float, retry_after: float = 0.0) -> float:
             heard.append(retry_after)
-            return after(end, took, retry_after)
+            return delay_after(end, took, retry_after)
 
-        world.node.watch.policy.after = told  # type: ignore[method-assign]
+        world.node.watch.policy.delay_after = told  # type: ignore[method-assign]
         await until(lambda: heard)
         assert heard[0] == 5.0
         await enter
