--- a/quartzford/load/driver.py
+++ b/quartzford/load/driver.py
@@ -31,6 +31,7 @@
     next_try,
     patience_s,
 )
+from quartzford.load.connection_end import ended_by_peer, unacknowledged_bytes
 from quartzford.load.record import Record
 
 SPIN_S = 0.0015  # sleep no closer to a moment than this
@@ -101,12 +102,21 @@
         self.closed = False
         self.fresh = False
         self.used = self.heard = False  # has carried a request before; has brought a part of this answer
+        self.taken = False  # the server had all of this request when it closed the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
+    def stands(self) -> bool:
+        """Whether it can carry a request: neither side has ended it."""
+        return not self.closed and not self.transport.is_closing() and not ended_by_peer(self._descriptor())
+
+    def _descriptor(self) -> int:
+        descriptor: int = self.transport.get_extra_info("socket").fileno()
+        return descriptor
+
     def ask(self, attempt: Try, data: bytes) -> None:
-        self.attempt, self.retry_after, self.heard = attempt, 0.0, False
+        self.attempt, self.retry_after, self.heard, self.taken = attempt, 0.0, False, False
         self.parser = httptools.HttpResponseParser(self)
         self.transport.write(data)
 
@@ -141,13 +151,18 @@
         end = SERVED if status == 200 else REFUSED if status in (429, 503) else FAILED
         self.driver.ended(attempt, end, self.retry_after)
 
+    def eof_received(self) -> None:
+        """The server has closed the connection in order: see whether it had the request by then."""
+        unsent = self.transport.get_write_buffer_size()
+        self.taken = not unsent and not unacknowledged_bytes(self._descriptor())
+
     def connection_lost(self, error: Exception | None) -> None:
         self.closed = True
         self.driver.open -= 1
         attempt, self.attempt = self.attempt, None
         if attempt is not None and not attempt.over:
             # A server may close a connection between requests; what crosses that goes once more on a new one.
-            if self.used and not self.heard and not attempt.resent:
+            if self.used and not self.heard and not self.taken and not attempt.resent:
                 attempt.resent = True
                 self.driver.connect(attempt)
             else:
@@ -276,7 +291,7 @@
         fresh = self.manners.fresh > 0 and self.rng.random() < self.manners.fresh
         while self.idle and not fresh:
             link = self.idle.pop()
-            if not link.closed and not link.transport.is_closing():
+            if link.stands():
                 return self._send(attempt, link)
         bound = self.target.connections
         if bound and self.open >= bound:
@@ -344,7 +359,7 @@
             if attempt.over:
                 self.waiting.popleft()
                 continue
-            while self.idle and (self.idle[-1].closed or self.idle[-1].transport.is_closing()):
+            while self.idle and not self.idle[-1].stands():
                 self.idle.pop()
             if self.idle:
                 self.waiting.popleft()
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -160,7 +160,7 @@
         links = self.rest.by[where] if where >= 0 else []
         while links:
             link = links.pop()
-            if not link.closed and not link.transport.is_closing():
+            if link.stands():
                 return self._send(attempt, link)
         self._dial(attempt, where)
 
--- /dev/null
+++ b/tests/test_load_connection_end.py
@@ -0,0 +1,133 @@
+"""Connections that a server ends under a request: only what it had not read goes once more."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from collections.abc import Callable
+
+import pytest
+import uvloop
+
+from quartzford.load.clients import Kind, Manners
+from quartzford.load.connection_end import ended_by_peer, unacknowledged_bytes
+from quartzford.load.driver import Driver, Link, Target, Try
+from quartzford.load.record import Record
+from quartzford.load.run import Load, plan
+
+KEYED = (Kind("reserva", deadline_s=4.0, aim_s=1.0, effect="keyed", group="cell"),)
+WHOLE_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+CUT_ANSWER = WHOLE_ANSWER[:-1]
+
+
+class Server:
+    """Answers the first request of its first connection, and ends that connection around the second."""
+
+    def __init__(self, closes: str) -> None:
+        self.closes = closes
+        self.loop = asyncio.get_running_loop()
+        self.listening = socket.create_server(("127.0.0.1", 0))
+        self.listening.setblocking(False)
+        self.accepted: list[socket.socket] = []
+        self.read = 0  # requests, to their last byte
+
+    async def run(self) -> None:
+        first = await self._accept()
+        await self._answer(first, WHOLE_ANSWER)
+        if self.closes == "unread":
+            await self._readable(first)
+        elif self.closes == "read":
+            await self._request(first)
+        elif self.closes == "in answer":
+            await self._answer(first, CUT_ANSWER)
+        if self.closes != "as it is sent":  # else the test closes it, between two steps of the loop
+            first.close()
+        second = await self._accept()
+        await self._answer(second, WHOLE_ANSWER)
+
+    def close(self) -> None:
+        for sock in (self.listening, *self.accepted):
+            sock.close()
+
+    async def _accept(self) -> socket.socket:
+        sock, _ = await self.loop.sock_accept(self.listening)
+        sock.setblocking(False)
+        self.accepted.append(sock)
+        return sock
+
+    async def _readable(self, sock: socket.socket) -> None:
+        come = asyncio.Event()
+        self.loop.add_reader(sock.fileno(), come.set)
+        await come.wait()
+        self.loop.remove_reader(sock.fileno())
+
+    async def _request(self, sock: socket.socket) -> None:
+        data = b""
+        while not data.endswith(b"\r\n\r\n" + b"x" * 200):
+            data += await self.loop.sock_recv(sock, 65536)
+        self.read += 1
+
+    async def _answer(self, sock: socket.socket, answer: bytes) -> None:
+        await self._request(sock)
+        await self.loop.sock_sendall(sock, answer)
+
+
+class CrossingDriver(Driver):
+    """Calls back right before its second request is written, after it has chosen the connection."""
+
+    before_second: Callable[[], None] | None = None
+
+    def _send(self, attempt: Try, link: Link) -> None:
+        if attempt.job.number == 2 and not attempt.resent and self.before_second is not None:
+            self.before_second()
+        super()._send(attempt, link)
+
+
+async def two_requests(closes: str) -> tuple[Record, Server]:
+    record, server = Record(KEYED), Server(closes)
+    serving = asyncio.ensure_future(server.run())
+    target = Target("127.0.0.1", server.listening.getsockname()[1], connections=1)
+    load = Load(
+        target, "constant:10", 0.2, "fixed", kinds=KEYED, manners=Manners(patience=(1.0, 1.0)), size=200
+    )
+    driver = CrossingDriver(target, load.manners, plan(load, 0), time.monotonic(), 1, "t", record)
+    if closes == "as it is sent":
+        driver.before_second = lambda: server.accepted[0].close()
+    await driver.run()
+    serving.cancel()
+    server.close()
+    return record, server
+
+
+@pytest.mark.parametrize(
+    ("closes", "served", "lost", "read"),
+    [
+        ("before", 2, 0, 2),
+        ("as it is sent", 2, 0, 2),
+        ("unread", 2, 0, 2),
+        ("read", 1, 1, 2),
+        ("in answer", 1, 1, 2),
+    ],
+)
+def test_what_a_server_had_read_when_it_ended_the_connection_is_not_sent_again(
+    closes: str, served: int, lost: int, read: int
+) -> None:
+    """A keyed request that was read may have had its effect where nobody else drops its repeat."""
+    record, server = uvloop.run(two_requests(closes))
+    assert record.ends == {"reserva served": served} | ({"reserva lost": lost} if lost else {})
+    assert server.read == read
+
+
+def test_an_end_is_seen_before_the_loop_looks_and_what_crossed_it_stays_unacknowledged() -> None:
+    with socket.create_server(("127.0.0.1", 0)) as listening:
+        client = socket.create_connection(listening.getsockname())
+        server, _ = listening.accept()
+        with client, server:
+            client.sendall(b"read")
+            assert server.recv(4) == b"read"
+            assert not ended_by_peer(client.fileno()) and unacknowledged_bytes(client.fileno()) == 0
+            server.close()
+            assert ended_by_peer(client.fileno()) and unacknowledged_bytes(client.fileno()) == 0
+            client.sendall(b"crossed")
+            assert unacknowledged_bytes(client.fileno()) == len(b"crossed")
