--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -21,7 +21,7 @@
 from contextlib import ExitStack
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import IO, Any
+from typing import IO, Any, NamedTuple
 
 from quartzford.load.clients import BRIEF, LOST
 from quartzford.load.judge import judge
@@ -81,6 +81,16 @@
     until: float = 0.0
 
 
+class Start(NamedTuple):
+    """One start of a balancer: what its random draws come from, and when it passed the gate."""
+
+    number: int
+    name: str
+    listen: str
+    seed: int
+    released_s: float  # from the release of all
+
+
 def read_events(text: str, groups: dict[str, int]) -> list[Event]:
     """The events of a script, in order of time; ScriptError names a line that is wrong."""
     events = []
@@ -110,6 +120,7 @@
         self.taken: list[list[float]] = []  # connections through the proxy: when, and by which link
         self.kills: list[tuple[int, float]] = []  # who was killed outright, and when
         self.begun: list[tuple[int, float]] = []  # who was started again, and when
+        self.starts: list[Start] = []
         self.stack = ExitStack()
 
     def say(self, what: str, **more: Any) -> None:
@@ -251,6 +262,8 @@
         self._begin(begin)
         time.sleep(max(0.0, begin - time.monotonic()))
         self.began = begin
+        for one in self.processes.members:
+            self._note_start(one, 0.0)
         self.processes.release()
         self.say("release", balancers=self.scenario.balancers, links_with_faults=self.touched)
 
@@ -295,8 +308,15 @@
         (self.folder / f"{one.name}.json").write_text(json.dumps(self._config(number, one.lives)))
         self.begun.append((number, time.monotonic()))
         one.start_at_gate()
+        self._note_start(one, time.monotonic() - self.began)
         one.release()
 
+    def _note_start(self, one: Process, released_s: float) -> None:
+        """Keep what the configuration says that it starts with."""
+        table = json.loads((self.folder / f"{one.name}.json").read_text())
+        start = Start(int(one.name[1:]), table["name"], table["listen"], int(table["seed"], 16), released_s)
+        self.starts.append(start)
+
     def _signal(self, chosen: list[Process], what: str) -> None:
         for one in chosen:
             if what == "kill":
@@ -353,6 +373,13 @@
         counts = Counter(int(row[0] - self.began) for row in rows)
         return [counts[second] for second in range(int(self.scenario.seconds))]
 
+    def _calls_by_balancer(self) -> dict[int, list[float]]:
+        """When each balancer called the list service through the proxy, in seconds from the release."""
+        calls: dict[int, list[float]] = {number: [] for number in range(self.scenario.balancers)}
+        for at, number in sorted(self.taken):
+            calls[int(number)].append(at - self.began)
+        return calls
+
     def _result(
         self, report: dict[str, Any], books: Any, service: Any, memory: float, crashes: list[str]
     ) -> dict[str, Any]:
@@ -376,6 +403,8 @@
             "taken_in_s": report["taken_in_s"],
             "calls": len(calls),
             "calls_s": [round(at, 3) for at in calls],
+            "starts": self.starts,
+            "calls_by_balancer": self._calls_by_balancer(),
             "most_1s": most_in(calls, 1.0),
             "most_100ms": most_in(calls, 0.1),
             "most_of_one": max(per.values(), default=0),
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -6,12 +6,17 @@
 
 from __future__ import annotations
 
+import math
+from collections.abc import Iterator
 from typing import Any
 
-from rig.scenario import Scenario, play
+from quartzford.membership.call_policy import draws
+from rig.scenario import Scenario, Start, play
 from standins.site import config
 
 NODOS = {"nodos": 6, "capacity": 200.0}
+SPREAD_INTERVAL_S = (100 - 16) / 50.0  # of a hundred balancers: all but sixteen, at fifty calls a second
+TIMER_S = 0.002  # what timers of the event loop are exact to
 GUARANTEES = config(1, 1, {})["settings"]["guarantees"]
 
 
@@ -60,14 +65,30 @@
     assert result["calls"] >= 14 and told(result, " served") > 90
 
 
+def calls_of_each_start(result: dict[str, Any], number: int) -> Iterator[tuple[Start, list[float]]]:
+    """A balancer's starts, each with the moments of its calls from its release on, in seconds."""
+    starts = [start for start in result["starts"] if start.number == number]
+    ends = [*(start.released_s for start in starts[1:]), math.inf]
+    for start, end in zip(starts, ends, strict=True):
+        calls = [at for at in result["calls_by_balancer"][number] if start.released_s <= at < end]
+        yield start, [at - start.released_s for at in calls]
+
+
 def test_one_that_dies_after_each_start_takes_no_more_than_its_share() -> None:
-    """Two loop; the spread interval of a fleet of a hundred is 1.7 s, and they live for one."""
+    """Two loop; the spread interval of a fleet of a hundred is 1.7 s, and they live for one.
+
+    Each start calls once at most, and not before the moment that it has drawn from the whole interval. That
+    such draws come to a call in an interval is held over thousands of them in test_calls.py: twelve starts
+    would tell it by chance, as the draws follow from the ports that the system gave.
+    """
     events = "0.8 loop nodes[:2] every 1 until 5"
     result = played(events=events, settings={"nInstances": 100}, seconds=6.0)
     assert result["serving"] >= 8
-    looped = result["calls"] - 8
-    # Six starts of each; its share, a call in 1.7 s, is seven for both together; at once would be twelve.
-    assert looped <= 10
+    assert len(result["starts"]) == 8 + 2 * 6
+    for number in range(10):
+        for start, calls in calls_of_each_start(result, number):
+            drawn_s = draws(start.name, start.listen, start.seed).random() * SPREAD_INTERVAL_S
+            assert len(calls) <= 1 and all(at >= drawn_s - TIMER_S for at in calls), (start, drawn_s, calls)
 
 
 def test_turned_away_with_a_time_to_come_back() -> None:
