--- a/quartzford/relay/catalog.py
+++ b/quartzford/relay/catalog.py
@@ -21,12 +21,14 @@
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
 
-MOST_GONE = 20_000  # gone rows that are kept
-MOST_VERSIONS = 65_536  # versions that are remembered as held
-MOST_WHOLES = 8  # encodings of the whole list that are in use at a time
-REUSE_PART = 0.125  # of an encoding: it is sent to further watchers while the changes behind it are no longer
+MAX_TOMBSTONES = 20_000  # gone rows that are kept
+MAX_VERSIONS = 65_536  # versions that are remembered as held
+MAX_ENCODINGS = 8  # encodings of the whole list that are in use at a time
+REUSE_FRACTION = (
+    0.125  # of an encoding: it is sent to further watchers while the changes behind it are no longer
+)
 FEW_ROWS = 1_000  # so many changed rows are always sent as changes
-EXACT = 2**53  # whole numbers below this are written as such
+EXACT_INTEGER_LIMIT = 2**53  # whole numbers below this are written as such
 
 Address = tuple[str, int]
 
@@ -34,23 +36,23 @@
 class Position(NamedTuple):
     """What a watcher holds: a version, and the life of the source that it belongs to."""
 
-    life: int
+    incarnation: int
     version: int
 
 
-class Due(Enum):
+class UpdateKind(Enum):
     """What a watcher is owed."""
 
     NOTHING = "nothing"
     CHANGES = "changes"
-    WHOLE = "whole"  # its version is too old, of another life, or was never held here
+    COMPLETE_LIST = "complete list"  # its version is too old, of another life, or was never held here
     AHEAD = "ahead"  # its version is above the one held: this relay is behind, or the source has begun again
 
 
-class Owed(NamedTuple):
+class WatcherUpdate(NamedTuple):
     """What is due; line: the changes, one line of discovery, where those are due."""
 
-    due: Due
+    kind: UpdateKind
     line: bytes = b""
 
 
@@ -63,7 +65,7 @@
     text: bytes
 
 
-class Whole:
+class CompleteList:
     """The whole list at one position as a line of discovery, shared by all to whom it is being sent."""
 
     __slots__ = ("__weakref__", "line", "position")
@@ -77,7 +79,7 @@
     host, port = address
     dial = "" if not host else f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
     born = entry.started_ms
-    when = str(int(born)) if born < EXACT and born.is_integer() else repr(born)
+    when = str(int(born)) if born < EXACT_INTEGER_LIMIT and born.is_integer() else repr(born)
     return (
         f'{{"host":{quoted(entry.server)},"dial":{quoted(dial)},"site":{quoted(entry.zone)},'
         f'"class":{quoted(entry.kind)},"block":{entry.cell},"health":"{entry.state}",'
@@ -102,27 +104,34 @@
     """
 
     def __init__(
-        self, most_gone: int = MOST_GONE, most_versions: int = MOST_VERSIONS, most_wholes: int = MOST_WHOLES
+        self,
+        max_tombstones: int = MAX_TOMBSTONES,
+        max_versions: int = MAX_VERSIONS,
+        max_encodings: int = MAX_ENCODINGS,
     ) -> None:
-        self.most_gone, self.most_versions, self.most_wholes = most_gone, most_versions, most_wholes
+        self.max_tombstones, self.max_versions, self.max_encodings = (
+            max_tombstones,
+            max_versions,
+            max_encodings,
+        )
         self.version: int | None = None
-        self.life = 0
-        self.floor = 0  # changes are known after this version
-        self.distrusted = -1  # an index up to this may be of an earlier life
+        self.incarnation = 0
+        self.oldest_version = 0  # changes are known after this version
+        self.untrusted_up_to = -1  # an index up to this may be of an earlier life
         self.rows: OrderedDict[str, Row] = OrderedDict()
-        self.gone: OrderedDict[str, Row] = OrderedDict()
+        self.tombstones: OrderedDict[str, Row] = OrderedDict()
         self.row_bytes = 0  # of the rows' texts
-        self._held: set[int] = set()  # versions of this life that this relay held
-        self._order: deque[int] = deque()
-        self._changes: dict[int, Owed] = {}  # by the version after which; of the version held alone
-        self._whole: Whole | None = None
-        self._wholes: WeakSet[Whole] = WeakSet()
+        self._held_versions: set[int] = set()  # versions of this life that this relay held
+        self._held_order: deque[int] = deque()
+        self._changes: dict[int, WatcherUpdate] = {}  # by the version after which; of the version held alone
+        self._latest_encoding: CompleteList | None = None
+        self._encodings: WeakSet[CompleteList] = WeakSet()
 
     def position(self) -> Position:
         """Of the list held; ValueError while there is none."""
         if self.version is None:
             raise ValueError("no list is held")
-        return Position(self.life, self.version)
+        return Position(self.incarnation, self.version)
 
     # ---- the source's lines
 
@@ -135,16 +144,16 @@
         if self.version is None or listing.version < self.version:
             if not listing.complete:
                 return False
-            self._begin_life(listing.version)
+            self._begin_incarnation(listing.version)
         elif listing.version == self.version:
             if not rows:
                 return False
-            self._begin_life(listing.version)
+            self._begin_incarnation(listing.version)
         self.version = listing.version
         self._remember(listing.version)
         for entry, address in rows.values():
             self._put(entry, address, listing.version)
-        self._forget_gone()
+        self._drop_tombstones()
         self._changes.clear()
         return True
 
@@ -166,72 +175,78 @@
                 changed[name] = entry, address
         return changed
 
-    def _begin_life(self, version: int) -> None:
+    def _begin_incarnation(self, version: int) -> None:
         """The source has begun again, or is heard for the first time."""
         if self.version is not None:
-            self.distrusted = max(self.distrusted, self.version)
-        self.life += 1
-        self.floor = version
-        self.gone.clear()
-        self._held.clear()
-        self._order.clear()
+            self.untrusted_up_to = max(self.untrusted_up_to, self.version)
+        self.incarnation += 1
+        self.oldest_version = version
+        self.tombstones.clear()
+        self._held_versions.clear()
+        self._held_order.clear()
         for name, row in self.rows.items():
             self.rows[name] = row._replace(version=version)
 
     def _remember(self, version: int) -> None:
-        if version not in self._held:
-            self._held.add(version)
-            self._order.append(version)
-        while len(self._order) > self.most_versions:
-            self._held.discard(self._order.popleft())
-            self.floor = max(self.floor, self._order[0])
+        if version not in self._held_versions:
+            self._held_versions.add(version)
+            self._held_order.append(version)
+        while len(self._held_order) > self.max_versions:
+            self._held_versions.discard(self._held_order.popleft())
+            self.oldest_version = max(self.oldest_version, self._held_order[0])
 
     def _put(self, entry: io.Endpoint, address: Address, version: int) -> None:
         row = Row(version, entry, address, row_text(entry, address))
-        kept, other = (self.gone, self.rows) if entry.state == "gone" else (self.rows, self.gone)
+        kept, other = (self.tombstones, self.rows) if entry.state == "gone" else (self.rows, self.tombstones)
         held = self.rows.get(entry.server)
         other.pop(entry.server, None)
         kept[entry.server] = row
         kept.move_to_end(entry.server)
         self.row_bytes += len(row.text) * (kept is self.rows) - (len(held.text) if held is not None else 0)
 
-    def _forget_gone(self) -> None:
-        while len(self.gone) > self.most_gone:
-            self.floor = max(self.floor, self.gone.popitem(last=False)[1].version)
+    def _drop_tombstones(self) -> None:
+        while len(self.tombstones) > self.max_tombstones:
+            self.oldest_version = max(self.oldest_version, self.tombstones.popitem(last=False)[1].version)
 
     # ---- what is owed
 
-    def owed(self, position: Position | None, index: int = 0) -> Owed:
+    def update_for(self, position: Position | None, index: int = 0) -> WatcherUpdate:
         """What a watcher is owed, by its position, or where it comes from elsewhere by its index.
 
         While no list is held everybody is ahead.
         """
         if self.version is None:
-            return Owed(Due.AHEAD)
+            return WatcherUpdate(UpdateKind.AHEAD)
         if position is None:
-            if index <= self.distrusted or index <= 0:
-                return Owed(Due.WHOLE)
+            if index <= self.untrusted_up_to or index <= 0:
+                return WatcherUpdate(UpdateKind.COMPLETE_LIST)
             if index > self.version:
-                return Owed(Due.AHEAD)
+                return WatcherUpdate(UpdateKind.AHEAD)
             # Between two versions held here a row may have come and gone: only the source, or one that
             # held the version, can name it.
-            if index not in self._held:
-                return Owed(Due.WHOLE)
-            position = Position(self.life, index)
-        if position.life != self.life or position.version < self.floor:
-            return Owed(Due.WHOLE)
-        return Owed(Due.NOTHING) if position.version == self.version else self._after(position.version)
-
-    def _after(self, version: int) -> Owed:
-        owed = self._changes.get(version)
-        if owed is None:
-            rows = self._since(self.rows, version) + self._since(self.gone, version)
+            if index not in self._held_versions:
+                return WatcherUpdate(UpdateKind.COMPLETE_LIST)
+            position = Position(self.incarnation, index)
+        if position.incarnation != self.incarnation or position.version < self.oldest_version:
+            return WatcherUpdate(UpdateKind.COMPLETE_LIST)
+        return (
+            WatcherUpdate(UpdateKind.NOTHING)
+            if position.version == self.version
+            else self._after(position.version)
+        )
+
+    def _after(self, version: int) -> WatcherUpdate:
+        update = self._changes.get(version)
+        if update is None:
+            rows = self._since(self.rows, version) + self._since(self.tombstones, version)
             if len(rows) > FEW_ROWS and 2 * len(rows) > len(self.rows):
-                owed = Owed(Due.WHOLE)  # as long, and not under the bound of whole lists
+                update = WatcherUpdate(
+                    UpdateKind.COMPLETE_LIST
+                )  # as long, and not under the bound of whole lists
             else:
-                owed = Owed(Due.CHANGES, _line(self.position().version, False, rows))
-            self._changes[version] = owed
-        return owed
+                update = WatcherUpdate(UpdateKind.CHANGES, _line(self.position().version, False, rows))
+            self._changes[version] = update
+        return update
 
     @staticmethod
     def _since(rows: OrderedDict[str, Row], version: int) -> list[bytes]:
@@ -242,33 +257,37 @@
             texts.append(row.text)
         return texts[::-1]
 
-    def nothing(self) -> bytes:
+    def no_changes_line(self) -> bytes:
         """The line that says that there are no changes; a watch by the version held begins with it."""
         return _line(self.position().version, False, [])
 
     def complete_list_bytes(self) -> int:
         """How long the whole list's line is, about."""
-        return self.row_bytes + len(self.rows) + len(self.nothing())
+        return self.row_bytes + len(self.rows) + len(self.no_changes_line())
 
-    def complete(self, exact: bool = False, since: int = 0) -> Whole:
+    def complete_list(self, exact: bool = False, since: int = 0) -> CompleteList:
         """The whole list, at most a few versions old: who watches is owed the changes behind it.
 
         exact: of the version held; since: of that version or a later one. Both unless too many older
         encodings are in use.
         """
-        position, last = self.position(), self._whole
+        position, last = self.position(), self._latest_encoding
         if last is not None and last.position == position:
             return last
-        if last is not None and last.position.life == position.life and last.position.version >= self.floor:
-            crowded = len(self._wholes) >= self.most_wholes
+        if (
+            last is not None
+            and last.position.incarnation == position.incarnation
+            and last.position.version >= self.oldest_version
+        ):
+            crowded = len(self._encodings) >= self.max_encodings
             late_enough = not exact and last.position.version >= since
             if crowded or (late_enough and self._few_behind(last)):
                 return last
         line = _line(position.version, True, [row.text for row in self.rows.values()])
-        self._whole = Whole(position, line)
-        self._wholes.add(self._whole)
-        return self._whole
+        self._latest_encoding = CompleteList(position, line)
+        self._encodings.add(self._latest_encoding)
+        return self._latest_encoding
 
-    def _few_behind(self, complete: Whole) -> bool:
-        owed = self.owed(complete.position)
-        return owed.due is Due.CHANGES and len(owed.line) <= REUSE_PART * len(complete.line)
+    def _few_behind(self, complete: CompleteList) -> bool:
+        update = self.update_for(complete.position)
+        return update.kind is UpdateKind.CHANGES and len(update.line) <= REUSE_FRACTION * len(complete.line)
--- a/quartzford/relay/relay.py
+++ b/quartzford/relay/relay.py
@@ -49,12 +49,12 @@
     def listed(self, listing: Listing) -> None:
         """A line of the source. What came in one read is sent to watchers as one change."""
         before = self.catalog.version
-        life = self.catalog.life
+        incarnation = self.catalog.incarnation
         if not self.catalog.apply(listing):
             return
         if before is None:
             self.log.line("relay", f"version {listing.version}, {len(self.catalog.rows)} upstreams")
-        elif self.catalog.life != life:
+        elif self.catalog.incarnation != incarnation:
             self.log.line("relay", f"the source has begun again: version {listing.version} after {before}")
         if not self._notify_scheduled:
             self._notify_scheduled = True
@@ -62,7 +62,7 @@
 
     def _notify_watchers(self) -> None:
         self._notify_scheduled = False
-        self.server.changed()
+        self.server.catalog_changed()
 
 
 async def run(settings: RelaySettings) -> None:
--- a/quartzford/relay/server.py
+++ b/quartzford/relay/server.py
@@ -19,24 +19,24 @@
 
 from quartzford.engine import Clock, Log
 from quartzford.fronts.listener import Listener, listen_patiently
-from quartzford.relay.caller import BEAT_TICKS, Caller, Source
 from quartzford.relay.catalog import Catalog
-from quartzford.relay.room import Room
-from quartzford.relay.turns import Turns
+from quartzford.relay.connection import HEARTBEAT_TICKS, ClientConnection, SourceState
+from quartzford.relay.transfer_schedule import TransferSchedule
+from quartzford.relay.watch_limit import WatchLimit
 
 TICK_S = 0.1
-FRESH_S = 2.25  # the source says something every two seconds
-LOST_S = 3.5
-SPREAD_S = 0.5  # in which all watches are ended where the source is lost
+SOURCE_LATE_S = 2.25  # the source says something every two seconds
+SOURCE_LOST_S = 3.5
+LOST_SPREAD_S = 0.5  # in which all watches are ended where the source is lost
 STOP_SPREAD_S = 0.3  # the same where the relay ends: balancers go on within a second, half of it their own
 STOP_S = 0.8  # after which a relay that ends waits for no connection
 SUMMARY_TICKS = 100
-PIECES_A_TURN = 4  # of whole lists, in one turn of the loop
-OTHERS = 512  # connections that are no watches; fewer with few descriptors
-RESERVE = 64  # descriptors for anything else
-MOST_WATCHES = 100_000  # where descriptors set no bound
+CHUNKS_PER_ITERATION = 4  # of whole lists, in one turn of the loop
+MAX_OTHER_CONNECTIONS = 512  # connections that are no watches; fewer with few descriptors
+RESERVED_DESCRIPTORS = 64  # descriptors for anything else
+MAX_WATCHES = 100_000  # where descriptors set no bound
 SEND_BYTES = 256 * 1024  # what the kernel keeps of a connection
-ACKNOWLEDGED_MS = 20_000  # a peer that takes nothing for so long is gone
+UNACKNOWLEDGED_TIMEOUT_MS = 20_000  # a peer that takes nothing for so long is gone
 BACKLOG = 4096
 
 
@@ -48,7 +48,7 @@
         # Connections that are taken have these too.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BYTES)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGED_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         sock.bind((host, port))
         sock.listen(BACKLOG)
     except OSError:
@@ -65,25 +65,29 @@
         catalog: Catalog,
         last_line_at: Callable[[], float],
         connected: Callable[[], bool],
-        whole_bytes_per_s: float,
-        most_watchers: int,
+        list_bytes_per_s: float,
+        max_watchers: int,
         clock: Clock,
         log: Log,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         """last_line_at: when the source's last line came, on the clock; connected: a watch on it stands.
 
-        most_watchers: the relay's share of the fleet; see room.py for what comes beyond it.
+        most_watchers: the relay's share of the fleet; see watch_limit.py for what comes beyond it.
         """
         self.catalog, self.last_line_at, self.connected = catalog, last_line_at, connected
         self.clock, self.log, self.loop = clock, log, loop
-        self.turns = Turns(whole_bytes_per_s)
+        self.transfer_schedule = TransferSchedule(list_bytes_per_s)
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.most_others = OTHERS if limit == resource.RLIM_INFINITY else min(OTHERS, limit // 8)
-        self.room = self._room(most_watchers, limit)
-        self.callers: set[Caller] = set()
-        self.watchers: dict[Caller, None] = {}  # longest first
-        self.waiting: dict[Caller, None] = {}  # for the source
+        self.max_other_connections = (
+            MAX_OTHER_CONNECTIONS
+            if limit == resource.RLIM_INFINITY
+            else min(MAX_OTHER_CONNECTIONS, limit // 8)
+        )
+        self.watch_limit = self._new_watch_limit(max_watchers, limit)
+        self.connections: set[ClientConnection] = set()
+        self.watchers: dict[ClientConnection, None] = {}  # longest first
+        self.waiting: dict[ClientConnection, None] = {}  # for the source
         self.counts: Counter[str] = Counter()
         self.address = ("", 0)
         self.stopping = False
@@ -92,22 +96,22 @@
         self._lost = False
         self._ticks = 0
         self._last_counts: Counter[str] = Counter()  # counts at the last summary
-        self._pieces: deque[Caller] = deque()  # whose whole list goes on
-        self._pumping = False
+        self._sending: deque[ClientConnection] = deque()  # whose whole list goes on
+        self._send_scheduled = False
         self._framed: tuple[bytes, bytes] = b"", b""
 
-    def _room(self, share: int, limit: int) -> Room:
+    def _new_watch_limit(self, share: int, limit: int) -> WatchLimit:
         """Within the descriptors that the process may have."""
         if limit == resource.RLIM_INFINITY:
-            return Room(share, MOST_WATCHES)
-        borne = max(1, limit - self.most_others - RESERVE)
-        if borne < share:
-            self.log.line("relay", f"{limit} descriptors bear {borne} watchers of {share}")
-        return Room(min(share, borne), borne)
+            return WatchLimit(share, MAX_WATCHES)
+        supported = max(1, limit - self.max_other_connections - RESERVED_DESCRIPTORS)
+        if supported < share:
+            self.log.line("relay", f"{limit} descriptors bear {supported} watchers of {share}")
+        return WatchLimit(min(share, supported), supported)
 
-    def crowded(self) -> bool:
+    def too_many_connections(self) -> bool:
         """Too many connections are open that are no watches."""
-        return len(self.callers) - len(self.watchers) > self.most_others
+        return len(self.connections) - len(self.watchers) > self.max_other_connections
 
     # ---- start and end
 
@@ -115,7 +119,7 @@
         """Take calls; port 0 is the kernel's choice."""
         listening = await listen_patiently(lambda: listening_socket(host, port))
         self.address = listening.getsockname()[:2]
-        self._listener = Listener([listening], lambda: Caller(self), self.clock, self.loop)
+        self._listener = Listener([listening], lambda: ClientConnection(self), self.clock, self.loop)
         self._listener.start()
         self._began_at = self.clock.now()
         self.log.line("relay", f"listening on {self.address[0]}:{self.address[1]}")
@@ -127,57 +131,61 @@
         if self._listener is not None:
             self._listener.close()
             await self._listener.opened()
-        for caller in [caller for caller in self.callers if caller not in self.watchers]:
-            caller.leave()
+        for connection in [connection for connection in self.connections if connection not in self.watchers]:
+            connection.end()
         self._end_watches(STOP_SPREAD_S)
         until = self.clock.now() + STOP_S
-        while self.callers and self.clock.now() < until:
+        while self.connections and self.clock.now() < until:
             await asyncio.sleep(0.02)
-        for caller in list(self.callers):
-            caller.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
     def _end_watches(self, spread: float) -> None:
         """All watches, over so many seconds: balancers go elsewhere, and not all in one moment."""
         count = len(self.watchers)
-        for n, caller in enumerate(list(self.watchers)):
-            self.clock.call_later(spread * n / count, caller.leave)
+        for n, connection in enumerate(list(self.watchers)):
+            self.clock.call_later(spread * n / count, connection.end)
 
     # ---- the source
 
-    def source(self) -> Source:
+    def source_state(self) -> SourceState:
         """How the relay stands to the source; a start counts as if something had been heard."""
         now = self.clock.now()
-        if self.connected() and now - self.last_line_at() <= FRESH_S:
-            return Source.FRESH  # without a watch on it, it may have begun again
-        return Source.WAITING if now - max(self.last_line_at(), self._began_at) <= LOST_S else Source.LOST
-
-    def changed(self) -> None:
+        if self.connected() and now - self.last_line_at() <= SOURCE_LATE_S:
+            return SourceState.CURRENT  # without a watch on it, it may have begun again
+        return (
+            SourceState.WAITING
+            if now - max(self.last_line_at(), self._began_at) <= SOURCE_LOST_S
+            else SourceState.LOST
+        )
+
+    def catalog_changed(self) -> None:
         """Send a change of the catalog to all watchers whose sockets take bytes, and answer who waits."""
-        for caller in list(self.watchers):
-            caller.advance()
+        for connection in list(self.watchers):
+            connection.send_updates()
         self._proceed()
 
     def _proceed(self) -> None:
-        for caller in list(self.waiting):
-            caller.proceed()
+        for connection in list(self.waiting):
+            connection.proceed()
 
     def _tick(self) -> None:
         if self.stopping:
             return
         self.clock.call_later(TICK_S, self._tick)
         self._ticks += 1
-        lost = self.source() is Source.LOST
+        lost = self.source_state() is SourceState.LOST
         if lost and not self._lost:
             self.log.line("relay", f"source lost; {len(self.watchers)} watches are ended")
-            self._end_watches(SPREAD_S)
+            self._end_watches(LOST_SPREAD_S)
         elif self._lost and not lost:
             self.log.line("relay", f"source heard again, version {self.catalog.version}")
         self._lost = lost
         self._proceed()
         if not lost:
-            for caller in self.watchers:
-                if caller.slot == self._ticks % BEAT_TICKS:
-                    caller.beat()
+            for connection in self.watchers:
+                if connection.heartbeat_slot == self._ticks % HEARTBEAT_TICKS:
+                    connection.send_heartbeat()
         if self._ticks % SUMMARY_TICKS == 0:
             self._summary()
 
@@ -198,18 +206,18 @@
             self._framed = line, b"%x\r\n%b\r\n" % (len(line), line)
         return self._framed[1]
 
-    def pump(self, caller: Caller) -> None:
+    def schedule_chunk(self, connection: ClientConnection) -> None:
         """A whole list can go on: a piece when those before it have had theirs."""
-        self._pieces.append(caller)
-        if not self._pumping:
-            self._pumping = True
-            self.clock.call_soon(self._pump)
-
-    def _pump(self) -> None:
-        for _ in range(min(PIECES_A_TURN, len(self._pieces))):
-            caller = self._pieces.popleft()
-            if caller.piece():
-                self._pieces.append(caller)
-        self._pumping = bool(self._pieces)
-        if self._pumping:
-            self.clock.call_soon(self._pump)
+        self._sending.append(connection)
+        if not self._send_scheduled:
+            self._send_scheduled = True
+            self.clock.call_soon(self._send_chunks)
+
+    def _send_chunks(self) -> None:
+        for _ in range(min(CHUNKS_PER_ITERATION, len(self._sending))):
+            connection = self._sending.popleft()
+            if connection.send_chunk():
+                self._sending.append(connection)
+        self._send_scheduled = bool(self._sending)
+        if self._send_scheduled:
+            self.clock.call_soon(self._send_chunks)
--- a/quartzford/relay/turns.py
+++ b/quartzford/relay/transfer_schedule.py
@@ -10,35 +10,35 @@
 
 from typing import NamedTuple
 
-MOST_WAIT_S = 1.5  # within the time that a call's first line may take
-MOST_RETRY_S = 3.0  # a balancer that is to be told a change in six seconds asks again by then
+MAX_WAIT_S = 1.5  # within the time that a call's first line may take
+MAX_RETRY_S = 3.0  # a balancer that is to be told a change in six seconds asks again by then
 
 
-class Turn(NamedTuple):
+class Slot(NamedTuple):
     """granted: the list may be written after `wait`; else the caller should come again after it."""
 
     granted: bool
     wait: float
 
 
-class Turns:
+class TransferSchedule:
     """The time that whole lists have been given so far."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self.bytes_per_s = bytes_per_s
         self.free_at = 0.0  # all that have a turn have had it
-        self.promised_at = 0.0  # to the last one that was turned away
+        self.next_retry_at = 0.0  # to the last one that was turned away
 
-    def ask(self, now: float, size: int) -> Turn:
+    def reserve(self, now: float, size: int) -> Slot:
         """A turn for a list of so many bytes."""
         begin, lasts = max(now, self.free_at), size / self.bytes_per_s
-        if begin - now <= MOST_WAIT_S:
+        if begin - now <= MAX_WAIT_S:
             self.free_at = begin + lasts
-            return Turn(True, begin - now)
-        promised = self.promised_at if begin <= self.promised_at <= now + MOST_RETRY_S else begin
-        self.promised_at = promised + lasts
-        return Turn(False, min(promised - now, MOST_RETRY_S))
+            return Slot(True, begin - now)
+        promised = self.next_retry_at if begin <= self.next_retry_at <= now + MAX_RETRY_S else begin
+        self.next_retry_at = promised + lasts
+        return Slot(False, min(promised - now, MAX_RETRY_S))
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """A turn that was granted is not wanted any more."""
         self.free_at -= size / self.bytes_per_s
--- a/quartzford/relay/room.py
+++ b/quartzford/relay/watch_limit.py
@@ -10,26 +10,26 @@
 
 from collections import OrderedDict
 
-AGAIN_S = 10.0  # a balancer that finds no room asks each relay again within six seconds
-MOST_REMEMBERED = 10_000  # balancers that were turned away; the oldest are forgotten first
+RETRY_WINDOW_S = 10.0  # a balancer that finds no room asks each relay again within six seconds
+MAX_REMEMBERED = 10_000  # balancers that were turned away; the oldest are forgotten first
 
 
-class Room:
+class WatchLimit:
     """share: watches that are taken from anybody; most: from those that found no room elsewhere."""
 
-    def __init__(self, share: int, most: int) -> None:
-        self.share, self.most = share, max(share, most)
-        self._turned_away: OrderedDict[str, float] = OrderedDict()  # by the balancer's host: when
+    def __init__(self, share: int, maximum: int) -> None:
+        self.share, self.maximum = share, max(share, maximum)
+        self._rejected_at: OrderedDict[str, float] = OrderedDict()  # by the balancer's host: when
 
     def admits(self, host: str, watches: int, now: float) -> bool:
         """Whether a balancer at this host gets a watch beside those that there are."""
         if watches < self.share:
-            self._turned_away.pop(host, None)
+            self._rejected_at.pop(host, None)
             return True
-        before = self._turned_away.pop(host, None)
-        if before is not None and now - before <= AGAIN_S and watches < self.most:
+        before = self._rejected_at.pop(host, None)
+        if before is not None and now - before <= RETRY_WINDOW_S and watches < self.maximum:
             return True
-        self._turned_away[host] = now
-        if len(self._turned_away) > MOST_REMEMBERED:
-            self._turned_away.popitem(last=False)
+        self._rejected_at[host] = now
+        if len(self._rejected_at) > MAX_REMEMBERED:
+            self._rejected_at.popitem(last=False)
         return False
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -121,9 +121,7 @@
     while not one.ask(known=False):
         pass
     assert [ask for *_, ask in one.made] == [RequestKind.WATCH] * 11 + [RequestKind.COMPLETE_LIST]
-    assert not any(one.ask() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {
-        RequestKind.WATCH
-    }
+    assert not any(one.ask() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {RequestKind.WATCH}
 
 
 def direct_calls(balancers: int, per_s: float, until: float) -> list[float]:
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -14,7 +14,7 @@
 
 from quartzford.fronts import operations
 from quartzford.fronts.http1 import LINGERING
-from quartzford.relay.caller import State
+from quartzford.relay.connection import ConnectionState
 
 STATUS = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
 ANSWERED_S = 3.0  # whoever stops in the middle of a request is answered by then
@@ -197,7 +197,7 @@
 async def relay_client(here: Site, data: str) -> socket.socket:
     """A connection of whose request something has been read."""
     sock = await connected(here.server.address[1], data.encode())
-    await until(lambda: any(caller._bytes_read for caller in here.server.callers))
+    await until(lambda: any(caller._bytes_read for caller in here.server.connections))
     return sock
 
 
@@ -206,11 +206,11 @@
     async with site() as here:
         sock = await relay_client(here, "GET /else HTTP/1.1\r\n")
         sock.send(b"Content-Length: 99999999\r\n\r\n")
-        await until(lambda: all(caller.state is State.OVER for caller in here.server.callers))
+        await until(lambda: all(caller.state is ConnectionState.CLOSED for caller in here.server.connections))
         for _ in range(7):
             await asyncio.get_running_loop().sock_sendall(sock, b"b" * 10_000)
         assert await status_of(sock) == 404
-        await until(lambda: not here.server.callers)
+        await until(lambda: not here.server.connections)
 
 
 @run
--- a/tests/test_relay_catalog.py
+++ b/tests/test_relay_catalog.py
@@ -9,9 +9,9 @@
 import pytest
 
 from quartzford.membership.listing import Listing, read_listing
-from quartzford.relay.catalog import MOST_WHOLES, Catalog, Due, Position
-from quartzford.relay.room import AGAIN_S, Room
-from quartzford.relay.turns import MOST_RETRY_S, Turns
+from quartzford.relay.catalog import MAX_ENCODINGS, Catalog, Position, UpdateKind
+from quartzford.relay.transfer_schedule import MAX_RETRY_S, TransferSchedule
+from quartzford.relay.watch_limit import RETRY_WINDOW_S, WatchLimit
 
 Table = dict[str, dict[str, Any]]
 
@@ -40,10 +40,10 @@
     return catalog
 
 
-def owed(catalog: Catalog, position: Position | None, index: int = 0) -> Any:
+def update_for(catalog: Catalog, position: Position | None, index: int = 0) -> Any:
     """What is due, or the changes' rows."""
-    due, text = catalog.owed(position, index)
-    return json.loads(text)["hosts"] if due is Due.CHANGES else due
+    kind, text = catalog.update_for(position, index)
+    return json.loads(text)["hosts"] if kind is UpdateKind.CHANGES else kind
 
 
 def names(rows: Any) -> list[str]:
@@ -62,13 +62,15 @@
 
 def test_rows_come_out_as_they_came_in() -> None:
     catalog = held(line(3, *ROWS, complete=True))
-    told = json.loads(catalog.complete().line)
+    told = json.loads(catalog.complete_list().line)
     assert told == {"seq": 3, "whole": True, "hosts": ROWS}
-    assert catalog.complete().line.count(b"\n") == 1 and catalog.complete() is catalog.complete()
+    assert (
+        catalog.complete_list().line.count(b"\n") == 1 and catalog.complete_list() is catalog.complete_list()
+    )
     catalog.apply(line(4, *ROWS[::-1]))
-    assert json.loads(catalog.nothing()) == {"seq": 4, "whole": False, "hosts": []}
+    assert json.loads(catalog.no_changes_line()) == {"seq": 4, "whole": False, "hosts": []}
     catalog.apply(line(5, *[r | {"block": 9} for r in ROWS]))
-    assert owed(catalog, None, 3) == [r | {"block": 9} for r in ROWS]
+    assert update_for(catalog, None, 3) == [r | {"block": 9} for r in ROWS]
 
 
 def test_what_goes_keeps_its_row_and_what_changes_twice_is_told_once() -> None:
@@ -78,30 +80,30 @@
     gone = row("b", health="gone")
     del gone["dial"]
     catalog.apply(line(4, gone))
-    assert owed(catalog, None, 1) == [row("a", born_ms=3), row("b", health="gone")]
-    assert owed(catalog, Position(1, 3)) == [row("b", health="gone")]
-    first = catalog.owed(None, 1)
-    assert catalog.owed(Position(1, 1)).line is first.line  # one encoding for all at a version
+    assert update_for(catalog, None, 1) == [row("a", born_ms=3), row("b", health="gone")]
+    assert update_for(catalog, Position(1, 3)) == [row("b", health="gone")]
+    first = catalog.update_for(None, 1)
+    assert catalog.update_for(Position(1, 1)).line is first.line  # one encoding for all at a version
     catalog.apply(line(5, row("b", born_ms=5)))
-    assert owed(catalog, None, 1) == [row("a", born_ms=3), row("b", born_ms=5)]
-    assert owed(catalog, None, 5) is Due.NOTHING
+    assert update_for(catalog, None, 1) == [row("a", born_ms=3), row("b", born_ms=5)]
+    assert update_for(catalog, None, 5) is UpdateKind.NOTHING
     assert not catalog.apply(line(5, row("b", born_ms=5))) and not catalog.apply(line(4, row("b")))
-    assert catalog.apply(line(6)) and owed(catalog, None, 5) == []
+    assert catalog.apply(line(6)) and update_for(catalog, None, 5) == []
 
 
 def test_who_is_ahead_too_old_or_holds_what_was_never_held_here() -> None:
     catalog = Catalog()
-    assert owed(catalog, None, 7) is Due.AHEAD and not catalog.apply(line(3, row("a")))
+    assert update_for(catalog, None, 7) is UpdateKind.AHEAD and not catalog.apply(line(3, row("a")))
     with pytest.raises(ValueError, match="no list"):
-        catalog.complete()
+        catalog.complete_list()
     for version in (7, 9, 10):
         catalog.apply(line(version, row("a", block=version), complete=version == 7))
-    assert [catalog.owed(None, n).due for n in (0, 6, 8)] == [Due.WHOLE] * 3
-    assert [catalog.owed(None, n).due for n in (7, 9, 10, 11)] == [
-        Due.CHANGES,
-        Due.CHANGES,
-        Due.NOTHING,
-        Due.AHEAD,
+    assert [catalog.update_for(None, n).kind for n in (0, 6, 8)] == [UpdateKind.COMPLETE_LIST] * 3
+    assert [catalog.update_for(None, n).kind for n in (7, 9, 10, 11)] == [
+        UpdateKind.CHANGES,
+        UpdateKind.CHANGES,
+        UpdateKind.NOTHING,
+        UpdateKind.AHEAD,
     ]
 
 
@@ -112,59 +114,75 @@
     before = catalog.position()
     assert not catalog.apply(line(9, row("b"), row("a", block=4), complete=True))
     assert catalog.apply(line(version, row("a", block=5), complete=True))
-    assert catalog.position() == (before.life + 1, version)
-    assert owed(catalog, before) is Due.WHOLE and owed(catalog, Position(before.life, version)) is Due.WHOLE
-    assert [catalog.owed(None, n).due for n in range(1, 11)] == [Due.WHOLE] * 9 + [Due.AHEAD]
+    assert catalog.position() == (before.incarnation + 1, version)
+    assert (
+        update_for(catalog, before) is UpdateKind.COMPLETE_LIST
+        and update_for(catalog, Position(before.incarnation, version)) is UpdateKind.COMPLETE_LIST
+    )
+    assert [catalog.update_for(None, n).kind for n in range(1, 11)] == [UpdateKind.COMPLETE_LIST] * 9 + [
+        UpdateKind.AHEAD
+    ]
     here = catalog.position()
     catalog.apply(line(12, row("c")))
-    assert names(owed(catalog, here)) == ["c ready"] and owed(catalog, None, 12) is Due.NOTHING
-    assert catalog.apply(line(12, row("c", block=8))) and catalog.position().life == before.life + 2
+    assert (
+        names(update_for(catalog, here)) == ["c ready"]
+        and update_for(catalog, None, 12) is UpdateKind.NOTHING
+    )
+    assert (
+        catalog.apply(line(12, row("c", block=8)))
+        and catalog.position().incarnation == before.incarnation + 2
+    )
 
 
 def test_bounds_on_gone_rows_and_versions_raise_the_floor() -> None:
-    catalog = Catalog(most_gone=3, most_versions=6)
+    catalog = Catalog(max_tombstones=3, max_versions=6)
     catalog.apply(line(1, *(row(f"s{n}") for n in range(9)), complete=True))
     for n in range(5):
         catalog.apply(line(n + 2, row(f"s{n}", health="gone")))
-    assert len(catalog.gone) == 3 and catalog.floor == 3
-    assert owed(catalog, Position(1, 2)) is Due.WHOLE and owed(catalog, None, 2) is Due.WHOLE
-    assert names(owed(catalog, None, 3)) == ["s2 gone", "s3 gone", "s4 gone"]
+    assert len(catalog.tombstones) == 3 and catalog.oldest_version == 3
+    assert (
+        update_for(catalog, Position(1, 2)) is UpdateKind.COMPLETE_LIST
+        and update_for(catalog, None, 2) is UpdateKind.COMPLETE_LIST
+    )
+    assert names(update_for(catalog, None, 3)) == ["s2 gone", "s3 gone", "s4 gone"]
     for version in range(7, 11):
         catalog.apply(line(version))
-    assert catalog.floor == 5 and owed(catalog, Position(1, 4)) is Due.WHOLE
-    assert names(owed(catalog, None, 5)) == ["s4 gone"]
+    assert catalog.oldest_version == 5 and update_for(catalog, Position(1, 4)) is UpdateKind.COMPLETE_LIST
+    assert names(update_for(catalog, None, 5)) == ["s4 gone"]
 
 
 def test_changes_of_most_of_a_long_list_are_told_as_the_whole() -> None:
     rows = [row(f"s{n}") for n in range(1_500)]
     catalog = held(line(1, *rows, complete=True))
     catalog.apply(line(2, *(r | {"block": 4} for r in rows[:1_000])))
-    assert len(owed(catalog, None, 1)) == 1_000
+    assert len(update_for(catalog, None, 1)) == 1_000
     catalog.apply(line(3, rows[-1] | {"block": 4}))
-    assert owed(catalog, None, 1) is Due.WHOLE and len(owed(catalog, None, 2)) == 1
+    assert update_for(catalog, None, 1) is UpdateKind.COMPLETE_LIST and len(update_for(catalog, None, 2)) == 1
 
 
 def test_encodings_of_the_whole_that_are_in_use_are_bounded() -> None:
     catalog = held(line(1, row("a"), complete=True))
-    taken = [catalog.complete(exact=True)]
+    taken = [catalog.complete_list(exact=True)]
     for version in range(2, 20):
         catalog.apply(line(version, row("a", block=version)))
-        taken.append(catalog.complete(exact=True))
-    assert len({id(complete) for complete in taken}) == MOST_WHOLES
-    assert names(owed(catalog, taken[-1].position)) == ["a ready"]  # it is followed by the changes behind it
+        taken.append(catalog.complete_list(exact=True))
+    assert len({id(complete) for complete in taken}) == MAX_ENCODINGS
+    assert names(update_for(catalog, taken[-1].position)) == [
+        "a ready"
+    ]  # it is followed by the changes behind it
     del taken
-    assert catalog.complete(exact=True).position.version == 19
+    assert catalog.complete_list(exact=True).position.version == 19
     rows = [row(f"s{n}") for n in range(20)]
     catalog = held(line(1, *rows, complete=True))
-    first = catalog.complete()
+    first = catalog.complete_list()
     for version, changed in ((2, row("s3", block=8)), (3, row("s4", health="gone")), (4, row("new"))):
         catalog.apply(line(version, changed))
-        assert catalog.complete_list_bytes() - len(catalog.complete(exact=True).line) == 2
+        assert catalog.complete_list_bytes() - len(catalog.complete_list(exact=True).line) == 2
     catalog._whole = first
-    assert catalog.complete().position.version == 4  # three of twenty rows have changed since
-    last = catalog.complete()
+    assert catalog.complete_list().position.version == 4  # three of twenty rows have changed since
+    last = catalog.complete_list()
     catalog.apply(line(5, row("s3", block=7)))
-    assert catalog.complete() is last and catalog.complete(exact=True).position.version == 5
+    assert catalog.complete_list() is last and catalog.complete_list(exact=True).position.version == 5
 
 
 class Model:
@@ -202,7 +220,7 @@
 
 class Relay:
     def __init__(self, model: Model) -> None:
-        self.model, self.catalog = model, Catalog(most_gone=5, most_versions=12, most_wholes=2)
+        self.model, self.catalog = model, Catalog(max_tombstones=5, max_versions=12, max_encodings=2)
         self.since: int | None = None
 
     def hear(self) -> None:
@@ -220,13 +238,16 @@
         self.kept: list[Any] = []
 
     def follow(self, catalog: Catalog) -> None:
-        due, text = catalog.owed(self.position, self.version)
-        if due in (Due.WHOLE, Due.AHEAD):  # the test's relays are never behind when this is asked
-            complete = catalog.complete()
+        kind, text = catalog.update_for(self.position, self.version)
+        if kind in (
+            UpdateKind.COMPLETE_LIST,
+            UpdateKind.AHEAD,
+        ):  # the test's relays are never behind when this is asked
+            complete = catalog.complete_list()
             self.kept.append(complete)
             text, self.position = complete.line, complete.position
         else:
-            text, self.position = text or catalog.nothing(), catalog.position()
+            text, self.position = text or catalog.no_changes_line(), catalog.position()
         told = json.loads(text)
         assert told["whole"] or told["seq"] >= self.version, "changes that a balancer refuses"
         self.version = told["seq"]
@@ -281,48 +302,48 @@
 
 
 def test_whole_lists_take_turns_at_the_bound_and_the_rest_is_told_when_to_come() -> None:
-    turns = Turns(1_000.0)
-    asked = [turns.ask(100.0, 500) for _ in range(8)]
+    schedule = TransferSchedule(1_000.0)
+    asked = [schedule.reserve(100.0, 500) for _ in range(8)]
     assert [t.wait for t in asked if t.granted] == [0.0, 0.5, 1.0, 1.5]
     assert [t.wait for t in asked if not t.granted] == [2.0, 2.5, 3.0, 2.0]
     # Who comes when told to is served, in time for the bound.
-    assert [turns.ask(100.0 + t.wait, 500) for t in asked[4:7]] == [(True, 0.0)] * 3
-    assert turns.ask(200.0, 500) == (True, 0.0)
-    turns.give_back(500)
-    assert turns.ask(200.0, 500) == (True, 0.0)
-    assert all(turns.ask(200.0, 10**6).wait <= MOST_RETRY_S for _ in range(9))
+    assert [schedule.reserve(100.0 + t.wait, 500) for t in asked[4:7]] == [(True, 0.0)] * 3
+    assert schedule.reserve(200.0, 500) == (True, 0.0)
+    schedule.release(500)
+    assert schedule.reserve(200.0, 500) == (True, 0.0)
+    assert all(schedule.reserve(200.0, 10**6).wait <= MAX_RETRY_S for _ in range(9))
 
 
 def test_many_who_come_again_when_told_to_use_the_whole_of_the_bound() -> None:
     """Four hundred, told together and again and again: each list lasts 0.2 s of the rate."""
-    turns, come, served = Turns(1_000.0), [0.0] * 400, 0
+    schedule, come, served = TransferSchedule(1_000.0), [0.0] * 400, 0
     while (now := come[0]) < 60.0:
-        turn = turns.ask(now, 200)
-        served += turn.granted
-        come = sorted(come[1:] + ([] if turn.granted else [now + turn.wait]))
+        slot = schedule.reserve(now, 200)
+        served += slot.granted
+        come = sorted(come[1:] + ([] if slot.granted else [now + slot.wait]))
     assert 0.95 * 60.0 / 0.2 <= served <= 1.05 * 60.0 / 0.2
 
 
 def test_a_list_longer_than_the_bound_bears_is_let_out_all_the_same() -> None:
-    turns = Turns(1_000.0)
-    assert turns.ask(5.0, 10_000) == (True, 0.0) and not turns.ask(5.1, 10_000).granted
-    assert turns.ask(14.0, 10_000) == (True, 1.0)
+    schedule = TransferSchedule(1_000.0)
+    assert schedule.reserve(5.0, 10_000) == (True, 0.0) and not schedule.reserve(5.1, 10_000).granted
+    assert schedule.reserve(14.0, 10_000) == (True, 1.0)
 
 
 def test_room_beyond_the_share_is_for_those_that_come_again() -> None:
-    room = Room(share=2, most=3)
-    assert room.admits("a", 0, 0.0) and room.admits("b", 1, 0.0)
-    assert not room.admits("c", 2, 0.0) and not room.admits("d", 2, 0.0)
-    assert room.admits("c", 2, 4.0)
-    assert not room.admits("d", 3, 4.0), "nobody beyond what the descriptors bear"
-    assert not room.admits("d", 2, 4.0 + AGAIN_S + 0.1), "a better place that is tried now and then"
-    assert room.admits("d", 1, 30.0)
-    assert not room.admits("d", 2, 31.0), "taken meanwhile: it comes for the first time"
+    limit = WatchLimit(share=2, maximum=3)
+    assert limit.admits("a", 0, 0.0) and limit.admits("b", 1, 0.0)
+    assert not limit.admits("c", 2, 0.0) and not limit.admits("d", 2, 0.0)
+    assert limit.admits("c", 2, 4.0)
+    assert not limit.admits("d", 3, 4.0), "nobody beyond what the descriptors bear"
+    assert not limit.admits("d", 2, 4.0 + RETRY_WINDOW_S + 0.1), "a better place that is tried now and then"
+    assert limit.admits("d", 1, 30.0)
+    assert not limit.admits("d", 2, 31.0), "taken meanwhile: it comes for the first time"
 
 
 def test_room_remembers_no_more_than_so_many(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quartzford.relay.room.MOST_REMEMBERED", 2)
-    room = Room(share=0, most=10)
+    monkeypatch.setattr("quartzford.relay.watch_limit.MAX_REMEMBERED", 2)
+    limit = WatchLimit(share=0, maximum=10)
     for host in ("a", "b", "c"):
-        assert not room.admits(host, 1, 0.0)
-    assert room.admits("b", 1, 1.0) and not room.admits("a", 1, 1.0)
+        assert not limit.admits(host, 1, 0.0)
+    assert limit.admits("b", 1, 1.0) and not limit.admits("a", 1, 1.0)
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -19,9 +19,9 @@
 from test_relay_catalog import row
 
 from quartzford.engine import LoopClock, StderrLog
-from quartzford.relay import caller
-from quartzford.relay.caller import PIECE_BYTES, State
-from quartzford.relay.catalog import MOST_WHOLES
+from quartzford.relay import connection
+from quartzford.relay.catalog import MAX_ENCODINGS
+from quartzford.relay.connection import CHUNK_BYTES, ConnectionState
 from quartzford.relay.relay import Relay
 from quartzford.settings.operatorfile import RelaySettings
 
@@ -174,7 +174,7 @@
 
 
 def test_what_is_no_call_for_the_list_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller, "REQUEST_S", 1.0)
+    monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 1.0)
 
     async def main() -> None:
         async with site() as here:
@@ -249,10 +249,10 @@
                 assert (await quick.lines_to(version))[-1]["hosts"] == [row("s5", block=version)]
                 for drip in drips:
                     drip.taken += await drip.reader.readexactly(1)
-            callers = [c for c in here.server.watchers if c.state is State.WHOLE]
-            assert len(callers) == len(drips)
-            assert all(c.transport.get_write_buffer_size() <= PIECE_BYTES + 64 for c in callers)
-            assert len(here.relay.catalog._wholes) <= MOST_WHOLES + 1
+            sending = [c for c in here.server.watchers if c.state is ConnectionState.SENDING_LIST]
+            assert len(sending) == len(drips)
+            assert all(c.transport.get_write_buffer_size() <= CHUNK_BYTES + 64 for c in sending)
+            assert len(here.relay.catalog._encodings) <= MAX_ENCODINGS + 1
             for drip in (drips[0], drips[-1]):
                 data = drip.taken
                 while b'"seq":%d,' % version not in data[-400:] or not data.endswith(b"\n\r\n"):
@@ -381,7 +381,7 @@
             calls = [await here.get() for _ in range(20)] + [await here.call(0) for _ in range(20)]
             told = [await call.status() for call in calls]
             took = time.monotonic() - began
-            size = len(here.relay.catalog.complete().line)
+            size = len(here.relay.catalog.complete_list().line)
             assert 6 <= told.count(200) <= 2 + (1.5 + took) * 200_000 / size and told.count(503) >= 6
             waits = [float(re.findall(r"Retry-After: (\S+)", c.head)[0]) for c in calls if "503" in c.head]
             assert min(waits) > 0 and len(set(waits)) >= 4
