--- a/tests/relay_site.py
+++ b/tests/relay_site.py
@@ -25,7 +25,7 @@
 from standins.listservice import Plan, Service
 
 RECEIVE_BYTES = 32 * 1024  # of a gate's socket: who is before it is soon in the middle of what it writes
-PIECE_BYTES = 16 * 1024
+READ_BYTES = 16 * 1024
 
 
 def row(name: str, health: str = "ready", born: float = 0.0, port: int = 9) -> dict[str, Any]:
@@ -103,7 +103,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_connect(sock, self.target)
-            answers, service = await asyncio.open_connection(sock=sock, limit=PIECE_BYTES)
+            answers, service = await asyncio.open_connection(sock=sock, limit=READ_BYTES)
             self.writers.add(service)
             try:
                 both = [self._take(self._up(reader, service)), self._take(self._down(answers, writer))]
@@ -129,7 +129,7 @@
 
     async def _up(self, reader: asyncio.StreamReader, service: asyncio.StreamWriter) -> None:
         with suppress(OSError):
-            while data := await reader.read(PIECE_BYTES):
+            while data := await reader.read(READ_BYTES):
                 await self._passes(self.held)
                 service.write(data)
 
@@ -140,7 +140,7 @@
             data = b"-"
             while data:
                 with suppress(OSError):
-                    data = await answers.read(PIECE_BYTES)
+                    data = await answers.read(READ_BYTES)
                 await queue.put((time.monotonic() + self.delay, data))
 
         self._take(read())
@@ -196,7 +196,7 @@
         )
         assert self.process.stderr is not None
         self.reading = asyncio.ensure_future(self._read(self.process.stderr))
-        await until(lambda: self.said("listening on") or self.reading.done(), 20.0)  # type: ignore[union-attr]
+        await until(lambda: self.has_logged("listening on") or self.reading.done(), 20.0)  # type: ignore[union-attr]
         line = next((line for line in self.log if "listening on" in line), None)
         assert line is not None, self.log
         self.gate.target = ("127.0.0.1", int(line.rpartition(":")[2]))
@@ -206,7 +206,7 @@
         while line := await stderr.readline():
             self.log.append(line.decode().rstrip())
 
-    def said(self, text: str) -> bool:
+    def has_logged(self, text: str) -> bool:
         return any(text in line for line in self.log)
 
     def send(self, number: int) -> None:
@@ -241,12 +241,12 @@
         self.calls = RelayCallPolicy(self.addresses, fleet, 50.0, 10.0, rng, self.clock.now)
         self.calls.better_address_delay = lambda: back  # type: ignore[method-assign]
         self.registry = Registry()
-        self.told: list[tuple[float, Listing]] = []
+        self.received: list[tuple[float, Listing]] = []
         self.watch = ListWatch(self, self.addresses, self.calls, self.clock, StderrLog(self.clock.now), loop)
 
     def listed(self, listing: Listing) -> None:
         self.registry.apply(listing)
-        self.told.append((time.monotonic(), listing))
+        self.received.append((time.monotonic(), listing))
 
     def at(self, gate: Gate) -> bool:
         """The watch stands there."""
@@ -254,10 +254,10 @@
         return self.watch.is_current() and call is not None and call.target.address == gate.address
 
     def versions(self) -> list[int]:
-        return [listing.version for _, listing in self.told]
+        return [listing.version for _, listing in self.received]
 
-    def wholes(self) -> int:
-        return sum(listing.complete for _, listing in self.told)
+    def complete_lists(self) -> int:
+        return sum(listing.complete for _, listing in self.received)
 
     def rows(self) -> dict[str, dict[str, Any]]:
         return {row["host"]: row for row in self.registry.table()["hosts"]}
@@ -267,9 +267,9 @@
         counts = self.watch.counts
         return counts["ended closed"] + counts["ended silent"] + counts["ended in order"]
 
-    def told_at(self, version: int) -> float:
+    def received_at(self, version: int) -> float:
         """When it had that version or a later one; infinity if not yet."""
-        return next((at for at, listing in self.told if listing.version >= version), float("inf"))
+        return next((at for at, listing in self.received if listing.version >= version), float("inf"))
 
 
 class Site:
@@ -298,7 +298,7 @@
         async with asyncio.TaskGroup() as tasks:
             for relay in self.relays:
                 tasks.create_task(relay.start())
-        await until(lambda: all(relay.said(" upstreams") for relay in self.relays), 20.0)
+        await until(lambda: all(relay.has_logged(" upstreams") for relay in self.relays), 20.0)
 
     async def leave(self) -> None:
         for balancer in self.balancers:
@@ -346,17 +346,17 @@
         self.service.replace_list(hosts)
         return at, self.service.version
 
-    async def told(self, version: int, balancers: list[Balancer], seconds: float = 30.0) -> float:
+    async def all_received(self, version: int, balancers: list[Balancer], seconds: float = 30.0) -> float:
         """When the last of them had it."""
-        await until(lambda: all(one.told_at(version) < float("inf") for one in balancers), seconds)
-        return max(one.told_at(version) for one in balancers)
+        await until(lambda: all(one.received_at(version) < float("inf") for one in balancers), seconds)
+        return max(one.received_at(version) for one in balancers)
 
-    async def after_beat(self, gate: Gate) -> None:
+    async def after_heartbeat(self, gate: Gate) -> None:
         """Until something has just passed there: the most time is left until silence is noticed."""
         before = gate.down
         await until(lambda: gate.down > before)
 
-    def begin_again(self, version: int, hosts: list[dict[str, Any]]) -> None:
+    def begin_incarnation(self, version: int, hosts: list[dict[str, Any]]) -> None:
         """The source begins another life at this version."""
         service = self.service
         service.rows = {host["host"]: host for host in hosts}
@@ -364,7 +364,7 @@
         service.changed_at = dict.fromkeys(service.rows, version)
         service.encoded_whole = 0, b""
 
-    def say(self, text: bytes) -> None:
+    def send_line(self, text: bytes) -> None:
         """A line on the source's watches, as it is."""
         for watch in self.service.watches:
             watch.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
@@ -388,7 +388,7 @@
     lag.worst = 0.0
 
 
-async def beside(*parts: Callable[[], Awaitable[None]]) -> None:
+async def run_together(*parts: Callable[[], Awaitable[None]]) -> None:
     """Independent cases at the same time; the first that fails ends all."""
     async with asyncio.TaskGroup() as tasks:
         for part in parts:
--- a/tests/test_relay_catalog.py
+++ b/tests/test_relay_catalog.py
@@ -62,8 +62,8 @@
 
 def test_rows_come_out_as_they_came_in() -> None:
     catalog = held(line(3, *ROWS, complete=True))
-    told = json.loads(catalog.complete_list().line)
-    assert told == {"seq": 3, "whole": True, "hosts": ROWS}
+    received = json.loads(catalog.complete_list().line)
+    assert received == {"seq": 3, "whole": True, "hosts": ROWS}
     assert (
         catalog.complete_list().line.count(b"\n") == 1 and catalog.complete_list() is catalog.complete_list()
     )
@@ -73,7 +73,7 @@
     assert update_for(catalog, None, 3) == [r | {"block": 9} for r in ROWS]
 
 
-def test_what_goes_keeps_its_row_and_what_changes_twice_is_told_once() -> None:
+def test_a_removed_row_is_kept_and_a_row_changed_twice_is_sent_once() -> None:
     catalog = held(line(1, row("a"), row("b"), row("c"), complete=True))
     for version in (2, 3):
         catalog.apply(line(version, row("a", born_ms=version)))
@@ -91,7 +91,7 @@
     assert catalog.apply(line(6)) and update_for(catalog, None, 5) == []
 
 
-def test_who_is_ahead_too_old_or_holds_what_was_never_held_here() -> None:
+def test_updates_for_versions_ahead_too_old_or_never_held_here() -> None:
     catalog = Catalog()
     assert update_for(catalog, None, 7) is UpdateKind.AHEAD and not catalog.apply(line(3, row("a")))
     with pytest.raises(ValueError, match="no list"):
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("version", [4, 9])
-def test_a_source_that_begins_again_owes_the_whole_to_all(version: int) -> None:
+def test_a_new_incarnation_of_the_source_is_sent_as_the_complete_list_to_all(version: int) -> None:
     """Lower, or the same version with other rows: who watched throughout, and who comes by an old index."""
     catalog = held(line(8, row("a"), row("b"), complete=True), line(9, row("a", block=4)))
     before = catalog.position()
@@ -151,7 +151,7 @@
     assert names(update_for(catalog, None, 5)) == ["s4 gone"]
 
 
-def test_changes_of_most_of_a_long_list_are_told_as_the_whole() -> None:
+def test_changes_of_most_of_a_long_list_are_sent_as_the_complete_list() -> None:
     rows = [row(f"s{n}") for n in range(1_500)]
     catalog = held(line(1, *rows, complete=True))
     catalog.apply(line(2, *(r | {"block": 4} for r in rows[:1_000])))
@@ -160,7 +160,7 @@
     assert update_for(catalog, None, 1) is UpdateKind.COMPLETE_LIST and len(update_for(catalog, None, 2)) == 1
 
 
-def test_encodings_of_the_whole_that_are_in_use_are_bounded() -> None:
+def test_encodings_of_the_complete_list_that_are_in_use_are_bounded() -> None:
     catalog = held(line(1, row("a"), complete=True))
     taken = [catalog.complete_list(exact=True)]
     for version in range(2, 20):
@@ -235,7 +235,7 @@
         self.rows: Table = {}
         self.version = 0
         self.position: Position | None = None
-        self.kept: list[Any] = []
+        self.lists: list[Any] = []
 
     def follow(self, catalog: Catalog) -> None:
         kind, text = catalog.update_for(self.position, self.version)
@@ -244,16 +244,16 @@
             UpdateKind.AHEAD,
         ):  # the test's relays are never behind when this is asked
             complete = catalog.complete_list()
-            self.kept.append(complete)
+            self.lists.append(complete)
             text, self.position = complete.line, complete.position
         else:
             text, self.position = text or catalog.no_changes_line(), catalog.position()
-        told = json.loads(text)
-        assert told["whole"] or told["seq"] >= self.version, "changes that a balancer refuses"
-        self.version = told["seq"]
-        if told["whole"]:
+        received = json.loads(text)
+        assert received["whole"] or received["seq"] >= self.version, "changes that a balancer refuses"
+        self.version = received["seq"]
+        if received["whole"]:
             self.rows = {}
-        for r in told["hosts"]:
+        for r in received["hosts"]:
             if r["health"] == "gone":
                 self.rows.pop(r["host"], None)
             else:
@@ -261,7 +261,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_whoever_follows_what_is_owed_ends_with_the_rows_of_the_source(seed: int) -> None:
+def test_watchers_that_apply_their_updates_end_with_the_rows_of_the_source(seed: int) -> None:
     """Two relays that hear some versions only, watchers that read now and then and change relays by index."""
     rng = random.Random(seed)
     model = Model(rng)
@@ -291,7 +291,7 @@
             relay.hear()
         if relay.catalog.version is not None and rng.random() < 0.7:
             watcher.follow(relay.catalog)
-            watcher.kept = watcher.kept[-1:]
+            watcher.lists = watcher.lists[-1:]
             expected = model.past.get(watcher.version)
             assert expected is None or watcher.rows == expected
     for watcher, relay in watchers:
@@ -301,36 +301,36 @@
         assert watcher.rows == model.table and watcher.version == model.version
 
 
-def test_whole_lists_take_turns_at_the_bound_and_the_rest_is_told_when_to_come() -> None:
+def test_complete_lists_are_sent_in_turn_within_the_bound_and_other_calls_get_a_retry_time() -> None:
     schedule = TransferSchedule(1_000.0)
-    asked = [schedule.reserve(100.0, 500) for _ in range(8)]
-    assert [t.wait for t in asked if t.granted] == [0.0, 0.5, 1.0, 1.5]
-    assert [t.wait for t in asked if not t.granted] == [2.0, 2.5, 3.0, 2.0]
+    slots = [schedule.reserve(100.0, 500) for _ in range(8)]
+    assert [t.wait for t in slots if t.granted] == [0.0, 0.5, 1.0, 1.5]
+    assert [t.wait for t in slots if not t.granted] == [2.0, 2.5, 3.0, 2.0]
     # Who comes when told to is served, in time for the bound.
-    assert [schedule.reserve(100.0 + t.wait, 500) for t in asked[4:7]] == [(True, 0.0)] * 3
+    assert [schedule.reserve(100.0 + t.wait, 500) for t in slots[4:7]] == [(True, 0.0)] * 3
     assert schedule.reserve(200.0, 500) == (True, 0.0)
     schedule.release(500)
     assert schedule.reserve(200.0, 500) == (True, 0.0)
     assert all(schedule.reserve(200.0, 10**6).wait <= MAX_RETRY_S for _ in range(9))
 
 
-def test_many_who_come_again_when_told_to_use_the_whole_of_the_bound() -> None:
+def test_many_calls_that_retry_at_the_given_time_use_the_bound_in_full() -> None:
     """Four hundred, told together and again and again: each list lasts 0.2 s of the rate."""
-    schedule, come, served = TransferSchedule(1_000.0), [0.0] * 400, 0
-    while (now := come[0]) < 60.0:
+    schedule, arrivals, served = TransferSchedule(1_000.0), [0.0] * 400, 0
+    while (now := arrivals[0]) < 60.0:
         slot = schedule.reserve(now, 200)
         served += slot.granted
-        come = sorted(come[1:] + ([] if slot.granted else [now + slot.wait]))
+        arrivals = sorted(arrivals[1:] + ([] if slot.granted else [now + slot.wait]))
     assert 0.95 * 60.0 / 0.2 <= served <= 1.05 * 60.0 / 0.2
 
 
-def test_a_list_longer_than_the_bound_bears_is_let_out_all_the_same() -> None:
+def test_a_list_longer_than_the_bound_allows_is_sent_all_the_same() -> None:
     schedule = TransferSchedule(1_000.0)
     assert schedule.reserve(5.0, 10_000) == (True, 0.0) and not schedule.reserve(5.1, 10_000).granted
     assert schedule.reserve(14.0, 10_000) == (True, 1.0)
 
 
-def test_room_beyond_the_share_is_for_those_that_come_again() -> None:
+def test_watches_beyond_the_share_are_for_those_that_retry() -> None:
     limit = WatchLimit(share=2, maximum=3)
     assert limit.admits("a", 0, 0.0) and limit.admits("b", 1, 0.0)
     assert not limit.admits("c", 2, 0.0) and not limit.admits("d", 2, 0.0)
@@ -341,7 +341,7 @@
     assert not limit.admits("d", 2, 31.0), "taken meanwhile: it comes for the first time"
 
 
-def test_room_remembers_no_more_than_so_many(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rejected_hosts_are_remembered_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quartzford.relay.watch_limit.MAX_REMEMBERED", 2)
     limit = WatchLimit(share=0, maximum=10)
     for host in ("a", "b", "c"):
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -9,13 +9,13 @@
 import time
 
 from peers import SETTINGS, Lag, Peer, read_message, reply, request, run, says, until
-from relay_site import Balancer, Site, begin, beside, row, rows, site
+from relay_site import Balancer, Site, begin, row, rows, run_together, site
 
 from quartzford.membership.listing import Listing
 from quartzford.node import Node
 from quartzford.settings.platform import read_config
 
-TOLD_S = 6.0
+RECEIVED_WITHIN_S = 6.0
 
 
 def never_falls(balancer: Balancer) -> bool:
@@ -31,11 +31,15 @@
             one.gate.allowed = 100_000
             balancer = at.balancer(0)
             await until(lambda: one.gate.allowed == 0 and one.gate.waiting)
-            assert not balancer.told
+            assert not balancer.received
             await one.kill()
             one.gate.drop()
             await at.settled()
-            assert balancer.at(at.relays[1].gate) and balancer.wholes() == 1 and len(balancer.told) == 1
+            assert (
+                balancer.at(at.relays[1].gate)
+                and balancer.complete_lists() == 1
+                and len(balancer.received) == 1
+            )
             assert at.next_call_direct.came == 0
 
     async def change() -> None:
@@ -52,11 +56,11 @@
             await one.kill()
             one.gate.drop()
             await at.settled()
-            assert balancer.at(two.gate) and balancer.wholes() == 1
+            assert balancer.at(two.gate) and balancer.complete_lists() == 1
             assert [row["health"] for row in balancer.rows().values()].count("draining") == 2_000
             assert two.gate.down - before < 2_000 * 200
 
-    await beside(complete, change)
+    await run_together(complete, change)
 
 
 async def stopped_for_ten_seconds() -> None:
@@ -65,11 +69,11 @@
         balancers = [at.balancer(0, back=0.5) for _ in range(5)]
         await at.settled()
         await begin(lag)
-        await at.after_beat(one.gate)
+        await at.after_heartbeat(one.gate)
         one.send(signal.SIGSTOP)
         stopped = time.monotonic()
         since, version = at.change("host-00000003", health="draining")
-        assert await at.told(version, balancers) - since <= TOLD_S + 2 * lag.worst
+        assert await at.all_received(version, balancers) - since <= RECEIVED_WITHIN_S + 2 * lag.worst
         assert all(balancer.at(two.gate) for balancer in balancers)
         # Calls for a better place wait at the stopped relay, and it has not read what came.
         await until(lambda: all(balancer.watch.counts["tried better"] for balancer in balancers))
@@ -79,7 +83,7 @@
         await until(lambda: all(balancer.at(one.gate) for balancer in balancers), 20.0)
         at.change("host-00000005", health="draining")
         await at.settled()
-        assert all(never_falls(balancer) and balancer.wholes() == 1 for balancer in balancers)
+        assert all(never_falls(balancer) and balancer.complete_lists() == 1 for balancer in balancers)
         assert at.next_call_direct.came == 0
 
 
@@ -90,17 +94,17 @@
         balancers = [at.balancer(0, 2) for _ in range(4)] + [at.balancer(1, 2) for _ in range(4)]
         await at.settled()
         await begin(lag)
-        await at.after_beat(one.to_source)
+        await at.after_heartbeat(one.to_source)
         one.to_source.held = True
         cut, version = at.change("host-00000003", health="draining")
-        await at.after_beat(two.gate)
+        await at.after_heartbeat(two.gate)
         two.gate.held = True
         cut_too, later = at.change("host-00000004", health="draining")
-        assert not any(balancer.told_at(later) < float("inf") for balancer in balancers)
-        assert await at.told(version, balancers[:4]) - cut <= TOLD_S + 2 * lag.worst
-        assert await at.told(later, balancers[4:]) - cut_too <= TOLD_S + 2 * lag.worst
+        assert not any(balancer.received_at(later) < float("inf") for balancer in balancers)
+        assert await at.all_received(version, balancers[:4]) - cut <= RECEIVED_WITHIN_S + 2 * lag.worst
+        assert await at.all_received(later, balancers[4:]) - cut_too <= RECEIVED_WITHIN_S + 2 * lag.worst
         assert all(balancer.at(three.gate) for balancer in balancers)
-        assert all(never_falls(balancer) and balancer.wholes() == 1 for balancer in balancers)
+        assert all(never_falls(balancer) and balancer.complete_lists() == 1 for balancer in balancers)
         one.to_source.held = two.gate.held = False
         at.change("host-00000005", health="draining")
         await at.settled()
@@ -109,7 +113,7 @@
 
 @run
 async def test_a_relay_stopped_for_ten_seconds_and_relays_cut_from_the_source_or_their_balancers() -> None:
-    await beside(stopped_for_ten_seconds, cut_on_one_side)
+    await run_together(stopped_for_ten_seconds, cut_on_one_side)
 
 
 async def serving(at: Site) -> Node:
@@ -162,7 +166,7 @@
             await mine.kill()
             mine.gate.drop()
             await until(lambda: node.watch.version == version, 20.0)
-            assert time.monotonic() - since <= TOLD_S + 2 * lag.worst
+            assert time.monotonic() - since <= RECEIVED_WITHIN_S + 2 * lag.worst
             at_drained, at_other = len(ups[0].came), len(ups[1].came)
             await until(lambda: len(ups[1].came) > at_other + 50)
             assert len(ups[0].came) - at_drained <= 4  # what was on its way, of four clients
@@ -186,22 +190,22 @@
         for _ in range(20):
             at.change("host-00000001", born_ms=float(at.service.version))
         await at.settled()
-        at.begin_again(5, rows(10, born=1.0))  # lower, on the watch
-        at.say(at.service.encoded(None))
+        at.begin_incarnation(5, rows(10, born=1.0))  # lower, on the watch
+        at.send_line(at.service.encoded(None))
         await at.settled()
-        at.begin_again(5, rows(12, born=2.0))  # repeated, on the watch
-        at.say(at.service.encoded(None))
+        at.begin_incarnation(5, rows(12, born=2.0))  # repeated, on the watch
+        at.send_line(at.service.encoded(None))
         await at.settled()
-        told = [len(balancer.told) for balancer in balancers]
-        at.say(b'{"seq":9,"whole":true,"hosts":[{"host":"bad"}]}\n')
-        at.say(b"\x00garbage\n")
-        await until(lambda: all(relay.said("a bad line") for relay in at.relays))
+        received = [len(balancer.received) for balancer in balancers]
+        at.send_line(b'{"seq":9,"whole":true,"hosts":[{"host":"bad"}]}\n')
+        at.send_line(b"\x00garbage\n")
+        await until(lambda: all(relay.has_logged("a bad line") for relay in at.relays))
         await until(lambda: len(at.service.watches) == 2)
-        assert [len(balancer.told) for balancer in balancers] == told
+        assert [len(balancer.received) for balancer in balancers] == received
         await at.settled()
         for version, hosts in ((5, rows(14, born=3.0)), (3, rows(8, born=4.0))):  # behind a death of it
             at.service.stop()
-            at.begin_again(version, hosts)
+            at.begin_incarnation(version, hosts)
             await at.service.start()
             await at.settled()
         at.change("host-00000002", health="draining")
@@ -221,12 +225,12 @@
         if anew:
             await two.kill()
         at.service.stop()
-        at.begin_again(5, rows(10, born=1.0))
+        at.begin_incarnation(5, rows(10, born=1.0))
         await at.service.start()
         await until(lambda: len(at.service.watches) == 2 - anew)
         if anew:
             await two.start()
-            await until(lambda: two.said(" upstreams"))
+            await until(lambda: two.has_logged(" upstreams"))
         assert all(balancer.versions()[-1] == 22 for balancer in balancers)
         await one.kill()
         one.gate.drop()
@@ -241,7 +245,7 @@
 
 @run
 async def test_a_balancer_comes_by_an_index_of_an_earlier_life() -> None:
-    await beside(lambda: index_of_an_earlier_life(False), lambda: index_of_an_earlier_life(True))
+    await run_together(lambda: index_of_an_earlier_life(False), lambda: index_of_an_earlier_life(True))
 
 
 async def back_and_forth() -> None:
@@ -275,7 +279,7 @@
         one.to_source.drop()
         for _ in range(2):
             _, version = at.change("host-00000001", born_ms=float(at.service.version))
-            await at.told(version, [balancer])
+            await at.all_received(version, [balancer])
         two.gate.refusing = True
         two.gate.drop()
         at.change("host-00000002", health="draining")
@@ -288,7 +292,7 @@
     def drains(listing: Listing) -> bool:
         return any(entry.server == name and entry.state == "draining" for entry in listing.entries)
 
-    return next((at for at, listing in balancer.told if drains(listing)), float("inf"))
+    return next((at for at, listing in balancer.received if drains(listing)), float("inf"))
 
 
 async def drained(at: Site, name: str, balancers: list[Balancer]) -> float:
@@ -313,21 +317,21 @@
         since, _ = at.change("host-00000010", health="draining")
         await one.kill()
         one.gate.drop()
-        assert await drained(at, "host-00000010", first + second) - since <= TOLD_S + 2 * lag.worst
+        assert await drained(at, "host-00000010", first + second) - since <= RECEIVED_WITHIN_S + 2 * lag.worst
         await at.settled()
         two.gate.allowed = 0
         since, _ = at.change("host-00000011", health="draining")
         await until(lambda: two.gate.waiting)  # the relay has written it, and nobody has got it
         await two.kill()
         two.gate.drop()
-        assert await drained(at, "host-00000011", first + second) - since <= TOLD_S + 2 * lag.worst
+        assert await drained(at, "host-00000011", first + second) - since <= RECEIVED_WITHIN_S + 2 * lag.worst
         await at.settled()
-        assert all(balancer.at(three.gate) and balancer.wholes() == 1 for balancer in at.balancers)
+        assert all(balancer.at(three.gate) and balancer.complete_lists() == 1 for balancer in at.balancers)
 
 
 @run
 async def test_moved_between_relays_at_different_versions_and_drains_are_told_in_time() -> None:
-    await beside(back_and_forth, a_version_that_the_relay_never_held, drains)
+    await run_together(back_and_forth, a_version_that_the_relay_never_held, drains)
 
 
 async def source_down() -> None:
@@ -336,14 +340,14 @@
         await at.settled()
         at.change("host-00000001", health="draining")
         await at.settled()
-        told = [len(balancer.told) for balancer in balancers]
+        received = [len(balancer.received) for balancer in balancers]
         ended = [balancer.watches_ended() for balancer in balancers]
         at.service.stop()
-        await until(lambda: all(relay.said("source lost") for relay in at.relays))
+        await until(lambda: all(relay.has_logged("source lost") for relay in at.relays))
         starter = at.balancer(0)
         await until(lambda: starter.rows() == at.service.rows)
         await asyncio.sleep(3.0)
-        assert [len(balancer.told) for balancer in balancers] == told
+        assert [len(balancer.received) for balancer in balancers] == received
         answers, calls = len(at.service.answers), len(at.service.calls)
         await at.service.start()
         await at.settled()
@@ -354,9 +358,11 @@
         assert [balancer.watches_ended() - was for balancer, was in zip(balancers, ended, strict=True)] == [
             1
         ] * 8
-        for balancer, was in zip(balancers, told, strict=True):
-            assert balancer.wholes() == 1 and len(balancer.told) == was + 2  # nothing new, and the change
-        assert starter.wholes() == 1
+        for balancer, was in zip(balancers, received, strict=True):
+            assert (
+                balancer.complete_lists() == 1 and len(balancer.received) == was + 2
+            )  # nothing new, and the change
+        assert starter.complete_lists() == 1
 
 
 async def all_relays_gone() -> None:
@@ -387,13 +393,13 @@
         await at.settled()
         assert all(never_falls(balancer) for balancer in at.balancers)
         # The relay that began anew has no changes before its first list.
-        assert all(balancer.wholes() == 1 for balancer in few)
-        assert all(balancer.wholes() <= 2 for balancer in many + middle)
+        assert all(balancer.complete_lists() == 1 for balancer in few)
+        assert all(balancer.complete_lists() <= 2 for balancer in many + middle)
 
 
 @run
 async def test_the_source_down_for_some_seconds_and_all_relays_gone() -> None:
-    await beside(source_down, all_relays_gone)
+    await run_together(source_down, all_relays_gone)
 
 
 class Latest(random.Random):
@@ -424,7 +430,7 @@
         assert one.process is not None and await one.process.wait() == 0
         sent = [relay.gate.down - was for relay, was in zip(others, before, strict=True)]
         assert all(sent) and sum(sent) < 30 * 1_000 < complete
-        assert all(balancer.wholes() == 1 for balancer in balancers)
+        assert all(balancer.complete_lists() == 1 for balancer in balancers)
         _, version = at.change("host-00000001", health="draining")
         await at.settled()
         assert all(balancer.versions()[-2:] == [version - 1, version] for balancer in balancers)
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -45,20 +45,20 @@
         if not self.silent:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.watches.append(writer)
-            self.say(self.now)
+            self.send_line(self.now)
 
-    def say(self, line: dict[str, Any] | bytes) -> None:
+    def send_line(self, line: dict[str, Any] | bytes) -> None:
         """A line on the watch that stands, and what is told to who calls next."""
         data = line if isinstance(line, bytes) else json.dumps(line).encode() + b"\n"
         if isinstance(line, dict) and line["whole"]:
             self.now = line
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    async def beats(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(0.3)
             if self.watches and not self.silent:
-                self.say(b"\n")
+                self.send_line(b"\n")
 
 
 class Balancer:
@@ -80,8 +80,8 @@
             if not size:
                 raise asyncio.IncompleteReadError(b"", None)
             if data.strip():
-                told: dict[str, Any] = json.loads(data)
-                return told
+                received: dict[str, Any] = json.loads(data)
+                return received
 
     async def lines_to(self, version: int) -> list[dict[str, Any]]:
         lines = [await self.line()]
@@ -135,7 +135,7 @@
 async def site(*rows: dict[str, Any], **settings: Any) -> AsyncIterator[Site]:
     source, loop = Source(*(rows or (row("a"), row("b")))), asyncio.get_running_loop()
     await source.peer.start()
-    beats = asyncio.ensure_future(source.beats())
+    send_heartbeats = asyncio.ensure_future(source.send_heartbeats())
     values = {"listen": "127.0.0.1:0", "source": f"127.0.0.1:{source.peer.port}", "balancers": 100}
     clock = LoopClock(loop)
     relay = Relay(RelaySettings(**(values | settings)), clock, StderrLog(clock.now), loop)
@@ -145,14 +145,14 @@
         await until(lambda: relay.catalog.version is not None, 60.0)
         yield made
     finally:
-        beats.cancel()
+        send_heartbeats.cancel()
         for writer in made.writers:
             writer.transport.abort()
         await relay.stop()
         await source.peer.stop()
 
 
-def test_watches_by_index_are_told_changes_and_beats_and_nobody_ahead_is_told_an_older_list() -> None:
+def test_watches_by_index_get_changes_and_heartbeats_and_none_ahead_gets_an_older_list() -> None:
     async def main() -> None:
         async with site() as here:
             current, old = await here.watch(8), await here.watch(3)
@@ -161,7 +161,7 @@
             here.source.silent = True  # the line that decides is the one below
             behind, other = await here.call(9), await here.call(50)
             await until(lambda: len(here.server.waiting) == 2)
-            here.source.say(table(9, row("a", block=7), complete=False))
+            here.source.send_line(table(9, row("a", block=7), complete=False))
             here.source.silent = False
             for watch in (current, old):
                 assert await watch.line() == table(9, row("a", block=7), complete=False)
@@ -179,7 +179,7 @@
     async def main() -> None:
         async with site() as here:
             silent, slow = await here.raw(""), await here.raw("GET /catalog/mem")
-            asked = {
+            requests = {
                 "GET /catalog HTTP/1.1\r\n\r\n": 404,
                 f"POST {PATH} HTTP/1.1\r\nContent-Length: 0\r\n\r\n": 405,
                 f"GET {PATH}?stream=1&index=-4 HTTP/1.1\r\n\r\n": 400,
@@ -187,7 +187,7 @@
                 f"GET {PATH} HTTP/1.1\r\nX: {'x' * 9_000}": 431,
                 "nonsense\r\n\r\n": 400,
             }
-            for text, status in asked.items():
+            for text, status in requests.items():
                 call = await here.raw(text)
                 assert await call.status() == status and await call.reader.read() == b""
             complete = await here.get()
@@ -199,17 +199,17 @@
     run(main)()
 
 
-def test_a_slow_watcher_is_told_the_sum_of_what_it_missed() -> None:
+def test_a_slow_watcher_gets_one_update_for_all_that_it_missed() -> None:
     """A row that changes twice between two of its reads, one that goes and comes back, one that goes."""
 
     async def main() -> None:
         async with site(row("a"), row("b"), row("c")) as here:
             slow, quick = await here.watch(8, receive=4096), await here.watch(8)
-            kept = next(iter(here.server.watchers))
+            watcher = next(iter(here.server.watchers))
             version = 8
-            while not kept._paused:
+            while not watcher._paused:
                 version += 1
-                here.source.say(
+                here.source.send_line(
                     table(version, *(row(f"s{n}", born_ms=version) for n in range(900)), complete=False)
                 )
                 await quick.lines_to(version)
@@ -222,9 +222,11 @@
                 row("c", health="gone"),
             ):
                 version += 1
-                here.source.say(table(version, changed, complete=False))
+                here.source.send_line(table(version, changed, complete=False))
                 assert (await quick.lines_to(version))[-1]["hosts"] == [changed]
-            assert kept.transport.get_write_buffer_size() <= 200_000  # one change's rest: nothing was queued
+            assert (
+                watcher.transport.get_write_buffer_size() <= 200_000
+            )  # one change's rest: nothing was queued
             lines = await slow.lines_to(version)
             assert lines[-1] == table(
                 version, row("a", block=2), row("b", block=5), row("c", health="gone"), complete=False
@@ -245,7 +247,7 @@
             drips = []
             for version in range(9, 14):
                 drips.append(await here.watch(0, receive=4096))
-                here.source.say(table(version, row("s5", block=version), complete=False))
+                here.source.send_line(table(version, row("s5", block=version), complete=False))
                 assert (await quick.lines_to(version))[-1]["hosts"] == [row("s5", block=version)]
                 for drip in drips:
                     drip.taken += await drip.reader.readexactly(1)
@@ -258,9 +260,9 @@
                 while b'"seq":%d,' % version not in data[-400:] or not data.endswith(b"\n\r\n"):
                     data += await drip.reader.read(2**20)
                 lines = [json.loads(part) for part in data.split(b"\r\n") if part.startswith(b'{"seq"')]
-                told = {r["host"]: r for line in lines for r in line["hosts"]}
+                received = {r["host"]: r for line in lines for r in line["hosts"]}
                 assert [line["whole"] for line in lines] == [True, False]
-                assert told == {r["host"]: r for r in rows} | {"s5": row("s5", block=version)}
+                assert received == {r["host"]: r for r in rows} | {"s5": row("s5", block=version)}
 
     run(main)()
 
@@ -272,11 +274,11 @@
             watch = await here.watch(8)
             await watch.line()
             again = table(version, row("a", born_ms=9), row("d"))
-            here.source.say(again)
+            here.source.send_line(again)
             assert await watch.line() == again
             moved = await here.watch(version)  # by an index that may be of the life before
             assert await moved.line() == again
-            here.source.say(table(version + 1, row("d", block=2), complete=False))
+            here.source.send_line(table(version + 1, row("d", block=2), complete=False))
             assert (
                 await watch.line()
                 == await moved.line()
@@ -301,10 +303,10 @@
     async def main() -> None:
         async with site(*(row(f"s{n}") for n in range(100))) as here:
             assert (await (await here.watch(0)).line())["seq"] == 8
-            here.source.say(table(11, row("c"), complete=False))
+            here.source.send_line(table(11, row("c"), complete=False))
             await until(lambda: here.relay.catalog.version == 11)
-            told = await (await here.watch(10)).line()
-            assert told["whole"] and told["seq"] == 11
+            received = await (await here.watch(10)).line()
+            assert received["whole"] and received["seq"] == 11
 
     run(main)()
 
@@ -324,8 +326,8 @@
             for writer in here.source.peer.writers:
                 writer.close()  # the call that got no answer
             assert await call.status() == 200
-            told = await call.line()
-            assert told["seq"] == 3 and [one["host"] for one in told["hosts"]] == ["z"]
+            received = await call.line()
+            assert received["seq"] == 3 and [one["host"] for one in received["hosts"]] == ["z"]
 
     run(main)()
 
@@ -336,11 +338,11 @@
         async with site() as here:
             watch = await here.watch(8)
             await watch.line()
-            here.source.say(garbage)
+            here.source.send_line(garbage)
             await until(lambda: len(here.source.peer.came) == 2)
             assert here.relay.catalog.version == 8 and len(here.server.watchers) == 1
             await until(lambda: len(here.source.watches) == 2)
-            here.source.say(table(9, row("a", block=1), complete=False))
+            here.source.send_line(table(9, row("a", block=1), complete=False))
             assert await watch.line() == table(9, row("a", block=1), complete=False)
 
     run(main)()
@@ -373,26 +375,26 @@
     run(main)()
 
 
-def test_whole_lists_keep_to_the_bound_and_the_rest_is_told_when_to_come() -> None:
+def test_complete_lists_keep_to_the_bound_and_other_calls_get_retry_after() -> None:
     async def main() -> None:
         rows = [row(f"s{n}") for n in range(400)]
         async with site(*rows, whole_bytes_per_s=200_000.0) as here:
             began = time.monotonic()
             calls = [await here.get() for _ in range(20)] + [await here.call(0) for _ in range(20)]
-            told = [await call.status() for call in calls]
+            received = [await call.status() for call in calls]
             took = time.monotonic() - began
             size = len(here.relay.catalog.complete_list().line)
-            assert 6 <= told.count(200) <= 2 + (1.5 + took) * 200_000 / size and told.count(503) >= 6
+            assert 6 <= received.count(200) <= 2 + (1.5 + took) * 200_000 / size and received.count(503) >= 6
             waits = [float(re.findall(r"Retry-After: (\S+)", c.head)[0]) for c in calls if "503" in c.head]
             assert min(waits) > 0 and len(set(waits)) >= 4
-            first = calls[told.index(200)]
+            first = calls[received.index(200)]
             assert json.loads(await first.reader.read())["hosts"] == rows
-            assert len(here.server.watchers) == told[20:].count(200)
+            assert len(here.server.watchers) == received[20:].count(200)
 
     run(main)()
 
 
-def test_no_more_watchers_than_it_is_told_to_bear() -> None:
+def test_no_more_watchers_than_configured() -> None:
     async def main() -> None:
         async with site(balancers=3, most_watchers=3) as here:
             watches = [await here.watch(8) for _ in range(3)]
@@ -405,7 +407,7 @@
     run(main)()
 
 
-def test_who_comes_again_has_found_no_room_elsewhere_and_is_taken() -> None:
+def test_a_balancer_that_retries_soon_is_admitted_beyond_the_share() -> None:
     async def main() -> None:
         async with site(balancers=1, most_watchers=1) as here:
             await here.watch(8)
@@ -419,11 +421,11 @@
     run(main)()
 
 
-def test_ended_by_a_signal_its_watches_end_in_order_and_no_whole_list_is_sent(tmp_path: Path) -> None:
+def test_at_sigterm_watches_end_in_order_and_no_complete_list_is_sent(tmp_path: Path) -> None:
     async def main() -> None:
         source = Source(*(row(f"s{n}") for n in range(2_000)))
         await source.peer.start()
-        beats = asyncio.ensure_future(source.beats())
+        send_heartbeats = asyncio.ensure_future(source.send_heartbeats())
         file = tmp_path / "operator.toml"
         file.write_text(
             f'[relay]\nlisten = "127.0.0.1:0"\nsource = "127.0.0.1:{source.peer.port}"\nbalancers = 100\n'
@@ -454,7 +456,7 @@
         finally:
             if process.returncode is None:
                 process.kill()
-            beats.cancel()
+            send_heartbeats.cancel()
             await source.peer.stop()
 
     run(main)()
