--- a/quartzford/relay/__init__.py
+++ b/quartzford/relay/__init__.py
@@ -1,1 +1,1 @@
-"""A relay: follows one list service, and tells its list to the balancers that watch here. docs/relay.md"""
+"""A relay: follows one list service and serves its list to the balancers that watch here. docs/relay.md"""
--- /dev/null
+++ b/quartzford/relay/list_encoding.py
@@ -0,0 +1,43 @@
+"""The list's lines in the form of discovery: rows and lines as JSON. No I/O."""
+
+from __future__ import annotations
+
+from json.encoder import encode_basestring_ascii as quoted
+
+from quartzford.decision import interface as io
+
+EXACT_INTEGER_LIMIT = 2**53  # integral floats below this are written as integers
+
+Address = tuple[str, int]  # host and port; an empty host where the row has no address
+
+
+def encode_row(endpoint: io.Endpoint, address: Address) -> bytes:
+    """A row's JSON."""
+    return (
+        f'{{"host":{quoted(endpoint.server)},"dial":{quoted(_dial(address))},"site":{quoted(endpoint.zone)},'
+        f'"class":{quoted(endpoint.kind)},"block":{endpoint.cell},"health":"{endpoint.state}",'
+        f'"share":{endpoint.units!r},"born_ms":{_milliseconds(endpoint.started_ms)}}}'
+    ).encode("ascii")
+
+
+def encode_line(version: int, complete: bool, rows: list[bytes]) -> bytes:
+    """A line with these rows, which end with a newline. The first and last of the rows may be replaced."""
+    head = b'{"seq":%d,"whole":%b,"hosts":[' % (version, b"true" if complete else b"false")
+    if not rows:
+        return head + b"]}\n"
+    rows[0] = head + rows[0]  # one copy of what may be millions of bytes, in the join
+    rows[-1] += b"]}\n"
+    return b",".join(rows)
+
+
+def _dial(address: Address) -> str:
+    host, port = address
+    if not host:
+        return ""
+    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+
+
+def _milliseconds(value: float) -> str:
+    if value < EXACT_INTEGER_LIMIT and value.is_integer():
+        return str(int(value))
+    return repr(value)
