--- a/quartzford/relay/connection.py
+++ b/quartzford/relay/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a relay: a call for the whole list, or a watch."""
+"""One client's connection to a relay: a call for the complete list, or a watch. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -6,224 +6,176 @@
 from collections import Counter
 from collections.abc import Callable
 from enum import Enum
-from typing import Any, Protocol, cast
-from urllib.parse import parse_qsl
-
-import httptools
+from typing import Protocol, cast
 
 from quartzford.engine import Clock, Handle
 from quartzford.protocols.lingering import LingeringClose
-from quartzford.relay.catalog import Catalog, CompleteList, Position, UpdateKind, WatcherUpdate
+from quartzford.relay.catalog import Catalog, Position, UpdateKind, WatcherUpdate
+from quartzford.relay.list_transfer import ListTransfer
+from quartzford.relay.metrics import Metric
+from quartzford.relay.request import ListRequest, RequestError, RequestParser
+from quartzford.relay.responses import (
+    CHUNK_END,
+    HEARTBEAT,
+    LAST_CHUNK,
+    WATCH_HEAD,
+    chunk_head,
+    error_response,
+    list_head,
+    rejection,
+)
+from quartzford.relay.source_monitor import SourceMonitor, SourceState
+from quartzford.relay.transfer_queue import TransferQueue
 from quartzford.relay.transfer_schedule import TransferSchedule
 from quartzford.relay.watch_limit import WatchLimit
 
-LIST_PATH = "/catalog/members"
-MAX_HEAD_BYTES = 8 * 1024
 REQUEST_TIMEOUT_S = 5.0  # a connection on which no request has begun by then is closed
-REQUEST_READ_TIMEOUT_S = 2.0  # a request that is not whole so long after it began is answered 408
-LIST_SEND_TIMEOUT_S = 60.0  # a whole list that is not taken by then: its watcher waits no longer either
-CHUNK_BYTES = 64 * 1024
-HEARTBEAT_TICKS = 20  # of the server's: an empty line to each watcher every two seconds
-AHEAD_SETTLE_S = 2.0  # after the source's next line, until an index above the version held is of another life
-REJECTED_RETRY_S = 1.0  # who is turned away for the source's sake may come again
-FULL_RETRY_S = 2.0
-REASON_PHRASES = {
-    400: "Bad Request",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    431: "Request Header Fields Too Large",
-    503: "Service Unavailable",
-}
-WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-HEARTBEAT = b"1\r\n\n\r\n"
-LAST_CHUNK = b"0\r\n\r\n"
-
-
-class SourceState(Enum):
-    """How the relay stands to the source."""
-
-    CURRENT = "current"
-    WAITING = "waiting"  # its next line is late
-    LOST = "lost"
-
-
-class Server(Protocol):
-    """What a connection needs of the relay that it belongs to."""
+REQUEST_READ_TIMEOUT_S = 2.0  # a request that is not complete so long after it began is answered 408
+LIST_SEND_TIMEOUT_S = 60.0  # a client that has not taken the list by then has given up as well
+HEARTBEAT_TICKS = 20  # of the server's clock: a heartbeat to each watcher every two seconds
+AHEAD_SETTLE_S = 2.0  # an index still ahead so long after the source's next line is of another incarnation
+REJECTED_RETRY_S = 1.0  # Retry-After of a call rejected because of the source
+FULL_RETRY_S = 2.0  # Retry-After of a call rejected for lack of capacity
+
 
+class ConnectionServer(Protocol):
+    """What a connection uses of the server that accepted it."""
+
+    clock: Clock
     catalog: Catalog
+    source: SourceMonitor
+    watch_limit: WatchLimit
     transfer_schedule: TransferSchedule
-    clock: Clock
+    transfer_queue: TransferQueue
     connections: set[ClientConnection]
     watchers: dict[ClientConnection, None]
-    waiting: dict[ClientConnection, None]  # for the source
-    counts: Counter[str]
-    watch_limit: WatchLimit
+    waiting: dict[ClientConnection, None]  # calls that wait for the source
+    counts: Counter[Metric]
     stopping: bool
 
     def too_many_connections(self) -> bool:
-        """Too many connections are open that are no watches."""
+        """Whether too many connections are open that are no watches."""
 
-    def source_state(self) -> SourceState:
-        """How the relay stands to the source."""
-
-    def last_line_at(self) -> float:
-        """When the source's last line came, on the clock."""
-
-    def frame(self, line: bytes) -> bytes:
-        """A line as a chunk."""
-
-    def schedule_chunk(self, connection: ClientConnection) -> None:
-        """A whole list can go on."""
+    def shared_chunk(self, line: bytes) -> bytes:
+        """A line as a chunk, encoded once for all watchers that get it."""
 
 
 class ConnectionState(Enum):
     """How far a call has come."""
 
     READING_REQUEST = "reading request"
-    WAITING = "waiting"  # for the source
-    SCHEDULED = "scheduled"  # for a whole list's
-    SENDING_LIST = "sending list"  # it is being written
+    WAITING_FOR_SOURCE = "waiting for source"
+    SCHEDULED = "scheduled"  # for the sending of a complete list
+    SENDING_LIST = "sending list"
     WATCHING = "watching"
-    CLOSED = "closed"
-
-
-def watch_index(query: str) -> int | None:
-    """The version that a watch goes on from, 0 for the whole list; None of a call for the list alone.
-
-    ValueError where the index is no version.
-    """
-    fields = dict(parse_qsl(query, keep_blank_values=True))
-    if fields.get("stream") != "1":
-        return None
-    index = fields.get("index", "0")
-    if not (index.isascii() and index.isdigit() and len(index) <= 18):
-        raise ValueError(f"index {index[:40]!r}")
-    return int(index)
+    CLOSED = "closed"  # nothing more is written but what has been handed to the transport
 
 
 class ClientConnection(asyncio.Protocol):
-    """A balancer's connection, from its request to its end."""
+    """A client's connection, from its request to its end. Clients are balancers."""
 
     transport: asyncio.Transport
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: ConnectionServer) -> None:
         self.server = server
         self.state = ConnectionState.READING_REQUEST
-        self.index: int | None = None  # of a watch
-        self.position: Position | None = None  # that it has been sent
-        self.heartbeat_slot = 0  # in which its beats fall
-        self._head_sent = False  # the answer has begun
-        self._paused = False
-        self._first_ahead_at = 0.0  # a line came after the call, and it was ahead
+        self.index: int | None = None  # that a watch was called with; None for a call that is no watch
+        self.position: Position | None = None  # what a watcher has been sent
+        self.heartbeat_slot = 0  # the tick at which heartbeats are sent, modulo HEARTBEAT_TICKS
+        self._request_parser = RequestParser()
         self._requested_at = 0.0
-        self._list: CompleteList | None = None
-        self._remaining: memoryview = memoryview(b"")
-        self._scheduled_bytes = 0  # bytes that have a turn
+        self._first_ahead_at = 0.0  # when the index was found ahead of a line younger than the request
+        self._response_begun = False
+        self._writing_paused = False
+        self._transfer: ListTransfer | None = None
+        self._reserved_bytes = 0  # of the transfer schedule
         self._timer: Handle | None = None
         self._lingering: LingeringClose | None = None
-        self._bytes_read = 0
-        self._url = b""
-        self._parser: Any = httptools.HttpRequestParser(self)
 
     # ---- the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A request is waited for, for REQUEST_S."""
+        """Wait for a request, for REQUEST_TIMEOUT_S."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
-        server = self.server
-        server.connections.add(self)
-        if server.stopping:
+        self.server.connections.add(self)
+        if self.server.stopping:
             return self.abort()
-        if server.too_many_connections():
-            self._reject(FULL_RETRY_S, "full")
+        if self.server.too_many_connections():
+            self._reject(FULL_RETRY_S, Metric.FULL)
             return self.transport.close()  # nothing was read, and descriptors are short
         self._set_timer(REQUEST_TIMEOUT_S, self.abort)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Nothing is left of the call."""
+        """Release all that the call held."""
         self._release()
-        self._parser = None
-        if self._timer is not None:
-            self._timer.cancel()
+        self._request_parser.close()
+        self._cancel_timer()
         self.server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read the request; what follows it is not read."""
+        """Read the request; bytes behind it are dropped, as a connection carries one call."""
         if self._lingering is not None:
             return self._lingering.received(len(data))
         if self.state is not ConnectionState.READING_REQUEST:
-            return  # one call to a connection
-        if not self._bytes_read:
+            return
+        if not self.bytes_read:
             self._set_timer(REQUEST_READ_TIMEOUT_S, self._respond_error, 408)
-        self._bytes_read += len(data)
         try:
-            self._parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if self.state is ConnectionState.READING_REQUEST:
-                self._respond_error(400)
-        if self.state is ConnectionState.READING_REQUEST and self._bytes_read > MAX_HEAD_BYTES:
-            self._respond_error(431)
+            request = self._request_parser.feed(data)
+        except RequestError as error:
+            return self._respond_error(error.status)
+        if request is not None:
+            self._begin_call(request)
 
     def eof_received(self) -> bool:
-        """Whoever asked for the list alone may end its sending and still read; any other has left."""
-        if (
-            self._lingering is None
-            and self.index is None
-            and self.state is not ConnectionState.READING_REQUEST
-        ):
+        """A half-close: a call for the list alone is still answered, any other client has left."""
+        is_list_call = self.index is None and self.state is not ConnectionState.READING_REQUEST
+        if is_list_call and self._lingering is None:
             return True
         self._release()
         return False
 
     def pause_writing(self) -> None:
         """The socket takes no more bytes."""
-        self._paused = True
+        self._writing_paused = True
 
     def resume_writing(self) -> None:
-        """The socket has taken all: what is owed by now is written."""
-        self._paused = False
+        """The socket has taken all: write what has become due meanwhile."""
+        self._writing_paused = False
         if self.state is ConnectionState.SENDING_LIST:
-            self.server.schedule_chunk(self)
+            self.server.transfer_queue.add(self)
         else:
             self.send_updates()
 
-    def _set_timer(self, wait: float, then: Callable[..., object], *args: object) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = self.server.clock.call_later(wait, then, *args)
+    @property
+    def bytes_read(self) -> int:
+        """Bytes of the request so far."""
+        return self._request_parser.bytes_read
 
-    def _release(self) -> None:
-        self.state = ConnectionState.CLOSED
-        self._list, self._remaining = None, memoryview(b"")
-        self.server.waiting.pop(self, None)
-        self.server.watchers.pop(self, None)
-        if self._scheduled_bytes:
-            self.server.transfer_schedule.release(self._scheduled_bytes)
-            self._scheduled_bytes = 0
+    # ---- the end
 
     def abort(self) -> None:
-        """Nothing more is written, nor what was."""
+        """Close at once; bytes that have not been sent are dropped."""
         self._release()
         self.transport.abort()
 
     def end(self) -> None:
-        """End the call in order: a watch's answer ends, one that has no answer yet is turned away."""
+        """End the call gracefully: a watch's response ends, a call without a response is rejected."""
         if self.state is ConnectionState.CLOSED:
             return
-        if self.state is ConnectionState.READING_REQUEST and not self._bytes_read:
+        if self.state is ConnectionState.READING_REQUEST and not self.bytes_read:
             return self.abort()
-        if not self._head_sent:
-            return self._reject(REJECTED_RETRY_S, "turned away")
+        if not self._response_begun:
+            return self._reject(REJECTED_RETRY_S, Metric.REJECTED)
         if self.state is ConnectionState.SENDING_LIST and not self.server.stopping:
-            return  # it is sent the list that there is, and ended behind it
-        if self._paused or self._list is not None:
+            return  # the list is sent to its end, and the call ends behind it
+        if self._writing_paused or self._transfer is not None:
             return self.abort()
         self._send_last(LAST_CHUNK if self.index is not None else b"")
 
     def _send_last(self, data: bytes) -> None:
-        """Write the last bytes; the connection ends when they are taken, and what still comes is dropped."""
+        """Write the last bytes; the connection is closed once they are taken."""
         self._release()
         if data:
             self.transport.write(data)
@@ -232,93 +184,91 @@
         self._lingering = LingeringClose(self.transport, clock.now())
         self._lingering.close_in_time(clock)
 
-    # ---- httptools
+    def _respond_error(self, status: int) -> None:
+        self._send_last(error_response(status))
 
-    def on_url(self, url: bytes) -> None:
-        """A part of the request's target."""
-        self._url += url
-
-    def on_headers_complete(self) -> None:
-        """The request is known."""
-        if self.state is not ConnectionState.READING_REQUEST or self._bytes_read > MAX_HEAD_BYTES:
-            return
-        target = self._url.decode("latin-1")
-        if target.startswith("http://"):  # absolute form (RFC 9112, 3.2.2)
-            target = "/" + target[7:].partition("/")[2]
-        path, _, query = target.partition("?")
-        if path != LIST_PATH:
-            return self._respond_error(404)
-        if self._parser.get_method() != b"GET":
-            return self._respond_error(405)
-        try:
-            self.index = watch_index(query)
-        except ValueError:
-            return self._respond_error(400)
-        self._begin_call()
+    def _reject(self, retry_after_s: float, metric: Metric) -> None:
+        self.server.counts[metric] += 1
+        self._send_last(rejection(retry_after_s))
 
-    # ---- the call
-
-    def _respond_error(self, status: int, field: str = "") -> None:
-        allow = "Allow: GET\r\n" if status == 405 else ""
-        self._send_last(
-            f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n{allow}{field}Content-Length: 0\r\n"
-            "Connection: close\r\n\r\n".encode()
-        )
+    def _release(self) -> None:
+        self.state = ConnectionState.CLOSED
+        self._transfer = None
+        self.server.waiting.pop(self, None)
+        self.server.watchers.pop(self, None)
+        if self._reserved_bytes:
+            self.server.transfer_schedule.release(self._reserved_bytes)
+            self._reserved_bytes = 0
 
-    def _reject(self, wait: float, why: str) -> None:
-        self.server.counts[why] += 1
-        self._respond_error(503, f"Retry-After: {wait:.2f}\r\n")
+    def _set_timer(self, delay_s: float, callback: Callable[..., object], *arguments: object) -> None:
+        self._cancel_timer()
+        self._timer = self.server.clock.call_later(delay_s, callback, *arguments)
 
-    def _begin_call(self) -> None:
-        server = self.server
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        if self.index is not None:
-            host = self.transport.get_extra_info("peername")[0]
-            if not server.watch_limit.admits(host, len(server.watchers), server.clock.now()):
-                return self._reject(FULL_RETRY_S, "full")
-            server.counts["watches"] += 1
-            self.heartbeat_slot = server.counts["watches"] % HEARTBEAT_TICKS
-            server.watchers[self] = None
-        else:
-            server.counts["asked"] += 1
-        self._requested_at = server.clock.now()
-        self.state = ConnectionState.WAITING
-        server.waiting[self] = None
+
+    # ---- the call
+
+    def _begin_call(self, request: ListRequest) -> None:
+        self.index = request.index
+        self._cancel_timer()
+        if self.index is None:
+            self.server.counts[Metric.LIST_CALLS] += 1
+        elif not self._admit_watch():
+            return self._reject(FULL_RETRY_S, Metric.FULL)
+        self._requested_at = self.server.clock.now()
+        self.state = ConnectionState.WAITING_FOR_SOURCE
+        self.server.waiting[self] = None
         self.proceed()
 
+    def _admit_watch(self) -> bool:
+        server = self.server
+        host = self.transport.get_extra_info("peername")[0]
+        if not server.watch_limit.admits(host, len(server.watchers), server.clock.now()):
+            return False
+        server.counts[Metric.WATCHES] += 1
+        self.heartbeat_slot = server.counts[Metric.WATCHES] % HEARTBEAT_TICKS
+        server.watchers[self] = None
+        return True
+
     def proceed(self) -> None:
-        """Answer, if the source allows it by now."""
-        if self.state is not ConnectionState.WAITING:
+        """Answer a call that waits for the source, if the source's state allows it by now."""
+        if self.state is not ConnectionState.WAITING_FOR_SOURCE:
             return
-        source, held = self.server.source_state(), self.server.catalog.version is not None
-        if self.index is None and held:
+        catalog = self.server.catalog
+        has_list = catalog.version is not None
+        source_state = self.server.source.state()
+        if self.index is None and has_list:
             self._schedule_list()
-        elif source is SourceState.LOST:
-            self._reject(REJECTED_RETRY_S, "turned away")
-        elif source is SourceState.CURRENT and held:
-            self._answer(self.server.catalog.update_for(None, self.index or 0))
-
-    def _answer(self, update: WatcherUpdate) -> None:
-        if update.kind is UpdateKind.COMPLETE_LIST or (
-            update.kind is UpdateKind.AHEAD and self._of_another_incarnation()
-        ):
+        elif source_state is SourceState.LOST:
+            self._reject(REJECTED_RETRY_S, Metric.REJECTED)
+        elif source_state is SourceState.CURRENT and has_list:
+            self._answer_watch(catalog.update_for(None, self.index or 0))
+
+    def _answer_watch(self, update: WatcherUpdate) -> None:
+        if update.kind is UpdateKind.AHEAD:
+            if self._is_of_another_incarnation():
+                self._schedule_list()
+        elif update.kind is UpdateKind.COMPLETE_LIST:
             self._schedule_list()
-        elif update.kind is not UpdateKind.AHEAD:
+        else:
             self.server.waiting.pop(self, None)
             self.state = ConnectionState.WATCHING
             self._send_changes(update.line or self.server.catalog.no_changes_line())
 
-    def _of_another_incarnation(self) -> bool:
-        """Its index is still above the version held, well after the source has said something."""
+    def _is_of_another_incarnation(self) -> bool:
+        """Whether the index is still ahead AHEAD_SETTLE_S after a line of the source came."""
         now = self.server.clock.now()
-        if not self._first_ahead_at and self.server.last_line_at() > self._requested_at:
+        if not self._first_ahead_at and self.server.source.last_line_at() > self._requested_at:
             self._first_ahead_at = now
         return bool(self._first_ahead_at) and now - self._first_ahead_at >= AHEAD_SETTLE_S
 
+    # ---- updates of a watch
+
     def send_updates(self) -> None:
-        """Send a watcher what it is owed, if its socket takes bytes."""
-        if self.state is not ConnectionState.WATCHING or self._paused:
+        """Send a watcher all changes since its position, if its socket takes bytes."""
+        if self.state is not ConnectionState.WATCHING or self._writing_paused:
             return
         update = self.server.catalog.update_for(self.position)
         if update.kind is UpdateKind.CHANGES:
@@ -327,33 +277,33 @@
             self._schedule_list()
 
     def send_heartbeat(self) -> None:
-        """Say that nothing has changed."""
-        if self.state is ConnectionState.WATCHING and not self._paused:
+        """Send a watcher an empty line, which says that nothing has changed."""
+        if self.state is ConnectionState.WATCHING and not self._writing_paused:
             self.transport.write(HEARTBEAT)
 
     def _send_changes(self, line: bytes) -> None:
-        self.server.counts["changes"] += 1
+        self.server.counts[Metric.UPDATES] += 1
         self.position = self.server.catalog.position()
-        data = self.server.frame(line)
-        if not self._head_sent:
-            self._head_sent = True
+        data = self.server.shared_chunk(line)
+        if not self._response_begun:
+            self._response_begun = True
             data = WATCH_HEAD + data
         self.transport.write(data)
 
-    # ---- whole lists
+    # ---- complete lists
 
     def _schedule_list(self) -> None:
-        """The whole list is owed: in its turn, or not here."""
+        """Reserve a slot for the complete list; without one a new call is rejected, and a watch ended."""
         self.server.waiting.pop(self, None)
         if self.server.stopping:
             return self.end()
         size = self.server.catalog.complete_list_bytes()
         slot = self.server.transfer_schedule.reserve(self.server.clock.now(), size)
         if not slot.granted:
-            if self._head_sent:
+            if self._response_begun:
                 return self.end()
-            return self._reject(slot.wait, "turned away")
-        self._scheduled_bytes = size
+            return self._reject(slot.wait, Metric.REJECTED)
+        self._reserved_bytes = size
         self.state = ConnectionState.SCHEDULED
         self._set_timer(slot.wait, self._begin_list)
 
@@ -362,59 +312,59 @@
             return
         if self.server.stopping:
             return self.end()
-        self._scheduled_bytes = 0
-        self._list = self.server.catalog.complete_list(
-            exact=self.index is None, since=self._required_version()
-        )
-        if self._list.position.version < self._required_version():
-            return self._reject(REJECTED_RETRY_S, "turned away")
-        line = self._list.line
-        self.server.counts["whole"] += 1
-        if self.index is None:
-            head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n" % len(line)
-            head += b"Connection: close\r\n\r\n"
-        else:
-            head = (b"" if self._head_sent else WATCH_HEAD) + b"%x\r\n" % len(line)
-        self._head_sent = True
-        self._remaining = memoryview(line)
+        self._reserved_bytes = 0
+        required_version = self._required_version()
+        complete_list = self.server.catalog.complete_list(exact=self.index is None, since=required_version)
+        if complete_list.position.version < required_version:
+            return self._reject(REJECTED_RETRY_S, Metric.REJECTED)
+        self.server.counts[Metric.COMPLETE_LISTS] += 1
+        self._transfer = ListTransfer(complete_list)
+        head = self._list_response_head(self._transfer.length)
+        self._response_begun = True
         self.state = ConnectionState.SENDING_LIST
         self._set_timer(LIST_SEND_TIMEOUT_S, self.abort)
         self.transport.write(head)
-        if not self._paused:
-            self.server.schedule_chunk(self)
+        if not self._writing_paused:
+            self.server.transfer_queue.add(self)
+
+    def _list_response_head(self, length: int) -> bytes:
+        if self.index is None:
+            return list_head(length)
+        if self._response_begun:
+            return chunk_head(length)
+        return WATCH_HEAD + chunk_head(length)
 
     def _required_version(self) -> int:
-        """The version that the list has to have: a balancer from elsewhere may hold a newer one than others.
+        """The version that the list must have reached: that of a client that comes from another relay.
 
-        An index above the version held is of another life, and says nothing.
+        An index above the version held is of another incarnation, and requires nothing.
         """
-        index = self.index or 0
-        return index if self.position is None and index <= self.server.catalog.position().version else 0
-
-    def send_chunk(self) -> bool:
-        """Write the next piece of the whole list; whether another one may follow at once."""
-        if self.state is not ConnectionState.SENDING_LIST or self._paused:
+        if self.position is not None or self.index is None:
+            return 0
+        return self.index if self.index <= self.server.catalog.position().version else 0
+
+    def send_part(self) -> bool:
+        """Write the next part of the complete list; whether another one may follow at once."""
+        transfer = self._transfer
+        if transfer is None or self._writing_paused:
             return False
-        if self._list is not None and self._list.position.incarnation != self.server.catalog.incarnation:
-            self.abort()  # the source has begun again: what is written is of no use
+        if transfer.position.incarnation != self.server.catalog.incarnation:
+            self.abort()  # the source has restarted: the list is of no use
             return False
-        # A copy: what a slow socket still holds of an old list must not keep the whole of it.
-        data, self._remaining = bytes(self._remaining[:CHUNK_BYTES]), self._remaining[CHUNK_BYTES:]
-        self.transport.write(data)
-        if not self._remaining:
-            self._list_sent()
-        return self.state is ConnectionState.SENDING_LIST and not self._paused
+        self.transport.write(transfer.next_part())
+        if transfer.finished:
+            self._finish_list(transfer.position)
+        return self.state is ConnectionState.SENDING_LIST and not self._writing_paused
 
-    def _list_sent(self) -> None:
-        """All of the list is written: a watcher goes on from its position."""
-        assert self._list is not None
+    def _finish_list(self, position: Position) -> None:
+        """All of the list is written: a watch goes on from its position."""
         if self.index is None:
             return self._send_last(b"")
-        if self._timer is not None:
-            self._timer.cancel()
-        self.position, self._list = self._list.position, None
+        self._cancel_timer()
+        self._transfer = None
+        self.position = position
         self.state = ConnectionState.WATCHING
-        self.transport.write(b"\r\n")
-        if self.server.source_state() is SourceState.LOST:
+        self.transport.write(CHUNK_END)
+        if self.server.source.state() is SourceState.LOST:
             return self.end()
         self.send_updates()
--- a/quartzford/relay/server.py
+++ b/quartzford/relay/server.py
@@ -1,64 +1,48 @@
-"""The side of a relay that balancers ask: who watches, what each is owed, and in which order it is written.
+"""The server of a relay: its connections, and when updates, heartbeats and complete lists are sent.
 
-A watcher costs its socket and its position in the catalog. What it is owed is worked out when its socket
-takes bytes: nothing is queued for one that reads slowly. Changes are written as soon as they are known; whole
-lists in pieces behind them, each when its turn comes.
+A watcher costs its socket and its position in the catalog. Its update is derived when its socket takes
+bytes: nothing is queued for one that reads slowly. Changes are written as soon as they are known; complete
+lists in parts behind them, each at the time that the transfer schedule gives it.
 
-While the source's last line is younger than FRESH_S new watches are answered; past LOST_S the relay has lost
-the source, ends all watches and turns new ones away, so that balancers follow another relay. The last
-list is still given to who asks for the list alone.
+New watches are answered while the source is current. Once it is lost, all watches are ended and new ones
+rejected, so that balancers follow another relay; the last list is still sent to calls for the list alone.
+Times are in seconds.
 """
 
 from __future__ import annotations
 
 import asyncio
 import resource
-import socket
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable
 
 from quartzford.engine import Clock, Log
 from quartzford.fronts.listener import Listener, listen_patiently
 from quartzford.relay.catalog import Catalog
-from quartzford.relay.connection import HEARTBEAT_TICKS, ClientConnection, SourceState
+from quartzford.relay.connection import HEARTBEAT_TICKS, ClientConnection
+from quartzford.relay.listening_socket import open_listening_socket
+from quartzford.relay.metrics import Metric
+from quartzford.relay.responses import chunk
+from quartzford.relay.source_monitor import SourceMonitor, SourceState
+from quartzford.relay.transfer_queue import TransferQueue
 from quartzford.relay.transfer_schedule import TransferSchedule
 from quartzford.relay.watch_limit import WatchLimit
 
+LOG_TOPIC = "relay"
 TICK_S = 0.1
-SOURCE_LATE_S = 2.25  # the source says something every two seconds
-SOURCE_LOST_S = 3.5
-LOST_SPREAD_S = 0.5  # in which all watches are ended where the source is lost
-STOP_SPREAD_S = 0.3  # the same where the relay ends: balancers go on within a second, half of it their own
-STOP_S = 0.8  # after which a relay that ends waits for no connection
 SUMMARY_TICKS = 100
-CHUNKS_PER_ITERATION = 4  # of whole lists, in one turn of the loop
-MAX_OTHER_CONNECTIONS = 512  # connections that are no watches; fewer with few descriptors
-RESERVED_DESCRIPTORS = 64  # descriptors for anything else
+LOST_SPREAD_S = 0.5  # over which all watches are ended once the source is lost
+STOP_SPREAD_S = 0.3  # over which they are ended at a shutdown: balancers go on within a second
+STOP_TIMEOUT_S = 0.8  # after which a shutdown waits for no connection
+STOP_POLL_S = 0.02
+MAX_OTHER_CONNECTIONS = 512  # that are no watches; fewer with few descriptors
+OTHER_CONNECTIONS_DIVISOR = 8  # of the descriptors
+RESERVED_DESCRIPTORS = 64  # for anything but clients' connections
 MAX_WATCHES = 100_000  # where descriptors set no bound
-SEND_BYTES = 256 * 1024  # what the kernel keeps of a connection
-UNACKNOWLEDGED_TIMEOUT_MS = 20_000  # a peer that takes nothing for so long is gone
-BACKLOG = 4096
-
-
-def listening_socket(host: str, port: int) -> socket.socket:
-    """A listening socket whose connections have the options of a relay's; OSError where it can't be had."""
-    family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    sock = socket.socket(family, socket.SOCK_STREAM)
-    try:
-        # Connections that are taken have these too.
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BYTES)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
-        sock.bind((host, port))
-        sock.listen(BACKLOG)
-    except OSError:
-        sock.close()
-        raise
-    return sock
 
 
 class Server:
-    """The listener, its callers, and the beat."""
+    """Accepts connections and tells them of changes, of the source's state and of the time."""
 
     def __init__(
         self,
@@ -73,60 +57,57 @@
     ) -> None:
         """last_line_at: when the source's last line came, on the clock; connected: a watch on it stands.
 
-        most_watchers: the relay's share of the fleet; see watch_limit.py for what comes beyond it.
+        max_watchers: the relay's share of the fleet; see watch_limit.py for what comes beyond it.
         """
-        self.catalog, self.last_line_at, self.connected = catalog, last_line_at, connected
-        self.clock, self.log, self.loop = clock, log, loop
+        self.catalog = catalog
+        self.clock = clock
+        self.log = log
+        self.loop = loop
+        self.source = SourceMonitor(last_line_at, connected, clock)
         self.transfer_schedule = TransferSchedule(list_bytes_per_s)
-        limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.max_other_connections = (
-            MAX_OTHER_CONNECTIONS
-            if limit == resource.RLIM_INFINITY
-            else min(MAX_OTHER_CONNECTIONS, limit // 8)
-        )
-        self.watch_limit = self._new_watch_limit(max_watchers, limit)
+        self.transfer_queue = TransferQueue(clock)
+        descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        self.max_other_connections = max_other_connections(descriptors)
+        self.watch_limit = self._new_watch_limit(max_watchers, descriptors)
         self.connections: set[ClientConnection] = set()
-        self.watchers: dict[ClientConnection, None] = {}  # longest first
-        self.waiting: dict[ClientConnection, None] = {}  # for the source
-        self.counts: Counter[str] = Counter()
+        self.watchers: dict[ClientConnection, None] = {}  # in the order of their calls
+        self.waiting: dict[ClientConnection, None] = {}  # calls that wait for the source
+        self.counts: Counter[Metric] = Counter()
         self.address = ("", 0)
         self.stopping = False
         self._listener: Listener | None = None
-        self._began_at = clock.now()
-        self._lost = False
+        self._source_was_lost = False
         self._ticks = 0
-        self._last_counts: Counter[str] = Counter()  # counts at the last summary
-        self._sending: deque[ClientConnection] = deque()  # whose whole list goes on
-        self._send_scheduled = False
-        self._framed: tuple[bytes, bytes] = b"", b""
-
-    def _new_watch_limit(self, share: int, limit: int) -> WatchLimit:
-        """Within the descriptors that the process may have."""
-        if limit == resource.RLIM_INFINITY:
+        self._summarized_counts: Counter[Metric] = Counter()  # as at the last summary
+        self._shared_line = b""
+        self._shared_chunk = b""
+
+    def _new_watch_limit(self, share: int, descriptors: int) -> WatchLimit:
+        if descriptors == resource.RLIM_INFINITY:
             return WatchLimit(share, MAX_WATCHES)
-        supported = max(1, limit - self.max_other_connections - RESERVED_DESCRIPTORS)
+        supported = max(1, descriptors - self.max_other_connections - RESERVED_DESCRIPTORS)
         if supported < share:
-            self.log.line("relay", f"{limit} descriptors bear {supported} watchers of {share}")
+            self.log.line(LOG_TOPIC, f"{descriptors} descriptors bear {supported} watchers of {share}")
         return WatchLimit(min(share, supported), supported)
 
     def too_many_connections(self) -> bool:
-        """Too many connections are open that are no watches."""
+        """Whether too many connections are open that are no watches."""
         return len(self.connections) - len(self.watchers) > self.max_other_connections
 
-    # ---- start and end
+    # ---- start and shutdown
 
     async def listen(self, host: str, port: int) -> None:
-        """Take calls; port 0 is the kernel's choice."""
-        listening = await listen_patiently(lambda: listening_socket(host, port))
+        """Accept connections; port 0 is the kernel's choice. OSError where the address can't be had."""
+        listening = await listen_patiently(lambda: open_listening_socket(host, port))
         self.address = listening.getsockname()[:2]
         self._listener = Listener([listening], lambda: ClientConnection(self), self.clock, self.loop)
         self._listener.start()
-        self._began_at = self.clock.now()
-        self.log.line("relay", f"listening on {self.address[0]}:{self.address[1]}")
+        self.source.start()
+        self.log.line(LOG_TOPIC, f"listening on {self.address[0]}:{self.address[1]}")
         self.clock.call_later(TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Nobody is taken any more; watches are ended one after the other, and nothing whole is begun."""
+        """Accept nothing more, end all calls gracefully, and abort what is left after STOP_TIMEOUT_S."""
         self.stopping = True
         if self._listener is not None:
             self._listener.close()
@@ -134,38 +115,27 @@
         for connection in [connection for connection in self.connections if connection not in self.watchers]:
             connection.end()
         self._end_watches(STOP_SPREAD_S)
-        until = self.clock.now() + STOP_S
-        while self.connections and self.clock.now() < until:
-            await asyncio.sleep(0.02)
+        deadline = self.clock.now() + STOP_TIMEOUT_S
+        while self.connections and self.clock.now() < deadline:
+            await asyncio.sleep(STOP_POLL_S)
         for connection in list(self.connections):
             connection.abort()
 
-    def _end_watches(self, spread: float) -> None:
-        """All watches, over so many seconds: balancers go elsewhere, and not all in one moment."""
+    def _end_watches(self, spread_s: float) -> None:
+        """End all watches, spread evenly, so that balancers do not all move in one moment."""
         count = len(self.watchers)
-        for n, connection in enumerate(list(self.watchers)):
-            self.clock.call_later(spread * n / count, connection.end)
-
-    # ---- the source
-
-    def source_state(self) -> SourceState:
-        """How the relay stands to the source; a start counts as if something had been heard."""
-        now = self.clock.now()
-        if self.connected() and now - self.last_line_at() <= SOURCE_LATE_S:
-            return SourceState.CURRENT  # without a watch on it, it may have begun again
-        return (
-            SourceState.WAITING
-            if now - max(self.last_line_at(), self._began_at) <= SOURCE_LOST_S
-            else SourceState.LOST
-        )
+        for number, connection in enumerate(list(self.watchers)):
+            self.clock.call_later(spread_s * number / count, connection.end)
+
+    # ---- changes and the clock
 
     def catalog_changed(self) -> None:
-        """Send a change of the catalog to all watchers whose sockets take bytes, and answer who waits."""
+        """Send a change to all watchers whose sockets take bytes, and answer calls that wait."""
         for connection in list(self.watchers):
             connection.send_updates()
-        self._proceed()
+        self._answer_waiting()
 
-    def _proceed(self) -> None:
+    def _answer_waiting(self) -> None:
         for connection in list(self.waiting):
             connection.proceed()
 
@@ -174,50 +144,48 @@
             return
         self.clock.call_later(TICK_S, self._tick)
         self._ticks += 1
-        lost = self.source_state() is SourceState.LOST
-        if lost and not self._lost:
-            self.log.line("relay", f"source lost; {len(self.watchers)} watches are ended")
-            self._end_watches(LOST_SPREAD_S)
-        elif self._lost and not lost:
-            self.log.line("relay", f"source heard again, version {self.catalog.version}")
-        self._lost = lost
-        self._proceed()
-        if not lost:
-            for connection in self.watchers:
-                if connection.heartbeat_slot == self._ticks % HEARTBEAT_TICKS:
-                    connection.send_heartbeat()
+        self._follow_source_state()
+        self._answer_waiting()
+        if not self._source_was_lost:
+            self._send_heartbeats()
         if self._ticks % SUMMARY_TICKS == 0:
-            self._summary()
-
-    def _summary(self) -> None:
-        new = self.counts - self._last_counts
-        if new:
-            what = ", ".join(f"{name} {count}" for name, count in sorted(new.items()))
-            self.log.line(
-                "relay", f"version {self.catalog.version}, {len(self.watchers)} watchers; since then: {what}"
-            )
-            self._last_counts = self.counts.copy()
-
-    # ---- what is written
-
-    def frame(self, line: bytes) -> bytes:
-        """A line as a chunk; one that goes to many is framed once."""
-        if line is not self._framed[0]:
-            self._framed = line, b"%x\r\n%b\r\n" % (len(line), line)
-        return self._framed[1]
-
-    def schedule_chunk(self, connection: ClientConnection) -> None:
-        """A whole list can go on: a piece when those before it have had theirs."""
-        self._sending.append(connection)
-        if not self._send_scheduled:
-            self._send_scheduled = True
-            self.clock.call_soon(self._send_chunks)
-
-    def _send_chunks(self) -> None:
-        for _ in range(min(CHUNKS_PER_ITERATION, len(self._sending))):
-            connection = self._sending.popleft()
-            if connection.send_chunk():
-                self._sending.append(connection)
-        self._send_scheduled = bool(self._sending)
-        if self._send_scheduled:
-            self.clock.call_soon(self._send_chunks)
+            self._log_summary()
+
+    def _follow_source_state(self) -> None:
+        is_lost = self.source.state() is SourceState.LOST
+        if is_lost and not self._source_was_lost:
+            self.log.line(LOG_TOPIC, f"source lost; {len(self.watchers)} watches are ended")
+            self._end_watches(LOST_SPREAD_S)
+        elif self._source_was_lost and not is_lost:
+            self.log.line(LOG_TOPIC, f"source heard again, version {self.catalog.version}")
+        self._source_was_lost = is_lost
+
+    def _send_heartbeats(self) -> None:
+        slot = self._ticks % HEARTBEAT_TICKS
+        for connection in self.watchers:
+            if connection.heartbeat_slot == slot:
+                connection.send_heartbeat()
+
+    def _log_summary(self) -> None:
+        new_counts = self.counts - self._summarized_counts
+        if not new_counts:
+            return
+        named_counts = sorted((metric.value, count) for metric, count in new_counts.items())
+        summary = ", ".join(f"{name} {count}" for name, count in named_counts)
+        version, watchers = self.catalog.version, len(self.watchers)
+        self.log.line(LOG_TOPIC, f"version {version}, {watchers} watchers; since then: {summary}")
+        self._summarized_counts = self.counts.copy()
+
+    def shared_chunk(self, line: bytes) -> bytes:
+        """A line as a chunk; the last one is kept, as it goes to many watchers."""
+        if line is not self._shared_line:
+            self._shared_line = line
+            self._shared_chunk = chunk(line)
+        return self._shared_chunk
+
+
+def max_other_connections(descriptors: int) -> int:
+    """How many connections may be open that are no watches. descriptors: the process's limit."""
+    if descriptors == resource.RLIM_INFINITY:
+        return MAX_OTHER_CONNECTIONS
+    return min(MAX_OTHER_CONNECTIONS, descriptors // OTHER_CONNECTIONS_DIVISOR)
--- /dev/null
+++ b/quartzford/relay/source_monitor.py
@@ -0,0 +1,46 @@
+"""Whether a relay hears from its source, the list service. No I/O. Times are in seconds."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from enum import Enum
+
+from quartzford.engine import Clock
+
+LATE_AFTER_S = 2.25  # the source sends a line every two seconds
+LOST_AFTER_S = 3.5
+
+
+class SourceState(Enum):
+    """What a relay knows of its source."""
+
+    CURRENT = "current"
+    LATE = "late"  # its next line is overdue, or no watch on it stands
+    LOST = "lost"
+
+
+class SourceMonitor:
+    """Derives the source's state from the time of its last line.
+
+    last_line_at: when that came, on the clock; connected: whether a watch on the source stands.
+    """
+
+    def __init__(
+        self, last_line_at: Callable[[], float], connected: Callable[[], bool], clock: Clock
+    ) -> None:
+        self.last_line_at = last_line_at
+        self._connected = connected
+        self._clock = clock
+        self._started_at = clock.now()
+
+    def start(self) -> None:
+        """Count the time without a line from here on."""
+        self._started_at = self._clock.now()
+
+    def state(self) -> SourceState:
+        """The state by now. Without a watch the source may have restarted, so it is never CURRENT then."""
+        now = self._clock.now()
+        if self._connected() and now - self.last_line_at() <= LATE_AFTER_S:
+            return SourceState.CURRENT
+        last_sign = max(self.last_line_at(), self._started_at)
+        return SourceState.LATE if now - last_sign <= LOST_AFTER_S else SourceState.LOST
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -197,7 +197,7 @@
 async def relay_client(here: Site, data: str) -> socket.socket:
     """A connection of whose request something has been read."""
     sock = await connected(here.server.address[1], data.encode())
-    await until(lambda: any(caller._bytes_read for caller in here.server.connections))
+    await until(lambda: any(connection.bytes_read for connection in here.server.connections))
     return sock
 
 
@@ -206,7 +206,7 @@
     async with site() as here:
         sock = await relay_client(here, "GET /else HTTP/1.1\r\n")
         sock.send(b"Content-Length: 99999999\r\n\r\n")
-        await until(lambda: all(caller.state is ConnectionState.CLOSED for caller in here.server.connections))
+        await until(lambda: all(each.state is ConnectionState.CLOSED for each in here.server.connections))
         for _ in range(7):
             await asyncio.get_running_loop().sock_sendall(sock, b"b" * 10_000)
         assert await status_of(sock) == 404
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -21,7 +21,8 @@
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.relay import connection
 from quartzford.relay.catalog import MAX_ENCODINGS
-from quartzford.relay.connection import CHUNK_BYTES, ConnectionState
+from quartzford.relay.connection import ConnectionState
+from quartzford.relay.list_transfer import PART_BYTES
 from quartzford.relay.relay import Relay
 from quartzford.settings.operatorfile import RelaySettings
 
@@ -135,7 +136,7 @@
 async def site(*rows: dict[str, Any], **settings: Any) -> AsyncIterator[Site]:
     source, loop = Source(*(rows or (row("a"), row("b")))), asyncio.get_running_loop()
     await source.peer.start()
-    send_heartbeats = asyncio.ensure_future(source.send_heartbeats())
+    heartbeats = asyncio.ensure_future(source.send_heartbeats())
     values = {"listen": "127.0.0.1:0", "source": f"127.0.0.1:{source.peer.port}", "balancers": 100}
     clock = LoopClock(loop)
     relay = Relay(RelaySettings(**(values | settings)), clock, StderrLog(clock.now), loop)
@@ -145,7 +146,7 @@
         await until(lambda: relay.catalog.version is not None, 60.0)
         yield made
     finally:
-        send_heartbeats.cancel()
+        heartbeats.cancel()
         for writer in made.writers:
             writer.transport.abort()
         await relay.stop()
@@ -207,7 +208,7 @@
             slow, quick = await here.watch(8, receive=4096), await here.watch(8)
             watcher = next(iter(here.server.watchers))
             version = 8
-            while not watcher._paused:
+            while not watcher._writing_paused:
                 version += 1
                 here.source.send_line(
                     table(version, *(row(f"s{n}", born_ms=version) for n in range(900)), complete=False)
@@ -253,7 +254,7 @@
                     drip.taken += await drip.reader.readexactly(1)
             sending = [c for c in here.server.watchers if c.state is ConnectionState.SENDING_LIST]
             assert len(sending) == len(drips)
-            assert all(c.transport.get_write_buffer_size() <= CHUNK_BYTES + 64 for c in sending)
+            assert all(c.transport.get_write_buffer_size() <= PART_BYTES + 64 for c in sending)
             assert len(here.relay.catalog._encodings) <= MAX_ENCODINGS + 1
             for drip in (drips[0], drips[-1]):
                 data = drip.taken
@@ -425,7 +426,7 @@
     async def main() -> None:
         source = Source(*(row(f"s{n}") for n in range(2_000)))
         await source.peer.start()
-        send_heartbeats = asyncio.ensure_future(source.send_heartbeats())
+        heartbeats = asyncio.ensure_future(source.send_heartbeats())
         file = tmp_path / "operator.toml"
         file.write_text(
             f'[relay]\nlisten = "127.0.0.1:0"\nsource = "127.0.0.1:{source.peer.port}"\nbalancers = 100\n'
@@ -456,7 +457,7 @@
         finally:
             if process.returncode is None:
                 process.kill()
-            send_heartbeats.cancel()
+            heartbeats.cancel()
             await source.peer.stop()
 
     run(main)()
