--- a/tests/test_relay_catalog.py
+++ b/tests/test_relay_catalog.py
@@ -1,4 +1,4 @@
-"""What a watcher at some version is owed, whole lists in their turn: the relay's core without I/O."""
+"""The update for a watcher at some version, and the encodings of the list: the catalog without I/O."""
 
 from __future__ import annotations
 
@@ -10,8 +10,6 @@
 
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.relay.catalog import MAX_ENCODINGS, Catalog, Position, UpdateKind
-from quartzford.relay.transfer_schedule import MAX_RETRY_S, TransferSchedule
-from quartzford.relay.watch_limit import RETRY_WINDOW_S, WatchLimit
 
 Table = dict[str, dict[str, Any]]
 
@@ -41,7 +39,7 @@
 
 
 def update_for(catalog: Catalog, position: Position | None, index: int = 0) -> Any:
-    """What is due, or the changes' rows."""
+    """The kind of the update, or the changes' rows."""
     kind, text = catalog.update_for(position, index)
     return json.loads(text)["hosts"] if kind is UpdateKind.CHANGES else kind
 
@@ -109,7 +107,7 @@
 
 @pytest.mark.parametrize("version", [4, 9])
 def test_a_new_incarnation_of_the_source_is_sent_as_the_complete_list_to_all(version: int) -> None:
-    """Lower, or the same version with other rows: who watched throughout, and who comes by an old index."""
+    """A lower or the same version with other rows: for a watch that stands, and a call by an old index."""
     catalog = held(line(8, row("a"), row("b"), complete=True), line(9, row("a", block=4)))
     before = catalog.position()
     assert not catalog.apply(line(9, row("b"), row("a", block=4), complete=True))
@@ -186,10 +184,12 @@
 
 
 class Model:
-    """A source, as plainly as can be: every version's rows are kept."""
+    """A source in its simplest form: the rows of every version are kept."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.rng, self.version, self.table = rng, 1, {f"s{n}": row(f"s{n}") for n in range(6)}
+        self.rng = rng
+        self.version = 1
+        self.table = {f"s{n}": row(f"s{n}") for n in range(6)}
         self.past: dict[int, Table] = {1: dict(self.table)}
 
     def step(self) -> None:
@@ -202,10 +202,11 @@
                 self.table[name] = row(name, block=self.rng.randrange(4))
         self.past[self.version] = dict(self.table)
 
-    def again(self) -> None:
-        """It begins again: lower versions, or the same one, and other rows."""
+    def restart(self) -> None:
+        """A new incarnation: lower versions, or the same one, and other rows."""
         version = self.rng.choice((self.version, max(1, self.version - self.rng.randrange(9))))
-        self.version, self.past = version, {}
+        self.version = version
+        self.past = {}
         self.table = {f"s{n}": row(f"s{n}", block=self.rng.randrange(50)) for n in range(6)}
         self.past[version] = dict(self.table)
 
@@ -220,7 +221,8 @@
 
 class Relay:
     def __init__(self, model: Model) -> None:
-        self.model, self.catalog = model, Catalog(max_tombstones=5, max_versions=12, max_encodings=2)
+        self.model = model
+        self.catalog = Catalog(max_tombstones=5, max_versions=12, max_encodings=2)
         self.since: int | None = None
 
     def hear(self) -> None:
@@ -229,7 +231,7 @@
 
 
 class Watcher:
-    """Keeps what it is told, and nothing that is older."""
+    """Applies the updates that a relay sends it; none may be older than what it holds."""
 
     def __init__(self) -> None:
         self.rows: Table = {}
@@ -239,15 +241,15 @@
 
     def follow(self, catalog: Catalog) -> None:
         kind, text = catalog.update_for(self.position, self.version)
-        if kind in (
-            UpdateKind.COMPLETE_LIST,
-            UpdateKind.AHEAD,
-        ):  # the test's relays are never behind when this is asked
-            complete = catalog.complete_list()
-            self.lists.append(complete)
-            text, self.position = complete.line, complete.position
+        # A relay of the test is never behind here: an index ahead of it is of another incarnation.
+        if kind in (UpdateKind.COMPLETE_LIST, UpdateKind.AHEAD):
+            complete_list = catalog.complete_list()
+            self.lists.append(complete_list)
+            text = complete_list.line
+            self.position = complete_list.position
         else:
-            text, self.position = text or catalog.no_changes_line(), catalog.position()
+            text = text or catalog.no_changes_line()
+            self.position = catalog.position()
         received = json.loads(text)
         assert received["whole"] or received["seq"] >= self.version, "changes that a balancer refuses"
         self.version = received["seq"]
@@ -262,7 +264,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_watchers_that_apply_their_updates_end_with_the_rows_of_the_source(seed: int) -> None:
-    """Two relays that hear some versions only, watchers that read now and then and change relays by index."""
+    """Two relays that miss versions, watchers that read now and then and move between relays by index."""
     rng = random.Random(seed)
     model = Model(rng)
     relays = [Relay(model), Relay(model)]
@@ -272,10 +274,10 @@
         if what < 0.4:
             model.step()
         elif what < 0.41:
-            for relay in relays:  # who had missed the last versions could take a new life for the same one
+            for relay in relays:  # one that missed versions could take a new incarnation for the same one
                 relay.hear()
-            model.again()
-            for relay in relays:  # its watch ended, and the next one asks for all
+            model.restart()
+            for relay in relays:  # its watch ended, and the next one is for the complete list
                 relay.since = None
                 relay.hear()
         elif what < 0.45:
@@ -297,53 +299,5 @@
     for watcher, relay in watchers:
         relay.hear()
         watcher.follow(relay.catalog)
-        watcher.follow(relay.catalog)  # a whole list may be some versions old
+        watcher.follow(relay.catalog)  # a complete list may be some versions old
         assert watcher.rows == model.table and watcher.version == model.version
-
-
-def test_complete_lists_are_sent_in_turn_within_the_bound_and_other_calls_get_a_retry_time() -> None:
-    schedule = TransferSchedule(1_000.0)
-    slots = [schedule.reserve(100.0, 500) for _ in range(8)]
-    assert [t.wait for t in slots if t.granted] == [0.0, 0.5, 1.0, 1.5]
-    assert [t.wait for t in slots if not t.granted] == [2.0, 2.5, 3.0, 2.0]
-    # Who comes when told to is served, in time for the bound.
-    assert [schedule.reserve(100.0 + t.wait, 500) for t in slots[4:7]] == [(True, 0.0)] * 3
-    assert schedule.reserve(200.0, 500) == (True, 0.0)
-    schedule.release(500)
-    assert schedule.reserve(200.0, 500) == (True, 0.0)
-    assert all(schedule.reserve(200.0, 10**6).wait <= MAX_RETRY_S for _ in range(9))
-
-
-def test_many_calls_that_retry_at_the_given_time_use_the_bound_in_full() -> None:
-    """Four hundred, told together and again and again: each list lasts 0.2 s of the rate."""
-    schedule, arrivals, served = TransferSchedule(1_000.0), [0.0] * 400, 0
-    while (now := arrivals[0]) < 60.0:
-        slot = schedule.reserve(now, 200)
-        served += slot.granted
-        arrivals = sorted(arrivals[1:] + ([] if slot.granted else [now + slot.wait]))
-    assert 0.95 * 60.0 / 0.2 <= served <= 1.05 * 60.0 / 0.2
-
-
-def test_a_list_longer_than_the_bound_allows_is_sent_all_the_same() -> None:
-    schedule = TransferSchedule(1_000.0)
-    assert schedule.reserve(5.0, 10_000) == (True, 0.0) and not schedule.reserve(5.1, 10_000).granted
-    assert schedule.reserve(14.0, 10_000) == (True, 1.0)
-
-
-def test_watches_beyond_the_share_are_for_those_that_retry() -> None:
-    limit = WatchLimit(share=2, maximum=3)
-    assert limit.admits("a", 0, 0.0) and limit.admits("b", 1, 0.0)
-    assert not limit.admits("c", 2, 0.0) and not limit.admits("d", 2, 0.0)
-    assert limit.admits("c", 2, 4.0)
-    assert not limit.admits("d", 3, 4.0), "nobody beyond what the descriptors bear"
-    assert not limit.admits("d", 2, 4.0 + RETRY_WINDOW_S + 0.1), "a better place that is tried now and then"
-    assert limit.admits("d", 1, 30.0)
-    assert not limit.admits("d", 2, 31.0), "taken meanwhile: it comes for the first time"
-
-
-def test_rejected_hosts_are_remembered_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quartzford.relay.watch_limit.MAX_REMEMBERED", 2)
-    limit = WatchLimit(share=0, maximum=10)
-    for host in ("a", "b", "c"):
-        assert not limit.admits(host, 1, 0.0)
-    assert limit.admits("b", 1, 1.0) and not limit.admits("a", 1, 1.0)
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -1,4 +1,4 @@
-"""A relay on real sockets: the source's lines are the test's, balancers are plain connections."""
+"""A relay on real sockets: the test writes the source's lines, balancers are plain connections."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Source:
-    """A list service; silent: it takes calls, beats no more and answers nothing."""
+    """A list service; silent: it accepts calls, but sends no heartbeats and no answers."""
 
     def __init__(self, *rows: dict[str, Any], version: int = 8) -> None:
         self.now = table(version, *rows)
@@ -49,7 +49,7 @@
             self.send_line(self.now)
 
     def send_line(self, line: dict[str, Any] | bytes) -> None:
-        """A line on the watch that stands, and what is told to who calls next."""
+        """Send a line on the watch that stands; a complete list also answers the next call."""
         data = line if isinstance(line, bytes) else json.dumps(line).encode() + b"\n"
         if isinstance(line, dict) and line["whole"]:
             self.now = line
@@ -74,7 +74,7 @@
         return int(self.head.split()[1])
 
     async def line(self) -> dict[str, Any]:
-        """The next line that is no beat; IncompleteReadError where the watch ends before."""
+        """The next line that is no heartbeat; IncompleteReadError where the watch ends before."""
         while True:
             size = int(await self.reader.readuntil(b"\r\n"), 16)
             data = (await self.reader.readexactly(size + 2))[:-2]
@@ -91,7 +91,7 @@
         return lines
 
     async def ended(self) -> bool:
-        """In order, with nothing told before."""
+        """Whether the watch ends in order, with nothing sent before."""
         with suppress(asyncio.IncompleteReadError):
             raise AssertionError(await self.line())
         return await self.reader.read() == b""
@@ -201,7 +201,7 @@
 
 
 def test_a_slow_watcher_gets_one_update_for_all_that_it_missed() -> None:
-    """A row that changes twice between two of its reads, one that goes and comes back, one that goes."""
+    """A row changed twice between two reads, one removed and added again, one removed."""
 
     async def main() -> None:
         async with site(row("a"), row("b"), row("c")) as here:
@@ -238,7 +238,7 @@
 
 
 def test_63000_rows_and_watchers_that_hardly_read_hold_up_nobody() -> None:
-    """Changes come while whole lists are under way; encodings are bounded, and each ends with the rows."""
+    """Changes come while complete lists are being sent; encodings are bounded, each client has all rows."""
 
     async def main() -> None:
         rows = [row(f"s{n}") for n in range(63_000)]
@@ -277,7 +277,7 @@
             again = table(version, row("a", born_ms=9), row("d"))
             here.source.send_line(again)
             assert await watch.line() == again
-            moved = await here.watch(version)  # by an index that may be of the life before
+            moved = await here.watch(version)  # by an index that may be of the incarnation before
             assert await moved.line() == again
             here.source.send_line(table(version + 1, row("d", block=2), complete=False))
             assert (
@@ -299,7 +299,7 @@
 
 
 def test_a_list_encoded_before_is_no_answer_to_a_newer_index() -> None:
-    """The relay has heard 8 and then 11; who comes with 10 is owed the whole list, and never that of 8."""
+    """The relay has heard 8 and then 11; a call by 10 gets the complete list, and never that of 8."""
 
     async def main() -> None:
         async with site(*(row(f"s{n}") for n in range(100))) as here:
