--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -471,7 +471,11 @@
     lines = given(model.program.log_lines_per_s * fleet, "a balancer's most x balancers")
     return (
         row(
-            "state", "who is out by hand", UNKNOWN, "number", today="`replacement/book.py`, at each balancer"
+            "state",
+            "who is out by hand",
+            UNKNOWN,
+            "number",
+            today="`replacement/maintenance_file.py`, at each balancer",
         ),
         row(
             "messages",
--- a/quartzford/atomic_file.py
+++ b/quartzford/atomic_file.py
@@ -11,12 +11,12 @@
 from contextlib import suppress
 from pathlib import Path
 
-TEMPORARY_ENDING = ".tmp"
+TEMPORARY_SUFFIX = ".tmp"
 
 
 def temporary_path(path: str) -> str:
     """Where this process prepares what will lie at a path: `PATH.PID.tmp`."""
-    return f"{path}.{os.getpid()}{TEMPORARY_ENDING}"
+    return f"{path}.{os.getpid()}{TEMPORARY_SUFFIX}"
 
 
 def replace_file(path: str, data: bytes, *, synced: bool) -> None:
@@ -59,7 +59,7 @@
         os.close(descriptor)
 
 
-def remove_leftovers(path: str) -> None:
+def remove_stale_temporary_files(path: str) -> None:
     """Remove the temporary files of processes that have ended. OSError where the folder can't be read."""
     target = Path(path)
     for name in os.listdir(target.parent):
@@ -72,9 +72,9 @@
 def _writer_of(name: str, target: str) -> int | None:
     """The process that a temporary file for the target belongs to; None where it is another file."""
     prefix = f"{target}."
-    if not name.startswith(prefix) or not name.endswith(TEMPORARY_ENDING):
+    if not name.startswith(prefix) or not name.endswith(TEMPORARY_SUFFIX):
         return None
-    middle = name[len(prefix) : -len(TEMPORARY_ENDING)]
+    middle = name[len(prefix) : -len(TEMPORARY_SUFFIX)]
     return int(middle) if middle.isascii() and middle.isdecimal() else None
 
 
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -25,7 +25,7 @@
 class Recorder(Protocol):
     """Who is told of what is asked."""
 
-    def take(self, request: io.Request, size: int) -> None: ...
+    def record(self, request: io.Request, size: int) -> None: ...
 
 
 class Sends(Protocol):
@@ -166,7 +166,7 @@
         self.calls[call.number] = call
         call.kind = request.service_class
         if self.recorder is not None:
-            self.recorder.take(request, size)
+            self.recorder.record(request, size)
         self.feed(request)
 
     def gone(self, call: Call) -> None:
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -98,7 +98,7 @@
         self.draining = False  # no connection is kept after its answer
         self.rejecting = False  # the process exits: nothing more is read as a request
         self.listener: Listener | None = None  # stays open while nobody accepts: its queue is kept
-        self.heir: Callable[[int], bool] | None = None  # takes the connections that rest
+        self.transfer_to_successor: Callable[[int], bool] | None = None  # takes the connections that rest
         self.unread: dict[Client, None] = {}  # whose bytes are left with the system for now
 
     def listen(
@@ -149,8 +149,8 @@
 
     def offer(self, client: Client) -> None:
         """Hand a connection over, if nothing of a request or an answer is on its way."""
-        if self.heir is not None and client.rests():
-            client.hand_over(self.heir)
+        if self.transfer_to_successor is not None and client.rests():
+            client.hand_over(self.transfer_to_successor)
 
     def waiting(self) -> int:
         """Requests that have come whole behind others of their connection."""
@@ -637,7 +637,7 @@
             self._take(following, request)
         elif self.error:
             self.reject(self.error)
-        elif self.front.heir is not None:
+        elif self.front.transfer_to_successor is not None:
             self.front.clock.call_soon(self.front.offer, self)  # once its answer is written
 
     def _forget_waiting(self) -> None:
@@ -697,9 +697,9 @@
             and not self.transport.get_write_buffer_size()
         )
 
-    def hand_over(self, heir: Callable[[int], bool]) -> None:
+    def hand_over(self, transfer_to_successor: Callable[[int], bool]) -> None:
         self.transport.pause_reading()
-        if heir(self.transport.get_extra_info("socket").fileno()):
+        if transfer_to_successor(self.transport.get_extra_info("socket").fileno()):
             self.closing = True
             self.transport.abort()  # this process's end only: the connection stands
         else:
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from quartzford.atomic_file import remove_leftovers, replace_file
+from quartzford.atomic_file import remove_stale_temporary_files, replace_file
 from quartzford.engine import Clock, Handle, Log
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.membership.snapshot import (
@@ -183,5 +183,5 @@
     """The file is the old one or the new one, whenever the machine ends; OSError if it could not be."""
     data = encode(snapshot)
     with suppress(OSError):
-        remove_leftovers(path)
+        remove_stale_temporary_files(path)
     replace_file(path, data, synced=True)
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -27,8 +27,8 @@
 
 if TYPE_CHECKING:
     from quartzford.membership.snapshot_writer import SnapshotWriter
-    from quartzford.replacement.state import State
-    from quartzford.replacement.succession import Succession
+    from quartzford.replacement.handover import Handover
+    from quartzford.replacement.state import BalancerState
 
 BASE_BYTES = 56 * 1024 * 1024  # the interpreter, the module and what sockets cost
 PAIR_BYTES = 30 * 1024 * 1024  # of each process while there are two: the interpreter without headroom
@@ -82,15 +82,15 @@
         self.operations = OperationsFront(self, clock)
         self.front = HttpFront(self.engine, self.pool, self.budget, clock, self.ready)
         self.ending = False
-        self.busy_before = 0
+        self.predecessor_busy_clients = 0
         self.counted: Counter[str] = Counter()  # by the last summary
-        self.succession: Succession | None = None
+        self.handover: Handover | None = None
         if folder:
             # Only here: what is needed for it costs other runs nothing.
-            from quartzford.replacement.succession import Succession, place
+            from quartzford.replacement.handover import Handover, balancer_path
 
-            path = place(str(Path(folder).resolve()), config.name, config.listen)
-            self.succession = Succession(self, path, clock, self.log, loop)
+            path = balancer_path(str(Path(folder).resolve()), config.name, config.listen)
+            self.handover = Handover(self, path, clock, self.log, loop)
         self._configure(config)
         self.draining_since = math.inf
         self.finished = loop.create_future()
@@ -131,9 +131,9 @@
         spare = max(16, config.descriptors - BASE_DESCRIPTORS)
         clients = int(CLIENT_SHARE * spare)
         upstream = spare - clients
-        if self.succession is not None and self.succession.paired:  # two processes share the bounds
+        if self.handover is not None and self.handover.paired:  # two processes share the bounds
             self.budget.limit = max(4 * 1024 * 1024, config.memory_bytes // 2 - PAIR_BYTES)
-            clients, upstream = max(8, clients - self.busy_before), max(8, upstream // 2)
+            clients, upstream = max(8, clients - self.predecessor_busy_clients), max(8, upstream // 2)
         else:
             self.budget.limit = max(8 * 1024 * 1024, config.memory_bytes - BASE_BYTES)
         self.front.most = clients
@@ -160,8 +160,8 @@
             return
         self.front.listen(self.config.listen, self.loop, self.config.admin is not None, self._listener)
         self._listened = True
-        if self.succession is not None:
-            self.succession.serves()
+        if self.handover is not None:
+            self.handover.announce_serving()
         self.clock.call_later(SUMMARY_S, self._summary)
         self.engine.start()
         self.clock.call_later(SWEEP_S, self._sweep)
@@ -173,8 +173,8 @@
         before come as soon as the address listens: the list as last had may name servers that drain since.
         """
         self._begun = True
-        if self.succession is not None:
-            known, self._listener = await self._inherit(self.succession, known)
+        if self.handover is not None:
+            known, self._listener = await self._inherit(self.handover, known)
         self.control.begin(known, self._version, self._memory, self._inherited_starts)
         self._memory = self._inherited_starts = None
         # Requests in the queue of a listener that stands count as taken: they can't wait, and the process
@@ -196,10 +196,10 @@
         self.ending = True
         self.first_list_adopted.set()
         self.draining_since = self.clock.now()
-        if self.succession is None:
+        if self.handover is None:
             self.drain()
         else:
-            self.succession.terminate()
+            self.handover.terminate()
 
     def drain(self) -> None:
         """End with no successor: new connections go on coming for a moment."""
@@ -249,22 +249,22 @@
     def _finish(self) -> None:
         self.control.stop()
         self.operations.stop()
-        if self.succession is not None:
-            self.succession.stop()
+        if self.handover is not None:
+            self.handover.stop()
         if not self.finished.done():
             self.finished.set_result(None)
 
     # ---- a process that follows this one, or went before
 
-    async def _inherit(self, succession: Succession, known: Listing) -> tuple[Listing, socket.socket | None]:
+    async def _inherit(self, handover: Handover, known: Listing) -> tuple[Listing, socket.socket | None]:
         """The list and the listener of the process before, if it gives them; who is out is also on file."""
-        given = await succession.ask()
-        names = on_file = set(succession.names_out())
+        given = await handover.request_handover()
+        names = on_file = set(handover.maintenance_on_file())
         state = given.state if given is not None else None
         if state is not None:
             try:
                 known = read_listing(state.listing)
-                self.busy_before = max(0, state.busy)
+                self.predecessor_busy_clients = max(0, state.busy)
                 # Another discovery counts its versions anew: changes since ours would leave out what differs.
                 same = state.discovery == list(self.config.discovery)
                 self._version = state.version if same else None
@@ -277,13 +277,13 @@
         for name in names:
             self.engine.feed(io.MaintenanceChange(name, True))
         if names != on_file:  # the process before could not write its file
-            succession.book.note(self.engine.balancer.by_hand)
+            handover.maintenance_file.save(self.engine.balancer.by_hand)
         if given is None:
             return known, None
         self._configure(self.config)
         return known, given.listener
 
-    def _take_over_times(self, state: State, same_discovery: bool) -> None:
+    def _take_over_times(self, state: BalancerState, same_discovery: bool) -> None:
         """What the predecessor knew, its moments moved to this process's scale by the monotonic clock."""
         if state.anchor_ms is None:  # of an earlier version, which took the two scales for one
             self._memory = state.memory
@@ -300,8 +300,8 @@
         """The engine's scale less the monotonic clock, in milliseconds."""
         return self.clock.unix_ms() - self.clock.now() * 1000.0
 
-    def stand_down(self) -> tuple[socket.socket, State] | None:
-        from quartzford.replacement.state import FORMAT, State
+    def release_listener(self) -> tuple[socket.socket, BalancerState] | None:
+        from quartzford.replacement.state import STATE_FORMAT, BalancerState
 
         listener = self.front.stop_accepting()
         if listener is None:
@@ -312,8 +312,8 @@
         memory = self.engine.hand_over()
         listed_ms = self.control.list_known_ms()
         warm_before_ms = self.clock.unix_ms() - self.config.settings.rules.slow_start_ms
-        return listener, State(
-            FORMAT,
+        return listener, BalancerState(
+            STATE_FORMAT,
             self.registry.table(),
             self.watch.version,
             list(self.config.discovery),
@@ -325,33 +325,33 @@
             self.control.start_times.after(warm_before_ms),
         )
 
-    def take_back(self) -> None:
-        self.alone()
+    def resume_serving(self) -> None:
+        self.use_full_limits()
         self.engine.take_back()
         self.front.resume()
 
-    def hand_clients(self, hand: Callable[[int], bool] | None) -> None:
-        self.front.heir = hand
-        if hand is not None:
+    def transfer_clients(self, transfer: Callable[[int], bool] | None) -> None:
+        self.front.transfer_to_successor = transfer
+        if transfer is not None:
             self.pool.trim()
             self._pass_on()
 
     def _pass_on(self) -> None:
-        if self.front.heir is not None:
+        if self.front.transfer_to_successor is not None:
             self.front.offer_all()
             self.clock.call_later(PASS_S, self._pass_on)
 
-    def leave(self) -> None:
+    def drain_to_successor(self) -> None:
         self._end_when_quiet()
 
-    def client(self, sock: socket.socket) -> None:
+    def adopt_client(self, sock: socket.socket) -> None:
         self.loop.create_task(self.front.adopt(sock))
 
-    def apply_by_hand(self, name: str, out: bool) -> None:
+    def apply_maintenance(self, name: str, out: bool) -> None:
         self.control.by_hand(name, out)
 
-    def alone(self) -> None:
-        self.busy_before = 0
+    def use_full_limits(self) -> None:
+        self.predecessor_busy_clients = 0
         self._configure(self.config)
 
     # ---- what operators ask and set
@@ -361,8 +361,8 @@
         if name not in balancer.servers and name not in balancer.by_hand:
             return False
         self.control.by_hand(name, out)
-        if self.succession is not None:
-            self.succession.by_hand(name, out, balancer.by_hand)
+        if self.handover is not None:
+            self.handover.publish_maintenance(name, out, balancer.by_hand)
         return True
 
     def figures(self, prefix: str) -> str:
--- a/quartzford/recording.py
+++ b/quartzford/recording.py
@@ -18,33 +18,33 @@
 from quartzford.engine import Clock, Log
 from quartzford.load.trace import END, HEAD, VERSION, Row, line_of
 
-KEYS = ("hashed", "plain", "none")
-WAITING = 65_536  # lines that may wait for the disk
-FLUSH_S = 0.5
-CLOSE_S = 5.0
+KEY_MODES = ("hashed", "plain", "none")
+MAX_QUEUED_LINES = 65_536  # lines that may wait for the disk
+WRITER_CHECK_S = 0.5
+CLOSE_TIMEOUT_S = 5.0
 
 
 class Recorder:
     """Writes each request that the engine takes. keys: one of KEYS; most_bytes: the file's bound."""
 
-    def __init__(self, path: str, keys: str, most_bytes: int, clock: Clock, log: Log) -> None:
+    def __init__(self, path: str, keys: str, max_bytes: int, clock: Clock, log: Log) -> None:
         """OSError if the file can't be made."""
-        self.clock, self.log, self.keys, self.most_bytes = clock, log, keys, most_bytes
+        self.clock, self.log, self.keys, self.max_bytes = clock, log, keys, max_bytes
         self.file = Path(path).open("w", encoding="ascii", newline="\n")  # noqa: SIM115
         self.file.write(f"{HEAD}{VERSION}\n")
         self.secret = os.urandom(16)
         self.begun = clock.now()
         self.count = self.bytes = 0
-        self.trouble = ""  # why it ended before the service did
-        self.over = self.failure_logged = False
+        self.write_error = ""  # why it ended before the service did
+        self.stopped = self.failure_logged = False
         self.lines: queue.SimpleQueue[str | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._write, name="trace", daemon=True)
         self.thread.start()
-        clock.call_later(FLUSH_S, self._look)
+        clock.call_later(WRITER_CHECK_S, self._look)
 
-    def take(self, request: io.Request, size: int) -> None:
+    def record(self, request: io.Request, size: int) -> None:
         """A request has been taken; size: of its body, in bytes."""
-        if self.over:
+        if self.stopped:
             return
         key = request.key
         if self.keys == "none":
@@ -60,9 +60,9 @@
             request.budget_ms,
         )
         line = line_of(row)
-        if self.bytes + len(line) > self.most_bytes:
+        if self.bytes + len(line) > self.max_bytes:
             return self._end("the file has its full size")
-        if self.lines.qsize() >= WAITING:
+        if self.lines.qsize() >= MAX_QUEUED_LINES:
             return self._end("the disk does not keep up")
         self.count += 1
         self.bytes += len(line)
@@ -70,32 +70,32 @@
 
     def _end(self, why: str) -> None:
         """No more; what was taken so far is a whole trace."""
-        if not self.over:
-            self.over = True
+        if not self.stopped:
+            self.stopped = True
             self.lines.put(f"{END}{self.count}\n")
             self.lines.put(None)
             if why:
                 self.log.line("trace", f"{why}; recording has ended with {self.count} requests")
 
     def _look(self) -> None:
-        if self.trouble:
-            self.over = True
+        if self.write_error:
+            self.stopped = True
             return self._log_failure()
-        if not self.over:
-            self.clock.call_later(FLUSH_S, self._look)
+        if not self.stopped:
+            self.clock.call_later(WRITER_CHECK_S, self._look)
 
     def _log_failure(self) -> None:
         if not self.failure_logged:
             self.failure_logged = True
-            self.log.line("trace", f"{self.trouble}; recording has ended")
+            self.log.line("trace", f"{self.write_error}; recording has ended")
 
-    def close(self, within_s: float = CLOSE_S) -> None:
+    def close(self, within_s: float = CLOSE_TIMEOUT_S) -> None:
         """The service ends: what waits is written, in so many seconds; a disk that hangs gets no more."""
         self._end("")
         self.thread.join(within_s)
         if self.thread.is_alive():
             self.log.line("trace", f"not written to its end within {within_s:.1f} s: the disk hangs")
-        elif self.trouble:
+        elif self.write_error:
             self._log_failure()
 
     def _write(self) -> None:
@@ -107,4 +107,4 @@
                     if self.lines.empty():
                         self.file.flush()
         except OSError as error:
-            self.trouble = str(error)
+            self.write_error = str(error)
--- a/quartzford/replacement/channel.py
+++ b/quartzford/replacement/channel.py
@@ -10,13 +10,13 @@
 from collections import deque
 from collections.abc import Callable
 
-from quartzford.replacement.state import MOST_BYTES, Message, read, write
+from quartzford.replacement.state import MAX_MESSAGE_BYTES, Message, decode_message, encode_message
 
-MOST_WAITING = 2_000  # messages; a peer that reads none is lost
-A_TURN = 64  # messages that are read in one turn of the loop
+MAX_QUEUED_MESSAGES = 2_000  # messages; a peer that reads none is lost
+MAX_MESSAGES_PER_TURN = 64  # messages that are read in one turn of the loop
 
 
-def same_user(sock: socket.socket) -> bool:
+def is_same_user(sock: socket.socket) -> bool:
     """Only a process of ours may take over our clients."""
     size = struct.calcsize("3i")
     _, uid, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size))
@@ -30,10 +30,10 @@
         self,
         sock: socket.socket,
         loop: asyncio.AbstractEventLoop,
-        told: Callable[[Message, list[int]], None],
-        ended: Callable[[str], None],
+        on_message: Callable[[Message, list[int]], None],
+        on_close: Callable[[str], None],
     ) -> None:
-        self.sock, self.loop, self.told, self.ended = sock, loop, told, ended
+        self.sock, self.loop, self.on_message, self.on_close = sock, loop, on_message, on_close
         self.waiting: deque[tuple[bytes, list[int]]] = deque()
         self.open = True
         sock.setblocking(False)
@@ -43,18 +43,18 @@
         """In order; the descriptors are the caller's and are doubled at once."""
         if not self.open:
             return
-        data = write(message)
+        data = encode_message(message)
         if not self.waiting and self._sent(data, list(descriptors)):
             return
         if self.open:
             self.waiting.append((data, [os.dup(fd) for fd in descriptors]))
-            if len(self.waiting) > MOST_WAITING:
+            if len(self.waiting) > MAX_QUEUED_MESSAGES:
                 return self.close("it reads nothing")
             self.loop.add_writer(self.sock, self._writable)
 
-    def pass_on(self, message: Message, descriptor: int) -> bool:
+    def send_now(self, message: Message, descriptor: int) -> bool:
         """Send now or not at all; whether the kernel has it."""
-        return self.open and not self.waiting and self._sent(write(message), [descriptor])
+        return self.open and not self.waiting and self._sent(encode_message(message), [descriptor])
 
     def _sent(self, data: bytes, descriptors: list[int]) -> bool:
         try:
@@ -81,11 +81,11 @@
             self.loop.remove_writer(self.sock)
 
     def _readable(self) -> None:
-        for _ in range(A_TURN):
+        for _ in range(MAX_MESSAGES_PER_TURN):
             if not self.open:
                 return
             try:
-                data, descriptors, flags, _ = socket.recv_fds(self.sock, MOST_BYTES + 1, 8)
+                data, descriptors, flags, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES + 1, 8)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
@@ -93,14 +93,14 @@
             if not data:
                 return self.close("it has ended")
             try:
-                message = read(data)
+                message = decode_message(data)
                 if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
                     raise ValueError("a message that is cut off")
             except ValueError as error:
                 for fd in descriptors:
                     os.close(fd)
                 return self.close(str(error))
-            self.told(message, descriptors)
+            self.on_message(message, descriptors)
 
     def close(self, why: str) -> None:
         if not self.open:
@@ -114,4 +114,4 @@
                     os.close(fd)
         self.waiting.clear()
         self.sock.close()
-        self.ended(why)
+        self.on_close(why)
--- a/quartzford/replacement/succession.py
+++ b/quartzford/replacement/handover.py
@@ -15,75 +15,80 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple, Protocol
 
-from quartzford.atomic_file import remove_leftovers, temporary_path
+from quartzford.atomic_file import remove_stale_temporary_files, temporary_path
 from quartzford.engine import Clock, Log
-from quartzford.replacement.book import Book
-from quartzford.replacement.channel import Channel, same_user
-from quartzford.replacement.phases import News, Phase, Phases, Step
+from quartzford.replacement.channel import Channel, is_same_user
+from quartzford.replacement.maintenance_file import MaintenanceFile
 from quartzford.replacement.state import (
-    FORMAT,
-    MOST_STATE,
-    Beat,
-    Client,
-    Hand,
+    MAX_STATE_BYTES,
+    STATE_FORMAT,
+    BalancerState,
+    ClientTransfer,
+    Heartbeat,
     Hello,
-    Listener,
+    ListenerTransfer,
+    MaintenanceUpdate,
     Message,
-    Part,
-    Serves,
-    State,
-    parts,
-    read_state,
+    Serving,
+    StatePart,
+    decode_state,
+    split_state,
+)
+from quartzford.replacement.state_machine import (
+    HandoverAction,
+    HandoverEvent,
+    HandoverState,
+    HandoverStateMachine,
 )
 
-ASK_S = 1.0  # for how long the predecessor's answer is waited for
-OFFER_S = 1.5  # a successor that does not serve by then is lost
-SILENT_S = 3.0  # so is one that has said nothing for so long
-BEAT_S = 0.5
+HANDOVER_TIMEOUT_S = 1.0  # for how long the predecessor's answer is waited for
+START_TIMEOUT_S = 1.5  # a successor that does not serve by then is lost
+HEARTBEAT_TIMEOUT_S = 3.0  # so is one that has said nothing for so long
+HEARTBEAT_INTERVAL_S = 0.5
 LISTEN_RETRY_S = 1.0
 SUCCESSOR_BACKLOG = 4
 
 
-class Given(NamedTuple):
+class HandoverResult(NamedTuple):
     """What a predecessor gave: its listener, and its state unless that could not be read."""
 
     listener: socket.socket
-    state: State | None
+    state: BalancerState | None
 
 
-class Replaceable(Protocol):
+class ReplaceableBalancer(Protocol):
     """The balancer that is replaced, or that replaces one."""
 
-    def stand_down(self) -> tuple[socket.socket, State] | None:
+    def release_listener(self) -> tuple[socket.socket, BalancerState] | None:
         """Take no connection from now on; the listener, if it still stands, and what is known."""
 
-    def take_back(self) -> None: ...
+    def resume_serving(self) -> None: ...
 
-    def hand_clients(self, hand: Callable[[int], bool] | None) -> None:
+    def transfer_clients(self, hand: Callable[[int], bool] | None) -> None:
         """Hand over each client's connection that rests, now and from now on; None: no longer."""
 
     def drain(self) -> None: ...
 
-    def leave(self) -> None: ...
+    def drain_to_successor(self) -> None: ...
 
-    def client(self, sock: socket.socket) -> None:
+    def adopt_client(self, sock: socket.socket) -> None:
         """A client's connection from the process before."""
 
-    def apply_by_hand(self, name: str, out: bool) -> None:
+    def apply_maintenance(self, name: str, out: bool) -> None:
         """The other process was told this."""
 
-    def alone(self) -> None:
+    def use_full_limits(self) -> None:
         """The process before is no more."""
 
 
-def place(folder: str, name: str, listen: tuple[str, int]) -> str:
+def balancer_path(folder: str, name: str, listen: tuple[str, int]) -> str:
     """The path of this balancer's files in a folder, without an ending."""
     mark = hashlib.sha256(f"{name} {listen[0]} {listen[1]}".encode()).hexdigest()[:12]
     return os.path.join(folder, f"quartzford-{mark}")
 
 
 @contextlib.contextmanager
-def short(path: str) -> Iterator[str]:
+def short_path(path: str) -> Iterator[str]:
     """A path that fits into a socket's address, however deep its folder lies."""
     folder = os.open(os.path.dirname(path), os.O_PATH | os.O_DIRECTORY)
     try:
@@ -100,7 +105,7 @@
         sock.setblocking(False)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(own)
-        with short(own) as address:
+        with short_path(own) as address:
             sock.bind(address)
         os.chmod(own, 0o600)
         sock.listen(SUCCESSOR_BACKLOG)
@@ -113,35 +118,35 @@
     return sock
 
 
-class Succession:
+class Handover:
     """This process's place in the line of processes that are one balancer."""
 
     def __init__(
-        self, node: Replaceable, path: str, clock: Clock, log: Log, loop: asyncio.AbstractEventLoop
+        self, node: ReplaceableBalancer, path: str, clock: Clock, log: Log, loop: asyncio.AbstractEventLoop
     ) -> None:
         self.node, self.path, self.clock, self.log, self.loop = node, path, clock, log, loop
-        self.book = Book(path + ".out", clock, log)
-        self.phases = Phases(self._carry_out)
+        self.maintenance_file = MaintenanceFile(path + ".out", clock, log)
+        self.state_machine = HandoverStateMachine(self._carry_out)
         self.listener: socket.socket | None = None
         self.listen_failed = self.stopped = False
         self.before: Channel | None = None  # to the process before
         self.after: Channel | None = None  # to the one that follows
         self.heard = 0.0
-        self.given: asyncio.Future[Given | None] | None = None
+        self.given: asyncio.Future[HandoverResult | None] | None = None
         self._fd: int | None = None
         self._pieces: list[bytes] = []
         self._missing = 0
 
     # ---- the successor
 
-    async def ask(self) -> Given | None:
+    async def request_handover(self) -> HandoverResult | None:
         """What the process before gives; None where there is none, or it does not answer."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.setblocking(False)
-            with short(self.path + ".sock") as address:
+            with short_path(self.path + ".sock") as address:
                 sock.connect(address)
-            if not same_user(sock):
+            if not is_same_user(sock):
                 raise OSError("it belongs to another user")
         except OSError as error:
             sock.close()
@@ -150,54 +155,54 @@
             return None
         self.given = self.loop.create_future()
         self.before = Channel(sock, self.loop, self._before_told, self._before_ended)
-        self.before.send(Hello(FORMAT, os.getpid()))
+        self.before.send(Hello(STATE_FORMAT, os.getpid()))
         try:
-            return await asyncio.wait_for(self.given, ASK_S)
+            return await asyncio.wait_for(self.given, HANDOVER_TIMEOUT_S)
         except TimeoutError:
             self.log.line("replacement", "the process before does not answer; nothing is taken over")
             self.before.close("late")
             return None
 
-    def serves(self) -> None:
+    def announce_serving(self) -> None:
         """This process takes connections: the one before may hand over, the next one may come."""
         if self.before is not None:
-            self.before.send(Serves())
+            self.before.send(Serving())
             self._beat()
         self._await_successor()
 
-    def names_out(self) -> list[str]:
+    def maintenance_on_file(self) -> list[str]:
         """Who was out by hand, by the book."""
-        return self.book.read()
+        return self.maintenance_file.read()
 
     def _beat(self) -> None:
         if self.before is not None and self.before.open:
-            self.before.send(Beat())
-            self.clock.call_later(BEAT_S, self._beat)
+            self.before.send(Heartbeat())
+            self.clock.call_later(HEARTBEAT_INTERVAL_S, self._beat)
 
     def _before_told(self, message: Message, descriptors: list[int]) -> None:
         match message:
-            case Listener(count) if len(descriptors) == 1 and self._fd is None:
+            case ListenerTransfer(count) if len(descriptors) == 1 and self._fd is None:
                 self._fd, self._missing = descriptors.pop(), count
-            case Part(_, data) if self._missing > 0:
+            case StatePart(_, data) if self._missing > 0:
                 self._pieces.append(data)
                 self._missing -= 1
-                if sum(map(len, self._pieces)) > MOST_STATE:
+                if sum(map(len, self._pieces)) > MAX_STATE_BYTES:
                     self._pieces, self._missing = [b""], 0
-            case Client() if len(descriptors) == 1:
-                self.node.client(socket.socket(fileno=descriptors.pop()))
-            case Hand(name, out):
-                self.node.apply_by_hand(name, out)
+            case ClientTransfer() if len(descriptors) == 1:
+                self.node.adopt_client(socket.socket(fileno=descriptors.pop()))
+            case MaintenanceUpdate(name, out):
+                self.node.apply_maintenance(name, out)
         for fd in descriptors:
             os.close(fd)
         if self._fd is not None and not self._missing and self.given is not None and not self.given.done():
             listener, self._fd = socket.socket(fileno=self._fd), -1
             try:
-                state = read_state(b"".join(self._pieces))
+                state = decode_state(b"".join(self._pieces))
             except ValueError as error:
                 self.log.line("replacement", f"{error}; a cold start, with the connections")
                 state = None
             self._pieces = []
-            self.given.set_result(Given(listener, state))
+            self.given.set_result(HandoverResult(listener, state))
 
     def _before_ended(self, why: str) -> None:
         if self._fd is not None and self._fd >= 0:
@@ -207,7 +212,7 @@
             self.log.line("replacement", f"the process before gave nothing whole: {why}")
             self.given.set_result(None)
         self.before = None
-        self.node.alone()
+        self.node.use_full_limits()
 
     # ---- the predecessor
 
@@ -217,7 +222,7 @@
             return
         path = self.path + ".sock"
         with contextlib.suppress(OSError):
-            remove_leftovers(path)
+            remove_stale_temporary_files(path)
         try:
             self.listener = listen_at(path)
         except OSError as error:
@@ -236,7 +241,7 @@
             sock, _ = self.listener.accept()
         except OSError:
             return
-        if not same_user(sock):
+        if not is_same_user(sock):
             return sock.close()
         channel: Channel
 
@@ -254,62 +259,68 @@
         self.heard = self.clock.now()
         match message:
             case Hello(_, pid):
-                if self.after is not None and self.phases.phase in (Phase.OFFERED, Phase.PASSING):
+                if self.after is not None and self.state_machine.state in (
+                    HandoverState.SUCCESSOR_STARTING,
+                    HandoverState.DRAINING_SUCCESSOR_STARTING,
+                ):
                     self.after.close("a newer one has come")  # which had not served yet
                 if self.after is not None:
                     return channel.close("there is a successor")
                 self.after = channel
                 self.log.line("replacement", f"process {pid} takes over")
-                if not self.phases.tell(News.HELLO):
+                if not self.state_machine.handle(HandoverEvent.SUCCESSOR_CONNECTED):
                     channel.close("not now")
                 self._guard()
-            case Serves() if channel is self.after:
-                self.phases.tell(News.SERVES)
-            case Hand(name, out) if channel is self.after:
-                self.node.apply_by_hand(name, out)
+            case Serving() if channel is self.after:
+                self.state_machine.handle(HandoverEvent.SUCCESSOR_SERVES)
+            case MaintenanceUpdate(name, out) if channel is self.after:
+                self.node.apply_maintenance(name, out)
 
     def _after_ended(self, channel: Channel, why: str) -> None:
         if channel is self.after:
             self.after = None
-            self.node.hand_clients(None)
-            if self.phases.tell(News.LOST):
+            self.node.transfer_clients(None)
+            if self.state_machine.handle(HandoverEvent.SUCCESSOR_LOST):
                 self.log.line("replacement", f"the successor is lost: {why}")
 
     def _guard(self) -> None:
         """A successor that hangs is as good as lost."""
         if self.after is None:
             return
-        offered = self.phases.phase in (Phase.OFFERED, Phase.PASSING)
-        if self.clock.now() - self.heard > (OFFER_S if offered else SILENT_S):
+        offered = self.state_machine.state in (
+            HandoverState.SUCCESSOR_STARTING,
+            HandoverState.DRAINING_SUCCESSOR_STARTING,
+        )
+        if self.clock.now() - self.heard > (START_TIMEOUT_S if offered else HEARTBEAT_TIMEOUT_S):
             return self.after.close("it is silent")
         self.clock.call_later(0.25, self._guard)
 
-    def _carry_out(self, step: Step) -> None:
+    def _carry_out(self, step: HandoverAction) -> None:
         match step:
-            case Step.STAND_DOWN:
+            case HandoverAction.RELEASE_LISTENER:
                 self._offer()
-            case Step.HAND:
-                self.node.hand_clients(self._hand)
-            case Step.TAKE_BACK:
-                self.node.take_back()
-            case Step.DRAIN:
+            case HandoverAction.TRANSFER_CLIENTS:
+                self.node.transfer_clients(self._hand)
+            case HandoverAction.RESUME_SERVING:
+                self.node.resume_serving()
+            case HandoverAction.DRAIN:
                 self.node.drain()
-            case Step.LEAVE:
-                self.node.leave()
+            case HandoverAction.DRAIN_TO_SUCCESSOR:
+                self.node.drain_to_successor()
 
     def _offer(self) -> None:
         assert self.after is not None
-        offer = self.node.stand_down()
+        offer = self.node.release_listener()
         if offer is None:
             return self.after.close("there is nothing left to take over")
         listener, state = offer
-        pieces = parts(state)
-        self.after.send(Listener(len(pieces)), (listener.fileno(),))
+        pieces = split_state(state)
+        self.after.send(ListenerTransfer(len(pieces)), (listener.fileno(),))
         for number, data in enumerate(pieces):
-            self.after.send(Part(number, data))
+            self.after.send(StatePart(number, data))
 
     def _hand(self, descriptor: int) -> bool:
-        return self.after is not None and self.after.pass_on(Client(), descriptor)
+        return self.after is not None and self.after.send_now(ClientTransfer(), descriptor)
 
     # ---- both
 
@@ -318,25 +329,25 @@
         """Two processes are this balancer at present."""
         return self.before is not None or self.after is not None
 
-    def by_hand(self, name: str, out: bool, names: set[str]) -> None:
+    def publish_maintenance(self, name: str, out: bool, names: set[str]) -> None:
         """This process was told so by an operator: the other one hears of it, and it goes on file."""
         for channel in (self.before, self.after):
             if channel is not None:
-                channel.send(Hand(name, out))
-        self.book.note(names)
+                channel.send(MaintenanceUpdate(name, out))
+        self.maintenance_file.save(names)
 
     def terminate(self) -> None:
-        self.phases.tell(News.TERM)
+        self.state_machine.handle(HandoverEvent.SHUTDOWN_REQUESTED)
 
     def stop(self) -> None:
         """The end of this process."""
         self.stopped = True
-        self.book.stop()
+        self.maintenance_file.stop()
         if self.listener is not None:
             self.loop.remove_reader(self.listener)
             self.listener.close()
             self.listener = None
         for channel in (self.before, self.after):
             if channel is not None:
-                channel.ended = lambda why: None
+                channel.on_close = lambda why: None
                 channel.close("done")
--- a/quartzford/replacement/book.py
+++ b/quartzford/replacement/maintenance_file.py
@@ -11,22 +11,22 @@
 
 import msgspec
 
-from quartzford.atomic_file import remove_leftovers, replace_file
+from quartzford.atomic_file import remove_stale_temporary_files, replace_file
 from quartzford.engine import Clock, Handle, Log
 
-FORMAT = 1
-MOST_BYTES = 1024 * 1024
-RETRY_S = 1.0
+FILE_FORMAT = 1
+MAX_FILE_BYTES = 1024 * 1024
+WRITE_RETRY_S = 1.0
 
 
-class Page(msgspec.Struct):
+class MaintenanceRecord(msgspec.Struct):
     """The file's form."""
 
     format: int
     out: list[str]
 
 
-class Book:
+class MaintenanceFile:
     """Keeps the file up to date for the time of one process."""
 
     def __init__(self, path: str, clock: Clock, log: Log) -> None:
@@ -39,14 +39,14 @@
     def read(self) -> list[str]:
         """Names; none where there is no file, or one that can't be used, which is logged."""
         try:
-            return read_book(self.path)
+            return read_maintenance_file(self.path)
         except FileNotFoundError:
             return []
         except (OSError, ValueError, msgspec.MsgspecError) as error:
             self.log.line("replacement", f"{self.path} is not used, who is out by hand is unknown: {error}")
             return []
 
-    def note(self, names: Set[str]) -> None:
+    def save(self, names: Set[str]) -> None:
         """Write the names, now and, where that fails, every RETRY_S as they are then."""
         self.names = names
         self._write()
@@ -54,7 +54,7 @@
     def _write(self) -> None:
         self._cancel_retry()
         try:
-            write_book(self.path, self.names)
+            write_maintenance_file(self.path, self.names)
         except OSError as error:
             return self._fail(error)
         if self.failed:
@@ -66,7 +66,7 @@
         if self.failed == 1:
             self.log.line("replacement", f"who is out by hand could not go on file: {error}")
         if not self.stopped:
-            self.timer = self.clock.call_later(RETRY_S, self._write)
+            self.timer = self.clock.call_later(WRITE_RETRY_S, self._write)
 
     def _cancel_retry(self) -> None:
         if self.timer is not None:
@@ -80,20 +80,20 @@
             self._write()
 
 
-def read_book(path: str) -> list[str]:
+def read_maintenance_file(path: str) -> list[str]:
     """Names. OSError where the file can't be read; ValueError or MsgspecError where it is no such page."""
     with open(path, "rb") as file:
-        page: Page = msgspec.json.decode(file.read(MOST_BYTES), type=Page)
-    if page.format != FORMAT:
-        raise ValueError(f"format {page.format} is not {FORMAT}")
+        page: MaintenanceRecord = msgspec.json.decode(file.read(MAX_FILE_BYTES), type=MaintenanceRecord)
+    if page.format != FILE_FORMAT:
+        raise ValueError(f"format {page.format} is not {FILE_FORMAT}")
     return page.out
 
 
-def write_book(path: str, names: Iterable[str]) -> None:
+def write_maintenance_file(path: str, names: Iterable[str]) -> None:
     """Whole or not at all: a reader sees the page before or this one. OSError where it can't be written.
 
     It is not waited for the disk: the file has to outlive the process, not the machine.
     """
     with suppress(OSError):
-        remove_leftovers(path)
-    replace_file(path, msgspec.json.encode(Page(FORMAT, sorted(names))), synced=False)
+        remove_stale_temporary_files(path)
+    replace_file(path, msgspec.json.encode(MaintenanceRecord(FILE_FORMAT, sorted(names))), synced=False)
--- a/quartzford/replacement/state.py
+++ b/quartzford/replacement/state.py
@@ -13,9 +13,9 @@
 
 from quartzford.decision import interface as io
 
-FORMAT = 3
-MOST_BYTES = 48 * 1024  # of one message
-MOST_STATE = 16 * 1024 * 1024
+STATE_FORMAT = 3
+MAX_MESSAGE_BYTES = 48 * 1024  # of one message
+MAX_STATE_BYTES = 16 * 1024 * 1024
 
 
 class Hello(msgspec.Struct, tag="hello"):
@@ -25,42 +25,42 @@
     pid: int
 
 
-class Listener(msgspec.Struct, tag="listener"):
+class ListenerTransfer(msgspec.Struct, tag="listener"):
     """With the listening socket. parts: of the state that follow."""
 
     parts: int
 
 
-class Part(msgspec.Struct, tag="part"):
+class StatePart(msgspec.Struct, tag="part"):
     """A piece of the state, in order."""
 
     number: int
     data: bytes
 
 
-class Serves(msgspec.Struct, tag="serves"):
+class Serving(msgspec.Struct, tag="serves"):
     """The successor takes connections."""
 
 
-class Beat(msgspec.Struct, tag="beat"):
+class Heartbeat(msgspec.Struct, tag="beat"):
     """The successor lives."""
 
 
-class Client(msgspec.Struct, tag="client"):
+class ClientTransfer(msgspec.Struct, tag="client"):
     """With a client's connection at rest."""
 
 
-class Hand(msgspec.Struct, tag="hand"):
+class MaintenanceUpdate(msgspec.Struct, tag="hand"):
     """An upstream was taken out, or put back, at the sender."""
 
     name: str
     out: bool
 
 
-Message = Hello | Listener | Part | Serves | Beat | Client | Hand
+Message = Hello | ListenerTransfer | StatePart | Serving | Heartbeat | ClientTransfer | MaintenanceUpdate
 
 
-class State(msgspec.Struct):
+class BalancerState(msgspec.Struct):
     """All that the successor is given. listing: in discovery's form; version: from which changes may follow,
     None if none may; discovery: host and port whose version that is; busy: clients with a request open.
 
@@ -89,15 +89,15 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _messages: Any = msgspec.msgpack.Decoder(Message)
-_states: Any = msgspec.msgpack.Decoder(State)
+_states: Any = msgspec.msgpack.Decoder(BalancerState)
 _formats: Any = msgspec.msgpack.Decoder(dict[str, Any])
 
 
-def write(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     return _encoder.encode(message)
 
 
-def read(data: bytes) -> Message:
+def decode_message(data: bytes) -> Message:
     """ValueError where it is none of ours."""
     try:
         message: Message = _messages.decode(data)
@@ -106,20 +106,20 @@
         raise ValueError(f"a message that can't be read: {error}") from None
 
 
-def parts(state: State) -> list[bytes]:
+def split_state(state: BalancerState) -> list[bytes]:
     data = _encoder.encode(state)
-    return [data[at : at + MOST_BYTES // 2] for at in range(0, len(data), MOST_BYTES // 2)]
+    return [data[at : at + MAX_MESSAGE_BYTES // 2] for at in range(0, len(data), MAX_MESSAGE_BYTES // 2)]
 
 
-def read_state(data: bytes) -> State:
+def decode_state(data: bytes) -> BalancerState:
     """ValueError with the reason: another format, bounds, types, figures that can't be."""
-    if len(data) > MOST_STATE:
-        raise ValueError(f"a state of {len(data)} bytes; {MOST_STATE} are read at most")
+    if len(data) > MAX_STATE_BYTES:
+        raise ValueError(f"a state of {len(data)} bytes; {MAX_STATE_BYTES} are read at most")
     try:
         told = _formats.decode(data).get("format")
-        if told != FORMAT:
-            raise ValueError(f"a state of format {told!r}; this process reads {FORMAT}")
-        state: State = _states.decode(data)
+        if told != STATE_FORMAT:
+            raise ValueError(f"a state of format {told!r}; this process reads {STATE_FORMAT}")
+        state: BalancerState = _states.decode(data)
         return state
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, OverflowError) as error:
         raise ValueError(f"a state that can't be read: {error}") from None
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -33,10 +33,15 @@
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
 from quartzford.recording import Recorder
+from quartzford.replacement import handover as successions
 from quartzford.replacement import state as wire
-from quartzford.replacement import succession as successions
-from quartzford.replacement.book import RETRY_S, Book, read_book, write_book
-from quartzford.replacement.succession import LISTEN_RETRY_S, Succession
+from quartzford.replacement.handover import LISTEN_RETRY_S, Handover
+from quartzford.replacement.maintenance_file import (
+    WRITE_RETRY_S,
+    MaintenanceFile,
+    read_maintenance_file,
+    write_maintenance_file,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 CALLS = ("open", "write", "fsync", "close", "replace", "unlink", "chmod")
@@ -386,10 +391,12 @@
     test()
 
 
-def book_on(disk: Any, path: Path, patch: pytest.MonkeyPatch) -> tuple[Book, ManualClock, Lines]:
+def maintenance_file_on(
+    disk: Any, path: Path, patch: pytest.MonkeyPatch
+) -> tuple[MaintenanceFile, ManualClock, Lines]:
     patch.setattr(atomic_file, "os", disk)
     clock, log = ManualClock(), Lines()
-    return Book(str(path), clock, log), clock, log
+    return MaintenanceFile(str(path), clock, log), clock, log
 
 
 def test_who_is_out_by_hand_goes_on_file_once_the_disk_is_well(
@@ -401,23 +408,23 @@
         wanted = broken[0] and name in ("write", "replace")
         return OSError(rng.choice([errno.ENOSPC, errno.EIO]), "fails") if wanted else None
 
-    book, clock, log = book_on(FaultyOs(fault), tmp_path / "out", monkeypatch)
+    maintenance_file, clock, log = maintenance_file_on(FaultyOs(fault), tmp_path / "out", monkeypatch)
     names = {"s0"}
-    book.note(names)
+    maintenance_file.save(names)
     for _ in range(100):
-        clock.advance(RETRY_S)
+        clock.advance(WRITE_RETRY_S)
     names.add("s1")  # told meanwhile by the other process, which keeps its own file of it
     assert len(log.lines) == 1 and os.listdir(tmp_path) == []
     broken[0] = False
-    clock.advance(RETRY_S)
-    assert book.read() == ["s0", "s1"] and len(log.lines) == 2 and not clock.timers
+    clock.advance(WRITE_RETRY_S)
+    assert maintenance_file.read() == ["s0", "s1"] and len(log.lines) == 2 and not clock.timers
     broken[0] = True
-    book.note({"s2"})
-    book.stop()
-    assert book.read() == ["s0", "s1"] and not clock.timers
+    maintenance_file.save({"s2"})
+    maintenance_file.stop()
+    assert maintenance_file.read() == ["s0", "s1"] and not clock.timers
     broken[0] = False
-    book.note(set())
-    assert book.read() == []
+    maintenance_file.save(set())
+    assert maintenance_file.read() == []
 
 
 def test_a_book_that_is_owed_at_the_end_is_tried_a_last_time(
@@ -425,30 +432,30 @@
 ) -> None:
     errors: list[OSError | None] = [OSError(errno.EIO, "fails")]
     disk = FaultyOs(lambda name: errors[0] if name == "write" else None)
-    book, _, _ = book_on(disk, tmp_path / "out", monkeypatch)
-    book.note({"s0"})
+    maintenance_file, _, _ = maintenance_file_on(disk, tmp_path / "out", monkeypatch)
+    maintenance_file.save({"s0"})
     errors[0] = None
-    book.stop()
-    assert book.read() == ["s0"]
+    maintenance_file.stop()
+    assert maintenance_file.read() == ["s0"]
 
 
 def test_a_kill_at_any_byte_of_the_book_leaves_the_page_before(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, page = tmp_path / "out", b'{"format":1,"out":["s0","s1"]}'
-    write_book(str(path), {"s0"})
+    write_maintenance_file(str(path), {"s0"})
     for kept in range(len(page)):
         with monkeypatch.context() as patch:
             disk = FaultyOs(fault_at(1, Killed()))
             disk.kept = kept
             patch.setattr(atomic_file, "os", disk)
             with pytest.raises(Killed):
-                write_book(str(path), {"s0", "s1"})
-        assert read_book(str(path)) == ["s0"]
+                write_maintenance_file(str(path), {"s0", "s1"})
+        assert read_maintenance_file(str(path)) == ["s0"]
         half = Path(atomic_file.temporary_path(str(path)))
         assert half.read_bytes() == page[:kept]
         with pytest.raises(msgspec.MsgspecError):
-            read_book(str(half))
+            read_maintenance_file(str(half))
 
 
 def test_two_processes_that_write_the_book_at_once_don_t_meet_in_one_file(
@@ -462,13 +469,13 @@
             if len(pids) == 2:
                 monkeypatch.setattr(os, "getpid", lambda: pids[0])
                 pids.pop()
-                write_book(str(path), {"new"})
+                write_maintenance_file(str(path), {"new"})
             return os.write(descriptor, data)
 
     monkeypatch.setattr(os, "getpid", lambda: pids[1])
     monkeypatch.setattr(atomic_file, "os", Overtaken(lambda name: None))
-    write_book(str(path), {"of the old one"})
-    assert read_book(str(path)) == ["of the old one"] and os.listdir(tmp_path) == ["out"]
+    write_maintenance_file(str(path), {"of the old one"})
+    assert read_maintenance_file(str(path)) == ["of the old one"] and os.listdir(tmp_path) == ["out"]
 
 
 @in_line
@@ -498,9 +505,9 @@
         faulty = FaultyOs(lambda call: errors[0] if errors and call == name else None)
         monkeypatch.setattr(successions, "os", faulty)
         clock, log, loop = ManualClock(), Lines(), asyncio.get_running_loop()
-        one = Succession(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
+        one = Handover(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
         descriptors = len(os.listdir("/proc/self/fd"))
-        one.serves()
+        one.announce_serving()
         for _ in range(100):
             clock.advance(LISTEN_RETRY_S)
         assert len(os.listdir("/proc/self/fd")) == descriptors
@@ -520,8 +527,8 @@
     @run
     async def test() -> None:
         clock, log, loop = ManualClock(), Lines(), asyncio.get_running_loop()
-        one = Succession(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
-        one.serves()
+        one = Handover(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
+        one.announce_serving()
         assert os.listdir(tmp_path) == ["q.sock"]
         one.stop()
 
@@ -572,7 +579,7 @@
     reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)  # which reads nothing
     recorder, log = recorder_at(path)
     for number in range(2_000):
-        recorder.take(request_of(number), 0)
+        recorder.record(request_of(number), 0)
     recorder.close(0.05)
     assert recorder.thread.is_alive() and recorder.thread.daemon
     assert len(log.lines) == 1 and "hangs" in log.lines[0]
@@ -610,7 +617,7 @@
 def test_a_trace_that_fails_in_its_last_lines_says_so_once(count: int) -> None:
     recorder, log = recorder_at(Path("/dev/full"))
     for number in range(count):
-        recorder.take(request_of(number), 0)
+        recorder.record(request_of(number), 0)
     recorder.close()
     recorder.close()
     assert len(log.lines) == 1 and "No space left" in log.lines[0]
@@ -620,7 +627,7 @@
     path = tmp_path / "trace"
     recorder, _ = recorder_at(path)
     for number in range(11):
-        recorder.take(request_of(number), 0)
+        recorder.record(request_of(number), 0)
     recorder.close()
     text = path.read_text()
     assert len(list(read_trace(text.splitlines(keepends=True)))) == 11
@@ -633,23 +640,23 @@
     """A predecessor that is killed half way: nothing is taken from a part of its state."""
     balancer = started(6)
     listing: dict[str, Any] = {"seq": 1, "whole": True, "hosts": [ROW]}
-    one = wire.State(wire.FORMAT, listing, 1, ["a", 1], True, 0, balancer.hand_over(5.0))
-    data = b"".join(wire.parts(one))
-    assert wire.read_state(data).listing == listing
+    one = wire.BalancerState(wire.STATE_FORMAT, listing, 1, ["a", 1], True, 0, balancer.hand_over(5.0))
+    data = b"".join(wire.split_state(one))
+    assert wire.decode_state(data).listing == listing
     for kept in range(len(data)):
         with pytest.raises(ValueError, match="a state"):
-            wire.read_state(data[:kept])
+            wire.decode_state(data[:kept])
 
 
 def test_a_book_that_can_t_be_read_is_said(tmp_path: Path) -> None:
     path, log = tmp_path / "out", Lines()
-    book = Book(str(path), ManualClock(), log)
-    assert book.read() == [] and not log.lines  # there is none yet
+    maintenance_file = MaintenanceFile(str(path), ManualClock(), log)
+    assert maintenance_file.read() == [] and not log.lines  # there is none yet
     path.write_bytes(b"{")
-    assert book.read() == [] and "is not used" in log.lines[-1]
+    assert maintenance_file.read() == [] and "is not used" in log.lines[-1]
     path.unlink()
     path.mkdir()
-    assert book.read() == [] and len(log.lines) == 2
+    assert maintenance_file.read() == [] and len(log.lines) == 2
 
 
 def test_a_worker_s_socket_that_can_t_be_removed_does_not_break_the_end_off(
--- a/tests/test_frozen_data.py
+++ b/tests/test_frozen_data.py
@@ -26,7 +26,7 @@
 from quartzford.membership.snapshot import Snapshot, decode, encode
 from quartzford.recording import Recorder
 from quartzford.replacement import state as wire
-from quartzford.replacement.book import read_book, write_book
+from quartzford.replacement.maintenance_file import read_maintenance_file, write_maintenance_file
 from quartzford.settings.operatorfile import read_operator
 from quartzford.settings.platform import read_config
 
@@ -116,7 +116,7 @@
             ("reserva ñ", "100%", "k/1", 2, 1234.567),
         ):
             clock.time += 0.012345
-            recorder.take(io.Request(1, name, left, tenant, key), size)
+            recorder.record(io.Request(1, name, left, tenant, key), size)
         recorder.close()
         return path.read_bytes()
 
@@ -134,45 +134,45 @@
 
 def make_state() -> bytes:
     memory = learnt(tenants=(io.Tenant("acme", 100.0),)).hand_over(2_100.0)
-    return write_state(wire.State(wire.FORMAT, LIST, 41, ["10.0.0.5", 8500], True, 3, memory))
+    return write_state(wire.BalancerState(wire.STATE_FORMAT, LIST, 41, ["10.0.0.5", 8500], True, 3, memory))
 
 
-def write_state(state: wire.State) -> bytes:
-    return b"".join(wire.parts(state))
+def write_state(state: wire.BalancerState) -> bytes:
+    return b"".join(wire.split_state(state))
 
 
 def make_messages() -> bytes:
     messages: list[wire.Message] = [
-        wire.Hello(wire.FORMAT, 4711),
-        wire.Listener(2),
-        wire.Part(1, b"\x00\xff"),
-        wire.Serves(),
-        wire.Beat(),
-        wire.Client(),
-        wire.Hand("s1", True),
+        wire.Hello(wire.STATE_FORMAT, 4711),
+        wire.ListenerTransfer(2),
+        wire.StatePart(1, b"\x00\xff"),
+        wire.Serving(),
+        wire.Heartbeat(),
+        wire.ClientTransfer(),
+        wire.MaintenanceUpdate("s1", True),
     ]
     return write_messages(messages)
 
 
 def read_messages(data: bytes) -> list[wire.Message]:
-    return [wire.read(bytes.fromhex(line)) for line in data.decode().splitlines()]
+    return [wire.decode_message(bytes.fromhex(line)) for line in data.decode().splitlines()]
 
 
 def write_messages(messages: list[wire.Message]) -> bytes:
-    return "".join(f"{wire.write(message).hex()}\n" for message in messages).encode()
+    return "".join(f"{wire.encode_message(message).hex()}\n" for message in messages).encode()
 
 
 def read_names_out(data: bytes) -> list[str]:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "out"
         path.write_bytes(data)
-        return read_book(str(path))
+        return read_maintenance_file(str(path))
 
 
 def write_names_out(names: list[str]) -> bytes:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "out"
-        write_book(str(path), names)
+        write_maintenance_file(str(path), names)
         return path.read_bytes()
 
 
@@ -204,7 +204,7 @@
 KINDS: dict[str, Data] = {
     "last-list.snapshot": Data(make_snapshot, decode, encode),
     "requests.trace": Data(make_trace, read_rows, write_rows),
-    "handed-over.msgpack": Data(make_state, wire.read_state, write_state),
+    "handed-over.msgpack": Data(make_state, wire.decode_state, write_state),
     "messages.hex": Data(make_messages, read_messages, write_messages),
     "names.out": Data(lambda: write_names_out(["s1", "s0"]), read_names_out, write_names_out),
     "list.json": Data(lambda: write_list(read_listing(LIST)), read_listing, write_list),
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -59,7 +59,7 @@
     async def test() -> None:
         one, _ = recorder(tmp_path / "t", keys)
         for number in range(50):
-            one.take(asked(number, f"user-{number % 5}"), number)
+            one.record(asked(number, f"user-{number % 5}"), number)
         one.close()
 
     test()
@@ -77,7 +77,7 @@
         path = Path(folder) / "t"
         one, said = recorder(path, most=200)
         for number in range(50):
-            one.take(asked(number), 0)
+            one.record(asked(number), 0)
         one.close()
         rows = rows_in(path)
         assert 0 < len(rows) < 50 and said.lines == [
@@ -90,10 +90,10 @@
     @run
     async def test() -> None:
         one, said = recorder(Path("/dev/full"))
-        one.take(asked(1), 0)
+        one.record(asked(1), 0)
         await until(lambda: said.lines)
-        assert "No space left" in said.lines[0] and one.over
-        one.take(asked(2), 0)  # nothing is thrown, nothing waits
+        assert "No space left" in said.lines[0] and one.stopped
+        one.record(asked(2), 0)  # nothing is thrown, nothing waits
         one.close()
 
     test()
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -25,33 +25,55 @@
 from quartzford.decision.logic import Balancer
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.replacement import state as wire
-from quartzford.replacement.phases import TABLE, News, Phase, Phases, Step
-from quartzford.replacement.succession import Succession, place, short
+from quartzford.replacement.handover import Handover, balancer_path, short_path
+from quartzford.replacement.state_machine import (
+    TRANSITIONS,
+    HandoverAction,
+    HandoverEvent,
+    HandoverState,
+    HandoverStateMachine,
+)
 
 # ---- the table
 
 
 def test_whatever_comes_in_whatever_order_one_process_serves_and_ends() -> None:
-    """Drawn news: it takes connections in SERVING and ENDING alone, and hands them to the living."""
+    """Drawn news: it takes connections in SERVING and DRAINING alone, and hands them to the living."""
     for seed in range(300):
         rng, steps = random.Random(seed), []
-        phases = Phases(steps.append)
+        state_machine = HandoverStateMachine(steps.append)
         accepting = True
         successor = ended = False
         for _ in range(30):
-            news = rng.choice(list(News))
+            news = rng.choice(list(HandoverEvent))
             steps.clear()
-            if not phases.tell(news):
+            if not state_machine.handle(news):
                 continue
-            successor = news is not News.LOST and (successor or news is News.HELLO)
-            ended = ended or news is News.TERM
+            successor = news is not HandoverEvent.SUCCESSOR_LOST and (
+                successor or news is HandoverEvent.SUCCESSOR_CONNECTED
+            )
+            ended = ended or news is HandoverEvent.SHUTDOWN_REQUESTED
             for step in steps:
-                assert step is not Step.HAND or successor
-                accepting = step is Step.TAKE_BACK or (accepting and step is not Step.STAND_DOWN)
-            assert accepting == (phases.phase in (Phase.SERVING, Phase.ENDING)), (seed, phases.phase)
-            assert ended == (phases.phase in (Phase.ENDING, Phase.PASSING, Phase.LEAVING))
-            assert successor == (phases.phase not in (Phase.SERVING, Phase.ENDING))
-    assert {phase for phase, _ in TABLE} | {after for after, _ in TABLE.values()} == set(Phase)
+                assert step is not HandoverAction.TRANSFER_CLIENTS or successor
+                accepting = step is HandoverAction.RESUME_SERVING or (
+                    accepting and step is not HandoverAction.RELEASE_LISTENER
+                )
+            assert accepting == (state_machine.state in (HandoverState.SERVING, HandoverState.DRAINING)), (
+                seed,
+                state_machine.state,
+            )
+            assert ended == (
+                state_machine.state
+                in (
+                    HandoverState.DRAINING,
+                    HandoverState.DRAINING_SUCCESSOR_STARTING,
+                    HandoverState.DRAINING_SUCCESSOR_SERVING,
+                )
+            )
+            assert successor == (state_machine.state not in (HandoverState.SERVING, HandoverState.DRAINING))
+    assert {phase for phase, _ in TRANSITIONS} | {after for after, _ in TRANSITIONS.values()} == set(
+        HandoverState
+    )
 
 
 # ---- what is handed over
@@ -77,8 +99,12 @@
     old, now = learnt(), 2_100.0
     before = {s.entry.server: (s.p, s.cost, s.failing, max(0.0, s.ejected_until)) for s in old.ready}
     budget = old.retry_budget
-    memory = wire.read_state(
-        b"".join(wire.parts(wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, old.hand_over(now))))
+    memory = wire.decode_state(
+        b"".join(
+            wire.split_state(
+                wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, old.hand_over(now))
+            )
+        )
     ).memory
     new = Balancer(settings(), 99)
     new.handle(now, io.EndpointListUpdate("stale", tuple(s.entry for s in old.servers.values())))
@@ -110,7 +136,7 @@
 
 def _table(**changes: Any) -> dict[str, Any]:
     memory = learnt().hand_over(2_100.0)
-    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, memory)
+    state = wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, memory)
     return msgspec.to_builtins(state) | changes
 
 
@@ -140,10 +166,10 @@
     made = table()
     data = made if isinstance(made, bytes) else msgspec.msgpack.encode(made)
     with pytest.raises(ValueError, match=reason):
-        wire.read_state(data)
+        wire.decode_state(data)
     for cut in range(0, len(data), max(1, len(data) // 40)):
         with suppress(ValueError):
-            wire.read_state(data[:cut])
+            wire.decode_state(data[:cut])
 
 
 # ---- processes
@@ -370,12 +396,12 @@
 
 async def offered(it: Line) -> tuple[socket.socket, list[int]]:
     """A successor that we play: it has asked and was given the listener."""
-    path = place(str(it.folder.resolve()), "n0", ("127.0.0.1", it.port)) + ".sock"
+    path = balancer_path(str(it.folder.resolve()), "n0", ("127.0.0.1", it.port)) + ".sock"
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with short(path) as address:
+    with short_path(path) as address:
         sock.connect(address)
     sock.setblocking(False)
-    sock.send(wire.write(wire.Hello(99, 1)))
+    sock.send(wire.encode_message(wire.Hello(99, 1)))
     descriptors: list[int] = []
     while not descriptors:
         with suppress(BlockingIOError):
@@ -437,18 +463,22 @@
     loop = asyncio.get_running_loop()
     clock = LoopClock(loop)
     with tempfile.TemporaryDirectory() as folder:
-        path = place(folder, "n0", ("127.0.0.1", 1))
+        path = balancer_path(folder, "n0", ("127.0.0.1", 1))
         server = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         server.bind(path + ".sock")
         server.listen(1)
         listener = socket.create_server(("127.0.0.1", 0))
         asked = asyncio.ensure_future(
-            Succession(None, path, clock, StderrLog(clock.now), loop).ask()  # type: ignore[arg-type]
+            Handover(None, path, clock, StderrLog(clock.now), loop).request_handover()  # type: ignore[arg-type]
         )
         sock, _ = await loop.run_in_executor(None, server.accept)
-        assert isinstance(wire.read(sock.recv(65_536)), wire.Hello)
-        socket.send_fds(sock, [wire.write(wire.Listener(1 if complete else 3))], [listener.fileno()])
-        sock.send(wire.write(wire.Part(0, msgspec.msgpack.encode({"format": 7, "news": [1, 2]}))))
+        assert isinstance(wire.decode_message(sock.recv(65_536)), wire.Hello)
+        socket.send_fds(
+            sock, [wire.encode_message(wire.ListenerTransfer(1 if complete else 3))], [listener.fileno()]
+        )
+        sock.send(
+            wire.encode_message(wire.StatePart(0, msgspec.msgpack.encode({"format": 7, "news": [1, 2]})))
+        )
         if not complete:
             sock.close()
         given = await asked
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -77,7 +77,7 @@
         "decision/memory.py",
         "decision/estimates.py",
         "engine/figures.py",
-        "replacement/phases.py",
+        "replacement/state_machine.py",
         "replacement/state.py",
         "backends/caller.py",
         "protocols/http2.py",
@@ -117,7 +117,7 @@
         "quartzford.membership.relay_call_policy",
         "quartzford.counting",
         "quartzford.serve",
-        "quartzford.replacement.succession",
+        "quartzford.replacement.handover",
     }
     names = set(loaded.stdout.decode().split())
     assert not extras & names
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -301,19 +301,21 @@
 
 
 def test_the_state_is_read_by_an_earlier_version_and_an_earlier_versions_here() -> None:
-    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState(), 5.0, 7.0, {"s0": 6.0})
-    assert wire.read_state(b"".join(wire.parts(state))) == state
-    earlier = msgspec.msgpack.decode(b"".join(wire.parts(state)), type=EarlierState)
-    assert earlier == EarlierState(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
-    read = wire.read_state(msgspec.msgpack.encode(earlier))
+    state = wire.BalancerState(
+        wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState(), 5.0, 7.0, {"s0": 6.0}
+    )
+    assert wire.decode_state(b"".join(wire.split_state(state))) == state
+    earlier = msgspec.msgpack.decode(b"".join(wire.split_state(state)), type=EarlierState)
+    assert earlier == EarlierState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
+    read = wire.decode_state(msgspec.msgpack.encode(earlier))
     assert (read.anchor_ms, read.listed_ms, read.starts, read.memory) == (None, None, {}, io.LearnedState())
 
 
 @pytest.mark.parametrize("changes", [{"anchor_ms": float("nan")}, {"starts": {"s0": float("inf")}}])
 def test_moments_that_can_t_be_are_turned_away(changes: dict[str, Any]) -> None:
-    state = wire.State(wire.FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
+    state = wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
     with pytest.raises(ValueError, match="not finite"):
-        wire.read_state(msgspec.msgpack.encode(msgspec.to_builtins(state) | changes))
+        wire.decode_state(msgspec.msgpack.encode(msgspec.to_builtins(state) | changes))
 
 
 def step_machine_clock(monkeypatch: pytest.MonkeyPatch, by_ms: float) -> None:
@@ -364,8 +366,8 @@
         for node in reversed(nodes):
             node.control.stop()
             node.front.stop_listening()
-            if node.succession is not None:
-                node.succession.stop()
+            if node.handover is not None:
+                node.handover.stop()
         for peer in (*world.ups, world.discovery):
             await peer.stop()
 
@@ -386,7 +388,7 @@
         begun, text = clock.unix_ms(), tokens.make(7, "c1", clock.unix_ms() + 60_000.0)
         for by_ms in (-HOUR_MS, HOUR_MS):
             step_machine_clock(monkeypatch, by_ms)
-            recorder.take(io.Request(1, "read", 800.0), 0)
+            recorder.record(io.Request(1, "read", 800.0), 0)
             assert 0.0 <= clock.unix_ms() - begun < 30_000.0
             assert tokens.read(text, "c1", clock.unix_ms()) == 7
         assert tokens.read(text, "c1", clock.unix_ms() + 61_000.0) is Fault.STALE
