--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -28,6 +28,7 @@
 if TYPE_CHECKING:
     from quartzford.membership.snapshot_writer import SnapshotWriter
     from quartzford.replacement.handover import Handover
+    from quartzford.replacement.replaceable import HandoverOffer
     from quartzford.replacement.state import BalancerState
 
 BASE_BYTES = 56 * 1024 * 1024  # the interpreter, the module and what sockets cost
@@ -87,7 +88,8 @@
         self.handover: Handover | None = None
         if folder:
             # Only here: what is needed for it costs other runs nothing.
-            from quartzford.replacement.handover import Handover, balancer_path
+            from quartzford.replacement.handover import Handover
+            from quartzford.replacement.unix_socket import balancer_path
 
             path = balancer_path(str(Path(folder).resolve()), config.name, config.listen)
             self.handover = Handover(self, path, clock, self.log, loop)
@@ -264,13 +266,13 @@
         if state is not None:
             try:
                 known = read_listing(state.listing)
-                self.predecessor_busy_clients = max(0, state.busy)
+                self.predecessor_busy_clients = max(0, state.busy_clients)
                 # Another discovery counts its versions anew: changes since ours would leave out what differs.
                 same = state.discovery == list(self.config.discovery)
                 self._version = state.version if same else None
                 self._take_over_times(state, same)
                 names = set(state.memory.by_hand)
-                if state.heard:
+                if state.discovery_answered:
                     self.ready_at = self.clock.now()
             except ValueError as error:
                 self.log.line("replacement", f"the list handed over can't be read: {error}")
@@ -291,16 +293,18 @@
         by_ms = self._anchor_ms() - state.anchor_ms
         self._memory = rebase(state.memory, by_ms)
         known_ms = -math.inf
-        if state.listed_ms is not None and same_discovery:
-            known_ms = state.listed_ms + by_ms
-        starts = {name: started_ms + by_ms for name, started_ms in state.starts.items()}
+        if state.list_known_ms is not None and same_discovery:
+            known_ms = state.list_known_ms + by_ms
+        starts = {name: started_ms + by_ms for name, started_ms in state.start_times_ms.items()}
         self._inherited_starts = InheritedStarts(known_ms, starts)
 
     def _anchor_ms(self) -> float:
         """The engine's scale less the monotonic clock, in milliseconds."""
         return self.clock.unix_ms() - self.clock.now() * 1000.0
 
-    def release_listener(self) -> tuple[socket.socket, BalancerState] | None:
+    def release_listener(self) -> HandoverOffer | None:
+        """Accept no connection from now on; None where the listener is closed already."""
+        from quartzford.replacement.replaceable import HandoverOffer
         from quartzford.replacement.state import STATE_FORMAT, BalancerState
 
         listener = self.front.stop_accepting()
@@ -312,7 +316,7 @@
         memory = self.engine.hand_over()
         listed_ms = self.control.list_known_ms()
         warm_before_ms = self.clock.unix_ms() - self.config.settings.rules.slow_start_ms
-        return listener, BalancerState(
+        state = BalancerState(
             STATE_FORMAT,
             self.registry.table(),
             self.watch.version,
@@ -324,13 +328,16 @@
             listed_ms if math.isfinite(listed_ms) else None,
             self.control.start_times.after(warm_before_ms),
         )
+        return HandoverOffer(listener, state)
 
     def resume_serving(self) -> None:
+        """Accept connections again: the successor is lost."""
         self.use_full_limits()
         self.engine.take_back()
         self.front.resume()
 
     def transfer_clients(self, transfer: Callable[[int], bool] | None) -> None:
+        """Give each idle client connection to the successor, now and from now on; None: no longer."""
         self.front.transfer_to_successor = transfer
         if transfer is not None:
             self.pool.trim()
@@ -342,15 +349,19 @@
             self.clock.call_later(PASS_S, self._pass_on)
 
     def drain_to_successor(self) -> None:
+        """Shut down with a successor: answer what is open, exit once no client is left."""
         self._end_when_quiet()
 
     def adopt_client(self, sock: socket.socket) -> None:
+        """Serve an idle client connection of the predecessor."""
         self.loop.create_task(self.front.adopt(sock))
 
-    def apply_maintenance(self, name: str, out: bool) -> None:
-        self.control.by_hand(name, out)
+    def apply_maintenance(self, endpoint: str, in_maintenance: bool) -> None:
+        """An endpoint was taken out at the other process, or put back."""
+        self.control.by_hand(endpoint, in_maintenance)
 
     def use_full_limits(self) -> None:
+        """Use memory and descriptors in full: the predecessor is gone."""
         self.predecessor_busy_clients = 0
         self._configure(self.config)
 
--- a/quartzford/replacement/channel.py
+++ b/quartzford/replacement/channel.py
@@ -1,4 +1,4 @@
-"""A SOCK_SEQPACKET connection on the loop: messages with descriptors, whole or not at all."""
+"""A SOCK_SEQPACKET connection on the loop: messages with descriptors, complete or not at all."""
 
 from __future__ import annotations
 
@@ -6,62 +6,83 @@
 import contextlib
 import os
 import socket
-import struct
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Sequence
+from typing import NamedTuple
 
-from quartzford.replacement.state import MAX_MESSAGE_BYTES, Message, decode_message, encode_message
+from quartzford.replacement.errors import MessageFormatError
+from quartzford.replacement.messages import MAX_MESSAGE_BYTES, Message, decode_message, encode_message
 
-MAX_QUEUED_MESSAGES = 2_000  # messages; a peer that reads none is lost
+MAX_QUEUED_MESSAGES = 2_000  # a peer that reads none of them is lost
 MAX_MESSAGES_PER_TURN = 64  # messages that are read in one turn of the loop
+MAX_DESCRIPTORS = 8  # of one message
 
+CUT_OFF = socket.MSG_TRUNC | socket.MSG_CTRUNC
 
-def is_same_user(sock: socket.socket) -> bool:
-    """Only a process of ours may take over our clients."""
-    size = struct.calcsize("3i")
-    _, uid, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size))
-    return bool(uid == os.getuid())
+
+class QueuedMessage(NamedTuple):
+    """An encoded message that waits until the socket is writable, with descriptors that it owns."""
+
+    data: bytes
+    descriptors: list[int]
 
 
 class Channel:
-    """One end. told: each message with its descriptors (the receiver owns them); ended: once, at the end."""
+    """One end of the connection between predecessor and successor."""
 
     def __init__(
         self,
         sock: socket.socket,
         loop: asyncio.AbstractEventLoop,
-        on_message: Callable[[Message, list[int]], None],
-        on_close: Callable[[str], None],
+        on_message: Callable[[Channel, Message, list[int]], None],
+        on_close: Callable[[Channel, str], None],
     ) -> None:
-        self.sock, self.loop, self.on_message, self.on_close = sock, loop, on_message, on_close
-        self.waiting: deque[tuple[bytes, list[int]]] = deque()
+        """Take over the socket.
+
+        on_message: gets this channel and each message with its descriptors, which the receiver owns.
+        on_close: gets this channel and the reason, once, also where `close` is called.
+        """
         self.open = True
+        self._sock = sock
+        self._loop = loop
+        self._on_message = on_message
+        self._on_close = on_close
+        self._queue: deque[QueuedMessage] = deque()
         sock.setblocking(False)
         loop.add_reader(sock, self._readable)
 
-    def send(self, message: Message, descriptors: tuple[int, ...] = ()) -> None:
-        """In order; the descriptors are the caller's and are doubled at once."""
+    def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
+        """Send in order, at once or later.
+
+        descriptors: stay the caller's, which may close them as soon as this returns.
+        """
         if not self.open:
             return
         data = encode_message(message)
-        if not self.waiting and self._sent(data, list(descriptors)):
+        if not self._queue and self._try_to_send(data, descriptors):
             return
         if self.open:
-            self.waiting.append((data, [os.dup(fd) for fd in descriptors]))
-            if len(self.waiting) > MAX_QUEUED_MESSAGES:
-                return self.close("it reads nothing")
-            self.loop.add_writer(self.sock, self._writable)
+            self._enqueue(data, descriptors)
+
+    def _enqueue(self, data: bytes, descriptors: Sequence[int]) -> None:
+        self._queue.append(QueuedMessage(data, [os.dup(descriptor) for descriptor in descriptors]))
+        if len(self._queue) > MAX_QUEUED_MESSAGES:
+            self.close("it reads nothing")
+        else:
+            self._loop.add_writer(self._sock, self._writable)
 
     def send_now(self, message: Message, descriptor: int) -> bool:
-        """Send now or not at all; whether the kernel has it."""
-        return self.open and not self.waiting and self._sent(encode_message(message), [descriptor])
+        """Send at once or not at all; whether the kernel has taken it."""
+        if not self.open or self._queue:
+            return False
+        return self._try_to_send(encode_message(message), [descriptor])
 
-    def _sent(self, data: bytes, descriptors: list[int]) -> bool:
+    def _try_to_send(self, data: bytes, descriptors: Sequence[int]) -> bool:
         try:
             if descriptors:
-                socket.send_fds(self.sock, [data], descriptors)
+                socket.send_fds(self._sock, [data], list(descriptors))
             else:
-                self.sock.send(data)
+                self._sock.send(data)
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
@@ -70,48 +91,74 @@
         return True
 
     def _writable(self) -> None:
-        while self.waiting and self.open:
-            data, descriptors = self.waiting[0]
-            if not self._sent(data, descriptors):
+        while self._queue and self.open:
+            message = self._queue[0]
+            if not self._try_to_send(message.data, message.descriptors):
                 return
-            self.waiting.popleft()
-            for fd in descriptors:
-                os.close(fd)
+            self._queue.popleft()
+            close_descriptors(message.descriptors)
         if self.open:
-            self.loop.remove_writer(self.sock)
+            self._loop.remove_writer(self._sock)
 
     def _readable(self) -> None:
         for _ in range(MAX_MESSAGES_PER_TURN):
-            if not self.open:
-                return
-            try:
-                data, descriptors, flags, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES + 1, 8)
-            except (BlockingIOError, InterruptedError):
+            if not self.open or not self._receive():
                 return
-            except OSError as error:
-                return self.close(str(error))
-            if not data:
-                return self.close("it has ended")
-            try:
-                message = decode_message(data)
-                if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                    raise ValueError("a message that is cut off")
-            except ValueError as error:
-                for fd in descriptors:
-                    os.close(fd)
-                return self.close(str(error))
-            self.on_message(message, descriptors)
-
-    def close(self, why: str) -> None:
+
+    def _receive(self) -> bool:
+        """Read one message; False where there is none."""
+        try:
+            data, descriptors, flags, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES + 1, MAX_DESCRIPTORS)
+        except (BlockingIOError, InterruptedError):
+            return False
+        except OSError as error:
+            self.close(str(error))
+            return False
+        if not data:
+            self.close("it has ended")
+            return False
+        try:
+            message = read_message(data, flags)
+        except MessageFormatError as error:
+            close_descriptors(descriptors)
+            self.close(str(error))
+            return False
+        self._on_message(self, message, descriptors)
+        return True
+
+    def close(self, reason: str) -> None:
+        """Close the connection, with what is still queued, and report the reason to `on_close`."""
         if not self.open:
             return
         self.open = False
-        self.loop.remove_reader(self.sock)
-        self.loop.remove_writer(self.sock)
-        for _, descriptors in self.waiting:
-            for fd in descriptors:
-                with contextlib.suppress(OSError):
-                    os.close(fd)
-        self.waiting.clear()
-        self.sock.close()
-        self.on_close(why)
+        self._loop.remove_reader(self._sock)
+        self._loop.remove_writer(self._sock)
+        for message in self._queue:
+            with contextlib.suppress(OSError):
+                close_descriptors(message.descriptors)
+        self._queue.clear()
+        self._sock.close()
+        self._on_close(self, reason)
+
+    def discard(self) -> None:
+        """Close the connection without a report: the process ends."""
+        self._on_close = _ignore_close
+        self.close("the process ends")
+
+
+def _ignore_close(_channel: Channel, _reason: str) -> None:
+    """In place of `on_close` where nobody is left who wants to know."""
+
+
+def read_message(data: bytes, flags: int) -> Message:
+    """The message that was received with these flags; MessageFormatError where it is cut off or none."""
+    message = decode_message(data)
+    if flags & CUT_OFF:
+        raise MessageFormatError("a message that is cut off")
+    return message
+
+
+def close_descriptors(descriptors: Iterable[int]) -> None:
+    """Close descriptors that came with a message, or wait to go with one."""
+    for descriptor in descriptors:
+        os.close(descriptor)
--- /dev/null
+++ b/quartzford/replacement/predecessor_side.py
@@ -0,0 +1,183 @@
+"""The predecessor's side of a handover: it waits for a successor, and gives all it has to it."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+
+from quartzford.atomic_file import remove_stale_temporary_files
+from quartzford.engine import Clock, Log
+from quartzford.replacement.channel import Channel, close_descriptors
+from quartzford.replacement.errors import PeerUserError
+from quartzford.replacement.messages import (
+    ClientTransfer,
+    Hello,
+    ListenerTransfer,
+    MaintenanceUpdate,
+    Message,
+    Serving,
+    StatePart,
+)
+from quartzford.replacement.replaceable import ReplaceableBalancer
+from quartzford.replacement.state import split_state
+from quartzford.replacement.state_machine import (
+    HandoverAction,
+    HandoverEvent,
+    HandoverState,
+    HandoverStateMachine,
+)
+from quartzford.replacement.unix_socket import check_peer_user, listen_at
+
+START_TIMEOUT_S = 1.5  # a successor that does not serve by then is lost
+HEARTBEAT_TIMEOUT_S = 3.0  # so is one that serves and has been silent for so long
+LIVENESS_CHECK_S = 0.25
+LISTEN_RETRY_S = 1.0
+STARTING_STATES = (HandoverState.SUCCESSOR_STARTING, HandoverState.DRAINING_SUCCESSOR_STARTING)
+
+
+class PredecessorSide:
+    """Listens for a successor, and carries out what the state machine says while there is one."""
+
+    def __init__(
+        self,
+        balancer: ReplaceableBalancer,
+        socket_path: str,
+        clock: Clock,
+        log: Log,
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
+        """socket_path: where a successor looks for this process."""
+        self.channel: Channel | None = None  # to the successor, while it lives
+        self.listener: socket.socket | None = None
+        self._balancer = balancer
+        self._socket_path = socket_path
+        self._clock = clock
+        self._log = log
+        self._loop = loop
+        self._state_machine = HandoverStateMachine(self._perform)
+        self._last_message_at = 0.0  # of a successor, in seconds of the clock
+        self._listen_failed = False
+        self._stopped = False
+
+    def listen(self) -> None:
+        """Listen for a successor; where that fails, retry until it works or the process ends."""
+        if self._stopped:
+            return
+        with contextlib.suppress(OSError):
+            remove_stale_temporary_files(self._socket_path)
+        try:
+            self.listener = listen_at(self._socket_path)
+        except OSError as error:
+            if not self._listen_failed:
+                self._log.line("replacement", f"no successor can take over: {error}")
+            self._listen_failed = True
+            self._clock.call_later(LISTEN_RETRY_S, self.listen)
+            return
+        if self._listen_failed:
+            self._log.line("replacement", "a successor can take over again")
+        self._loop.add_reader(self.listener, self._accept)
+
+    def shut_down(self) -> None:
+        """SIGTERM has come: drain, with or without a successor."""
+        self._state_machine.handle(HandoverEvent.SHUTDOWN_REQUESTED)
+
+    def stop(self) -> None:
+        """Close listener and connection: this process ends."""
+        self._stopped = True
+        if self.listener is not None:
+            self._loop.remove_reader(self.listener)
+            self.listener.close()
+            self.listener = None
+        if self.channel is not None:
+            self.channel.discard()
+
+    # ---- the connection of a successor
+
+    def _accept(self) -> None:
+        assert self.listener is not None
+        try:
+            sock, _ = self.listener.accept()
+        except OSError:
+            return
+        try:
+            check_peer_user(sock)
+        except PeerUserError:
+            sock.close()
+            return
+        Channel(sock, self._loop, self._receive, self._channel_closed)
+
+    def _receive(self, channel: Channel, message: Message, descriptors: list[int]) -> None:
+        close_descriptors(descriptors)
+        self._last_message_at = self._clock.now()
+        match message:
+            case Hello(process_id=process_id):
+                self._begin_handover(channel, process_id)
+            case Serving() if channel is self.channel:
+                self._state_machine.handle(HandoverEvent.SUCCESSOR_SERVES)
+            case MaintenanceUpdate(endpoint=endpoint, in_maintenance=in_maintenance):
+                if channel is self.channel:
+                    self._balancer.apply_maintenance(endpoint, in_maintenance)
+
+    def _begin_handover(self, channel: Channel, process_id: int) -> None:
+        if self.channel is not None and self._state_machine.state in STARTING_STATES:
+            self.channel.close("a newer one has come")  # which had not served yet
+        if self.channel is not None:
+            channel.close("there is a successor")
+            return
+        self.channel = channel
+        self._log.line("replacement", f"process {process_id} takes over")
+        if not self._state_machine.handle(HandoverEvent.SUCCESSOR_CONNECTED):
+            channel.close("not now")
+        self._check_liveness()
+
+    def _channel_closed(self, channel: Channel, reason: str) -> None:
+        if channel is not self.channel:
+            return
+        self.channel = None
+        self._balancer.transfer_clients(None)
+        if self._state_machine.handle(HandoverEvent.SUCCESSOR_LOST):
+            self._log.line("replacement", f"the successor is lost: {reason}")
+
+    def _check_liveness(self) -> None:
+        """A successor that hangs is as good as lost."""
+        if self.channel is None:
+            return
+        starting = self._state_machine.state in STARTING_STATES
+        timeout_s = START_TIMEOUT_S if starting else HEARTBEAT_TIMEOUT_S
+        if self._clock.now() - self._last_message_at > timeout_s:
+            self.channel.close("it is silent")
+            return
+        self._clock.call_later(LIVENESS_CHECK_S, self._check_liveness)
+
+    # ---- actions of the state machine
+
+    def _perform(self, action: HandoverAction) -> None:
+        match action:
+            case HandoverAction.RELEASE_LISTENER:
+                self._transfer_listener()
+            case HandoverAction.TRANSFER_CLIENTS:
+                self._balancer.transfer_clients(self._transfer_client)
+            case HandoverAction.RESUME_SERVING:
+                self._balancer.resume_serving()
+            case HandoverAction.DRAIN:
+                self._balancer.drain()
+            case HandoverAction.DRAIN_TO_SUCCESSOR:
+                self._balancer.drain_to_successor()
+
+    def _transfer_listener(self) -> None:
+        """Give the listening socket and the state to the successor."""
+        assert self.channel is not None
+        offer = self._balancer.release_listener()
+        if offer is None:
+            self.channel.close("there is nothing left to take over")
+            return
+        channel = self.channel
+        parts = split_state(offer.state)
+        channel.send(ListenerTransfer(len(parts)), [offer.listener.fileno()])
+        for number, data in enumerate(parts):
+            channel.send(StatePart(number, data))
+
+    def _transfer_client(self, descriptor: int) -> bool:
+        """Whether the successor has got the client connection."""
+        return self.channel is not None and self.channel.send_now(ClientTransfer(), descriptor)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -17,7 +17,6 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-import msgspec
 import pytest
 import test_process
 import uvloop
@@ -33,15 +32,17 @@
 from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
 from quartzford.recording import Recorder
-from quartzford.replacement import handover as successions
 from quartzford.replacement import state as wire
-from quartzford.replacement.handover import LISTEN_RETRY_S, Handover
+from quartzford.replacement import unix_socket
+from quartzford.replacement.errors import MaintenanceFileError, StateFormatError
+from quartzford.replacement.handover import Handover
 from quartzford.replacement.maintenance_file import (
     WRITE_RETRY_S,
     MaintenanceFile,
     read_maintenance_file,
     write_maintenance_file,
 )
+from quartzford.replacement.predecessor_side import LISTEN_RETRY_S
 
 ROOT = Path(__file__).resolve().parent.parent
 CALLS = ("open", "write", "fsync", "close", "replace", "unlink", "chmod")
@@ -399,7 +400,7 @@
     return MaintenanceFile(str(path), clock, log), clock, log
 
 
-def test_who_is_out_by_hand_goes_on_file_once_the_disk_is_well(
+def test_endpoints_in_maintenance_go_on_file_once_the_disk_is_well(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     broken, rng = [True], random.Random(3)
@@ -427,7 +428,7 @@
     assert maintenance_file.read() == []
 
 
-def test_a_book_that_is_owed_at_the_end_is_tried_a_last_time(
+def test_a_maintenance_file_that_could_not_be_written_is_retried_at_the_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     errors: list[OSError | None] = [OSError(errno.EIO, "fails")]
@@ -439,7 +440,7 @@
     assert maintenance_file.read() == ["s0"]
 
 
-def test_a_kill_at_any_byte_of_the_book_leaves_the_page_before(
+def test_a_kill_at_any_byte_of_the_maintenance_file_leaves_the_old_content(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, page = tmp_path / "out", b'{"format":1,"out":["s0","s1"]}'
@@ -454,11 +455,11 @@
         assert read_maintenance_file(str(path)) == ["s0"]
         half = Path(atomic_file.temporary_path(str(path)))
         assert half.read_bytes() == page[:kept]
-        with pytest.raises(msgspec.MsgspecError):
+        with pytest.raises(MaintenanceFileError):
             read_maintenance_file(str(half))
 
 
-def test_two_processes_that_write_the_book_at_once_don_t_meet_in_one_file(
+def test_two_processes_that_write_the_maintenance_file_at_once_don_t_meet_in_one_temporary_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The old one's write is on when the successor's begins and ends."""
@@ -503,7 +504,7 @@
     @run
     async def test() -> None:
         faulty = FaultyOs(lambda call: errors[0] if errors and call == name else None)
-        monkeypatch.setattr(successions, "os", faulty)
+        monkeypatch.setattr(unix_socket, "os", faulty)
         clock, log, loop = ManualClock(), Lines(), asyncio.get_running_loop()
         one = Handover(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
         descriptors = len(os.listdir("/proc/self/fd"))
@@ -514,7 +515,11 @@
         assert os.listdir(tmp_path) == [] and len(log.lines) == 1
         errors.clear()
         clock.advance(LISTEN_RETRY_S)
-        assert os.listdir(tmp_path) == ["q.sock"] and one.listener is not None and len(log.lines) == 2
+        assert (
+            os.listdir(tmp_path) == ["q.sock"]
+            and one.predecessor_side.listener is not None
+            and len(log.lines) == 2
+        )
         one.stop()
         assert not clock.timers
 
@@ -644,11 +649,11 @@
     data = b"".join(wire.split_state(one))
     assert wire.decode_state(data).listing == listing
     for kept in range(len(data)):
-        with pytest.raises(ValueError, match="a state"):
+        with pytest.raises(StateFormatError, match="a state"):
             wire.decode_state(data[:kept])
 
 
-def test_a_book_that_can_t_be_read_is_said(tmp_path: Path) -> None:
+def test_a_maintenance_file_that_can_t_be_read_is_logged(tmp_path: Path) -> None:
     path, log = tmp_path / "out", Lines()
     maintenance_file = MaintenanceFile(str(path), ManualClock(), log)
     assert maintenance_file.read() == [] and not log.lines  # there is none yet
--- a/tests/test_frozen_data.py
+++ b/tests/test_frozen_data.py
@@ -25,6 +25,7 @@
 from quartzford.membership.registry import Registry
 from quartzford.membership.snapshot import Snapshot, decode, encode
 from quartzford.recording import Recorder
+from quartzford.replacement import messages
 from quartzford.replacement import state as wire
 from quartzford.replacement.maintenance_file import read_maintenance_file, write_maintenance_file
 from quartzford.settings.operatorfile import read_operator
@@ -142,24 +143,24 @@
 
 
 def make_messages() -> bytes:
-    messages: list[wire.Message] = [
-        wire.Hello(wire.STATE_FORMAT, 4711),
-        wire.ListenerTransfer(2),
-        wire.StatePart(1, b"\x00\xff"),
-        wire.Serving(),
-        wire.Heartbeat(),
-        wire.ClientTransfer(),
-        wire.MaintenanceUpdate("s1", True),
+    sent: list[messages.Message] = [
+        messages.Hello(wire.STATE_FORMAT, 4711),
+        messages.ListenerTransfer(2),
+        messages.StatePart(1, b"\x00\xff"),
+        messages.Serving(),
+        messages.Heartbeat(),
+        messages.ClientTransfer(),
+        messages.MaintenanceUpdate("s1", True),
     ]
-    return write_messages(messages)
+    return write_messages(sent)
 
 
-def read_messages(data: bytes) -> list[wire.Message]:
-    return [wire.decode_message(bytes.fromhex(line)) for line in data.decode().splitlines()]
+def read_messages(data: bytes) -> list[messages.Message]:
+    return [messages.decode_message(bytes.fromhex(line)) for line in data.decode().splitlines()]
 
 
-def write_messages(messages: list[wire.Message]) -> bytes:
-    return "".join(f"{wire.encode_message(message).hex()}\n" for message in messages).encode()
+def write_messages(sent: list[messages.Message]) -> bytes:
+    return "".join(f"{messages.encode_message(message).hex()}\n" for message in sent).encode()
 
 
 def read_names_out(data: bytes) -> list[str]:
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -24,8 +24,10 @@
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
 from quartzford.engine import LoopClock, StderrLog
+from quartzford.replacement import messages
 from quartzford.replacement import state as wire
-from quartzford.replacement.handover import Handover, balancer_path, short_path
+from quartzford.replacement.errors import StateFormatError
+from quartzford.replacement.handover import Handover
 from quartzford.replacement.state_machine import (
     TRANSITIONS,
     HandoverAction,
@@ -33,30 +35,31 @@
     HandoverState,
     HandoverStateMachine,
 )
+from quartzford.replacement.unix_socket import balancer_path, short_path
 
 # ---- the table
 
 
 def test_whatever_comes_in_whatever_order_one_process_serves_and_ends() -> None:
-    """Drawn news: it takes connections in SERVING and DRAINING alone, and hands them to the living."""
+    """Drawn events: it takes connections in SERVING and DRAINING alone, and hands them to the living."""
     for seed in range(300):
-        rng, steps = random.Random(seed), []
-        state_machine = HandoverStateMachine(steps.append)
+        rng, actions = random.Random(seed), []
+        state_machine = HandoverStateMachine(actions.append)
         accepting = True
         successor = ended = False
         for _ in range(30):
-            news = rng.choice(list(HandoverEvent))
-            steps.clear()
-            if not state_machine.handle(news):
+            event = rng.choice(list(HandoverEvent))
+            actions.clear()
+            if not state_machine.handle(event):
                 continue
-            successor = news is not HandoverEvent.SUCCESSOR_LOST and (
-                successor or news is HandoverEvent.SUCCESSOR_CONNECTED
+            successor = event is not HandoverEvent.SUCCESSOR_LOST and (
+                successor or event is HandoverEvent.SUCCESSOR_CONNECTED
             )
-            ended = ended or news is HandoverEvent.SHUTDOWN_REQUESTED
-            for step in steps:
-                assert step is not HandoverAction.TRANSFER_CLIENTS or successor
-                accepting = step is HandoverAction.RESUME_SERVING or (
-                    accepting and step is not HandoverAction.RELEASE_LISTENER
+            ended = ended or event is HandoverEvent.SHUTDOWN_REQUESTED
+            for action in actions:
+                assert action is not HandoverAction.TRANSFER_CLIENTS or successor
+                accepting = action is HandoverAction.RESUME_SERVING or (
+                    accepting and action is not HandoverAction.RELEASE_LISTENER
                 )
             assert accepting == (state_machine.state in (HandoverState.SERVING, HandoverState.DRAINING)), (
                 seed,
@@ -71,7 +74,7 @@
                 )
             )
             assert successor == (state_machine.state not in (HandoverState.SERVING, HandoverState.DRAINING))
-    assert {phase for phase, _ in TRANSITIONS} | {after for after, _ in TRANSITIONS.values()} == set(
+    assert {state for state, _ in TRANSITIONS} | {after.next_state for after in TRANSITIONS.values()} == set(
         HandoverState
     )
 
@@ -165,10 +168,10 @@
 def test_a_state_that_can_t_be_is_turned_away_with_its_reason(table: Any, reason: str) -> None:
     made = table()
     data = made if isinstance(made, bytes) else msgspec.msgpack.encode(made)
-    with pytest.raises(ValueError, match=reason):
+    with pytest.raises(StateFormatError, match=reason):
         wire.decode_state(data)
     for cut in range(0, len(data), max(1, len(data) // 40)):
-        with suppress(ValueError):
+        with suppress(StateFormatError):
             wire.decode_state(data[:cut])
 
 
@@ -401,7 +404,7 @@
     with short_path(path) as address:
         sock.connect(address)
     sock.setblocking(False)
-    sock.send(wire.encode_message(wire.Hello(99, 1)))
+    sock.send(messages.encode_message(messages.Hello(99, 1)))
     descriptors: list[int] = []
     while not descriptors:
         with suppress(BlockingIOError):
@@ -472,12 +475,16 @@
             Handover(None, path, clock, StderrLog(clock.now), loop).request_handover()  # type: ignore[arg-type]
         )
         sock, _ = await loop.run_in_executor(None, server.accept)
-        assert isinstance(wire.decode_message(sock.recv(65_536)), wire.Hello)
+        assert isinstance(messages.decode_message(sock.recv(65_536)), messages.Hello)
         socket.send_fds(
-            sock, [wire.encode_message(wire.ListenerTransfer(1 if complete else 3))], [listener.fileno()]
+            sock,
+            [messages.encode_message(messages.ListenerTransfer(1 if complete else 3))],
+            [listener.fileno()],
         )
         sock.send(
-            wire.encode_message(wire.StatePart(0, msgspec.msgpack.encode({"format": 7, "news": [1, 2]})))
+            messages.encode_message(
+                messages.StatePart(0, msgspec.msgpack.encode({"format": 7, "news": [1, 2]}))
+            )
         )
         if not complete:
             sock.close()
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -77,6 +77,7 @@
         "decision/memory.py",
         "decision/estimates.py",
         "engine/figures.py",
+        "replacement/messages.py",
         "replacement/state_machine.py",
         "replacement/state.py",
         "backends/caller.py",
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -27,6 +27,7 @@
 from quartzford.node import Node
 from quartzford.recording import Recorder
 from quartzford.replacement import state as wire
+from quartzford.replacement.errors import StateFormatError
 from quartzford.settings.platform import read_config
 
 HOUR_MS = 3_600_000.0
@@ -308,13 +309,18 @@
     earlier = msgspec.msgpack.decode(b"".join(wire.split_state(state)), type=EarlierState)
     assert earlier == EarlierState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
     read = wire.decode_state(msgspec.msgpack.encode(earlier))
-    assert (read.anchor_ms, read.listed_ms, read.starts, read.memory) == (None, None, {}, io.LearnedState())
+    assert (read.anchor_ms, read.list_known_ms, read.start_times_ms, read.memory) == (
+        None,
+        None,
+        {},
+        io.LearnedState(),
+    )
 
 
 @pytest.mark.parametrize("changes", [{"anchor_ms": float("nan")}, {"starts": {"s0": float("inf")}}])
 def test_moments_that_can_t_be_are_turned_away(changes: dict[str, Any]) -> None:
     state = wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
-    with pytest.raises(ValueError, match="not finite"):
+    with pytest.raises(StateFormatError, match="not finite"):
         wire.decode_state(msgspec.msgpack.encode(msgspec.to_builtins(state) | changes))
 
 
