--- a/quartzford/atomic_file.py
+++ b/quartzford/atomic_file.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 
 TEMPORARY_SUFFIX = ".tmp"
+FILE_MODE = 0o666  # less the umask
 
 
 def temporary_path(path: str) -> str:
@@ -37,15 +38,16 @@
 
 
 def _write_file(path: str, data: bytes, synced: bool) -> None:
-    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o666)
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
     try:
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(descriptor, rest) :]
+        unwritten = memoryview(data)
+        while unwritten:
+            written = os.write(descriptor, unwritten)
+            unwritten = unwritten[written:]
         if synced:
             os.fsync(descriptor)
     except OSError:
-        with suppress(OSError):  # the first error is the one to tell
+        with suppress(OSError):  # the first error is the one to report
             os.close(descriptor)
         raise
     os.close(descriptor)
@@ -69,20 +71,20 @@
                 os.unlink(target.parent / name)
 
 
-def _writer_of(name: str, target: str) -> int | None:
-    """The process that a temporary file for the target belongs to; None where it is another file."""
-    prefix = f"{target}."
+def _writer_of(name: str, target_name: str) -> int | None:
+    """The process id in the name of a temporary file for the target; None where it is another file's name."""
+    prefix = f"{target_name}."
     if not name.startswith(prefix) or not name.endswith(TEMPORARY_SUFFIX):
         return None
-    middle = name[len(prefix) : -len(TEMPORARY_SUFFIX)]
-    return int(middle) if middle.isascii() and middle.isdecimal() else None
+    process_id = name[len(prefix) : -len(TEMPORARY_SUFFIX)]
+    return int(process_id) if process_id.isascii() and process_id.isdecimal() else None
 
 
-def _is_running(process: int) -> bool:
+def _is_running(process_id: int) -> bool:
     try:
-        os.kill(process, 0)
+        os.kill(process_id, 0)
     except (ProcessLookupError, OverflowError):
         return False
-    except PermissionError:
+    except PermissionError:  # it belongs to another user
         return True
     return True
