--- a/quartzford/backends/http1.py
+++ b/quartzford/backends/http1.py
@@ -18,25 +18,25 @@
 from quartzford.protocols.socketerrors import is_local_to_connect
 from quartzford.settings.fields import read_report
 
-TICK_S = 0.001  # what the loop's timers are exact to
-HOLD_BYTES = 64 * 1024  # longer answers are streamed: a shorter one that breaks can be tried again
-HEAD_BYTES = 64 * 1024  # an answer's head may be this long
-JOIN_BYTES = 64 * 1024
-SEND_S = 0.05  # a request's last byte leaves within this of its first, or the attempt ends
-LONG_SEND_SHARE = 0.5  # of the time left, instead, for one whose body is longer than JOIN_BYTES
-PAUSE_S = 0.15
-REUSE_SHARE = 0.6
-REST_S = 0.01  # an upstream that answers twice does so within some milliseconds
-OVERLONG_S = 0.4  # past its request's time, for the last bytes of an answer that is passed on
-STALL_S = 4.0  # a long answer pauses for a tenth of a second; one this silent is broken
+TIMER_RESOLUTION_S = 0.001  # what the loop's timers are exact to
+MAX_BUFFERED_BYTES = 64 * 1024  # longer answers are streamed: a shorter one that breaks can be tried again
+MAX_HEAD_BYTES = 64 * 1024  # an answer's head may be this long
+MAX_JOINED_BYTES = 64 * 1024
+SEND_ALLOWANCE_S = 0.05  # a request's last byte leaves within this of its first, or the attempt ends
+LONG_SEND_ALLOWANCE_SHARE = 0.5  # of the time left, instead, for one whose body is longer than JOIN_BYTES
+MAX_BODY_PAUSE_S = 0.15
+MAX_IDLE_SHARE = 0.6
+MIN_IDLE_S = 0.01  # an upstream that answers twice does so within some milliseconds
+STREAM_OVERTIME_S = 0.4  # past its request's time, for the last bytes of an answer that is passed on
+STREAM_STALL_S = 4.0  # a long answer pauses for a tenth of a second; one this silent is broken
 # Hop-by-hop fields, and those that are framed or consumed here
-DROPPED = frozenset(
+NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection proxy-authenticate te trailer transfer-encoding upgrade"
     b" content-length x-backend-load x-unprocessed".split()
 )
 
 
-class Answer(NamedTuple):
+class CompleteResponse(NamedTuple):
     """A whole 200 answer: its fields as they go on, and its body in pieces."""
 
     fields: list[bytes]
@@ -64,7 +64,7 @@
 
     def write(self, data: bytes) -> None: ...
 
-    def stuck(self) -> bool:
+    def write_blocked(self) -> bool:
         """The client takes its answer more slowly than it comes."""
 
     def client_connected(self) -> bool:
@@ -81,23 +81,23 @@
         self.resting: dict[Upstream, None] = {}  # those that may have idle connections
         self.retired: dict[Upstream, None] = {}  # kept until the list forgets the name
         self.connections: set[Connection] = set()
-        self.connects = 0
+        self.pending_connects = 0
         self.opened: Counter[str] = Counter()  # connections made, by upstream
         self.streams: set[Attempt] = set()
-        self.most = 16
+        self.max_connections = 16
         self.idle_ms = self.connect_ms = 1000.0
         self.report_names: tuple[str, ...] = ()
 
     def configure(self, most: int, idle_ms: float, connect_ms: float, report_names: tuple[str, ...]) -> None:
         """most: connections at once; then how long one may stand idle or take to come up."""
-        self.most, self.idle_ms, self.connect_ms = most, idle_ms, connect_ms
+        self.max_connections, self.idle_ms, self.connect_ms = most, idle_ms, connect_ms
         self.report_names = report_names
 
     def attempt(self, call: Any, number: int, server: str, sent: float, due: float, finish: float) -> Attempt:
         return Attempt(self, call, number, self.upstreams[server], sent, due, finish)
 
     def may_connect(self) -> bool:
-        if len(self.connections) + self.connects < self.most:
+        if len(self.connections) + self.pending_connects < self.max_connections:
             return True
         if not any(upstream.idle for upstream in self.resting):
             return False
@@ -107,7 +107,7 @@
                 return True
         return False
 
-    def trim(self) -> None:
+    def close_idle(self) -> None:
         """End what rests: another process needs the descriptors."""
         for upstream in list(self.resting):
             upstream.expire(math.inf)
@@ -126,7 +126,7 @@
             if held is not None:
                 held.retire()
             return
-        if held is None or not held.ready or held.address != address or held.born_ms != entry.started_ms:
+        if held is None or not held.ready or held.address != address or held.started_ms != entry.started_ms:
             if held is not None:
                 held.retire()
             self.upstreams[entry.server] = Upstream(self, entry.server, address, entry.started_ms)
@@ -134,7 +134,7 @@
     def sweep(self) -> None:
         """Connections that stood idle for long, upstreams that are gone, answers that have stopped."""
         now = self.now()
-        before = now - REUSE_SHARE * self.idle_ms / 1000.0
+        before = now - MAX_IDLE_SHARE * self.idle_ms / 1000.0
         for upstream in list(self.resting):
             upstream.expire(before)
             if not upstream.idle:
@@ -142,7 +142,7 @@
         for upstream in list(self.retired):
             self._forget(upstream)
         for attempt in list(self.streams):
-            if now - attempt.moved > STALL_S and not attempt.call.stuck():
+            if now - attempt.last_progress > STREAM_STALL_S and not attempt.call.write_blocked():
                 attempt.fail("reset")
 
     def _forget(self, upstream: Upstream) -> None:
@@ -159,13 +159,13 @@
 class Upstream:
     """One life of an upstream at one address; a restart or a new address makes another."""
 
-    __slots__ = ("pool", "name", "address", "born_ms", "ready", "idle")
+    __slots__ = ("pool", "name", "address", "started_ms", "ready", "idle")
 
-    def __init__(self, pool: HttpBackend, name: str, address: tuple[str, int], born_ms: float) -> None:
+    def __init__(self, pool: HttpBackend, name: str, address: tuple[str, int], started_ms: float) -> None:
         self.pool = pool
         self.name = name
         self.address = address
-        self.born_ms = born_ms
+        self.started_ms = started_ms
         self.ready = True
         self.idle: deque[Connection] = deque()  # newest last; reuse is last in, first out
 
@@ -181,7 +181,7 @@
 
         What was turned away or failed needs no rest: a flood of it would open a connection for each request.
         """
-        before = self.pool.now() - REST_S
+        before = self.pool.now() - MIN_IDLE_S
         for connection in [c for c in reversed(self.idle) if c.status != 200 or c.idle_since <= before]:
             self.idle.remove(connection)
             if connection.stands():
@@ -279,7 +279,7 @@
         """Write the request, and see whether the system has taken all of it."""
         if not body:
             self.transport.write(head)
-        elif len(body) <= JOIN_BYTES:
+        elif len(body) <= MAX_JOINED_BYTES:
             self.transport.write(head + body)
         else:
             self.transport.writelines((head, body))
@@ -322,7 +322,7 @@
             return attempt.finish()
         if not self.status:
             self.head_bytes += size
-        if self.broken or self.head_bytes > HEAD_BYTES:
+        if self.broken or self.head_bytes > MAX_HEAD_BYTES:
             return attempt.fail("reset")
         attempt.progress()
 
@@ -357,7 +357,7 @@
             return
         self.head_bytes += len(name) + len(value)
         key = name.lower()
-        if key not in DROPPED:
+        if key not in NOT_FORWARDED:
             self.fields.append(b"%b: %b\r\n" % (name, value))
         elif key == b"content-length":
             self.length = int(value)
@@ -377,7 +377,7 @@
             self.broken = True  # a second answer
             return
         self.status = status
-        if self.head_bytes > HEAD_BYTES:
+        if self.head_bytes > MAX_HEAD_BYTES:
             self.broken = True
 
     def on_body(self, data: bytes) -> None:
@@ -410,7 +410,7 @@
         "connection",
         "chunks",
         "size",
-        "moved",
+        "last_progress",
     )
     call: HttpCall
 
@@ -433,10 +433,10 @@
         self.connection: Connection | None = None
         self.chunks: list[bytes] = []
         self.size = 0
-        self.moved = sent
+        self.last_progress = sent
 
     def start(self) -> None:
-        if self.due - self.pool.now() < TICK_S:  # nothing is written in no time
+        if self.due - self.pool.now() < TIMER_RESOLUTION_S:  # nothing is written in no time
             self.pool.clock.call_soon(self.fail, "moot")
             return
         self._arm()
@@ -460,7 +460,7 @@
             self.connecting = None
             return self.fail("moot")
         connection = Connection(self.upstream, sock)
-        self.pool.connects += 1
+        self.pool.pending_connects += 1
         self.pool.opened[self.upstream.name] += 1
         handed = False  # to the loop, which closes it from then on
         try:
@@ -482,7 +482,7 @@
             self.connecting = None
             return self.fail("moot" if is_local_to_connect(error) else "connect_failed")
         finally:
-            self.pool.connects -= 1
+            self.pool.pending_connects -= 1
         self.connecting = None
         if self.over:
             return self.upstream.put(connection)
@@ -495,7 +495,7 @@
         self.connection = connection
         connection.begin(self)
         now = self.pool.now()  # read where the bytes leave: what is told is true then
-        if self.due - now < TICK_S:
+        if self.due - now < TIMER_RESOLUTION_S:
             self._give_back(connection)
             return self.fail("moot")
         told = self._time_to_tell(now)
@@ -522,8 +522,8 @@
         moment. Time is set aside for that, and `_unwritten` ends what takes longer.
         """
         left = self.call.deadline - now
-        long = len(self.call.body) > JOIN_BYTES
-        reserve = LONG_SEND_SHARE * left if long else min(SEND_S, left / 2)
+        long = len(self.call.body) > MAX_JOINED_BYTES
+        reserve = LONG_SEND_ALLOWANCE_SHARE * left if long else min(SEND_ALLOWANCE_S, left / 2)
         return min(self.due - now, left - reserve)
 
     def _unwritten(self) -> None:
@@ -533,11 +533,16 @@
 
     def _timed_out(self) -> None:
         self.timer = None
-        if self.pool.now() < self.due - TICK_S:
+        if self.pool.now() < self.due - TIMER_RESOLUTION_S:
             return self._arm()
         connection = self.connection
         unsized = connection is not None and connection.status == 200 and connection.length is None
-        if connection is not None and unsized and self.size and self.pool.now() - self.moved < PAUSE_S:
+        if (
+            connection is not None
+            and unsized
+            and self.size
+            and self.pool.now() - self.last_progress < MAX_BODY_PAUSE_S
+        ):
             return self._stream(connection)
         self.fail("timeout" if self.connection is not None else "connect_failed")
 
@@ -553,19 +558,19 @@
 
     def progress(self) -> None:
         """More of the answer has come: begin to stream one that is long."""
-        self.moved = self.pool.now()
+        self.last_progress = self.pool.now()
         connection = self.connection
         # An answer that has begun is nearly there: to give it up would waste the work done. But one that
         # stops half way seldom goes on, so what can be sent again is, well before patience would end.
         if self.timer is not None and self.due < self.finish_by:
             self.timer.cancel()
-            self.due = min(self.finish_by - TICK_S, self.moved + PAUSE_S)
+            self.due = min(self.finish_by - TIMER_RESOLUTION_S, self.last_progress + MAX_BODY_PAUSE_S)
             self._arm()
         if self.streaming or connection is None or connection.status != 200:
-            if self.size > HOLD_BYTES and not self.streaming:
+            if self.size > MAX_BUFFERED_BYTES and not self.streaming:
                 self.fail("error")  # nobody reads the body of a long answer that is not served
             return
-        long = self.size > HOLD_BYTES or (connection.length or 0) > HOLD_BYTES
+        long = self.size > MAX_BUFFERED_BYTES or (connection.length or 0) > MAX_BUFFERED_BYTES
         if self.call.streams or long or self.pool.budget.full():
             self._stream(connection)
 
@@ -576,7 +581,7 @@
         self.pool.streams.add(self)
         self.pool.engine.started(self)
         if not self.call.streams:  # only streamed classes have no deadline once their answer has begun
-            left = self.call.deadline + OVERLONG_S - self.pool.now()
+            left = self.call.deadline + STREAM_OVERTIME_S - self.pool.now()
             self.timer = self.pool.clock.call_later(left, self._overlong)
         self.call.begin(connection.fields, connection.length)
         chunks, self.chunks = self.chunks, []
@@ -587,10 +592,10 @@
     def _overlong(self) -> None:
         """It goes on past its request's time, and may never end: its client is shown that it is not whole."""
         self.timer = None
-        self.fail("cancelled" if self.call.stuck() else "timeout")
+        self.fail("cancelled" if self.call.write_blocked() else "timeout")
 
     def pause(self, paused: bool) -> None:
-        self.moved = self.pool.now()
+        self.last_progress = self.pool.now()
         if self.connection is not None and not self.connection.transport.is_closing():
             transport = self.connection.transport
             (transport.pause_reading if paused else transport.resume_reading)()
@@ -622,7 +627,7 @@
         if connection is None:
             return core.ended(self, code)
         if code == "ok":
-            return core.ended(self, code, Answer(connection.fields, self.chunks), connection.report)
+            return core.ended(self, code, CompleteResponse(connection.fields, self.chunks), connection.report)
         stage = "in its answer" if connection.head_bytes else "unanswered"
         report = connection.report if connection.status else ()
         faulted = code == "error" and connection.faults_request()
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -18,20 +18,22 @@
 from quartzford.protocols.lingering import LingeringClose
 from quartzford.settings.fields import read_cookie, read_number, read_time_left
 
-HEAD_BYTES = 32 * 1024
-BODY_BYTES = 32 * 1024 * 1024
-IDLE_S = 2.25  # a client that is silent for longer, also since it connected, gives its descriptor back
-HEAD_S = 2.0  # a client that sends half a request is owed an error within 3 s
-BODY_S = 2.0  # this long with no byte of a body is a stall
-WHOLE_S = 5.0  # a whole request takes no longer, however slowly its bytes drip in
-READ_S = 20.0  # a client that takes no byte of its answer for this long is given up
-PAUSED_S = 1.0
-LOOK_S = 0.04  # how often it is looked whether those that are not read have gone
-PIPELINED = 16
-LINGERING = 16  # connections beyond the bound, while those that make room for them take their answers
-HIGH_BYTES = 16 * 1024
+MAX_HEAD_BYTES = 32 * 1024
+MAX_BODY_BYTES = 32 * 1024 * 1024
+IDLE_TIMEOUT_S = (
+    2.25  # a client that is silent for longer, also since it connected, gives its descriptor back
+)
+HEAD_TIMEOUT_S = 2.0  # a client that sends half a request is owed an error within 3 s
+BODY_STALL_S = 2.0  # this long with no byte of a body is a stall
+REQUEST_TIMEOUT_S = 5.0  # a whole request takes no longer, however slowly its bytes drip in
+WRITE_STALL_S = 20.0  # a client that takes no byte of its answer for this long is given up
+MAX_PAUSE_S = 1.0
+DISCONNECT_CHECK_INTERVAL_S = 0.04  # how often it is looked whether those that are not read have gone
+MAX_PIPELINED = 16
+MAX_LINGERING = 16  # connections beyond the bound, while those that make room for them take their answers
+WRITE_HIGH_WATER_BYTES = 16 * 1024
 BACKLOG = 2048
-HEALTH = b"/_health"
+HEALTH_PATH = b"/_health"
 
 REASONS = {
     200: b"OK",
@@ -44,11 +46,11 @@
     503: b"Service Unavailable",
 }
 # Fields that are hop-by-hop, or that this balancer frames or counts anew for each attempt
-DROPPED = frozenset(
+NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect content-length"
     b" x-time-left".split()
 )
-READ = {
+READ_FIELDS = {
     b"host": "host",
     b"x-correlation-id": "id",
     b"x-service-class": "name",
@@ -63,13 +65,13 @@
     b"expect": "expect",
     b"content-length": "length",
 }
-ONCE = ("host", "id")
-KEPT = frozenset((b"host", b"x-correlation-id", b"idempotency-key"))  # whatever Connection names
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-RESET = struct.pack("ii", 1, 0)
+SINGLE_FIELDS = ("host", "id")
+ALWAYS_FORWARDED = frozenset((b"host", b"x-correlation-id", b"idempotency-key"))  # whatever Connection names
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Whole(Protocol):
+class CompleteResponse(Protocol):
     """A backend's whole answer."""
 
     @property
@@ -94,7 +96,7 @@
         self.engine, self.backend, self.budget, self.ready = engine, backend, budget, ready
         self.clock, self.now = clock, clock.now
         self.clients: dict[Client, None] = {}
-        self.most = 16
+        self.max_clients = 16
         self.draining = False  # no connection is kept after its answer
         self.rejecting = False  # the process exits: nothing more is read as a request
         self.listener: Listener | None = None  # stays open while nobody accepts: its queue is kept
@@ -149,21 +151,21 @@
 
     def offer(self, client: Client) -> None:
         """Hand a connection over, if nothing of a request or an answer is on its way."""
-        if self.transfer_to_successor is not None and client.rests():
+        if self.transfer_to_successor is not None and client.is_transferable():
             client.hand_over(self.transfer_to_successor)
 
     def waiting(self) -> int:
         """Requests that have come whole behind others of their connection."""
         return sum(len(client.waiting) for client in self.clients)
 
-    def hold_back(self, client: Client) -> None:
+    def pause_reading(self, client: Client) -> None:
         """Its bytes are not read for now, and so the loop doesn't tell when it goes."""
         client.transport.pause_reading()
         if not self.unread:
-            self.clock.call_later(LOOK_S, self._look)
+            self.clock.call_later(DISCONNECT_CHECK_INTERVAL_S, self._look)
         self.unread[client] = None
 
-    def read_on(self, client: Client) -> None:
+    def resume_reading(self, client: Client) -> None:
         if client in self.unread:
             del self.unread[client]
             client.transport.resume_reading()
@@ -172,7 +174,7 @@
         for client in list(self.unread):
             client.look()
         if self.unread:
-            self.clock.call_later(LOOK_S, self._look)
+            self.clock.call_later(DISCONNECT_CHECK_INTERVAL_S, self._look)
 
     def close_idle(self) -> None:
         for client in list(self.clients):
@@ -217,7 +219,7 @@
 
     # ---- what the engine tells
 
-    def served(self, answer: Whole) -> None:
+    def served(self, answer: CompleteResponse) -> None:
         self.client.answer(self, 200, 0.0, answer.fields, answer.chunks)
 
     def refused(self, pause_ms: float, over_quota: bool) -> None:
@@ -254,8 +256,8 @@
     def write(self, data: bytes) -> None:
         self.client.write(data)
 
-    def stuck(self) -> bool:
-        return self.client.stuck
+    def write_blocked(self) -> bool:
+        return self.client.write_blocked
 
     def client_connected(self) -> bool:
         return self.client.connected()
@@ -284,9 +286,9 @@
         "in_head",
         "in_message",
         "error",
-        "since",
-        "moved",
-        "stuck",
+        "message_started",
+        "last_progress",
+        "write_blocked",
         "backlog",
         "held",
         "closing",
@@ -303,8 +305,8 @@
         self.waiting: deque[tuple[Exchange, io.Request | None]] = deque()
         self.in_head = self.in_message = False
         self.error = 0
-        self.since = self.moved = front.now()
-        self.stuck = False  # the client reads more slowly than its answer comes
+        self.message_started = self.last_progress = front.now()
+        self.write_blocked = False  # the client reads more slowly than its answer comes
         self.backlog = 0
         self.held: Exchange | None = None
         self.closing = False  # nothing that comes is acted on any more
@@ -318,40 +320,40 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=HIGH_BYTES)
+        self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         clients = self.front.clients
         clients[self] = None
-        if len(clients) > self.front.most:
+        if len(clients) > self.front.max_clients:
             self._make_room()
 
     def _make_room(self) -> None:
         """End what nothing is lost with, else answer half a request, else close this connection unread."""
-        clients, most = self.front.clients, self.front.most
+        clients, most = self.front.clients, self.front.max_clients
         while len(clients) > most:
             closable = self._another(Client.idle) or self._another(Client.lingers)
             if closable is None:
                 break
             del clients[closable]
             closable.transport.abort()
-        if len(clients) > most + LINGERING and self._another(Client.has_half_a_request):
+        if len(clients) > most + MAX_LINGERING and self._another(Client.has_partial_request):
             self.transport.abort()
-        elif len(clients) > most and (half := self._another(Client.has_half_a_request)):
+        elif len(clients) > most and (half := self._another(Client.has_partial_request)):
             half.reject(503)
 
     def _another(self, condition: Callable[[Client], bool]) -> Client | None:
         """The first of the other connections, longest unused first, on which no answer is owed."""
         clients = self.front.clients
-        return next((c for c in clients if c is not self and condition(c) and c.owes_nothing()), None)
+        return next((c for c in clients if c is not self and condition(c) and c.has_nothing_pending()), None)
 
     def lingers(self) -> bool:
         """Its last answer has been written."""
         return self.lingering is not None
 
-    def has_half_a_request(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Something of a request has been read that is not whole and not answered."""
         return self.in_message and self.exchange is None and not self.closing
 
-    def owes_nothing(self) -> bool:
+    def has_nothing_pending(self) -> bool:
         """No answer is owed here, and none is on its way out."""
         if self.exchange is not None or self.waiting or self.held is not None:
             return False
@@ -365,9 +367,9 @@
             if self.lingering is not None:
                 self.lingering.received(len(data))
             return
-        self.moved = self.front.now()
+        self.last_progress = self.front.now()
         if not self.in_message:
-            self.since = self.moved
+            self.message_started = self.last_progress
             self.in_head = self.in_message = True
             self.head_bytes = 0
         if self.in_head:
@@ -381,7 +383,7 @@
                 self.exchange.keep = False
         except httptools.HttpParserError:
             self.error = self.error or 400
-        if self.in_head and self.in_message and self.head_bytes > HEAD_BYTES:
+        if self.in_head and self.in_message and self.head_bytes > MAX_HEAD_BYTES:
             self.error = self.error or 431
         if self.error and self.exchange is None and not self.waiting:
             self.reject(self.error)
@@ -395,7 +397,7 @@
         self._left()
         self.parser = None
         self.closing = True
-        self.stuck = False
+        self.write_blocked = False
         self._unhold()
 
     def _left(self) -> None:
@@ -406,14 +408,14 @@
             self.front.engine.gone(exchange)
 
     def pause_writing(self) -> None:
-        self.stuck = True
-        self.moved = self.front.now()
+        self.write_blocked = True
+        self.last_progress = self.front.now()
         exchange = self.exchange
         if exchange is not None and exchange.attempt is not None and exchange.attempt.streaming:
             cast(Pausable, exchange.attempt).pause(True)
 
     def resume_writing(self) -> None:
-        self.stuck = False
+        self.write_blocked = False
         self._unhold()
         exchange = self.exchange
         if exchange is not None and exchange.attempt is not None and exchange.attempt.streaming:
@@ -434,12 +436,12 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
-        wanted = READ.get(key)
+        wanted = READ_FIELDS.get(key)
         if wanted is not None:
-            if wanted in ONCE and wanted in self.read:
+            if wanted in SINGLE_FIELDS and wanted in self.read:
                 self.error = self.error or 400  # the next reader may take the other one
             self.read[wanted] = value.decode("latin-1")
-        if key not in DROPPED:
+        if key not in NOT_FORWARDED:
             self.fields.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -447,15 +449,15 @@
         read = self.read
         if self.parser.get_method() == b"CONNECT":
             self.error = self.error or 400
-        if sum(len(n) + len(v) + 4 for n, v in self.fields) + len(self.target) > HEAD_BYTES:
+        if sum(len(n) + len(v) + 4 for n, v in self.fields) + len(self.target) > MAX_HEAD_BYTES:
             self.error = self.error or 431
         if "framing" in read:
             self.chunked = True
             if read["framing"].strip().lower() != "chunked" or "length" in read:
                 self.error = self.error or 400  # two readers could frame this in two ways
-        elif "length" in read and int(read["length"]) > BODY_BYTES:
+        elif "length" in read and int(read["length"]) > MAX_BODY_BYTES:
             self.error = self.error or 413
-        if not read.get("id", "").strip() and self.target.partition(b"?")[0] != HEALTH:
+        if not read.get("id", "").strip() and self.target.partition(b"?")[0] != HEALTH_PATH:
             self.error = self.error or 400  # no upstream has a use for it
         if "expect" in read and not self.error and self.exchange is None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -464,7 +466,7 @@
         if self.error:
             return
         size = self.body_bytes + len(data)
-        if size > BODY_BYTES:
+        if size > MAX_BODY_BYTES:
             self.error = 413
             return self._drop_body()
         if not self.body_bytes:
@@ -477,7 +479,7 @@
         self.front.budget.used += len(data)
         if self.front.budget.full():
             self.paused_at = self.paused_at or self.front.now()
-            self.front.hold_back(self)
+            self.front.pause_reading(self)
 
     def _drop_body(self) -> None:
         self.front.budget.used -= self.body_bytes
@@ -492,8 +494,8 @@
         exchange, request = self._whole()
         if self.exchange is not None or self.waiting:
             self.waiting.append((exchange, request))
-            if len(self.waiting) >= PIPELINED:
-                self.front.hold_back(self)
+            if len(self.waiting) >= MAX_PIPELINED:
+                self.front.pause_reading(self)
         else:
             self._take(exchange, request)
 
@@ -507,7 +509,7 @@
         named = read.get("connection", "")
         if "," in named or named.lower() not in ("", "close", "keep-alive"):
             hop = {part.strip().lower().encode("latin-1") for part in named.split(",")}
-            hop -= KEPT  # without these an upstream would run a repeat that it should drop
+            hop -= ALWAYS_FORWARDED  # without these an upstream would run a repeat that it should drop
             fields = [(name, value) for name, value in fields if name.lower() not in hop]
         line = b"%b %b HTTP/1.1\r\n" % (method, self.target)
         exchange = Exchange(self, line, b"".join([b"%b: %b\r\n" % field for field in fields]), self.body)
@@ -517,7 +519,7 @@
         exchange.lengthless = not self.body_bytes and "length" not in read and not self.chunked
         exchange.charged, self.body, self.body_bytes = self.body_bytes, b"", 0
         self.paused_at = 0.0
-        if self.target.partition(b"?")[0] == HEALTH:
+        if self.target.partition(b"?")[0] == HEALTH_PATH:
             return exchange, None
         name = read.get("name", "")
         kind = engine.classes.get(name)
@@ -597,7 +599,7 @@
         exchange = self.exchange
         if exchange is None or not data:
             return
-        self.moved = self.front.now()
+        self.last_progress = self.front.now()
         if exchange.streams:
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data))
         else:
@@ -610,7 +612,7 @@
         if not complete:
             if exchange.lengthless:  # its close would look like the end: a reset does not
                 sock = self.transport.get_extra_info("socket")
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             return self.transport.abort()
         if exchange.streams:
             self.transport.write(b"0\r\n\r\n")
@@ -618,9 +620,9 @@
 
     def _next(self, exchange: Exchange) -> None:
         self.exchange = None
-        self.moved = self.front.now()
+        self.last_progress = self.front.now()
         self._unhold()
-        if self.stuck:
+        if self.write_blocked:
             self.held = exchange
         else:
             exchange.release()
@@ -630,9 +632,9 @@
         elif self.waiting:
             following, request = self.waiting.popleft()
             if not self.waiting:
-                self.front.read_on(self)
+                self.front.resume_reading(self)
             if request is not None:  # its time has run while it waited
-                left = max(0.0, following.deadline - self.moved)
+                left = max(0.0, following.deadline - self.last_progress)
                 request = request._replace(budget_ms=left * 1000.0)
             self._take(following, request)
         elif self.error:
@@ -667,7 +669,7 @@
         if self.transport.is_closing():
             return
         self.closing = True
-        self.front.read_on(self)
+        self.front.resume_reading(self)
         self.lingering = LingeringClose(self.transport, self.front.now())
 
     # ---- housekeeping
@@ -677,7 +679,7 @@
         if self.transport.is_closing():
             return False
         poll = select.poll()
-        poll.register(self.transport.get_extra_info("socket").fileno(), GONE)
+        poll.register(self.transport.get_extra_info("socket").fileno(), HANGUP_EVENTS)
         return not poll.poll(0)
 
     def look(self) -> None:
@@ -686,12 +688,12 @@
             self._left()
             self.transport.abort()
 
-    def rests(self) -> bool:
+    def is_transferable(self) -> bool:
         """Nothing of a request has been read and nothing of an answer is left: another process may go on."""
         return (
             self.idle()
             and not self.waiting
-            and not self.stuck
+            and not self.write_blocked
             and not self.error
             and not self.transport.is_closing()
             and not self.transport.get_write_buffer_size()
@@ -722,21 +724,25 @@
         size = self.transport.get_write_buffer_size()
         if self.lingering is not None and self.lingering.expired(now):
             self.transport.abort()
-        elif size and (self.closing or self.stuck):
+        elif size and (self.closing or self.write_blocked):
             if size != self.backlog:
-                self.backlog, self.moved = size, now
-            elif now - self.moved > READ_S:
+                self.backlog, self.last_progress = size, now
+            elif now - self.last_progress > WRITE_STALL_S:
                 self.transport.abort()
         elif self.closing:
             return
         elif self.exchange is None and self.in_message:
-            stalled = now - self.since > HEAD_S if self.in_head else now - self.moved > BODY_S
-            if stalled or now - self.since > WHOLE_S:
+            stalled = (
+                now - self.message_started > HEAD_TIMEOUT_S
+                if self.in_head
+                else now - self.last_progress > BODY_STALL_S
+            )
+            if stalled or now - self.message_started > REQUEST_TIMEOUT_S:
                 self.reject(408)
             elif self.paused_at and not self.front.budget.full():
                 self.paused_at = 0.0
-                self.front.read_on(self)
-            elif self.paused_at and now - self.paused_at > PAUSED_S:
+                self.front.resume_reading(self)
+            elif self.paused_at and now - self.paused_at > MAX_PAUSE_S:
                 self.reject(503)
-        elif now - self.moved > IDLE_S:
+        elif now - self.last_progress > IDLE_TIMEOUT_S:
             self.close_if_idle()
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -138,7 +138,7 @@
             clients, upstream = max(8, clients - self.predecessor_busy_clients), max(8, upstream // 2)
         else:
             self.budget.limit = max(8 * 1024 * 1024, config.memory_bytes - BASE_BYTES)
-        self.front.most = clients
+        self.front.max_clients = clients
         self.pool.configure(upstream, config.idle_ms, config.connect_ms, config.report_names)
 
     def reconfigure(self, config: Config) -> None:
@@ -340,7 +340,7 @@
         """Give each idle client connection to the successor, now and from now on; None: no longer."""
         self.front.transfer_to_successor = transfer
         if transfer is not None:
-            self.pool.trim()
+            self.pool.close_idle()
             self._pass_on()
 
     def _pass_on(self) -> None:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -16,7 +16,7 @@
 from test_endings import RESET, raw
 
 from quartzford.engine.flight import Attempt
-from quartzford.fronts.http1 import GONE, Exchange
+from quartzford.fronts.http1 import HANGUP_EVENTS, Exchange
 
 
 def reset(sock: socket.socket) -> None:
@@ -56,7 +56,7 @@
         assert self.client is not None
         self.leave(self.client)
         poll = select.poll()
-        poll.register(client.transport.get_extra_info("socket").fileno(), GONE)
+        poll.register(client.transport.get_extra_info("socket").fileno(), HANGUP_EVENTS)
         assert poll.poll(2000), "the end never came to the balancer's side"
 
 
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -13,7 +13,7 @@
 from test_relay_server import PATH, Site, site
 
 from quartzford.fronts import operations
-from quartzford.fronts.http1 import LINGERING
+from quartzford.fronts.http1 import MAX_LINGERING
 from quartzford.relay.connection import ConnectionState
 
 STATUS = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -51,9 +51,9 @@
     async def test() -> None:
         async with World() as world:
             front = world.node.front
-            front.most = 3
-            begun = [await connected(world.port, half_a_request(cut)) for _ in range(front.most)]
-            await until(lambda: sum(c.has_half_a_request() for c in front.clients) == len(begun))
+            front.max_clients = 3
+            begun = [await connected(world.port, half_a_request(cut)) for _ in range(front.max_clients)]
+            await until(lambda: sum(c.has_partial_request() for c in front.clients) == len(begun))
             newcomer = await connected(world.port, request())
             assert await status_of(begun.pop(0)) == 503
             assert (await asyncio.get_running_loop().sock_recv(newcomer, 65536)).startswith(b"HTTP/1.1 200")
@@ -70,7 +70,7 @@
 async def test_a_crowd_of_half_requests_is_answered_within_the_bound_on_connections() -> None:
     async with World() as world:
         front = world.node.front
-        front.most = 3
+        front.max_clients = 3
         most_open = 0
         begun: list[socket.socket] = []
         for _ in range(60):
@@ -78,8 +78,8 @@
             await asyncio.sleep(0)
             most_open = max(most_open, len(front.clients))
         answered = [await status_of(sock) for sock in begun]
-        assert set(answered) <= {503, 408, 0} and answered.count(0) <= 60 - front.most - LINGERING
-        assert most_open <= front.most + LINGERING + 1
+        assert set(answered) <= {503, 408, 0} and answered.count(0) <= 60 - front.max_clients - MAX_LINGERING
+        assert most_open <= front.max_clients + MAX_LINGERING + 1
 
 
 @run
@@ -130,10 +130,10 @@
         classes = [kind | {"deadlineMs": 300.0, "sloMs": 200.0} for kind in SETTINGS["classes"]]
         async with World(classes=classes) as world:
             sock = await connected(world.port, half_a_request(cut))
-            await until(lambda: any(c.has_half_a_request() for c in world.node.front.clients))
+            await until(lambda: any(c.has_partial_request() for c in world.node.front.clients))
             world.node.terminate()
             await world.node.finished
-            assert not any(c.has_half_a_request() for c in world.node.front.clients)
+            assert not any(c.has_partial_request() for c in world.node.front.clients)
             assert await status_of(sock) == 503
 
     uvloop.run(test())
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -115,7 +115,7 @@
         queued = socket.create_connection(server.getsockname())
         asked = time.monotonic()
         answer = asyncio.ensure_future(world.ask(request("pay", b"", left="2900m")))
-        await until(lambda: world.node.pool.connects)
+        await until(lambda: world.node.pool.pending_connects)
         (await loop.sock_accept(server))[0].close()
         reader, writer = await asyncio.open_connection(sock=(await loop.sock_accept(server))[0])
         message = await read_message(reader)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -108,7 +108,7 @@
 async def test_a_connection_whose_answer_is_still_on_its_way_does_not_make_room() -> None:
     """It rests by what has been read; its last bytes wait for the system to take them."""
     async with World() as world:
-        world.node.front.most = 2
+        world.node.front.max_clients = 2
         first = await raw(world)
         first.send(request())
         await until(lambda: world.outcomes() == ["ok"])
@@ -238,7 +238,7 @@
             sock.close()
             await until(lambda: not world.node.front.clients, 2)
             before = len(sends())
-            assert not world.node.engine.calls and not world.node.pool.connects
+            assert not world.node.engine.calls and not world.node.pool.pending_connects
             world.news(world.host(0), world.host(1), complete=True)
             for up in world.ups:
                 up.script = gated(gate, reply())
@@ -300,7 +300,7 @@
                 sock.send(request("pay", b""))
                 before = crossed
                 await until(lambda before=before: crossed > before)  # type: ignore[misc]
-                await until(lambda: not world.node.pool.connects)
+                await until(lambda: not world.node.pool.pending_connects)
                 sock.close()
         assert not world.node.pool.connections and not world.node.engine.calls
         assert (await world.ask(request("pay", b""))).status == 200
@@ -312,7 +312,7 @@
     late: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection was lent again at once: a second copy of its answer was served to the next client."""
-    monkeypatch.setattr(http1, "REST_S", 3.0)
+    monkeypatch.setattr(http1, "MIN_IDLE_S", 3.0)
 
     async def test() -> None:
         async with World() as world:
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -142,7 +142,7 @@
             await until(lambda: not world.node.pool.upstreams["s1"].ready)
             if reused:
                 assert (await world.ask(request())).status == 200
-                await asyncio.sleep(2 * http1.REST_S)
+                await asyncio.sleep(2 * http1.MIN_IDLE_S)
             world.ups[0].script = notes
             hold_next_send(monkeypatch, drain)
             answers = await asyncio.gather(*(world.ask(request()) for _ in range(3)))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -280,9 +280,9 @@
 
         world.ups[0].script = wait
         asking = []
-        for _ in range(world.node.front.most + 5):
+        for _ in range(world.node.front.max_clients + 5):
             asking.append(asyncio.ensure_future(world.ask(request("pay", b"p"))))
-        await until(lambda: len(world.node.front.clients) >= world.node.front.most)
+        await until(lambda: len(world.node.front.clients) >= world.node.front.max_clients)
         world.node.budget.used += world.node.budget.limit  # all the memory that there is for bodies
         began = asyncio.get_running_loop().time()
         assert (await figures(world))["edge.in_flight"] >= 1
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -300,7 +300,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", world.port, limit=1000)
         world.clients.append(writer)
         writer.write(request("pay", b""))
-        await until(lambda: any(c.stuck for c in world.node.front.clients))
+        await until(lambda: any(c.write_blocked for c in world.node.front.clients))
         (client,) = world.node.front.clients
         assert client.transport.get_write_buffer_size() < 2_000_000
         assert written < size  # what is under way lies in the kernel's buffers, not here
@@ -394,7 +394,7 @@
         asked = [world.ask(request("pay", b"", left="700m")) for _ in range(25)]
         statuses = {answer.status for answer in await asyncio.gather(*asked)}
         assert statuses <= {502, 503}
-        assert len(world.ups[0].writers) <= world.node.pool.most
+        assert len(world.ups[0].writers) <= world.node.pool.max_connections
         world.ups[0].script = says(reply())
         await until(lambda: not world.node.pool.connections)
         for _ in range(100):  # after nothing but time-outs little is let in, until these are forgotten
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -8,7 +8,7 @@
 import uvloop
 from peers import SETTINGS, Message, World, read_message, reply, request, run, until
 
-from quartzford.backends.http1 import REST_S, Upstream
+from quartzford.backends.http1 import MIN_IDLE_S, Upstream
 from quartzford.node import BASE_DESCRIPTORS
 
 
@@ -18,7 +18,7 @@
     async with World() as world:
         for _ in range(6):
             assert (await world.ask(request())).status == 200
-            rested = asyncio.get_running_loop().time() + REST_S
+            rested = asyncio.get_running_loop().time() + MIN_IDLE_S
             await until(lambda rested=rested: asyncio.get_running_loop().time() > rested)  # type: ignore[misc]
         assert len(world.ups[0].writers) == 1 and len(world.node.pool.connections) == 1
         assert len(world.node.pool.upstreams["s0"].idle) == 1
@@ -59,7 +59,9 @@
             await until(lambda: sum(len(up.came) for up in world.ups) + len(world.outcomes()) >= asked)
             gate.set()
             assert {answer.status for answer in await asyncio.gather(*asking)} == {200}
-            assert world.node.front.most + world.node.pool.most <= sockets - BASE_DESCRIPTORS
+            assert (
+                world.node.front.max_clients + world.node.pool.max_connections <= sockets - BASE_DESCRIPTORS
+            )
 
     uvloop.run(test())
 
