--- a/quartzford/counting.py
+++ b/quartzford/counting.py
@@ -148,7 +148,7 @@
             "classes": self._since("classes", classes),
             "process": self._since("process", process()),
             "memory_kb": resident_kb(),
-            "held_at": dict(Counter(connection.upstream.name for connection in pool.connections)),
+            "held_at": dict(Counter(connection.owner.name for connection in pool.connections)),
             "held": len(pool.connections),
             "idle": sum(len(upstream.idle) for upstream in pool.upstreams.values()),
             "ready": len(balancer.ready),
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -84,7 +84,11 @@
 class Pausable(Protocol):
     """An attempt whose answer is passed on as it comes."""
 
-    def pause(self, paused: bool) -> None: ...
+    def pause(self) -> None:
+        """Stop reading the answer."""
+
+    def resume(self) -> None:
+        """Read it again."""
 
 
 class HttpFront:
@@ -412,14 +416,14 @@
         self.last_progress = self.front.now()
         exchange = self.exchange
         if exchange is not None and exchange.attempt is not None and exchange.attempt.streaming:
-            cast(Pausable, exchange.attempt).pause(True)
+            cast(Pausable, exchange.attempt).pause()
 
     def resume_writing(self) -> None:
         self.write_blocked = False
         self._unhold()
         exchange = self.exchange
         if exchange is not None and exchange.attempt is not None and exchange.attempt.streaming:
-            cast(Pausable, exchange.attempt).pause(False)
+            cast(Pausable, exchange.attempt).resume()
 
     # ---- httptools
 
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from quartzford.backends.http1 import HttpBackend
+from quartzford.backends.http_backend import HttpBackend
 from quartzford.control import LISTS_PER_S as LISTS_PER_S
 from quartzford.control import InheritedStarts, assemble
 from quartzford.decision import interface as io
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -15,7 +15,8 @@
 from helpers import UNSAFE, ask, met_often, outcome, sends, started
 from peers import SETTINGS, Message, World, read_message, reply, request, run, silent, until
 
-from quartzford.backends import http1
+from quartzford.backends.http_attempt import Attempt
+from quartzford.backends.upstream_connection import Connection
 from quartzford.fronts.extproc import server
 from quartzford.fronts.extproc.desk import Reply
 from quartzford.fronts.extproc.messages import Writer
@@ -63,24 +64,24 @@
 
 def hold_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """The loop stands still between the last look at the clock and each write to an upstream."""
-    send = http1.Connection.send
+    send = Connection.send
 
-    def held(self: http1.Connection, head: bytes, body: bytes | bytearray) -> None:
+    def held(self: Connection, head: bytes, body: bytes | bytearray) -> None:
         time.sleep(SLACK_S)
         send(self, head, body)
 
-    monkeypatch.setattr(http1.Connection, "send", held)
+    monkeypatch.setattr(Connection, "send", held)
 
 
 def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
     """The system takes little for an upstream that does not read."""
-    connected = http1.Connection.connection_made
+    connected = Connection.connection_made
 
-    def narrowed(self: http1.Connection, transport: asyncio.BaseTransport) -> None:
+    def narrowed(self: Connection, transport: asyncio.BaseTransport) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         connected(self, transport)
 
-    monkeypatch.setattr(http1.Connection, "connection_made", narrowed)
+    monkeypatch.setattr(Connection, "connection_made", narrowed)
 
 
 async def listening(world: World, backlog: int, window: int = 0) -> socket.socket:
@@ -220,7 +221,7 @@
         assert world.outcomes() == ["ok"]
 
 
-@pytest.mark.parametrize("place", [(http1.Attempt, "start"), (http1.Connection, "begin")])
+@pytest.mark.parametrize("place", [(Attempt, "start"), (Connection, "begin")])
 def test_an_attempt_held_up_past_its_time_is_not_begun(
     place: tuple[Any, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,8 +15,8 @@
 import uvloop
 from peers import SETTINGS, Lag, Message, World, read_message, reply, request, run, until
 
-from quartzford.backends import http1
-from quartzford.backends.http1 import Connection
+from quartzford.backends import connection_pool
+from quartzford.backends.upstream_connection import Connection
 from quartzford.decision import interface as io
 
 RESET = struct.pack("ii", 1, 0)
@@ -312,7 +312,7 @@
     late: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection was lent again at once: a second copy of its answer was served to the next client."""
-    monkeypatch.setattr(http1, "MIN_IDLE_S", 3.0)
+    monkeypatch.setattr(connection_pool, "MIN_IDLE_S", 3.0)
 
     async def test() -> None:
         async with World() as world:
@@ -403,7 +403,7 @@
             raise OSError(errno.EMFILE, "Too many open files")
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("quartzford.backends.http1.socket.socket", none_left)
+            patch.setattr("quartzford.backends.http_attempt.socket.socket", none_left)
             loop = asyncio.get_running_loop()
             client = make()
             client.setblocking(False)
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -19,7 +19,8 @@
 from test_extproc_desk import Peer
 from test_extproc_desk import World as Desk
 
-from quartzford.backends import http1
+from quartzford.backends.connection_pool import MIN_IDLE_S
+from quartzford.backends.upstream_connection import Connection
 from quartzford.engine import Clock
 from quartzford.fronts import http1 as front
 from quartzford.fronts.extproc import server
@@ -33,15 +34,15 @@
 
 def hold_next_send(monkeypatch: pytest.MonkeyPatch, meanwhile: Callable[[], None] = lambda: None) -> None:
     """What happens meanwhile has happened before the request's bytes leave, and nobody here has read it."""
-    send = http1.Connection.send
+    send = Connection.send
 
-    def held(self: http1.Connection, head: bytes, body: bytes | bytearray) -> None:
-        monkeypatch.setattr(http1.Connection, "send", send)
+    def held(self: Connection, head: bytes, body: bytes | bytearray) -> None:
+        monkeypatch.setattr(Connection, "send", send)
         meanwhile()
         time.sleep(HELD_S)
         send(self, head, body)
 
-    monkeypatch.setattr(http1.Connection, "send", held)
+    monkeypatch.setattr(Connection, "send", held)
 
 
 @pytest.mark.parametrize(("remains_s", "again"), [(0.02, False), (0.1, False), (0.14, False), (0.35, True)])
@@ -142,7 +143,7 @@
             await until(lambda: not world.node.pool.upstreams["s1"].ready)
             if reused:
                 assert (await world.ask(request())).status == 200
-                await asyncio.sleep(2 * http1.MIN_IDLE_S)
+                await asyncio.sleep(2 * MIN_IDLE_S)
             world.ups[0].script = notes
             hold_next_send(monkeypatch, drain)
             answers = await asyncio.gather(*(world.ask(request()) for _ in range(3)))
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -8,7 +8,7 @@
 import uvloop
 from peers import SETTINGS, Message, World, read_message, reply, request, run, until
 
-from quartzford.backends.http1 import MIN_IDLE_S, Upstream
+from quartzford.backends.connection_pool import MIN_IDLE_S, Upstream
 from quartzford.node import BASE_DESCRIPTORS
 
 
