--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -10,6 +10,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from quartzford import engine
+from quartzford.backends import outcomes
 from quartzford.decision import interface as io
 from quartzford.engine import Clock, Engine, Handle
 from quartzford.membership.listing import Listing
@@ -44,10 +45,13 @@
     """The servers that callers may be sent to. valid_s: for how long a decision stands, claimed or not."""
 
     def __init__(self, core: Engine, clock: Clock, valid_s: float) -> None:
-        self.engine, self.clock, self.valid_s = core, clock, valid_s
+        self.engine = core
+        self.clock = clock
+        self.valid_s = valid_s
         self.hosts: dict[str, Host] = {}
 
     def listed(self, listing: Listing) -> None:
+        """Follow the endpoint list: a complete one, or the entries that have changed."""
         if listing.complete:
             self.hosts.clear()
         for entry, (host, port) in zip(listing.entries, listing.addresses, strict=True):
@@ -59,6 +63,7 @@
     def attempt(
         self, call: Any, number: int, server: str, sent: float, due: float, finish: float
     ) -> RemoteAttempt:
+        """An attempt, not begun; times on the engine's clock, seconds. See engine.Backend."""
         return RemoteAttempt(self, call, number, server, sent, due)
 
 
@@ -80,7 +85,8 @@
         self.stands_until = sent + backend.valid_s
 
     def start(self) -> None:
-        self.timer = self.backend.clock.call_later(self.due - self.sent, self.fail, "moot")
+        """Offer the decision to whoever waits for it; it is dropped where nobody claims it in time."""
+        self.timer = self.backend.clock.call_later(self.due - self.sent, self.fail, outcomes.NOT_SENT)
         self.call.decided(self)
 
     def claim(self) -> bool:
@@ -94,10 +100,11 @@
         same = self.host is not None and self.backend.hosts.get(self.server) == self.host
         stands_s = self.backend.engine.stands_for(self)
         if not same or now > self.stands_until or stands_s <= 0.0:
-            self.fail("moot")
+            self.fail(outcomes.NOT_SENT)
             return False
         self.stands_until = min(self.stands_until, now + stands_s)
-        self.state, self.written = State.TOLD, now
+        self.state = State.TOLD
+        self.written = now
         self.backend.engine.figures.attempts += 1
         self._stop()
         # The caller holds the attempt's own time-out. Here only the client's time ends it, for good: it may
@@ -118,6 +125,7 @@
             self.state = State.LOST
 
     def lost(self) -> bool:
+        """The caller's stream has ended with nothing reported."""
         return self.state is State.LOST
 
     def recall(self) -> None:
@@ -129,15 +137,15 @@
         """End it with this outcome; one that a caller was told of is never said not to have run."""
         if self.state is State.OVER:
             return
-        if self.state is not State.DECIDED and code == "moot":
-            code = "cancelled"
+        if self.state is not State.DECIDED and code == outcomes.NOT_SENT:
+            code = outcomes.CANCELLED
         self._end()
         self.backend.engine.ended(self, code)
 
     def _overdue(self) -> None:
         if self.state is not State.OVER:
             self._end()
-            self.backend.engine.ended(self, "timeout", owed=False)
+            self.backend.engine.ended(self, outcomes.TIMED_OUT, owed=False)
 
     def _end(self) -> None:
         self.state = State.OVER
