--- a/bench/capacity_events.py
+++ b/bench/capacity_events.py
@@ -195,7 +195,7 @@
             "-",
             "by design: never, the one in force stays",
             "by design: nothing (`Node.reconfigure` is not reached)",
-            "`settings/platform.py`",
+            "`settings/configuration.py`",
         ),
         EventRow(
             "bad configuration, can be used",
--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -159,7 +159,7 @@
             model.measured("config memory"),
             "bytes",
             Bound(t.control_bytes, LETTER),
-            "`settings/platform.py`",
+            "`settings/configuration.py`",
             CONFIGURATION,
         ),
         row("latency", "the loop is held by a reload", stall, "s", today=today),
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -32,7 +32,7 @@
 from quartzford.decision.columns import load_arrays
 from quartzford.decision.logic import Balancer
 from quartzford.node import Node
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
 from standins.nodo import Books, Nodo, Registry
 from standins.site import config, free_port
 
--- a/bench/slopes_configuration.py
+++ b/bench/slopes_configuration.py
@@ -21,7 +21,7 @@
 from bench.slopes_process import Ticks, measured, resident_mb
 from quartzford.__main__ import reload
 from quartzford.decision.columns import load_arrays
-from quartzford.settings.platform import load_config
+from quartzford.settings.configuration import load_config
 from standins.site import CLASSES, config, free_port
 
 ROLE = "balancer"
--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -24,7 +24,7 @@
 from quartzford.decision.columns import load_arrays
 from quartzford.membership import line_splitter
 from quartzford.node import Node
-from quartzford.settings.platform import Config, read_config
+from quartzford.settings.configuration import Config, read_config
 from standins.site import config, free_port
 
 ROLE = "balancer"
--- a/quartzford/__main__.py
+++ b/quartzford/__main__.py
@@ -11,7 +11,7 @@
 
 from quartzford.engine import print_error
 from quartzford.node import Node, start_listening
-from quartzford.settings.platform import Config, ConfigError, load_config
+from quartzford.settings.configuration import Config, ConfigError, load_config
 
 
 def load() -> Config:
@@ -60,7 +60,7 @@
 
         return demo(arguments[1:])
     from quartzford.serve import serve
-    from quartzford.settings.operatorfile import OperatorError, load_operator
+    from quartzford.settings.operator_file import OperatorError, load_operator_settings
 
     parser = argparse.ArgumentParser(prog="quartzford", description="A balancer that has to hold.")
     commands = parser.add_subparsers(dest="command", required=True)
@@ -75,10 +75,10 @@
     options = parser.parse_args(arguments)
     try:
         if options.command == "check":
-            load_operator(options.file)
+            load_operator_settings(options.file)
             print(f"{options.file}: can be used")
         elif options.command == "relay":
-            settings = load_operator(options.operator).relay
+            settings = load_operator_settings(options.operator).relay
             if settings is None:
                 raise OperatorError(f"{options.operator}: no section [relay]")
             from quartzford.relay.relay import run as relay
--- a/quartzford/backends/response_reader.py
+++ b/quartzford/backends/response_reader.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from quartzford.settings.fields import read_report
+from quartzford.settings.header_values import read_report
 
 SERVED = 200
 REQUEST_TIMEOUT = 408
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -22,7 +22,7 @@
 from quartzford.membership.registry import Registry
 from quartzford.membership.start_times import StartTimes
 from quartzford.membership.subset import Subset
-from quartzford.settings.platform import Config
+from quartzford.settings.configuration import Config
 
 if TYPE_CHECKING:
     from quartzford.membership.snapshot_writer import SnapshotWriter, StoredList
--- a/quartzford/counting.py
+++ b/quartzford/counting.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING, Any
 
 from quartzford.decision import interface as io
-from quartzford.settings.platform import ConfigError
+from quartzford.settings.configuration import ConfigError
 
 if TYPE_CHECKING:
     from quartzford.engine.flight import Attempt, Call
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -15,7 +15,7 @@
 
 from quartzford.fronts.extproc.desk import Again, Ask, Failed, Opened, Passed, Refused, Reply, Told
 from quartzford.fronts.extproc.outcome import Result, read_result
-from quartzford.settings.fields import read_cookie, read_number, read_time_left
+from quartzford.settings.header_values import read_cookie, read_number, read_time_left
 
 ATTRIBUTES = "envoy.filters.http.ext_proc"
 DETAILS = "response.code_details"
--- a/quartzford/fronts/extproc/outcome.py
+++ b/quartzford/fronts/extproc/outcome.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from quartzford.settings.fields import read_report
+from quartzford.settings.header_values import read_report
 
 # What Envoy puts into response.code_details where it answered itself (its page "Response code details").
 # Only what surely wrote no byte of the request to an upstream proves that it did not run.
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -16,7 +16,7 @@
 from quartzford.engine import Backend, Budget, Call, Clock, Engine
 from quartzford.fronts.listener import Listener, bind, open_connection
 from quartzford.protocols.lingering import LingeringClose
-from quartzford.settings.fields import read_cookie, read_number, read_time_left
+from quartzford.settings.header_values import read_cookie, read_number, read_time_left
 
 MAX_HEAD_BYTES = 32 * 1024
 MAX_BODY_BYTES = 32 * 1024 * 1024
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -23,7 +23,7 @@
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.membership.subset import Subset
 from quartzford.protocols.socketerrors import is_exhausted
-from quartzford.settings.platform import Config, ConfigError
+from quartzford.settings.configuration import Config, ConfigError
 
 if TYPE_CHECKING:
     from quartzford.membership.snapshot_writer import SnapshotWriter
--- a/quartzford/relay/relay.py
+++ b/quartzford/relay/relay.py
@@ -10,8 +10,8 @@
 from quartzford.relay.catalog import Catalog
 from quartzford.relay.server import Server
 from quartzford.relay.source import follow
-from quartzford.settings.operatorfile import RelaySettings, endpoint
-from quartzford.settings.platform import ConfigError
+from quartzford.settings.configuration import ConfigError
+from quartzford.settings.operator_file import RelaySettings, split_address
 
 
 class Relay:
@@ -37,7 +37,7 @@
 
     async def start(self) -> None:
         """Listen, and ask the source; OSError where the address can't be had."""
-        await self.server.listen(*endpoint(self.settings.listen))
+        await self.server.listen(*split_address(self.settings.listen))
         self.watch.start()
 
     async def stop(self) -> None:
--- a/quartzford/relay/source.py
+++ b/quartzford/relay/source.py
@@ -14,7 +14,7 @@
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, SharedServiceCallPolicy, draws
 from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Sink
-from quartzford.settings.operatorfile import RelaySettings, endpoint
+from quartzford.settings.operator_file import RelaySettings, split_address
 
 
 def follow(
@@ -25,6 +25,6 @@
     calls = SharedServiceCallPolicy(
         settings.relays, settings.source_calls_per_s, NOTIFY_BOUND_S, rng, clock.now
     )
-    source = endpoint(settings.source)
+    source = split_address(settings.source)
     addresses = SingleAddress(lambda: source, complete_list_by_watch=True)
     return ListWatch(sink, addresses, calls, clock, log, loop, resync=True)
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -13,19 +13,19 @@
 from quartzford.membership.subset import Subset
 from quartzford.node import LISTS_PER_S, Node, start_listening
 from quartzford.recording import Recorder
-from quartzford.settings.operatorfile import (
+from quartzford.settings.configuration import Config, ConfigError, load_config
+from quartzford.settings.operator_file import (
     ExtprocSettings,
     ListsSettings,
     OperatorError,
     OperatorSettings,
-    endpoint,
-    load_operator,
-    takes_restart,
+    first_restart_only_change,
+    load_operator_settings,
+    split_address,
 )
-from quartzford.settings.platform import Config, ConfigError, load_config
 
-LEAST_CLOSE_S = 0.05  # for the trace's last lines, however late it is
-LEAST_OF_GRACE = 0.25  # of a drain's grace, where that is hardly longer than a hold-up
+MIN_TRACE_CLOSE_S = 0.05  # for the trace's last lines, however late it is
+MIN_GRACE_SHARE = 0.25  # of a drain's grace, where that is hardly longer than a hold-up
 
 
 def config_path(operator: OperatorSettings, path: str) -> str:
@@ -36,7 +36,7 @@
     return str(Path(path).parent / operator.config) if operator.config else ""
 
 
-def check_together(operator: OperatorSettings, config: Config) -> None:
+def check_compatible(operator: OperatorSettings, config: Config) -> None:
     """OperatorError where the operator's file asks for what the configuration rules out."""
     if operator.lists is not None and operator.lists.relays and not config.settings.polls_list:
         raise OperatorError(
@@ -47,7 +47,7 @@
 def decision_valid_s(extproc: ExtprocSettings, settings: io.Settings) -> float:
     """For how long a decision stands: a worker that is held up as it writes one keeps to a drain's grace."""
     grace_ms = settings.rules.drain_grace_ms
-    within_grace_ms = max(LEAST_OF_GRACE * grace_ms, grace_ms - settings.stall_ms)
+    within_grace_ms = max(MIN_GRACE_SHARE * grace_ms, grace_ms - settings.stall_ms)
     return min(extproc.decision_valid_ms, within_grace_ms) / 1000.0
 
 
@@ -56,9 +56,9 @@
 
     def __init__(self, path: str, loop: asyncio.AbstractEventLoop) -> None:
         self.path = path
-        self.operator = load_operator(path)
+        self.operator = load_operator_settings(path)
         config = load_config(config_path(self.operator, path))
-        check_together(self.operator, config)
+        check_compatible(self.operator, config)
         chosen = self.operator.subset
         subset = Subset(config.name, chosen.size, chosen.per_zone) if chosen is not None else None
         lists = self.operator.lists
@@ -67,7 +67,7 @@
             loop,
             subset,
             lists_per_s=lists.calls_per_s if lists else LISTS_PER_S,
-            relays=[endpoint(text) for text in lists.relays] if lists else (),
+            relays=[split_address(text) for text in lists.relays] if lists else (),
         )
         if lists is not None and lists.snapshot:
             self._keep(str(Path(path).parent / lists.snapshot), lists)
@@ -129,10 +129,10 @@
     def reload(self) -> None:
         """Both files again. One that can't be used leaves all that is in force as it is."""
         try:
-            operator = load_operator(self.path)
+            operator = load_operator_settings(self.path)
             config = load_config(config_path(operator, self.path))
-            check_together(operator, config)
-            key = takes_restart(self.operator, operator)
+            check_compatible(operator, config)
+            key = first_restart_only_change(self.operator, operator)
             if key:
                 raise OperatorError(f"{key}: a change takes a restart")
         except (OperatorError, ConfigError) as error:
@@ -156,7 +156,7 @@
             await self.extproc.stop()
         await self.node.finished
         if self.recorder is not None:
-            self.recorder.close(max(LEAST_CLOSE_S, self.node.exit_by() - self.node.clock.now()))
+            self.recorder.close(max(MIN_TRACE_CLOSE_S, self.node.exit_by() - self.node.clock.now()))
 
 
 async def serve(path: str) -> None:
--- a/quartzford/settings/platform.py
+++ b/quartzford/settings/configuration.py
@@ -104,7 +104,7 @@
     )
 
 
-def _want(table: Any, path: str, kind: type | tuple[type, ...]) -> Any:
+def _require(table: Any, path: str, kind: type | tuple[type, ...]) -> Any:
     """The value at a dotted path of the kind wanted."""
     for key in path.split("."):
         if not isinstance(table, dict) or key not in table:
@@ -118,14 +118,14 @@
 
 
 def _positive(table: Any, path: str) -> float:
-    value = float(_want(table, path, (int, float)))
+    value = float(_require(table, path, (int, float)))
     if value <= 0:
         raise ConfigError(f"{path}: {value!r} is not above 0")
     return value
 
 
 def _address(table: Any, path: str) -> tuple[str, int]:
-    text = _want(table, path, str)
+    text = _require(table, path, str)
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise ConfigError(f"{path}: {text!r} is not host:port")
@@ -133,7 +133,7 @@
 
 
 def _seed(table: Any) -> int:
-    text = _want(table, "seed", (str, int))
+    text = _require(table, "seed", (str, int))
     try:
         return text if isinstance(text, int) else int(text, 16)
     except ValueError:
@@ -141,14 +141,14 @@
 
 
 def _settings(table: Any) -> io.Settings:
-    raw = _want(table, "settings", dict)
+    raw = _require(table, "settings", dict)
     for section in ("guarantees", "limits", "prices", "blend", "report"):
-        _want(raw, section, dict)
-    _want(raw, "classes", list)
+        _require(raw, section, dict)
+    _require(raw, "classes", list)
     try:
         settings = read_settings(raw)
         for name in [c.name for c in settings.classes] + [t.name for t in settings.tenants]:
-            _want({"name": name}, "name", str)
+            _require({"name": name}, "name", str)
         for name in settings.report_fields:
             if not isinstance(name, str):
                 raise ConfigError(f"settings: report.fields: {name!r} is not a name")
@@ -188,13 +188,13 @@
     settings = replace(_settings(table), stall_ms=STALL_MS)  # actions of the simulator take no time
     raw = table["settings"]
     return Config(
-        name=_want(table, "name", str),
+        name=_require(table, "name", str),
         listen=_address(table, "listen"),
         discovery=_address(table, "discovery"),
         seed=_seed(table),
         memory_bytes=int(_positive(table, "limits.memory_mb") * 1024 * 1024),
         descriptors=int(_positive(table, "limits.sockets")),
-        known=_want(table, "known", dict),
+        known=_require(table, "known", dict),
         admin=_address(table, "admin_addr") if table.get("admin_addr") else None,
         settings=settings,
         idle_ms=_positive(raw, "limits.connIdleMs"),
--- a/quartzford/settings/operatorfile.py
+++ b/quartzford/settings/operator_file.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-HEADER = re.compile(r"[a-z0-9][a-z0-9!#$%&'*+.^_`|~-]*\Z")
-HEADERS = {  # what the headers are called unless the file says otherwise
+HEADER_NAME = re.compile(r"[a-z0-9][a-z0-9!#$%&'*+.^_`|~-]*\Z")
+DEFAULT_HEADERS = {  # what the headers are called unless the file says otherwise
     "identity": "x-correlation-id",
     "service_class": "x-service-class",
     "tenant": "x-account",
@@ -27,9 +27,9 @@
     "retry": "x-quartzford-retry",
     "within": "x-quartzford-within",
 }
-MOST_RELAYS = 1_000
+MAX_RELAYS = 1_000
 # Envoy keeps these from mutation, or gives them a meaning of its own.
-RESERVED = ("host", "connection", "content-length", "transfer-encoding", "cookie", "te", "upgrade")
+RESERVED_HEADERS = ("host", "connection", "content-length", "transfer-encoding", "cookie", "te", "upgrade")
 
 
 class OperatorError(Exception):
@@ -153,7 +153,7 @@
     return text
 
 
-def endpoint(text: str) -> tuple[str, int]:
+def split_address(text: str) -> tuple[str, int]:
     """Host and port of a checked host:port."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
@@ -162,7 +162,7 @@
 def _peer(key: str, value: Any) -> str:
     """An address that is called: it needs a port of its own."""
     text = _address(key, value)
-    host, port = endpoint(text)
+    host, port = split_address(text)
     if not host or not port:
         raise OperatorError(f"{key}: {text!r} can't be called: it takes a host and a port over 0")
     return text
@@ -171,14 +171,14 @@
 def _peers(key: str, value: Any) -> tuple[str, ...]:
     if not isinstance(value, list):
         raise OperatorError(f"{key}: {value!r} is not a list of host:port")
-    if len(value) > MOST_RELAYS:
-        raise OperatorError(f"{key}: {len(value)} addresses are over {MOST_RELAYS}")
+    if len(value) > MAX_RELAYS:
+        raise OperatorError(f"{key}: {len(value)} addresses are over {MAX_RELAYS}")
     peers = tuple(_peer(f"{key}[{at}]", text) for at, text in enumerate(value))
     seen: set[tuple[str, int]] = set()
     for text in peers:
-        if endpoint(text) in seen:
+        if split_address(text) in seen:
             raise OperatorError(f"{key}: {text!r} is named twice")
-        seen.add(endpoint(text))
+        seen.add(split_address(text))
     return peers
 
 
@@ -187,22 +187,22 @@
         raise OperatorError(f"{key}: {value!r} is not a table")
     for name, header in value.items():
         where = f"{key}.{name}"
-        if name not in HEADERS:
-            raise OperatorError(f"{where}: no such header; there are {', '.join(HEADERS)}")
-        if not isinstance(header, str) or not HEADER.match(header):
+        if name not in DEFAULT_HEADERS:
+            raise OperatorError(f"{where}: no such header; there are {', '.join(DEFAULT_HEADERS)}")
+        if not isinstance(header, str) or not HEADER_NAME.match(header):
             raise OperatorError(f"{where}: {header!r} is not a header's name in lower case")
-        if header in RESERVED:
+        if header in RESERVED_HEADERS:
             raise OperatorError(f"{where}: {header!r} can't be set or read for this")
         if header.startswith("x-envoy-") and name in ("destination", "token", "retry", "within"):
             raise OperatorError(f"{where}: {header!r}: callers keep x-envoy- headers from being set")
-    used = list((HEADERS | value).values())
+    used = list((DEFAULT_HEADERS | value).values())
     for name, header in value.items():
         if used.count(header) > 1:
             raise OperatorError(f"{key}.{name}: {header!r} stands for two things")
     return tuple(sorted(value.items()))
 
 
-EXTPROC: dict[str, Check] = {
+EXTPROC_CHECKS: dict[str, Check] = {
     "listen": _address,
     "workers": _count(0, 64),
     "decision_valid_ms": _number(1, 10_000),
@@ -229,7 +229,7 @@
     return check
 
 
-TRACE: dict[str, Check] = {
+TRACE_CHECKS: dict[str, Check] = {
     "file": _text,
     "keys": _one_of("hashed", "plain", "none"),
     "most_mb": _number(0.001, 1_000_000),
@@ -247,30 +247,30 @@
 
 
 def _extproc(key: str, value: Any) -> ExtprocSettings:
-    table = _table(key, value, EXTPROC)
+    table = _table(key, value, EXTPROC_CHECKS)
     if "listen" not in table:
         raise OperatorError(f"{key}.listen: missing")
     return ExtprocSettings(**table)
 
 
 def _trace(key: str, value: Any) -> TraceSettings:
-    table = _table(key, value, TRACE)
+    table = _table(key, value, TRACE_CHECKS)
     if not table.get("file"):
         raise OperatorError(f"{key}.file: missing")
     return TraceSettings(**table)
 
 
-SUBSET: dict[str, Check] = {"size": _count(1, 1_000_000), "per_zone": _count(0, 1_000_000)}
+SUBSET_CHECKS: dict[str, Check] = {"size": _count(1, 1_000_000), "per_zone": _count(0, 1_000_000)}
 
 
 def _subset(key: str, value: Any) -> SubsetSettings:
-    table = _table(key, value, SUBSET)
+    table = _table(key, value, SUBSET_CHECKS)
     if "size" not in table:
         raise OperatorError(f"{key}.size: missing")
     return SubsetSettings(**table)
 
 
-LISTS: dict[str, Check] = {
+LISTS_CHECKS: dict[str, Check] = {
     "calls_per_s": _number(0.01, 1_000_000),
     "snapshot": _text,
     "snapshot_age_s": _number(1, 31_536_000),
@@ -280,7 +280,7 @@
 
 
 def _lists(key: str, value: Any) -> ListsSettings:
-    settings = ListsSettings(**_table(key, value, LISTS))
+    settings = ListsSettings(**_table(key, value, LISTS_CHECKS))
     if settings.snapshot_fresh_s > settings.snapshot_age_s:
         raise OperatorError(
             f"{key}.snapshot_fresh_s: {settings.snapshot_fresh_s:g} is over snapshot_age_s, "
@@ -289,11 +289,11 @@
     return settings
 
 
-RELAY: dict[str, Check] = {
+RELAY_CHECKS: dict[str, Check] = {
     "listen": _address,
     "source": _peer,
     "balancers": _count(1, 10_000_000),
-    "relays": _count(1, MOST_RELAYS),
+    "relays": _count(1, MAX_RELAYS),
     "whole_bytes_per_s": _number(1_000, 1e12),
     "most_watchers": _count(0, 10_000_000),
     "source_calls_per_s": _number(0.01, 1_000_000),
@@ -301,12 +301,12 @@
 
 
 def _relay(key: str, value: Any) -> RelaySettings:
-    table = _table(key, value, RELAY)
+    table = _table(key, value, RELAY_CHECKS)
     for name in ("listen", "source", "balancers"):
         if name not in table:
             raise OperatorError(f"{key}.{name}: missing")
     settings = RelaySettings(**table)
-    if endpoint(settings.listen) == endpoint(settings.source):
+    if split_address(settings.listen) == split_address(settings.source):
         raise OperatorError(f"{key}.source: {settings.source!r} is the relay's own address, {key}.listen")
     share = math.ceil(settings.balancers / settings.relays)
     if 0 < settings.most_watchers < share:
@@ -317,7 +317,7 @@
     return settings
 
 
-def read_operator(text: str) -> OperatorSettings:
+def read_operator_settings(text: str) -> OperatorSettings:
     """The settings in a file's text; OperatorError where it can't be used."""
     try:
         table = tomllib.loads(text)
@@ -333,20 +333,20 @@
     }
     settings = OperatorSettings(**_table("", table, checks))
     if settings.relay is not None and settings.lists is not None:
-        source = endpoint(settings.relay.source)
-        if any(endpoint(text) == source for text in settings.lists.relays):
+        source = split_address(settings.relay.source)
+        if any(split_address(text) == source for text in settings.lists.relays):
             raise OperatorError(f"relay.source: {settings.relay.source!r} is a relay itself, of lists.relays")
     return settings
 
 
-def load_operator(path: str) -> OperatorSettings:
+def load_operator_settings(path: str) -> OperatorSettings:
     try:
-        return read_operator(Path(path).read_text(encoding="utf-8"))
+        return read_operator_settings(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
         raise OperatorError(f"{path}: {error}") from None
 
 
-def takes_restart(old: OperatorSettings, new: OperatorSettings) -> str:
+def first_restart_only_change(old: OperatorSettings, new: OperatorSettings) -> str:
     """The first key whose change a reload can't carry out; '' if there is none."""
     if (old.extproc is None) != (new.extproc is None):
         return "extproc"
@@ -358,8 +358,8 @@
     return next((name for name in parts if getattr(old, name) != getattr(new, name)), "")
 
 
-assert {f.name for f in fields(SubsetSettings)} == set(SUBSET)
-assert {f.name for f in fields(ListsSettings)} == set(LISTS)
-assert {f.name for f in fields(RelaySettings)} == set(RELAY)
-assert {f.name for f in fields(TraceSettings)} == set(TRACE)
-assert {f.name for f in fields(ExtprocSettings)} == set(EXTPROC)
+assert {f.name for f in fields(SubsetSettings)} == set(SUBSET_CHECKS)
+assert {f.name for f in fields(ListsSettings)} == set(LISTS_CHECKS)
+assert {f.name for f in fields(RelaySettings)} == set(RELAY_CHECKS)
+assert {f.name for f in fields(TraceSettings)} == set(TRACE_CHECKS)
+assert {f.name for f in fields(ExtprocSettings)} == set(EXTPROC_CHECKS)
--- a/rig/hollow.py
+++ b/rig/hollow.py
@@ -37,8 +37,8 @@
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.membership import list_call, list_watch
 from quartzford.membership.listing import Listing, read_listing
-from quartzford.settings.operatorfile import endpoint
-from quartzford.settings.platform import Config, read_config
+from quartzford.settings.configuration import Config, read_config
+from quartzford.settings.operator_file import split_address
 from rig.meter import Meter, install
 from rig.processes import address
 from standins.site import config
@@ -221,7 +221,7 @@
         return read_config(json.dumps(table))
 
     def _side(self, one: Config, loop: Any) -> ControlSide:
-        relays = [endpoint(text) for text in self.plan["relays"]]
+        relays = [split_address(text) for text in self.plan["relays"]]
         return assemble(one, loop, self.clock, self.log, relays=relays)
 
     def _hollow(self, number: int, module: SharedModule | None) -> Hollow:
--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -13,8 +13,8 @@
 from quartzford.backends.caller import CallerBackend
 from quartzford.fronts.extproc.service import ExtprocFront
 from quartzford.node import Node
-from quartzford.settings.operatorfile import ExtprocSettings
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
+from quartzford.settings.operator_file import ExtprocSettings
 from standins.caller import CallerProxy, Exchange, Headers, Policy, request_rows
 from standins.nodo import Nodo, fleet
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -15,7 +15,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.node import Node
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
 
 SETTINGS: dict[str, Any] = {
     "blend": {"whole": 1.0},
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -16,7 +16,7 @@
 from peers import Lag, Message, Peer, World, read_message, reply, request, run, says, until
 
 from bench.callmodel import PER_S, Model, Trouble, bound_s
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
 
 HOUR_MS = 3_600_000.0
 
--- a/tests/test_counting.py
+++ b/tests/test_counting.py
@@ -13,7 +13,7 @@
 
 from bench import fleetlog
 from quartzford.counting import Counting, span_of
-from quartzford.settings.platform import ConfigError
+from quartzford.settings.configuration import ConfigError
 
 
 def written(text: str, topic: str) -> list[dict[str, Any]]:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -13,7 +13,7 @@
 import uvloop
 from peers import SETTINGS, Lag, Message, World, read_message, request, run, silent, until
 
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
 
 ROOT = Path(__file__).resolve().parent.parent
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
--- a/tests/test_extproc_example.py
+++ b/tests/test_extproc_example.py
@@ -16,7 +16,7 @@
 from envoy.extensions.upstreams.http.v3 import http_protocol_options_pb2  # noqa: F401
 from google.protobuf import json_format
 
-from quartzford.settings.operatorfile import HEADERS, load_operator
+from quartzford.settings.operator_file import DEFAULT_HEADERS, load_operator_settings
 from standins.site import CLASSES
 
 DEPLOY = Path(__file__).resolve().parent.parent / "deploy"
@@ -67,7 +67,7 @@
     _, _, route = parts["hop clients"]
     policy = route.retry_policy
     assert policy.retry_on == "retriable-headers" and policy.num_retries.value == 3
-    assert [h.name for h in policy.retriable_headers] == [HEADERS["retry"]]
+    assert [h.name for h in policy.retriable_headers] == [DEFAULT_HEADERS["retry"]]
     assert not route.HasField("hedge_policy") and not policy.HasField("per_try_timeout")
     assert not parts["hop attempts"][2].HasField("retry_policy")
 
@@ -96,17 +96,19 @@
     manager, _, _ = parts["hop clients"]
     mutation = header_mutation_pb2.HeaderMutation()
     manager.early_header_mutation_extensions[0].typed_config.Unpack(mutation)
-    assert {m.remove for m in mutation.mutations} == {HEADERS[n] for n in ("token", "destination", "retry")}
+    assert {m.remove for m in mutation.mutations} == {
+        DEFAULT_HEADERS[n] for n in ("token", "destination", "retry")
+    }
 
 
 def test_the_destination_is_the_header_that_we_set(parts: dict[str, Any]) -> None:
     nodos = parts["nodos"]
-    assert nodos.original_dst_lb_config.http_header_name == HEADERS["destination"]
+    assert nodos.original_dst_lb_config.http_header_name == DEFAULT_HEADERS["destination"]
     assert nodos.lb_policy == nodos.CLUSTER_PROVIDED
 
 
 def test_the_time_outs_fit_together(parts: dict[str, Any]) -> None:
-    operator = load_operator(str(DEPLOY / "operator.example.toml")).extproc
+    operator = load_operator_settings(str(DEPLOY / "operator.example.toml")).extproc
     assert operator is not None
     (_, opener, outer), (_, attempt, inner) = parts["hop clients"], parts["hop attempts"]
     longest = LONGEST_S
@@ -121,12 +123,12 @@
 
 
 def test_the_operators_example_names_every_key_with_its_default() -> None:
-    from quartzford.settings.operatorfile import EXTPROC, ExtprocSettings
+    from quartzford.settings.operator_file import EXTPROC_CHECKS, ExtprocSettings
 
     text = (DEPLOY / "operator.example.toml").read_text()
-    settings = load_operator(str(DEPLOY / "operator.example.toml")).extproc
-    assert settings is not None and dict(settings.headers) == HEADERS
-    for key in EXTPROC:
+    settings = load_operator_settings(str(DEPLOY / "operator.example.toml")).extproc
+    assert settings is not None and dict(settings.headers) == DEFAULT_HEADERS
+    for key in EXTPROC_CHECKS:
         assert re.search(rf"^(# )?\[?(extproc\.)?{key}\b", text, re.MULTILINE), key
     plain = ExtprocSettings(listen=settings.listen)
     for key in ("decision_valid_ms", "return_ms", "overlap_ms", "queue_ms", "most_requests", "most_streams"):
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -19,12 +19,12 @@
 from peers import SETTINGS, run, until
 
 from quartzford.serve import config_path
-from quartzford.settings.operatorfile import (
+from quartzford.settings.operator_file import (
     ExtprocSettings,
     OperatorError,
     RelaySettings,
-    read_operator,
-    takes_restart,
+    first_restart_only_change,
+    read_operator_settings,
 )
 from standins.caller import CallerProxy, Policy
 from standins.nodo import Nodo, fleet
@@ -290,28 +290,31 @@
 @pytest.mark.parametrize(("text", "reason"), BAD)
 def test_an_operators_file_that_cannot_be_used_is_turned_away_with_its_key(text: str, reason: str) -> None:
     with pytest.raises(OperatorError) as error:
-        read_operator(text)
+        read_operator_settings(text)
     assert reason in str(error.value) and "\n" not in str(error.value)
 
 
 def test_good_files_and_what_takes_a_restart() -> None:
-    assert read_operator("").extproc is None
-    one = read_operator(GOOD)
+    assert read_operator_settings("").extproc is None
+    one = read_operator_settings(GOOD)
     assert one.extproc == ExtprocSettings(listen="127.0.0.1:9090")
-    assert takes_restart(one, read_operator(GOOD + "return_ms = 9")) == ""
-    assert takes_restart(one, read_operator(GOOD + "workers = 9")) == "extproc.workers"
-    assert takes_restart(one, read_operator("")) == "extproc"
+    assert first_restart_only_change(one, read_operator_settings(GOOD + "return_ms = 9")) == ""
+    assert first_restart_only_change(one, read_operator_settings(GOOD + "workers = 9")) == "extproc.workers"
+    assert first_restart_only_change(one, read_operator_settings("")) == "extproc"
 
 
 def test_a_relays_section_and_the_relays_that_balancers_ask() -> None:
-    settings = read_operator(RELAY + "relays = 11").relay
+    settings = read_operator_settings(RELAY + "relays = 11").relay
     assert settings == RelaySettings("127.0.0.1:9301", "127.0.0.1:8500", 4_600, 11)
     assert settings.watchers() == 719  # 1.25 * 4,600 over the eight that are left of eleven
-    assert read_operator(RELAY + "relays = 11\nmost_watchers = 419").relay.watchers() == 419  # type: ignore[union-attr]
-    named = read_operator('[lists]\nrelays = ["127.0.0.1:9301", "h:2"]')
+    assert read_operator_settings(RELAY + "relays = 11\nmost_watchers = 419").relay.watchers() == 419  # type: ignore[union-attr]
+    named = read_operator_settings('[lists]\nrelays = ["127.0.0.1:9301", "h:2"]')
     assert named.lists is not None and named.lists.relays == ("127.0.0.1:9301", "h:2")
-    assert takes_restart(named, read_operator('[lists]\nrelays = ["h:2"]')) == "lists"
-    assert takes_restart(read_operator(RELAY), read_operator(RELAY + "relays = 2")) == "relay"
+    assert first_restart_only_change(named, read_operator_settings('[lists]\nrelays = ["h:2"]')) == "lists"
+    assert (
+        first_restart_only_change(read_operator_settings(RELAY), read_operator_settings(RELAY + "relays = 2"))
+        == "relay"
+    )
 
 
 def test_a_relay_without_its_section_ends_with_one_line(tmp_path: Path) -> None:
@@ -323,12 +326,12 @@
 
 
 def test_the_variable_goes_before_the_file_and_is_seen_from_here(monkeypatch: pytest.MonkeyPatch) -> None:
-    settings = read_operator('config = "balancer.json"')
+    settings = read_operator_settings('config = "balancer.json"')
     monkeypatch.setenv("EDGE_CONFIG", "here/c.json")
     assert config_path(settings, "/etc/q/operator.toml") == "here/c.json"
     monkeypatch.delenv("EDGE_CONFIG")
     assert config_path(settings, "/etc/q/operator.toml") == "/etc/q/balancer.json"
-    assert config_path(read_operator(""), "/etc/q/operator.toml") == ""
+    assert config_path(read_operator_settings(""), "/etc/q/operator.toml") == ""
 
 
 @pytest.mark.parametrize(("text", "code"), [(GOOD, 0), (GOOD + "x = 1", 2)])
--- a/tests/test_frozen_data.py
+++ b/tests/test_frozen_data.py
@@ -28,8 +28,8 @@
 from quartzford.replacement import messages
 from quartzford.replacement import state as wire
 from quartzford.replacement.maintenance_file import read_maintenance_file, write_maintenance_file
-from quartzford.settings.operatorfile import read_operator
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
+from quartzford.settings.operator_file import read_operator_settings
 
 DATA = Path(__file__).parent / "data"
 STORED, SETTINGS = DATA / "stored", DATA / "settings"
@@ -212,7 +212,7 @@
     "attempt.token": Data(make_token, read_token),
     "simulator.jsonl": Data(make_actions, lambda data: len(data.splitlines())),
 }
-READERS: dict[str, Callable[[str], Any]] = {".toml": read_operator, ".json": read_config}
+READERS: dict[str, Callable[[str], Any]] = {".toml": read_operator_settings, ".json": read_config}
 
 
 def settings_files() -> list[str]:
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -13,7 +13,7 @@
 
 from quartzford.membership.listing import Listing
 from quartzford.node import Node
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
 
 RECEIVED_WITHIN_S = 6.0
 
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -24,7 +24,7 @@
 from quartzford.relay.connection import ConnectionState
 from quartzford.relay.list_transfer import PART_BYTES
 from quartzford.relay.relay import Relay
-from quartzford.settings.operatorfile import RelaySettings
+from quartzford.settings.operator_file import RelaySettings
 
 PATH = "/catalog/members"
 
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -21,8 +21,8 @@
 from quartzford.membership.relay_call_policy import RelayCallPolicy
 from quartzford.node import Node
 from quartzford.serve import Service
-from quartzford.settings.operatorfile import OperatorError
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
+from quartzford.settings.operator_file import OperatorError
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -12,7 +12,7 @@
 from peers import Message, Script, World, read_message, reply, request, run, says, silent, until
 
 from quartzford.decision import interface as io
-from quartzford.settings.fields import REPORT_ALIASES, read_report
+from quartzford.settings.header_values import REPORT_ALIASES, read_report
 
 LONG = 300_000
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -28,7 +28,7 @@
 from quartzford.recording import Recorder
 from quartzford.replacement import state as wire
 from quartzford.replacement.errors import StateFormatError
-from quartzford.settings.platform import read_config
+from quartzford.settings.configuration import read_config
 
 HOUR_MS = 3_600_000.0
 UNIX_MS = 1_796_083_200_000.0
