--- a/quartzford/__main__.py
+++ b/quartzford/__main__.py
@@ -60,7 +60,8 @@
 
         return demo(arguments[1:])
     from quartzford.serve import serve
-    from quartzford.settings.operator_file import OperatorError, load_operator_settings
+    from quartzford.settings.operator_checks import OperatorError
+    from quartzford.settings.operator_file import load_operator_settings
 
     parser = argparse.ArgumentParser(prog="quartzford", description="A balancer that has to hold.")
     commands = parser.add_subparsers(dest="command", required=True)
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -16,7 +16,8 @@
 from quartzford.fronts.extproc.messages import Names
 from quartzford.fronts.extproc.server import STREAM_SPARE_S, Direct, Processor
 from quartzford.fronts.extproc.token import Tokens
-from quartzford.settings.operator_file import ExtprocSettings, OperatorError
+from quartzford.settings.operator_checks import OperatorError
+from quartzford.settings.operator_settings import ExtprocSettings
 
 RESTART_S = (0.1, 5.0)  # from a worker's death to its successor, doubling while it dies at once
 QUIET_S = 0.02
--- a/quartzford/relay/relay.py
+++ b/quartzford/relay/relay.py
@@ -11,7 +11,8 @@
 from quartzford.relay.server import Server
 from quartzford.relay.source import follow
 from quartzford.settings.configuration import ConfigError
-from quartzford.settings.operator_file import RelaySettings, split_address
+from quartzford.settings.operator_checks import split_address
+from quartzford.settings.operator_settings import RelaySettings
 
 
 class Relay:
@@ -27,7 +28,7 @@
             self.catalog,
             lambda: self.watch.last_line_at,
             self.watch.is_current,
-            settings.whole_bytes_per_s,
+            settings.list_bytes_per_s,
             settings.watchers(),
             clock,
             log,
--- a/quartzford/relay/source.py
+++ b/quartzford/relay/source.py
@@ -14,7 +14,8 @@
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, SharedServiceCallPolicy, draws
 from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Sink
-from quartzford.settings.operator_file import RelaySettings, split_address
+from quartzford.settings.operator_checks import split_address
+from quartzford.settings.operator_settings import RelaySettings
 
 
 def follow(
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -14,14 +14,13 @@
 from quartzford.node import LISTS_PER_S, Node, start_listening
 from quartzford.recording import Recorder
 from quartzford.settings.configuration import Config, ConfigError, load_config
-from quartzford.settings.operator_file import (
+from quartzford.settings.operator_checks import OperatorError, split_address
+from quartzford.settings.operator_file import load_operator_settings
+from quartzford.settings.operator_settings import (
     ExtprocSettings,
     ListsSettings,
-    OperatorError,
     OperatorSettings,
     first_restart_only_change,
-    load_operator_settings,
-    split_address,
 )
 
 MIN_TRACE_CLOSE_S = 0.05  # for the trace's last lines, however late it is
--- a/quartzford/settings/__init__.py
+++ b/quartzford/settings/__init__.py
@@ -1,1 +1,1 @@
-"""What a balancer is told: the platform's configuration, the operator's file, header values."""
+"""What a balancer is configured with: the configuration file, the operator's file, header values."""
--- a/quartzford/wirehost.py
+++ b/quartzford/wirehost.py
@@ -10,7 +10,7 @@
 from quartzford.decision import interface as io
 from quartzford.decision.columns import load_arrays
 from quartzford.decision.logic import Balancer
-from quartzford.settings.configuration import read_settings
+from quartzford.settings.decision_settings import read_settings
 
 STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 KINDS = {"D": "changes", "F": "whole", "C": "stale", "X": "failed"}
--- a/rig/hollow.py
+++ b/rig/hollow.py
@@ -38,7 +38,7 @@
 from quartzford.membership import list_call, list_watch
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.settings.configuration import Config, read_config
-from quartzford.settings.operator_file import split_address
+from quartzford.settings.operator_checks import split_address
 from rig.meter import Meter, install
 from rig.processes import address
 from standins.site import config
--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -14,7 +14,7 @@
 from quartzford.fronts.extproc.service import ExtprocFront
 from quartzford.node import Node
 from quartzford.settings.configuration import read_config
-from quartzford.settings.operator_file import ExtprocSettings
+from quartzford.settings.operator_settings import ExtprocSettings
 from standins.caller import CallerProxy, Exchange, Headers, Policy, request_rows
 from standins.nodo import Nodo, fleet
 
--- a/tests/test_extproc_example.py
+++ b/tests/test_extproc_example.py
@@ -16,7 +16,9 @@
 from envoy.extensions.upstreams.http.v3 import http_protocol_options_pb2  # noqa: F401
 from google.protobuf import json_format
 
-from quartzford.settings.operator_file import DEFAULT_HEADERS, load_operator_settings
+from quartzford.settings.operator_checks import DEFAULT_HEADERS
+from quartzford.settings.operator_file import EXTPROC_CHECKS, load_operator_settings
+from quartzford.settings.operator_settings import ExtprocSettings
 from standins.site import CLASSES
 
 DEPLOY = Path(__file__).resolve().parent.parent / "deploy"
@@ -123,8 +125,6 @@
 
 
 def test_the_operators_example_names_every_key_with_its_default() -> None:
-    from quartzford.settings.operator_file import EXTPROC_CHECKS, ExtprocSettings
-
     text = (DEPLOY / "operator.example.toml").read_text()
     settings = load_operator_settings(str(DEPLOY / "operator.example.toml")).extproc
     assert settings is not None and dict(settings.headers) == DEFAULT_HEADERS
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -19,13 +19,9 @@
 from peers import SETTINGS, run, until
 
 from quartzford.serve import config_path
-from quartzford.settings.operator_file import (
-    ExtprocSettings,
-    OperatorError,
-    RelaySettings,
-    first_restart_only_change,
-    read_operator_settings,
-)
+from quartzford.settings.operator_checks import OperatorError
+from quartzford.settings.operator_file import read_operator_settings
+from quartzford.settings.operator_settings import ExtprocSettings, RelaySettings, first_restart_only_change
 from standins.caller import CallerProxy, Policy
 from standins.nodo import Nodo, fleet
 
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -24,7 +24,7 @@
 from quartzford.relay.connection import ConnectionState
 from quartzford.relay.list_transfer import PART_BYTES
 from quartzford.relay.relay import Relay
-from quartzford.settings.operator_file import RelaySettings
+from quartzford.settings.operator_settings import RelaySettings
 
 PATH = "/catalog/members"
 
@@ -242,7 +242,7 @@
 
     async def main() -> None:
         rows = [row(f"s{n}") for n in range(63_000)]
-        async with site(*rows, whole_bytes_per_s=1e9) as here:
+        async with site(*rows, list_bytes_per_s=1e9) as here:
             quick = await here.watch(8)
             assert await quick.line() == table(8, complete=False)
             drips = []
@@ -379,7 +379,7 @@
 def test_complete_lists_keep_to_the_bound_and_other_calls_get_retry_after() -> None:
     async def main() -> None:
         rows = [row(f"s{n}") for n in range(400)]
-        async with site(*rows, whole_bytes_per_s=200_000.0) as here:
+        async with site(*rows, list_bytes_per_s=200_000.0) as here:
             began = time.monotonic()
             calls = [await here.get() for _ in range(20)] + [await here.call(0) for _ in range(20)]
             received = [await call.status() for call in calls]
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -22,7 +22,7 @@
 from quartzford.node import Node
 from quartzford.serve import Service
 from quartzford.settings.configuration import read_config
-from quartzford.settings.operator_file import OperatorError
+from quartzford.settings.operator_checks import OperatorError
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
