--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -210,7 +210,7 @@
             if time.monotonic() > end:
                 raise RuntimeError("the list was not taken in")
         beat.pause()
-        ready = [s for s in told.values() if s.at >= 0]
+        ready = [s for s in told.values() if s.slot >= 0]
         if len(ready) != count or not any(s.entry.started_ms == born for s in ready):
             raise RuntimeError(f"{len(ready)} servers of {count}")
 
@@ -263,7 +263,7 @@
     for servers in (24, 97):
         site = Site(Balancer, servers)
         site.request()
-        shares, worst = site.module.fleet.shares, 0.0
+        shares, worst = site.module.endpoints.shares, 0.0
         for number in range(updates):
             shares.score(number * 7 % servers, 0.5 + number % 13 / 6)
             if number % 997 == 0:
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -206,7 +206,7 @@
 
     def _adopt(self, listing: Listing, how: str) -> None:
         self.registry.apply(listing)
-        masked = self.registry.masked(listing, self.engine.balancer.by_hand)
+        masked = self.registry.masked(listing, self.engine.balancer.in_maintenance)
         for follower in self.followers:
             follower.listed(masked)
         self.engine.listed(how, listing.entries, self.start_times.of(listing.entries))
@@ -215,7 +215,7 @@
 
     def by_hand(self, name: str, out: bool) -> None:
         """An upstream is taken out by an operator, or put back; nothing if it is so already."""
-        if out == (name in self.engine.balancer.by_hand):
+        if out == (name in self.engine.balancer.in_maintenance):
             return
         self.engine.feed(io.MaintenanceChange(name, out))
         for follower in self.followers:
--- a/quartzford/counting.py
+++ b/quartzford/counting.py
@@ -91,7 +91,7 @@
         self.sends["first" if call.sends == 0 else "again"] += 1
         if server.entry.zone != balancer.settings.zone:
             self.sends["across"] += 1
-        if server in balancer.fleet.cold:
+        if server in balancer.endpoints.cold:
             self.cold[send.server] += 1
 
     def ended(self, attempt: Attempt, code: str) -> None:
@@ -129,8 +129,8 @@
 
     def _line(self) -> dict[str, Any]:
         node, balancer = self.node, self.node.engine.balancer
-        fleet, pool = balancer.fleet, node.pool
-        shares = [float(p) for p in fleet.shares.p if p > 0]
+        endpoints, pool = balancer.endpoints, node.pool
+        shares = [float(p) for p in endpoints.shares.p if p > 0]
         ended = node.engine.figures.ended
         classes = Counter({f"{how} {name}": n for how, by in ended.items() for name, n in by.items()})
         return {
@@ -152,11 +152,11 @@
             "held": len(pool.connections),
             "idle": sum(len(upstream.idle) for upstream in pool.upstreams.values()),
             "ready": len(balancer.ready),
-            "cold_now": len(fleet.cold),
-            "report": round(sum(map(float, fleet.shares.report)) / max(1, len(fleet.ready)), 2),
-            "out": fleet.shares.out,
-            "ejected": sum(s.at >= 0 and fleet.now < s.ejected_until for s in fleet.trouble),
-            "suspect": sum(fleet.suspect(s) for s in {**fleet.late, **fleet.mute}),
+            "cold_now": len(endpoints.cold),
+            "report": round(sum(map(float, endpoints.shares.report)) / max(1, len(endpoints.ready)), 2),
+            "out": endpoints.shares.out,
+            "ejected": sum(s.slot >= 0 and endpoints.now < s.ejected_until for s in endpoints.unhealthy),
+            "suspect": sum(endpoints.suspect(s) for s in {**endpoints.overdue, **endpoints.unresponsive}),
             "shed": round(balancer.admission.shed, 3),
             "late": round(balancer.admission.late, 3),
             "usual": {name: round(usual, 1) for name, usual in balancer.usual.items()},
--- a/quartzford/decision/automaton.py
+++ b/quartzford/decision/automaton.py
@@ -37,7 +37,7 @@
 class Place(NamedTuple):
     """Where a server stands: its toll for crossing zones, and codes for its zone and cell."""
 
-    toll: float
+    zone_penalty: float
     zone: int
     cell: int
 
@@ -49,9 +49,9 @@
     tried take it, if nothing else can.
     """
 
-    barred: Collection[int]
+    excluded: Collection[int]
     tried: Collection[int]
-    doubtful: Collection[int]
+    degraded: Collection[int]
     place: tuple[bool, int] | None
     last: bool
 
@@ -70,7 +70,18 @@
             self.scale *= 1.0 - 1.0 / self.alive
         raw = 1.0 / self.alive / self.scale
         cost = self.cost_total / (self.alive - 1) if self.known else 0.0
-        self._append((raw, cost, 1.0, 0.0, place.toll, K * place.toll + (1 - K) * DELTA, open_, *place[1:]))
+        self._append(
+            (
+                raw,
+                cost,
+                1.0,
+                0.0,
+                place.zone_penalty,
+                K * place.zone_penalty + (1 - K) * DELTA,
+                open_,
+                *place[1:],
+            )
+        )
         self.total += raw
         self.cost_total += cost
         self.out += open_
@@ -101,8 +112,8 @@
     def move(self, slot: int, place: Place) -> None:
         """Its place as the list now tells of it."""
         self._settle(slot)
-        self.toll[slot], self.zone[slot], self.cell[slot] = place
-        self.base[slot] = K * place.toll + (1 - K) * DELTA * self.latency[slot]
+        self.zone_penalty[slot], self.zone[slot], self.cell[slot] = place
+        self.base[slot] = K * place.zone_penalty + (1 - K) * DELTA * self.latency[slot]
 
     # ---- what is told of a server
 
@@ -113,7 +124,7 @@
         """Eq. 6 for all; Eq. 8 for the one that answered or failed (none: -1), then its mean over a draw."""
         if slot >= 0:
             self.latency[slot] = latency
-            self.base[slot] = K * self.toll[slot] + (1 - K) * DELTA * latency
+            self.base[slot] = K * self.zone_penalty[slot] + (1 - K) * DELTA * latency
         if not self.n:
             return
         self._score(slot)
@@ -127,7 +138,7 @@
             return
         for slot, (p, cost, latency, report) in rows.items():
             self.p[slot], self.cost[slot], self.latency[slot], self.report[slot] = p, cost, latency, report
-            self.base[slot] = K * self.toll[slot] + (1 - K) * DELTA * latency
+            self.base[slot] = K * self.zone_penalty[slot] + (1 - K) * DELTA * latency
         known = [cost for _, cost, _, _ in rows.values() if cost > 0]
         self.known = bool(known)
         for slot in range(self.n):
@@ -148,15 +159,15 @@
         """
         if not self.n:
             return -1
-        barred, tried, doubtful, place, last = query
-        passed_over = {*barred, *tried, *doubtful} if barred or tried or doubtful else None
+        excluded, tried, degraded, place, last = query
+        passed_over = {*excluded, *tried, *degraded} if excluded or tried or degraded else None
         slot = self._draw(passed_over, place, True, rng)
         if slot < 0:
             slot = self._draw(passed_over, place, False, rng)
-        if slot < 0 and doubtful:
-            slot = self._draw({*barred, *tried}, place, False, rng)
+        if slot < 0 and degraded:
+            slot = self._draw({*excluded, *tried}, place, False, rng)
         if slot < 0 and last:
-            slot = self._draw(set(barred), place, False, rng)
+            slot = self._draw(set(excluded), place, False, rng)
         return slot
 
     def _score(self, slot: int) -> None:
@@ -305,7 +316,7 @@
         return slot if slot < self.n and mask[slot] else int(mask.nonzero()[0][-1])
 
 
-def fitting(shares: Shares, coming: int) -> Shares:
+def layout_for(shares: Shares, coming: int) -> Shares:
     """The form that suits so many servers; the figures are the same."""
     if isinstance(shares, ArrayShares):
         return shares.plain() if coming < ARRAYS_TO else shares
--- a/quartzford/decision/columns.py
+++ b/quartzford/decision/columns.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-COLUMNS = ("p", "cost", "latency", "report", "toll", "base", "open", "zone", "cell")
+COLUMNS = ("p", "cost", "latency", "report", "zone_penalty", "base", "open", "zone", "cell")
 
 
 class Columns:
@@ -22,7 +22,7 @@
         self.cost: Any = []  # smoothed costs, in usual latencies
         self.latency: Any = []  # the last known, in usual latencies
         self.report: Any = []
-        self.toll: Any = []
+        self.zone_penalty: Any = []
         self.base: Any = []  # the part of Eq. 6's z that reports have no part in
         self.open: Any = []  # attempts that are out
         self.zone: Any = []
--- a/quartzford/decision/estimates.py
+++ b/quartzford/decision/estimates.py
@@ -57,7 +57,7 @@
         return self.pairs[0][1] if self.pairs else math.inf
 
 
-class Due(Generic[T]):
+class Deadlines(Generic[T]):
     """What is to be looked at from some moment on, if it still holds then."""
 
     def __init__(self, holds: Callable[[T], bool]) -> None:
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -2,7 +2,7 @@
 
 The ordinary path is the CA-S automaton: a probability P per ready server, moved by Eq. 8 on the smoothed,
 normalised cost (Eq. 6, 7); every send is a draw from P over the eligible servers. The module's other files:
-automaton.py (arithmetic), eligibility.py (who may be drawn), admission.py (what is let in).
+automaton.py (arithmetic), endpoint_set.py (who may be drawn), admission.py (what is let in).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import LATE_FROM, Admission
-from quartzford.decision.eligibility import Fleet, Sent, Server
+from quartzford.decision.endpoint_set import EndpointSet, OutstandingAttempt, Server
 from quartzford.decision.estimates import Peaks
 from quartzford.decision.memory import recall, remember
 
@@ -53,7 +53,7 @@
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.fleet = Fleet(settings, self.rng, seed)
+        self.endpoints = EndpointSet(settings, self.rng, seed)
         self.admission = Admission(settings, self.rng)
         self.configure(settings)
         self.now = 0.0
@@ -71,27 +71,27 @@
         """The settings from now on; what is in flight and what was learnt stay."""
         self.settings, fields = settings, settings.report_fields
         self.classes = {c.name: c for c in settings.classes}
-        self.fleet.configure(settings)
+        self.endpoints.configure(settings)
         self.admission.configure(settings)
         self.load_field = next((fields.index(name) for name in LOADS if name in fields), None)
 
     @property
     def servers(self) -> dict[str, Server]:
         """All servers that the list tells of, by name."""
-        return self.fleet.servers
+        return self.endpoints.servers
 
     @property
-    def by_hand(self) -> set[str]:
+    def in_maintenance(self) -> set[str]:
         """Names of servers that operators have taken out."""
-        return self.fleet.by_hand
+        return self.endpoints.in_maintenance
 
     @property
     def ready(self) -> list[Server]:
-        return self.fleet.ready
+        return self.endpoints.ready
 
     def handle(self, now_ms: float, event: io.Event) -> list[io.Action]:
         self.out = []
-        self.now = self.fleet.now = max(self.now, now_ms)
+        self.now = self.endpoints.now = max(self.now, now_ms)
         match event:
             case io.Request():
                 self._request(event)
@@ -102,7 +102,7 @@
             case io.EndpointListUpdate():
                 self._list(event)
             case io.MaintenanceChange(server, out):
-                self.fleet.hand(server, out)
+                self.endpoints.set_maintenance(server, out)
             case io.ClientDisconnected(request):
                 self.flights.pop(request, None)
             case io.ShutdownStarted():
@@ -119,22 +119,22 @@
 
     def hand_over(self, now_ms: float) -> io.LearnedState:
         """What the successor is to know; from now on this one only ends what it has."""
-        self.now = self.fleet.now = max(self.now, now_ms)
+        self.now = self.endpoints.now = max(self.now, now_ms)
         memory = remember(self)
         self.retry_budget /= 2
-        self.fleet.aside = True
+        self.endpoints.handed_over = True
         return memory
 
     def take_back(self, now_ms: float) -> None:
         """The successor is no more: cold servers' budgets begin anew, as nobody knows what it sent."""
-        self.now = self.fleet.now = max(self.now, now_ms)
-        self.fleet.aside = False
-        for server in self.fleet.cold:
+        self.now = self.endpoints.now = max(self.now, now_ms)
+        self.endpoints.handed_over = False
+        for server in self.endpoints.cold:
             server.tokens, server.tokens_ms = 0.0, self.now
 
     def inherit(self, now_ms: float, memory: io.LearnedState) -> None:
         """What the process before knew, after its list was told."""
-        self.now = self.fleet.now = max(self.now, now_ms)
+        self.now = self.endpoints.now = max(self.now, now_ms)
         recall(self, memory)
 
     # ---- attempts
@@ -145,7 +145,7 @@
         if left <= 0 or flight.sends >= self.settings.limits.max_attempts or not self._may_send(flight):
             held = left > 0 and "attempts" or ("time" if flight.sends else "no server")
             return self._end(flight, held)
-        server = self.fleet.pick(flight.kind, flight.tried, flight.bound)
+        server = self.endpoints.pick(flight.kind, flight.tried, flight.bound)
         if server is None:
             return self.out.append(io.SetTimer(min(HOLD_MS, left), flight.request.request + 1))
         usual = max(
@@ -156,9 +156,9 @@
         again = again and self.retry_budget >= 1.0 and left > (PATIENCE + 1) * usual
         time_out = PATIENCE * usual if again else left  # giving up early with no retry to spend is a loss
         request, where = flight.request.request, server.entry
-        sent = Sent(self.now + SUSPECT * usual, usual, time_out, flight.kind)
-        self.fleet.sent(server, (request, flight.sends), sent)
-        self.admission.out(self.now, self.fleet.shares.out)
+        sent = OutstandingAttempt(self.now + SUSPECT * usual, usual, time_out, flight.kind)
+        self.endpoints.attempt_started(server, (request, flight.sends), sent)
+        self.admission.out(self.now, self.endpoints.shares.out)
         if flight.bound is None:
             flight.bound, flight.bound_attempt, flight.bound_ms = where, flight.sends, self.now
         flight.tried.append(where.server)
@@ -224,18 +224,18 @@
 
     def _observe(self, event: io.AttemptEnded | io.ResponseStarted, code: str, said: io.Report = ()) -> None:
         """What an attempt's end tells of the server, in the life that it was sent to."""
-        fleet, spent, attempt = self.fleet, event.spent_ms, event.attempt
-        server = fleet.servers.get(event.server)
-        sent = fleet.returned(server, (event.request, attempt)) if server is not None else None
-        if server and sent and said and self.load_field is not None and server.at >= 0:
-            fleet.shares.said(server.at, min(MOST_REPORT, said[self.load_field]))
+        endpoints, spent, attempt = self.endpoints, event.spent_ms, event.attempt
+        server = endpoints.servers.get(event.server)
+        sent = endpoints.attempt_ended(server, (event.request, attempt)) if server is not None else None
+        if server and sent and said and self.load_field is not None and server.slot >= 0:
+            endpoints.shares.said(server.slot, min(MOST_REPORT, said[self.load_field]))
         answered = code in ("ok", "error", "full") or (isinstance(event, io.AttemptEnded) and event.faulted)
-        self.admission.out(self.now, fleet.shares.out, answered and sent is not None)
+        self.admission.out(self.now, endpoints.shares.out, answered and sent is not None)
         if server is None or sent is None or code in ("cancelled", "moot"):
             return
         if code == "ok":
-            fleet.answers.add(self.now)
-            fleet.answered(
+            endpoints.answers.add(self.now)
+            endpoints.answer_received(
                 server, spent <= WELL * self.usual.get(sent.kind.name, sent.kind.latency_objective_ms / 4)
             )
             # Of many that are out the fastest answers first: a mean that began with it would call good
@@ -246,18 +246,22 @@
             self.usual[sent.kind.name] = usual + weight * (spent - usual)
             self.peaks.add(self.now, spent)
         if code == "full":
-            fleet.shut(server, sent.kind.name)
+            endpoints.record_rejection(server, sent.kind.name)
         refused = code == "connect_failed" and spent < sent.time_out - TICK_MS
-        if code in ("timeout", "reset", "connect_failed") and not refused and sent.time_out < sent.usual:
+        if (
+            code in ("timeout", "reset", "connect_failed")
+            and not refused
+            and sent.time_out < sent.typical_latency
+        ):
             return  # it was given less time than an answer takes: that says nothing of the server
-        fleet.health(server, code in ("error", "timeout", "reset", "connect_failed"), refused)
+        endpoints.record_result(server, code in ("error", "timeout", "reset", "connect_failed"), refused)
         if code in ("ok", "timeout") or (code == "full" and attempt >= 2):
             late = code == "full" or spent > LATE_FROM * sent.kind.latency_objective_ms
             self.admission.pace(self.now, late, self._usual(sent.kind.name), sent.kind.latency_objective_ms)
         if code != "ok":
             spent = min(2 * self.peaks.most(self.now), sent.time_out)
         usual = self._usual(sent.kind.name)
-        fleet.shares.score(server.at, spent / usual)
+        endpoints.shares.score(server.slot, spent / usual)
 
     def _timer(self, token: int) -> None:
         flight = self.flights.get(token - 1)
@@ -269,8 +273,8 @@
     # ---- requests
 
     def _request(self, request: io.Request) -> None:
-        self.fleet.arrivals.add(self.now)
-        self.fleet.settle()
+        self.endpoints.arrivals.add(self.now)
+        self.endpoints.refresh_working_set()
         self.retry_budget = min(10.0, self.retry_budget + RETRY_SHARE)
         kind = self.classes.get(request.service_class)
         if kind is None:
@@ -306,4 +310,4 @@
             self.out.append(io.SetTimer(wait * self.rng.uniform(0.5, 1.0), WATCH))
         else:
             self.watch_failures = 0
-        self.fleet.update(update.entries, update.how in ("whole", "stale"), update.starts)
+        self.endpoints.update(update.entries, update.how in ("whole", "stale"), update.starts)
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -13,14 +13,14 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import START_MS, Admission
-from quartzford.decision.eligibility import EJECT_ABOVE, EJECT_MS, Fleet, Server
+from quartzford.decision.endpoint_set import EJECT_ABOVE, EJECT_MS, EndpointSet, Server
 from quartzford.decision.estimates import Peaks, Rate
 
 
 class Learner(Protocol):
     """A balancer, as far as it learns."""
 
-    fleet: Fleet
+    endpoints: EndpointSet
     admission: Admission
     classes: dict[str, io.ServiceClass]
     usual: dict[str, float]
@@ -32,15 +32,15 @@
 
 def remember(balancer: Learner) -> io.LearnedState:
     """All that has been learnt, at this instant; half of the retry budget."""
-    fleet, admission = balancer.fleet, balancer.admission
-    if fleet.cold:
-        fleet.accrue()
+    endpoints, admission = balancer.endpoints, balancer.admission
+    if endpoints.cold:
+        endpoints.refill_slow_start()
     return io.LearnedState(
-        servers=tuple(_server(fleet, server) for server in fleet.ready),
-        by_hand=tuple(fleet.by_hand),
-        back=dict(fleet.back),
-        arrivals=_rate(fleet.arrivals),
-        answers=_rate(fleet.answers),
+        servers=tuple(_server(endpoints, server) for server in endpoints.ready),
+        by_hand=tuple(endpoints.in_maintenance),
+        back=dict(endpoints.maintenance_ended),
+        arrivals=_rate(endpoints.arrivals),
+        answers=_rate(endpoints.answers),
         usual=dict(balancer.usual),
         peaks=tuple(balancer.peaks.pairs),
         retry_budget=balancer.retry_budget / 2,
@@ -57,29 +57,29 @@
 
 def recall(balancer: Learner, memory: io.LearnedState) -> None:
     """Put it into a balancer that has the list; servers that either does not know stay as they are."""
-    fleet, admission, now = balancer.fleet, balancer.admission, balancer.now
-    fleet.back.update(memory.back)
+    endpoints, admission, now = balancer.endpoints, balancer.admission, balancer.now
+    endpoints.maintenance_ended.update(memory.back)
     for name in memory.by_hand:
-        fleet.hand(name, True)
-    fleet.use([told.name for told in memory.servers])
+        endpoints.set_maintenance(name, True)
+    endpoints.restore_working_set([told.name for told in memory.servers])
     rows = {}
     for told in memory.servers:
-        server = fleet.servers.get(told.name)
-        if server is None or server.at < 0 or server.entry.started_ms != told.started_ms:
+        server = endpoints.servers.get(told.name)
+        if server is None or server.slot < 0 or server.entry.started_ms != told.started_ms:
             continue
-        rows[server.at] = (told.p, told.cost, told.latency, told.report)
-        fleet.blame(server, told.failing)
+        rows[server.slot] = (told.p, told.cost, told.latency, told.report)
+        endpoints.set_failing(server, told.failing)
         server.ejections, server.ejected_until = told.ejections, told.ejected_until
         if told.suspect:  # what was out at it stays with the process before: passed over for a while
             server.ejected_until = max(server.ejected_until, now + EJECT_MS)
         if server.failing > EJECT_ABOVE or server.ejected_until > now:
-            fleet.trouble[server] = None
+            endpoints.unhealthy[server] = None
         server.tokens, server.tokens_ms = told.tokens, min(told.tokens_ms, now)
         server.cold_from = min(told.cold_from, now)
         if server.cold_from > 0:
-            fleet.cold[server] = None
-    fleet.shares.recall(rows)
-    fleet.arrivals, fleet.answers = _read(memory.arrivals, now), _read(memory.answers, now)
+            endpoints.cold[server] = None
+    endpoints.shares.recall(rows)
+    endpoints.arrivals, endpoints.answers = _read(memory.arrivals, now), _read(memory.answers, now)
     balancer.usual = {name: usual for name, usual in memory.usual.items() if name in balancer.classes}
     balancer.known.update(dict.fromkeys(balancer.usual, 100))  # no longer a guess
     balancer.peaks.pairs.extend(pair for pair in memory.peaks if pair[0] <= now)
@@ -133,8 +133,8 @@
     return max(0.0, at_ms + by_ms) if at_ms > 0.0 else at_ms
 
 
-def _server(fleet: Fleet, server: Server) -> io.LearnedEndpoint:
-    shares, at = fleet.shares, server.at
+def _server(endpoints: EndpointSet, server: Server) -> io.LearnedEndpoint:
+    shares, at = endpoints.shares, server.slot
     return io.LearnedEndpoint(
         server.entry.server,
         server.entry.started_ms,
@@ -145,7 +145,7 @@
         min(1.0, max(0.0, server.failing)),
         server.ejections,
         max(0.0, server.ejected_until),
-        fleet.suspect(server),
+        endpoints.suspect(server),
         server.tokens,
         max(0.0, server.tokens_ms),
         server.cold_from,
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -279,7 +279,7 @@
         for name in names:
             self.engine.feed(io.MaintenanceChange(name, True))
         if names != on_file:  # the process before could not write its file
-            handover.maintenance_file.save(self.engine.balancer.by_hand)
+            handover.maintenance_file.save(self.engine.balancer.in_maintenance)
         if given is None:
             return known, None
         self._configure(self.config)
@@ -369,11 +369,11 @@
 
     def by_hand(self, name: str, out: bool) -> bool:
         balancer = self.engine.balancer
-        if name not in balancer.servers and name not in balancer.by_hand:
+        if name not in balancer.servers and name not in balancer.in_maintenance:
             return False
         self.control.by_hand(name, out)
         if self.handover is not None:
-            self.handover.publish_maintenance(name, out, balancer.by_hand)
+            self.handover.publish_maintenance(name, out, balancer.in_maintenance)
         return True
 
     def figures(self, prefix: str) -> str:
@@ -381,7 +381,7 @@
         gauges = (
             ("in_flight", len(engine.calls) + self.front.waiting()),
             ("upstreams_known", len(balancer.servers)),
-            ("upstreams_excluded", balancer.fleet.avoided()),
+            ("upstreams_excluded", balancer.endpoints.excluded_count()),
         )
         return engine.figures.page(prefix, engine.classes, gauges)
 
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -130,7 +130,7 @@
         assert all(answer.status in (502, 503) for answer in answers)
         assert all(a.status == 502 for a in answers[2::3]), "a cobro that may have run"
         assert all(a.status == 503 for a in answers[0::3]), "as the module decides, and not as a last resort"
-        assert not world.node.engine.balancer.flights and world.node.engine.balancer.fleet.shares.out == 0
+        assert not world.node.engine.balancer.flights and world.node.engine.balancer.endpoints.shares.out == 0
         assert not world.node.engine.policy and [len(up.came) for up in world.ups] == sent
         for up in world.ups:
             up.script = says(reply())
@@ -157,7 +157,7 @@
         assert len(gone) == 30 and not [
             e for e in world.events if isinstance(e, io.AttemptEnded) and not e.final
         ]
-        assert world.node.engine.balancer.fleet.shares.out == 0
+        assert world.node.engine.balancer.endpoints.shares.out == 0
 
 
 @pytest.mark.parametrize("order", [(signal.SIGHUP, signal.SIGTERM), (signal.SIGTERM, signal.SIGHUP)])
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -93,7 +93,9 @@
             assert departure.heads == before + 1 and departure.unread == (where == "unread")
             assert sent(world) == before and world.node.engine.counts["client gone"] == 1
             balancer = world.node.engine.balancer
-            assert balancer.flights == {} and balancer.fleet.shares.out == 0 and world.node.budget.used == 0
+            assert (
+                balancer.flights == {} and balancer.endpoints.shares.out == 0 and world.node.budget.used == 0
+            )
             sock.close()
             for up in world.ups:
                 up.script = says(reply())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -271,7 +271,7 @@
         await until(lambda: not world.node.pool.connections, 5)
         assert not [a for a in world.actions[before:] if isinstance(a, io.Send)]
         assert not world.node.engine.calls and world.node.budget.used == 0
-        assert not world.node.engine.balancer.flights and world.node.engine.balancer.fleet.shares.out == 0
+        assert not world.node.engine.balancer.flights and world.node.engine.balancer.endpoints.shares.out == 0
 
 
 # ---- a connection to an upstream
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -12,7 +12,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import Admission
-from quartzford.decision.eligibility import FAIL_WEIGHT
+from quartzford.decision.endpoint_set import FAIL_WEIGHT
 from quartzford.decision.logic import Balancer
 
 
@@ -205,7 +205,9 @@
     number = int(send.server[1:])
     balancer.handle(10.0, io.EndpointListUpdate("changes", (entry(number, started=5.0),)))
     server = balancer.servers[send.server]
-    assert server in balancer.ready and not server.open and sum(s.p for s in balancer.ready) == approx(1.0)
+    assert (
+        server in balancer.ready and not server.in_flight and sum(s.p for s in balancer.ready) == approx(1.0)
+    )
     late = outcome(send, 0, "reset", 2_000.0)._replace(report=(90.0,))
     assert finals(balancer.handle(2_000.0, late)) == [io.Fail(1)]  # the request still gets its answer
     assert (server.failing, reported(server), server.ejections) == (0.0, 0.0, 0)
@@ -250,7 +252,7 @@
             code = "error" if send.server == "s0" else "ok"
             balancer.handle(5.0 * step + 1.0, outcome(send, 0, code, 1.0, True))
         for _ in range(3):  # three in four attempts are its own
-            balancer.fleet.health(bad, True)
+            balancer.endpoints.record_result(bad, True)
         ejected += balancer.now < bad.ejected_until
     assert ejected > 700
 
@@ -341,7 +343,7 @@
     coming = sorted((rng.expovariate(1 / 40.0) + 2.0, n) for n in range(12))
     patience = []
     for spent, n in coming:
-        server = next(s for s in balancer.ready if (n, 0) in s.open)
+        server = next(s for s in balancer.ready if (n, 0) in s.in_flight)
         balancer.handle(spent, io.AttemptEnded(n, 0, server.entry.server, "ok", spent, True))
         again = sends(ask(balancer, spent, 100 + n))
         patience += [s.time_out_ms for s in again]
@@ -359,7 +361,7 @@
     """In an overload connections come up late too: a small pool lost sound servers to it by the second."""
     balancer = started(10)
     for server in balancer.ready:  # the others fail as much
-        balancer.fleet.blame(server, 0.4)
+        balancer.endpoints.set_failing(server, 0.4)
     (send,) = sends(ask(balancer, 0.0, 1, "pay", 150.0))
     assert send.time_out_ms == approx(150.0, abs=1.0)
     balancer.handle(spent, outcome(send, 0, "connect_failed", spent))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -89,9 +89,9 @@
     balancer.handle(10.0, io.MaintenanceChange("s0", True))
     for event in meanwhile:
         balancer.handle(20.0, event)
-    assert "s0" not in picks(balancer, 30.0, range(200)) and balancer.fleet.avoided() == 1
+    assert "s0" not in picks(balancer, 30.0, range(200)) and balancer.endpoints.excluded_count() == 1
     balancer.handle(1_000.0, io.MaintenanceChange("s0", False))
-    assert balancer.fleet.avoided() == 0
+    assert balancer.endpoints.excluded_count() == 0
     back = balancer.servers["s0"]
     assert back.cold_from == 1_000.0 and 0 < picks(balancer, 1_100.0, range(200, 300)).count("s0") <= 1
     balancer.handle(1_200.0, io.MaintenanceChange("s0", False))  # a second call back: no second newcomer
@@ -172,7 +172,7 @@
         world.node.reconfigure(world.node.config)  # a reload while a call is open
         open_call.write(status[10:])
         assert (await read_message(reader)).status == 200
-        assert not world.node.engine.balancer.by_hand
+        assert not world.node.engine.balancer.in_maintenance
         world.node.ending = True
         assert (await call(world, status)).status == 503
         for _, writer in silent:
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -29,7 +29,7 @@
 
 
 def state(balancer: Balancer) -> dict[str, tuple[str, float, bool]]:
-    return {name: (s.entry.state, s.entry.started_ms, s.at >= 0) for name, s in balancer.servers.items()}
+    return {name: (s.entry.state, s.entry.started_ms, s.slot >= 0) for name, s in balancer.servers.items()}
 
 
 @given(st.lists(NUMBERS, unique=True), st.booleans(), st.lists(CHANGE, max_size=40), st.integers(1, 9))
@@ -124,7 +124,7 @@
         world.news(hosts(2)[1] | {"health": "draining", "born_ms": 7})
         await until(lambda: servers["h2549"].entry.started_ms == 7.0, 30)
         await until(lambda: servers["h1"].entry.state == "draining", 30)
-        assert sum(s.at >= 0 for s in servers.values()) == 2999
+        assert sum(s.slot >= 0 for s in servers.values()) == 2999
         world.news(*hosts(2200, health="gone"))
         await until(lambda: len(servers) == 800, 30)
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -113,13 +113,13 @@
     new.handle(now, io.EndpointListUpdate("stale", tuple(s.entry for s in old.servers.values())))
     new.inherit(now, memory)
     after = {s.entry.server: (s.p, s.cost, s.failing, max(0.0, s.ejected_until)) for s in new.ready}
-    assert set(after) == set(before) and "s5" not in after and new.by_hand == {"s5"}
+    assert set(after) == set(before) and "s5" not in after and new.in_maintenance == {"s5"}
     for name, values in after.items():
         assert values == pytest.approx(before[name], abs=1e-9), name
     assert new.usual == old.usual and new.retry_budget + old.retry_budget == pytest.approx(budget)
     # One budget for the cold server: the old process has none of it left, the new one what was left.
     cold = new.servers["s4"]
-    assert cold in new.fleet.cold and cold.tokens == old.servers["s4"].tokens
+    assert cold in new.endpoints.cold and cold.tokens == old.servers["s4"].tokens
     old_sends = {s.server for n in range(200) for s in sends(ask(old, now + 5_000, 9_000 + n))}
     assert "s4" not in old_sends and old_sends
     old.take_back(now + 5_001)
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -37,7 +37,7 @@
     PlainShares,
     Shares,
 )
-from quartzford.decision.eligibility import EJECT_ABOVE, QUIET_OPEN, Server
+from quartzford.decision.endpoint_set import EJECT_ABOVE, UNRESPONSIVE_IN_FLIGHT, Server
 from quartzford.decision.logic import Balancer
 
 PLANS = {
@@ -71,7 +71,7 @@
     balancer: Balancer, kind: io.ServiceClass, tried: list[str], bound: io.Endpoint | None
 ) -> set[str]:
     """Who may be drawn for a request, found out server by server."""
-    fleet, now = balancer.fleet, balancer.now
+    endpoints, now = balancer.endpoints, balancer.now
 
     def here(server: Server) -> bool:
         if bound is None or kind.effect != "keyed" or kind.group == "all":
@@ -80,24 +80,24 @@
         return own.zone == bound.zone if kind.group == "zone" else own.cell == bound.cell
 
     def doubtful(server: Server) -> bool:
-        oldest = next(iter(server.open.values()), None)
-        mute = server.quiet_ms < now and len(server.open) >= QUIET_OPEN
-        out = now < max(server.ejected_until, server.shut.get(kind.name, 0.0))
+        oldest = next(iter(server.in_flight.values()), None)
+        mute = server.silent_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
+        out = now < max(server.ejected_until, server.rejecting_until.get(kind.name, 0.0))
         trial = server.failing > EJECT_ABOVE and oldest is not None
         return out or trial or mute or (oldest is not None and oldest.due < now)
 
-    cold = [s for s in fleet.ready if 0 < s.cold_from > now - balancer.settings.rules.slow_start_ms]
-    group = [s for s in fleet.ready if here(s) and (s not in cold or s.tokens >= 1.0)]
+    cold = [s for s in endpoints.ready if 0 < s.cold_from > now - balancer.settings.rules.slow_start_ms]
+    group = [s for s in endpoints.ready if here(s) and (s not in cold or s.tokens >= 1.0)]
     fresh = [s for s in group if s.entry.server not in tried]
     sound = [s for s in fresh if not doubtful(s)]
-    out = sum(len(s.open) for s in fleet.ready)
-    calm = [s for s in sound if len(s.open) <= s.p * out + SPARE]
+    out = sum(len(s.in_flight) for s in endpoints.ready)
+    calm = [s for s in sound if len(s.in_flight) <= s.p * out + SPARE]
     return {s.entry.server for s in calm or sound or fresh or (group if bound is not None else [])}
 
 
 def watched(balancer: Balancer) -> Balancer:
     """One whose every choice is held against who may be drawn."""
-    pick = balancer.fleet.pick
+    pick = balancer.endpoints.pick
 
     def checked(kind: io.ServiceClass, tried: list[str], bound: io.Endpoint | None) -> Server | None:
         server = pick(kind, tried, bound)
@@ -105,7 +105,7 @@
         assert (server is None and not may) or (server is not None and server.entry.server in may)
         return server
 
-    balancer.fleet.pick = checked  # type: ignore[method-assign]
+    balancer.endpoints.pick = checked  # type: ignore[method-assign]
     return balancer
 
 
@@ -113,7 +113,7 @@
     """Play a stream in both forms, and hold one against the other; the digest of each one's actions."""
     settings = settings_of(plan)
     old, new = watched(Balancer(settings, seed)), watched(Balancer(settings, seed))
-    old.fleet.fit, new.fleet.fit = lambda shares, coming: shares, arrays_only
+    old.endpoints.layout, new.endpoints.layout = lambda shares, coming: shares, arrays_only
     digests = ActionDigest(), ActionDigest()
 
     def check(answers: list[list[io.Action]]) -> None:
@@ -129,9 +129,9 @@
     assert [s.entry for s in old.ready] == [s.entry for s in new.ready]
     for a, b in zip(old.ready, new.ready, strict=True):
         assert close(a.p, b.p) and close(a.cost, b.cost) and close(reported(a), reported(b))
-        assert (a.failing, a.ejections, len(a.open)) == (b.failing, b.ejections, len(b.open))
+        assert (a.failing, a.ejections, len(a.in_flight)) == (b.failing, b.ejections, len(b.in_flight))
     for module in (old, new):
-        assert module.fleet.shares.out == sum(len(s.open) for s in module.ready)
+        assert module.endpoints.shares.out == sum(len(s.in_flight) for s in module.ready)
         assert not module.ready or sum(s.p for s in module.ready) == pytest.approx(1.0)
     return {"lists": digests[0].result(), "arrays": digests[1].result()}
 
@@ -145,7 +145,7 @@
     memory, load = min(0.5, MEMORY / n), sum(now["report"]) / n
     cost = []
     for i in range(n):
-        x = REPORT_COST * now["report"][i] / (1 + load) + now["toll"][i]
+        x = REPORT_COST * now["report"][i] / (1 + load) + now["zone_penalty"][i]
         z = K * x + (1 - K) * DELTA * now["latency"][i]
         cost.append(z if first else memory * z + (1 - memory) * now["cost"][i])
     low, high = FLOOR * min(cost), min(max(cost), CEILING * sum(cost) / n)
@@ -165,7 +165,7 @@
     for turn in range(200):
         columns = {
             name: [float(x) for x in getattr(shares, name)]
-            for name in ("p", "cost", "latency", "report", "toll")
+            for name in ("p", "cost", "latency", "report", "zone_penalty")
         }
         slot, latency = rng.randrange(count), rng.expovariate(1.0) * rng.choice((1.0, 1.0, 40.0))
         p, cost = scored(columns, slot, latency, turn == 0)
@@ -214,7 +214,7 @@
     monkeypatch.setattr(automaton, "load_arrays", lambda: None)
     balancer = Balancer(settings_of(PLANS["arrays"]), 1)
     play(PLANS["arrays"], 1, [balancer], lambda answers: None)
-    assert isinstance(balancer.fleet.shares, PlainShares) and len(balancer.ready) > 80
+    assert isinstance(balancer.endpoints.shares, PlainShares) and len(balancer.ready) > 80
 
 
 def test_streams_hold_what_they_are_for() -> None:
@@ -232,7 +232,7 @@
         ejected = sum(s.ejected_until > 0 for s in new.ready)
         seen["ejected"] = seen.get("ejected", 0) + ejected
         if name in ("arrays", "wide"):
-            assert isinstance(new.fleet.shares, ArrayShares)
+            assert isinstance(new.endpoints.shares, ArrayShares)
     assert all(seen[key] > 20 for key in ("Send", "Shed", "Fail", "SetTimer")) and seen["ejected"] > 5, seen
 
 
@@ -283,7 +283,7 @@
 @pytest.mark.parametrize("arrays", [False, True])
 def test_equal_costs_and_shares_of_next_to_nothing(arrays: bool) -> None:
     shares, rng = fleet_of(4, arrays), random.Random(1)
-    shares.toll[:] = type(shares.toll)([0.0] * 4) if not arrays else 0.0
+    shares.zone_penalty[:] = type(shares.zone_penalty)([0.0] * 4) if not arrays else 0.0
     for _ in range(200):
         shares.score(-1, 1.0)
     assert float(sum(shares.p)) == pytest.approx(1.0)
@@ -322,7 +322,7 @@
     assert isinstance(actions[0], io.Send | io.SetTimer)
     for server in balancer.ready:
         server.ejected_until, server.failing = 5_000.0, 0.9
-        balancer.fleet.trouble[server] = None
+        balancer.endpoints.unhealthy[server] = None
         server.tokens = 1.0
     # Where all are doubtful, a sound one can't be had: the draw is over them all.
     assert isinstance(balancer.handle(1_002.0, io.Request(2, "pay", 800.0))[0], io.Send)
@@ -338,8 +338,8 @@
     twice = (one._replace(started_ms=5.0), one._replace(started_ms=9.0))
     balancer.handle(10.0, io.EndpointListUpdate("changes", twice))
     assert [s.entry.started_ms for s in balancer.ready] == [0.0, 9.0]
-    shares = balancer.fleet.shares
-    assert shares.n == 2 and shares.out == len(balancer.servers["s1"].open)
+    shares = balancer.endpoints.shares
+    assert shares.n == 2 and shares.out == len(balancer.servers["s1"].in_flight)
     for n, action in enumerate(sent):
         assert isinstance(action, io.Send)
         balancer.handle(20.0, io.AttemptEnded(n, 0, action.server, "ok", 5.0, True))
@@ -353,12 +353,12 @@
     play(plan, 3, [balancer], lambda answers: None)
     now = 60_000.0
     for server in list(balancer.servers.values()):
-        server.open.clear()
+        server.in_flight.clear()
         server.failing = 0.0
     balancer.handle(now, io.Request(10**6, "read", 800.0))
-    fleet = balancer.fleet
-    assert not fleet.trouble and not fleet.late and not fleet.cold
-    assert len(fleet.heads) <= 1
+    endpoints = balancer.endpoints
+    assert not endpoints.unhealthy and not endpoints.overdue and not endpoints.cold
+    assert len(endpoints.oldest_due) <= 1
 
 
 @pytest.mark.parametrize("said", [1e308, float("inf"), float("nan")])
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -218,7 +218,7 @@
         replace(str(path), Snapshot("the list", (time.time() - age_s) * 1000.0, table))
 
         async with world:
-            fleet = world.node.engine.balancer.fleet
+            fleet = world.node.engine.balancer.endpoints
             assert len(fleet.ready) == 2 and len(fleet.cold) == 2
             upstream = world.node.pool.upstreams["s0"]
 
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -415,8 +415,8 @@
             assert sum(len(up.came) for up in world.ups) == number + 1
         assert set(world.outcomes()) == {"error"}
         servers = world.node.engine.balancer.servers.values()
-        assert [(s.failing, s.ejections, len(s.open)) for s in servers] == [(0.0, 0, 0)] * 3
-        assert world.node.engine.balancer.fleet.failing == 0.0 and not world.node.engine.calls
+        assert [(s.failing, s.ejections, len(s.in_flight)) for s in servers] == [(0.0, 0, 0)] * 3
+        assert world.node.engine.balancer.endpoints.failing == 0.0 and not world.node.engine.calls
         for up in world.ups:
             up.script = says(reply(b"", "500 Oops"))
         await world.ask(request("pay", b""))
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -72,7 +72,7 @@
     pure = (
         "decision/logic.py",
         "decision/interface.py",
-        "decision/eligibility.py",
+        "decision/endpoint_set.py",
         "decision/admission.py",
         "decision/memory.py",
         "decision/estimates.py",
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -298,7 +298,7 @@
                     assert (await world.ask(request())).status == 200
             codes = set(world.outcomes())
             assert codes == {code, "ok"}
-            ejected = world.node.engine.balancer.fleet.avoided()
+            ejected = world.node.engine.balancer.endpoints.excluded_count()
             assert ejected == (1 if code == "connect_failed" else 0)
 
     test()
--- a/tests/test_workingset.py
+++ b/tests/test_workingset.py
@@ -119,20 +119,24 @@
             for send in sends(ask(balancer, now, step)):
                 code = rng.choice(("ok", "ok", "error"))
                 balancer.handle(now, outcome(send, 0, code, 5.0, final=True))
-        fleet = balancer.fleet
-        usable = {n for n, s in fleet.servers.items() if s.entry.state == "ready" and n not in fleet.by_hand}
-        assert set(fleet.working.cell_of) == usable
-        used = {n for n in usable if fleet.servers[n].entry.cell in fleet.working.used}
+        endpoints = balancer.endpoints
+        usable = {
+            n
+            for n, s in endpoints.servers.items()
+            if s.entry.state == "ready" and n not in endpoints.in_maintenance
+        }
+        assert set(endpoints.working_set.cell_of) == usable
+        used = {n for n in usable if endpoints.servers[n].entry.cell in endpoints.working_set.used}
         assert (
-            {s.entry.server for s in fleet.ready}
+            {s.entry.server for s in endpoints.ready}
             == used
-            == {n for n, s in fleet.servers.items() if s.at >= 0}
+            == {n for n, s in endpoints.servers.items() if s.slot >= 0}
         )
-        assert all(fleet.ready[s.at] is s for s in fleet.ready)
-        assert fleet.avoided() >= len(usable - used) + len(
-            fleet.by_hand & set(fleet.servers)
+        assert all(endpoints.ready[s.slot] is s for s in endpoints.ready)
+        assert endpoints.excluded_count() >= len(usable - used) + len(
+            endpoints.in_maintenance & set(endpoints.servers)
         )  # as operators see it
-        assert sum(map(float, fleet.shares.p)) == pytest.approx(1.0 if used else 0.0)
+        assert sum(map(float, endpoints.shares.p)) == pytest.approx(1.0 if used else 0.0)
 
 
 def test_bad_servers_cost_a_thin_balancer_a_few_sends() -> None:
