--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -98,7 +98,7 @@
             return False
         now = self.backend.clock.now()
         same = self.host is not None and self.backend.hosts.get(self.server) == self.host
-        stands_s = self.backend.engine.stands_for(self)
+        stands_s = self.backend.engine.may_write_for(self)
         if not same or now > self.stands_until or stands_s <= 0.0:
             self.fail(outcomes.NOT_SENT)
             return False
--- a/quartzford/backends/http_attempt.py
+++ b/quartzford/backends/http_attempt.py
@@ -148,7 +148,7 @@
     def _connected(self, connection: Connection) -> None:
         if self.over:
             return self.upstream.put(connection)
-        if not self.upstream.ready or not self.pool.engine.stands(self):
+        if not self.upstream.ready or not self.pool.engine.may_begin(self):
             self.upstream.put(connection)
             return self.fail(outcomes.NOT_SENT)
         self._write(connection)
@@ -171,7 +171,7 @@
         self.written = now
         connection.send(head, self.call.body)
         if not connection.flushed:
-            last_byte_within = min(self.pool.engine.stands_for(self), self.call.deadline - time_left - now)
+            last_byte_within = min(self.pool.engine.may_write_for(self), self.call.deadline - time_left - now)
             self.pool.clock.call_later(last_byte_within, self._check_flushed)
 
     def _give_back(self, connection: Connection) -> None:
--- a/quartzford/decision/endpoint_set.py
+++ b/quartzford/decision/endpoint_set.py
@@ -392,7 +392,9 @@
 
     # ---- the choice
 
-    def pick(self, kind: io.ServiceClass, tried: list[str], bound: io.Endpoint | None) -> Server | None:
+    def pick(
+        self, kind: io.ServiceClass, tried: list[str], possibly_ran_on: io.Endpoint | None
+    ) -> Server | None:
         """A draw for a request of this class. bound: where it may have run; drains are not in self.ready."""
         if not self.ready:
             return None
@@ -400,8 +402,8 @@
             self._out_of_slow_start_budget() if self.cold else (),
             self._slots_of(tried) if tried else (),
         )
-        group = self._group(kind, bound) if bound is not None else None
-        query = Query(excluded, tried_at, self._degraded(kind), group, bound is not None)
+        group = self._group(kind, possibly_ran_on) if possibly_ran_on is not None else None
+        query = Query(excluded, tried_at, self._degraded(kind), group, possibly_ran_on is not None)
         slot = self.shares.choose(query, self.rng)
         return self.ready[slot] if slot >= 0 else None
 
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from quartzford.decision import interface as io
-from quartzford.decision.admission import START_MS, Admission
+from quartzford.decision.admission import STARTUP_MS, Admission
 from quartzford.decision.endpoint_set import EJECT_ABOVE, EJECT_MS, EndpointSet, Server
 from quartzford.decision.estimates import Peaks, Rate
 
@@ -23,8 +23,8 @@
     endpoints: EndpointSet
     admission: Admission
     classes: dict[str, io.ServiceClass]
-    usual: dict[str, float]
-    known: Counter[str]
+    typical_latency: dict[str, float]
+    answer_counts: Counter[str]
     peaks: Peaks
     retry_budget: float
     now: float
@@ -41,7 +41,7 @@
         back=dict(endpoints.maintenance_ended),
         arrivals=_rate(endpoints.arrivals),
         answers=_rate(endpoints.answers),
-        usual=dict(balancer.usual),
+        usual=dict(balancer.typical_latency),
         peaks=tuple(balancer.peaks.pairs),
         retry_budget=balancer.retry_budget / 2,
         tenants={name: _rate(rate) for name, rate in admission.rates.items()},
@@ -80,8 +80,10 @@
             endpoints.cold[server] = None
     endpoints.shares.recall(rows)
     endpoints.arrivals, endpoints.answers = _read(memory.arrivals, now), _read(memory.answers, now)
-    balancer.usual = {name: usual for name, usual in memory.usual.items() if name in balancer.classes}
-    balancer.known.update(dict.fromkeys(balancer.usual, 100))  # no longer a guess
+    balancer.typical_latency = {
+        name: usual for name, usual in memory.usual.items() if name in balancer.classes
+    }
+    balancer.answer_counts.update(dict.fromkeys(balancer.typical_latency, 100))  # no longer a guess
     balancer.peaks.pairs.extend(pair for pair in memory.peaks if pair[0] <= now)
     balancer.retry_budget = min(10.0, memory.retry_budget)
     admission.rates.update(
@@ -95,7 +97,7 @@
     admission.shed, admission.marginal = memory.shed, memory.marginal
     admission.shed_ms = min(memory.shed_ms, now)
     if memory.ends > 0:
-        admission.began = now - START_MS  # it is no start for what was learnt
+        admission.busy_since_ms = now - STARTUP_MS  # it is no start for what was learnt
     admission.offers.extend(offer for offer in memory.offers if offer[1] in balancer.classes)
 
 
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -99,7 +99,7 @@
             attempt = call.attempt
             self._close(call, "abandoned")
             self.figures.end("failed", call.kind)
-            self.balancer.flights.pop(call.number, None)
+            self.balancer.pending_requests.pop(call.number, None)
             if attempt is not None:
                 attempt.fail("cancelled")
             call.broken()
@@ -191,15 +191,15 @@
 
     # ---- what attempts tell
 
-    def stands(self, attempt: Attempt) -> bool:
+    def may_begin(self, attempt: Attempt) -> bool:
         """The decision behind an attempt not begun still holds; of its server, the backend knows."""
-        return self.stands_for(attempt) > 0.0
+        return self.may_write_for(attempt) > 0.0
 
-    def stands_for(self, attempt: Attempt) -> float:
+    def may_write_for(self, attempt: Attempt) -> float:
         """Seconds for which it holds, up to the request's last byte; 0 if it doesn't any more."""
         if attempt.call.done or self.clock.now() >= attempt.due:
             return 0.0
-        return self.balancer.stands_for(self.clock.unix_ms(), attempt.call.number) / 1000.0
+        return self.balancer.may_write_for(self.clock.unix_ms(), attempt.call.number) / 1000.0
 
     def started(self, attempt: Attempt) -> None:
         """The attempt's answer is being passed on from now: it can't be taken back."""
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -238,7 +238,7 @@
     def _last_steps(self) -> bool:
         """Whether the process has to exit. One step each time: what comes in between is read and answered."""
         left = self._killed_at() - self.clock.now()
-        if not self.engine.balancer.ending:
+        if not self.engine.balancer.shutting_down:
             if left <= ANSWER_S:
                 self.engine.end_all()
             return False
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -76,7 +76,14 @@
         gc.collect()
         sizes = dict(tables(world.node))
         assert len(sizes) > 40, "the walk has not reached the parts"
-        for part in (".usual", ".ended", ".oldest_due.heap", ".rows", ".opened", ".rejecting_until"):
+        for part in (
+            ".typical_latency",
+            ".ended",
+            ".oldest_due.heap",
+            ".rows",
+            ".opened",
+            ".rejecting_until",
+        ):
             assert any(path.endswith(part) for path in sizes), part
         over = {path: size for path, size in sizes.items() if size > MOST}
         assert not over, "\n".join(f"{path} {size}" for path, size in over.items())
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -130,7 +130,10 @@
         assert all(answer.status in (502, 503) for answer in answers)
         assert all(a.status == 502 for a in answers[2::3]), "a cobro that may have run"
         assert all(a.status == 503 for a in answers[0::3]), "as the module decides, and not as a last resort"
-        assert not world.node.engine.balancer.flights and world.node.engine.balancer.endpoints.shares.out == 0
+        assert (
+            not world.node.engine.balancer.pending_requests
+            and world.node.engine.balancer.endpoints.shares.out == 0
+        )
         assert not world.node.engine.policy and [len(up.came) for up in world.ups] == sent
         for up in world.ups:
             up.script = says(reply())
@@ -152,7 +155,7 @@
         came = sum(len(up.writers) for up in world.ups)
         await until(lambda: sum(up.left for up in world.ups) == came)
         await until(lambda: not world.node.pool.connections)  # a peer sees it a turn before
-        assert not world.node.engine.balancer.flights
+        assert not world.node.engine.balancer.pending_requests
         gone = [e for e in world.events if isinstance(e, io.ClientDisconnected)]
         assert len(gone) == 30 and not [
             e for e in world.events if isinstance(e, io.AttemptEnded) and not e.final
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -94,7 +94,9 @@
             assert sent(world) == before and world.node.engine.counts["client gone"] == 1
             balancer = world.node.engine.balancer
             assert (
-                balancer.flights == {} and balancer.endpoints.shares.out == 0 and world.node.budget.used == 0
+                balancer.pending_requests == {}
+                and balancer.endpoints.shares.out == 0
+                and world.node.budget.used == 0
             )
             sock.close()
             for up in world.ups:
@@ -109,13 +111,13 @@
     """It had no status yet: to look for one among the idle ones failed, and the next request got a 500."""
     async with World() as world:
         engine = world.node.engine
-        stands, asked = engine.stands, []
+        may_begin, asked = engine.may_begin, []
 
         def not_at_first(attempt: Attempt) -> bool:
             asked.append(attempt)
-            return len(asked) > 1 and stands(attempt)
+            return len(asked) > 1 and may_begin(attempt)
 
-        engine.stands = not_at_first  # type: ignore[method-assign]
+        engine.may_begin = not_at_first  # type: ignore[method-assign]
         assert (await world.ask(request())).status == 503  # there is nobody else
         assert (await world.ask(request())).status == 200
         assert world.outcomes() == ["moot", "ok"] and len(world.ups[0].writers) == 1
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -159,12 +159,12 @@
             assert (await world.ask(text)).status == 200
         admission = world.node.engine.balancer.admission
         now = world.node.clock.unix_ms()
-        assert admission.within(now, "norte-alto") < 1.0 and set(admission.rates) == {"norte-alto"}
+        assert admission.within_quota(now, "norte-alto") < 1.0 and set(admission.rates) == {"norte-alto"}
         text = request("pay", b"").replace(b"acme", b"norte")
-        assert (await world.ask(text)).status == 200 and admission.within(now, "norte") == 1.0
+        assert (await world.ask(text)).status == 200 and admission.within_quota(now, "norte") == 1.0
         reload(world, customers=[])
         assert admission.quota == {} and (await world.ask(request("pay", b""))).status == 200
-        assert admission.within(now, "norte-alto") == 1.0
+        assert admission.within_quota(now, "norte-alto") == 1.0
 
 
 @run
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -245,7 +245,7 @@
             gate.set()
             other = await world.ask(request("pay", b""))
             assert other.status == 200 and len(sends()) == before + 1
-            assert world.node.engine.balancer.flights == {} and world.node.budget.used == 0
+            assert world.node.engine.balancer.pending_requests == {} and world.node.budget.used == 0
             for one in (hang, *held):
                 one.close()
 
@@ -271,7 +271,10 @@
         await until(lambda: not world.node.pool.connections, 5)
         assert not [a for a in world.actions[before:] if isinstance(a, io.Send)]
         assert not world.node.engine.calls and world.node.budget.used == 0
-        assert not world.node.engine.balancer.flights and world.node.engine.balancer.endpoints.shares.out == 0
+        assert (
+            not world.node.engine.balancer.pending_requests
+            and world.node.engine.balancer.endpoints.shares.out == 0
+        )
 
 
 # ---- a connection to an upstream
--- a/tests/test_extproc_desk.py
+++ b/tests/test_extproc_desk.py
@@ -333,7 +333,7 @@
     for customer in customers:
         assert len(customer.final) == 1 or (not customer.final and customer.opens), "not answered once"
     assert not world.desk.flights and not world.desk.by_identity
-    assert not world.engine.calls and not world.engine.balancer.flights
+    assert not world.engine.calls and not world.engine.balancer.pending_requests
     assert not any(s.in_flight for s in world.engine.balancer.servers.values()), "an attempt without an end"
     assert not any("overdue" in line for line in world.log.lines)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -137,13 +137,13 @@
     send = sends(ask(balancer, 0.0, 1, "feed"))[0]
     assert balancer.handle(5.0, io.ResponseStarted(1, 0, send.server, 5.0)) == []
     assert balancer.handle(9_000.0, outcome(send, 0, "reset", 9_000.0, final=True)) == []
-    assert not balancer.flights
+    assert not balancer.pending_requests
 
 
 def test_eq_6_to_8_on_numbers_worked_by_hand() -> None:
     """Two servers; the class is known to take 10 ms, so the first answer costs one usual latency."""
     balancer = started(2)
-    balancer.usual["read"], balancer.known["read"] = 10.0, 100
+    balancer.typical_latency["read"], balancer.answer_counts["read"] = 10.0, 100
     send = sends(ask(balancer, 0.0, 1))[0]
     balancer.handle(10.0, outcome(send, 0, "ok", 10.0))
     one, two = sorted(balancer.ready, key=lambda s: s.entry.server != send.server)
@@ -268,7 +268,7 @@
         out[send.server].append(send)
     silent, other = ("s0", "s1") if len(out["s0"]) >= len(out["s1"]) else ("s1", "s0")
     balancer.handle(now + 1.0, outcome(out[silent][0], 0, "ok", 1.0))
-    later = now + 3.0 * balancer.usual["read"]  # what is out is due after four
+    later = now + 3.0 * balancer.typical_latency["read"]  # what is out is due after four
     for send in out[other]:
         balancer.handle(later - 1.0, outcome(send, 0, "ok", 40.0))
     assert {s.server for n in range(2_000, 2_040) for s in sends(ask(balancer, later, n))} == {other}
@@ -353,7 +353,7 @@
     assert min(patience) > 90.0
     for n in range(400):
         serve(balancer, 500.0 + 20.0 * n, 1000 + n, latency=10.0)
-    assert balancer.usual["read"] == approx(10.0, abs=0.5)  # the guess is forgotten
+    assert balancer.typical_latency["read"] == approx(10.0, abs=0.5)  # the guess is forgotten
 
 
 @pytest.mark.parametrize(("spent", "ejected"), [(5.0, True), (149.0, False), (150.0, False)])
@@ -395,11 +395,11 @@
 def test_a_rising_latency_does_not_refuse_a_whole_class_where_a_part_was_meant() -> None:
     """Half of the offers are worth 8, half 1: at three quarters shed, half of the former come through."""
     balancer = started(4)
-    balancer.admission._settle = lambda now: None  # type: ignore[method-assign]
+    balancer.admission._update_shed = lambda now: None  # type: ignore[method-assign]
     let_in = {"read": 0, "pay": 0}
     for n in range(2_000):
         name = ("read", "pay")[n % 2]
-        balancer.usual["read"] = balancer.usual["pay"] = 20.0 + 0.1 * n
+        balancer.typical_latency["read"] = balancer.typical_latency["pay"] = 20.0 + 0.1 * n
         balancer.admission.shed, balancer.admission.shed_ms = 0.75, float(n)
         let_in[name] += not finals(ask(balancer, float(n), n, name))
     assert let_in["read"] == 0 and 350 < let_in["pay"] < 650
@@ -514,11 +514,11 @@
     """One end each 5 ms from a start on, late until some moment. learnt: a process before it was there."""
     admission = Admission(settings(), random.Random(1))
     if learnt:
-        admission.began = start_ms - 1_000.0
+        admission.busy_since_ms = start_ms - 1_000.0
     now = start_ms
     while now < until_ms:
-        admission.out(now, 8, answered=True)
-        admission.pace(now, now < late_until_ms, 50.0, 200.0)
+        admission.set_in_flight(now, 8, answered=True)
+        admission.record_outcome(now, now < late_until_ms, 50.0, 200.0)
         now += 5.0
     return admission
 
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -62,8 +62,8 @@
                 if len(came) > 1:
                     return writer.write(reply())
                 hold_next_send(monkeypatch)
-                flights = world.node.engine.balancer.flights.values()
-                ends_ms = next(iter(flights)).bound_ms + window_s * 1000.0
+                pending = world.node.engine.balancer.pending_requests.values()
+                ends_ms = next(iter(pending)).possibly_ran_ms + window_s * 1000.0
                 await asyncio.sleep((ends_ms - world.node.clock.unix_ms()) / 1000.0 - remains_s)
                 writer.transport.abort()
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -116,7 +116,10 @@
     assert set(after) == set(before) and "s5" not in after and new.in_maintenance == {"s5"}
     for name, values in after.items():
         assert values == pytest.approx(before[name], abs=1e-9), name
-    assert new.usual == old.usual and new.retry_budget + old.retry_budget == pytest.approx(budget)
+    assert (
+        new.typical_latency == old.typical_latency
+        and new.retry_budget + old.retry_budget == pytest.approx(budget)
+    )
     # One budget for the cold server: the old process has none of it left, the new one what was left.
     cold = new.servers["s4"]
     assert cold in new.endpoints.cold and cold.tokens == old.servers["s4"].tokens
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from quartzford.decision import interface as io
-from quartzford.decision.logic import PROOF, Balancer
+from quartzford.decision.logic import NEVER_RAN, Balancer
 
 CODES = ("ok", "error", "full", "timeout", "connect_failed", "reset")
 KIND = {c.name: c for c in CLASSES}
@@ -74,14 +74,14 @@
             if isinstance(action, io.Shed):
                 kind = KIND.get(self.kind[action.request])
                 harmless = kind and (kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all"))
-                ran = [c for _, _, c in self.history[action.request] if c not in PROOF]
+                ran = [c for _, _, c in self.history[action.request] if c not in NEVER_RAN]
                 assert harmless or not ran, "refused though it may have run"
         elif isinstance(action, io.SetTimer):
             self.push(self.now + max(action.after_ms, 0.0), io.Timer(action.token))
 
     def no_second_effect(self, request: int, number: int) -> None:
         kind = KIND.get(self.kind[request])
-        ran = [(sent, n) for sent, n, code in self.history[request] if code not in PROOF]
+        ran = [(sent, n) for sent, n, code in self.history[request] if code not in NEVER_RAN]
         if not ran or (kind and kind.effect == "free"):
             return
         assert kind is not None and kind.effect == "keyed", "an unsafe request sent again"
@@ -234,7 +234,7 @@
     got = 0
     for seed in range(200):
         balancer = Balancer(settings(balancers=200), seed)
-        balancer.usual["read"], balancer.known["read"] = 1.0, 100
+        balancer.typical_latency["read"], balancer.answer_counts["read"] = 1.0, 100
         balancer.handle(0.0, listed(range(8)))
         for n in range(60):
             now = n * 100.0
