--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -504,7 +504,13 @@
             today="`fronts/operations.py`, one balancer at a time",
             mechanism=SHARED,
         ),
-        row("processor time", "a page of figures, at a balancer", UNKNOWN, "s", today="`engine/figures.py`"),
+        row(
+            "processor time",
+            "a page of figures, at a balancer",
+            UNKNOWN,
+            "s",
+            today="`engine/request_counters.py`",
+        ),
         row("memory", "their own", UNKNOWN, "bytes", NOT_OURS),
         row(
             "connections",
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -197,7 +197,7 @@
     known = {"seq": 0, "whole": True, "hosts": []}
     read = read_config(json.dumps(config(free_port(), port, known)))
     node = Node(read, asyncio.get_running_loop())
-    node.log = type("Quiet", (), {"line": lambda *a: None, "trouble": lambda *a: None})()
+    node.log = type("Quiet", (), {"line": lambda *a: None, "exception": lambda *a: None})()
     load_arrays()
     await node.start()
     told, loop = node.engine.balancer.servers, asyncio.get_running_loop()
--- a/bench/slopes_configuration.py
+++ b/bench/slopes_configuration.py
@@ -80,7 +80,7 @@
         await asyncio.wait_for(done.wait(), RELOAD_S)
         costs.append(time.process_time() - spent)
         stalls.append(await ticks.worst_ms())
-    if node.engine.figures.reloads["ok"] != reloads:
+    if node.engine.request_counters.reloads["ok"] != reloads:
         raise RuntimeError("a reload was refused")
     return {
         "base_mb": before,
--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -43,7 +43,7 @@
     def line(self, topic: str, text: str) -> None:
         """Dropped."""
 
-    def trouble(self, where: str) -> None:
+    def exception(self, where: str) -> None:
         """An exception at a boundary: none is expected here."""
         raise
 
@@ -91,10 +91,10 @@
     """Hears of each piece that the module has adopted, and when a condition on the list first holds."""
 
     def __init__(self, node: Node) -> None:
-        self.node, self.listed = node, node.engine.listed
+        self.node, self.listed = node, node.engine.endpoint_list_update
         self.condition: Callable[[], bool] = lambda: False
         self.done: asyncio.Future[float] = node.loop.create_future()
-        node.engine.listed = self._listed  # type: ignore[method-assign]
+        node.engine.endpoint_list_update = self._listed  # type: ignore[method-assign]
 
     def _listed(
         self, how: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
--- a/quartzford/__main__.py
+++ b/quartzford/__main__.py
@@ -24,9 +24,9 @@
         config = load()
         node.reconfigure(config)
     except ConfigError as error:
-        node.engine.figures.reloads["failed"] += 1
+        node.engine.request_counters.reloads["failed"] += 1
         return node.log.line("reload", f"{error}; the settings in force stay")
-    node.engine.figures.reloads["ok"] += 1
+    node.engine.request_counters.reloads["ok"] += 1
     node.log.line("reload", f"in force, discovery at {config.discovery[0]}:{config.discovery[1]}")
 
 
--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -61,22 +61,22 @@
                 self.hosts.pop(entry.server, None)
 
     def attempt(
-        self, call: Any, number: int, server: str, sent: float, due: float, finish: float
+        self, pending: Any, number: int, server: str, sent: float, due: float, finish: float
     ) -> RemoteAttempt:
         """An attempt, not begun; times on the engine's clock, seconds. See engine.Backend."""
-        return RemoteAttempt(self, call, number, server, sent, due)
+        return RemoteAttempt(self, pending, number, server, sent, due)
 
 
 class RemoteAttempt(engine.Attempt):
     """One attempt that the caller makes."""
 
     __slots__ = ("backend", "host", "state", "timer", "stands_until")
-    call: RemoteCall
+    pending: RemoteCall
 
     def __init__(
-        self, backend: CallerBackend, call: RemoteCall, number: int, server: str, sent: float, due: float
+        self, backend: CallerBackend, pending: RemoteCall, number: int, server: str, sent: float, due: float
     ) -> None:
-        super().__init__(call, number, server, sent, due)
+        super().__init__(pending, number, server, sent, due)
         self.backend = backend
         self.host = backend.hosts.get(server)
         self.state = State.DECIDED
@@ -87,7 +87,7 @@
     def start(self) -> None:
         """Offer the decision to whoever waits for it; it is dropped where nobody claims it in time."""
         self.timer = self.backend.clock.call_later(self.due - self.sent, self.fail, outcomes.NOT_SENT)
-        self.call.decided(self)
+        self.pending.decided(self)
 
     def claim(self) -> bool:
         """A stream of the caller takes the decision; if it stands no more, the module is asked again.
@@ -105,11 +105,11 @@
         self.stands_until = min(self.stands_until, now + stands_s)
         self.state = State.TOLD
         self.written = now
-        self.backend.engine.figures.attempts += 1
+        self.backend.engine.request_counters.attempts += 1
         self._stop()
         # The caller holds the attempt's own time-out. Here only the client's time ends it, for good: it may
         # still be out at the caller, and a second one beside it would break rule two.
-        left = self.call.deadline - now
+        left = self.pending.deadline - now
         self.timer = self.backend.clock.call_later(max(0.0, left), self._overdue)
         return True
 
@@ -145,7 +145,7 @@
     def _overdue(self) -> None:
         if self.state is not State.OVER:
             self._end()
-            self.backend.engine.ended(self, outcomes.TIMED_OUT, owed=False)
+            self.backend.engine.ended(self, outcomes.TIMED_OUT, retryable=False)
 
     def _end(self) -> None:
         self.state = State.OVER
--- a/quartzford/backends/connection_pool.py
+++ b/quartzford/backends/connection_pool.py
@@ -204,7 +204,7 @@
 
     def request_sent(self) -> None:
         """Count an attempt whose request has left."""
-        self.pool.engine.figures.attempts += 1
+        self.pool.engine.request_counters.attempts += 1
 
     def drop(self, connection: Connection) -> None:
         """Close an idle connection that the upstream has ended; one that is not idle stays as it is."""
--- a/quartzford/backends/http_attempt.py
+++ b/quartzford/backends/http_attempt.py
@@ -167,7 +167,7 @@
         # Behind the last reading of the clock: the loop may have been held up since the client disconnected.
         if not self.call.client_connected():
             self._give_back(connection)
-            return self.pool.engine.gone(cast("engine.Call", self.call))
+            return self.pool.engine.client_disconnected(cast("engine.PendingRequest", self.call))
         self.written = now
         connection.send(head, self.call.body)
         if not connection.flushed:
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -209,7 +209,7 @@
         masked = self.registry.masked(listing, self.engine.balancer.in_maintenance)
         for follower in self.followers:
             follower.listed(masked)
-        self.engine.listed(how, listing.entries, self.start_times.of(listing.entries))
+        self.engine.endpoint_list_update(how, listing.entries, self.start_times.of(listing.entries))
 
     # ---- what operators set
 
--- a/quartzford/counting.py
+++ b/quartzford/counting.py
@@ -20,7 +20,7 @@
 from quartzford.settings.configuration import ConfigError
 
 if TYPE_CHECKING:
-    from quartzford.engine.flight import Attempt, Call
+    from quartzford.engine.pending_request import Attempt, PendingRequest
     from quartzford.membership.listing import Listing
     from quartzford.node import Node
 
@@ -65,7 +65,7 @@
         self.bad: Counter[str] = Counter()  # outcomes but the good ones, by upstream
         following = os.environ.get(WAYS) == "1"
         self.ways: dict[int, list[Any]] | None = {} if following else None  # attempts, by request
-        node.engine.counting = self
+        node.engine.observer = self
         node.followers.append(self)
         print("settings:", node.config.settings, node.config.descriptors, file=sys.stderr, flush=True)
         node.clock.call_later(every_s, self._tick)
@@ -84,7 +84,7 @@
         }
         print("news:", json.dumps(news, separators=(",", ":")), file=sys.stderr, flush=True)
 
-    def sent(self, send: io.Send, call: Call) -> None:
+    def sent(self, send: io.Send, call: PendingRequest) -> None:
         """An attempt is about to be made."""
         balancer = self.node.engine.balancer
         server = balancer.servers[send.server]
@@ -98,11 +98,11 @@
         """code: the outcome, and how far it had come."""
         if code.split()[0] not in ("ok", "cancelled", "moot"):
             self.bad[f"{code.split()[0]} {attempt.server}"] += 1
-        if self.ways is not None and not attempt.call.done:
+        if self.ways is not None and not attempt.pending.done:
             times = (self._unix(attempt.sent), self._unix(attempt.written), self._unix())
-            self.ways.setdefault(attempt.call.number, []).append([attempt.server, *times, code])
+            self.ways.setdefault(attempt.pending.number, []).append([attempt.server, *times, code])
 
-    def closed(self, call: Call, how: str) -> None:
+    def closed(self, call: PendingRequest, how: str) -> None:
         """A request has ended."""
         if self.ways is None:
             return
@@ -131,7 +131,7 @@
         node, balancer = self.node, self.node.engine.balancer
         endpoints, pool = balancer.endpoints, node.pool
         shares = [float(p) for p in endpoints.shares.p if p > 0]
-        ended = node.engine.figures.ended
+        ended = node.engine.request_counters.ended
         classes = Counter({f"{how} {name}": n for how, by in ended.items() for name, n in by.items()})
         return {
             "name": node.config.name,
--- a/quartzford/engine/__init__.py
+++ b/quartzford/engine/__init__.py
@@ -3,18 +3,18 @@
 from quartzford.engine.budget import Budget
 from quartzford.engine.clock import Clock, Handle, LoopClock
 from quartzford.engine.core import Engine
-from quartzford.engine.figures import Figures
-from quartzford.engine.flight import Attempt, Backend, Call
 from quartzford.engine.log import Log, StderrLog, print_error
+from quartzford.engine.pending_request import Attempt, Backend, PendingRequest
+from quartzford.engine.request_counters import RequestCounters
 
 __all__ = [
     "Attempt",
     "Backend",
     "Budget",
-    "Call",
+    "PendingRequest",
     "Clock",
     "Engine",
-    "Figures",
+    "RequestCounters",
     "Handle",
     "Log",
     "LoopClock",
--- a/quartzford/engine/log.py
+++ b/quartzford/engine/log.py
@@ -22,7 +22,7 @@
 
     def line(self, topic: str, text: str) -> None: ...
 
-    def trouble(self, where: str) -> None: ...
+    def exception(self, where: str) -> None: ...
 
 
 class StderrLog:
@@ -30,17 +30,17 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self.tokens, self.at = LOG_LINES_PER_S, now()
+        self.tokens, self.refilled_at = LOG_LINES_PER_S, now()
 
     def line(self, topic: str, text: str) -> None:
         now = self.now()
-        self.tokens = min(LOG_LINES_PER_S, self.tokens + (now - self.at) * LOG_LINES_PER_S)
-        self.at = now
+        self.tokens = min(LOG_LINES_PER_S, self.tokens + (now - self.refilled_at) * LOG_LINES_PER_S)
+        self.refilled_at = now
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             print_error(f"{topic}: {text[:500]}")
 
-    def trouble(self, where: str) -> None:
+    def exception(self, where: str) -> None:
         """An exception at a boundary, from within its handler."""
         lines = traceback.format_exc(limit=-3).strip().splitlines()
         self.line(where, " | ".join([lines[-1], *(line.strip() for line in lines[1:-1])]))
--- a/quartzford/engine/flight.py
+++ b/quartzford/engine/pending_request.py
@@ -1,4 +1,5 @@
-"""What the engine asks of a front's request (Call), of an attempt at it and of who makes attempts."""
+"""What the engine asks of a front's request (PendingRequest), of an attempt at it and of who makes
+attempts."""
 
 from __future__ import annotations
 
@@ -7,7 +8,7 @@
 from typing import Any, Protocol
 
 
-class Call(ABC):
+class PendingRequest(ABC):
     """A request that is owed exactly one final answer; a front makes one for each request it takes.
 
     The engine calls exactly one of served, refused, failed and broken, unless the client has left.
@@ -38,7 +39,7 @@
         """Failed; nothing is promised."""
 
     @abstractmethod
-    def broken(self) -> None:
+    def aborted(self) -> None:
         """Ended as a last resort: an exception, or an answer that never came. Nothing is promised."""
 
     def client_connected(self) -> bool:
@@ -49,11 +50,11 @@
         """The end of an answer that its attempt has begun to pass on."""
         return None
 
-    def left(self) -> None:
+    def client_disconnected(self) -> None:
         """The client has left: give back what is held for it."""
         return None
 
-    def retried(self) -> None:
+    def attempt_discarded(self) -> None:
         """An attempt ended without an answer, the request lives on: give back what the attempt left."""
         return None
 
@@ -65,10 +66,10 @@
     all on the engine's clock, seconds.
     """
 
-    __slots__ = ("call", "number", "server", "sent", "written", "due", "streaming", "over")
+    __slots__ = ("pending", "number", "server", "sent", "written", "due", "streaming", "over")
 
-    def __init__(self, call: Any, number: int, server: str, sent: float, due: float) -> None:
-        self.call = call
+    def __init__(self, pending: Any, number: int, server: str, sent: float, due: float) -> None:
+        self.pending = pending
         self.number = number
         self.server = server
         self.sent = sent
@@ -88,5 +89,7 @@
 class Backend(Protocol):
     """Who makes attempts."""
 
-    def attempt(self, call: Any, number: int, server: str, sent: float, due: float, finish: float) -> Attempt:
+    def attempt(
+        self, pending: Any, number: int, server: str, sent: float, due: float, finish: float
+    ) -> Attempt:
         """An attempt, not begun; an answer that has begun by `due` is waited for until `finish`."""
--- a/quartzford/engine/figures.py
+++ b/quartzford/engine/request_counters.py
@@ -19,7 +19,7 @@
 OTHER = "other"
 
 
-class Figures:
+class RequestCounters:
     """The counts of one process."""
 
     def __init__(self) -> None:
--- a/quartzford/fronts/extproc/desk.py
+++ b/quartzford/fronts/extproc/desk.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple, Protocol, cast
 
 from quartzford.decision import interface as io
-from quartzford.engine import Backend, Call, Clock, Engine, Handle
+from quartzford.engine import Backend, Clock, Engine, Handle, PendingRequest
 from quartzford.fronts.extproc.outcome import Result
 from quartzford.fronts.extproc.token import Fault, Tokens
 
@@ -140,7 +140,7 @@
             self.reply(reply)
 
 
-class Flight(Call):
+class Flight(PendingRequest):
     """A request, over all its streams. At most one stream is in each of the roles below."""
 
     __slots__ = (
@@ -185,10 +185,10 @@
     def failed(self) -> None:
         self._end(Failed(502))
 
-    def broken(self) -> None:
+    def aborted(self) -> None:
         self._end(Failed(500))
 
-    def left(self) -> None:
+    def client_disconnected(self) -> None:
         self._end(Failed(502))
 
     def _end(self, reply: Reply) -> None:
@@ -256,7 +256,7 @@
             self.waiting = stream
         if stream is self.waiting:  # its caller has given up with nothing out
             self.waiting = None
-            self.desk.engine.gone(self)
+            self.desk.engine.client_disconnected(self)
         elif stream is self.following:
             self.following = None
             self._stop_overlap()
@@ -277,7 +277,9 @@
         self._stop_timers()
         if following is not None:
             return self.resume(following)
-        self.timer = self.desk.clock.call_later(self.desk.return_s, self.desk.engine.gone, self)
+        self.timer = self.desk.clock.call_later(
+            self.desk.return_s, self.desk.engine.client_disconnected, self
+        )
 
     def _tell(self, attempt: Remote) -> None:
         stream = self.waiting
@@ -432,7 +434,7 @@
         else:
             flight.waiting, stream.flight = stream, flight
         name, tenant = ask.service_class, ask.tenant
-        self.engine.arrived(
+        self.engine.request_arrived(
             flight, io.Request(number, name, left, tenant, ask.key, ask.work_ms, ask.repeat, ask.keyed)
         )
         if ask.opens and not flight.done:
--- a/quartzford/fronts/extproc/line.py
+++ b/quartzford/fronts/extproc/line.py
@@ -124,7 +124,7 @@
             try:
                 self._line(message)
             except Exception:
-                self.log.trouble("line")
+                self.log.exception("line")
         self._flush()
         self.working = bool(len(self.intake))
         if self.working:
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -13,7 +13,7 @@
 import httptools
 
 from quartzford.decision import interface as io
-from quartzford.engine import Backend, Budget, Call, Clock, Engine
+from quartzford.engine import Backend, Budget, Clock, Engine, PendingRequest
 from quartzford.fronts.listener import Listener, bind, open_connection
 from quartzford.protocols.lingering import LingeringClose
 from quartzford.settings.header_values import read_cookie, read_number, read_time_left
@@ -196,7 +196,7 @@
             client.check(now)
 
 
-class Exchange(Call):
+class Exchange(PendingRequest):
     """A client's request, from its last byte to its final answer."""
 
     __slots__ = (
@@ -232,16 +232,16 @@
     def failed(self) -> None:
         self.client.answer(self, 502)
 
-    def broken(self) -> None:
+    def aborted(self) -> None:
         self.client.answer(self, 500)
 
     def streamed(self, complete: bool) -> None:
         self.client.end(self, complete)
 
-    def left(self) -> None:
+    def client_disconnected(self) -> None:
         self.release()
 
-    def retried(self) -> None:
+    def attempt_discarded(self) -> None:
         self.charge(len(self.body) - self.charged)
 
     # ---- what an HTTP backend asks
@@ -409,7 +409,7 @@
         self._drop_body()
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            self.front.engine.gone(exchange)
+            self.front.engine.client_disconnected(exchange)
 
     def pause_writing(self) -> None:
         self.write_blocked = True
@@ -552,7 +552,7 @@
         self.front.clients[self] = None
         if request is None:
             return self.answer(exchange, 200 if self.front.ready() else 503)
-        self.front.engine.arrived(exchange, request, exchange.charged)
+        self.front.engine.request_arrived(exchange, request, exchange.charged)
 
     # ---- answers
 
@@ -662,7 +662,7 @@
         if self.closing or self.transport.is_closing():
             return
         self._drop_body()
-        self.front.engine.figures.turned_away(status, getattr(self, "read", {}).get("name", ""))
+        self.front.engine.request_counters.turned_away(status, getattr(self, "read", {}).get("name", ""))
         text = REASONS[status]
         head = b"HTTP/1.1 %d %b\r\nContent-Length: 0\r\nConnection: close\r\n\r\n" % (status, text)
         self.transport.write(head)
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -240,7 +240,7 @@
         left = self._killed_at() - self.clock.now()
         if not self.engine.balancer.shutting_down:
             if left <= ANSWER_S:
-                self.engine.end_all()
+                self.engine.shut_down()
             return False
         if not self.front.rejecting:
             if left <= REJECT_S:
@@ -379,11 +379,11 @@
     def figures(self, prefix: str) -> str:
         balancer, engine = self.engine.balancer, self.engine
         gauges = (
-            ("in_flight", len(engine.calls) + self.front.waiting()),
+            ("in_flight", len(engine.pending_requests) + self.front.waiting()),
             ("upstreams_known", len(balancer.servers)),
             ("upstreams_excluded", balancer.endpoints.excluded_count()),
         )
-        return engine.figures.page(prefix, engine.classes, gauges)
+        return engine.request_counters.page(prefix, engine.classes, gauges)
 
     # ---- housekeeping
 
@@ -401,7 +401,7 @@
             self.pool.sweep()
             self.front.sweep()
         except Exception:
-            self.log.trouble("sweep")
+            self.log.exception("sweep")
         self.clock.call_later(SWEEP_S, self._sweep)
 
     def _listen_for_operators(self, address: tuple[str, int]) -> None:
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -92,7 +92,7 @@
                 answer = await asyncio.wait_for(world.ask(request(name, None if name == "read" else b"")), 8)
                 assert answer.status in (502, 503)
             runs = [m for up in world.ups for m in up.came if m.fields["x-service-class"] == "pay"]
-            assert len(runs) == 1 and not world.node.engine.calls
+            assert len(runs) == 1 and not world.node.engine.pending_requests
 
     uvloop.run(test())
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -15,7 +15,7 @@
 from peers import World, reply, request, run, says, until
 from test_endings import RESET, raw
 
-from quartzford.engine.flight import Attempt
+from quartzford.engine.pending_request import Attempt
 from quartzford.fronts.http1 import HANGUP_EVENTS, Exchange
 
 
@@ -86,10 +86,10 @@
             sock = departure.client = await raw(world)
             sock.send(request() * {"pipelined": 2, "unread": 40}.get(where, 1))
             if where == "wait":
-                await until(lambda: world.node.engine.calls)
+                await until(lambda: world.node.engine.pending_requests)
                 world.news(world.host(0), world.host(1), complete=True)
             await until(lambda: departure.heads > before and not world.node.front.unread)
-            await until(lambda: not world.node.engine.calls)
+            await until(lambda: not world.node.engine.pending_requests)
             assert departure.heads == before + 1 and departure.unread == (where == "unread")
             assert sent(world) == before and world.node.engine.counts["client gone"] == 1
             balancer = world.node.engine.balancer
--- a/tests/test_counting.py
+++ b/tests/test_counting.py
@@ -44,7 +44,7 @@
             writer.write(request("pay", b""))
             await until(lambda: any(up.came[-1:] and up.came[-1].line.startswith("POST") for up in world.ups))
             writer.close()
-            await until(lambda: not world.node.engine.calls)
+            await until(lambda: not world.node.engine.pending_requests)
             world.news(world.host(0, "draining"))
             await until(lambda: not world.node.pool.upstreams["s0"].ready)
             said = len(world.node.engine.counts)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -198,6 +198,6 @@
             async with Lag() as lag:
                 answer = await asyncio.wait_for(read_message(reader), 3)
             assert answer.status >= 400 and loop.time() - begun < 1.2 + 2 * lag.worst
-            assert not world.node.engine.calls and len(world.ups[0].came) <= 1
+            assert not world.node.engine.pending_requests and len(world.ups[0].came) <= 1
 
     uvloop.run(test())
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -235,7 +235,7 @@
     def line(self, topic: str, text: str) -> None:
         self.lines.append(f"{topic}: {text}")
 
-    def trouble(self, where: str) -> None:
+    def exception(self, where: str) -> None:
         self.lines.append(where)
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -195,7 +195,7 @@
             gate.set()
             world.node.budget.limit = 1_000_000
             assert (await world.ask(request())).status == 200
-            assert len(world.ups[0].came) == 2 and not world.node.engine.calls
+            assert len(world.ups[0].came) == 2 and not world.node.engine.pending_requests
             assert world.node.budget.used == 0 and not world.node.front.unread
 
     uvloop.run(test())
@@ -226,7 +226,7 @@
             sock.send(request())
             sends = lambda: [a for a in world.actions if isinstance(a, io.Send)]  # noqa: E731
             if where == "held":
-                await until(lambda: world.node.engine.calls)
+                await until(lambda: world.node.engine.pending_requests)
             else:
                 await until(sends)
             if where == "between attempts":  # the first one fails, and there is nobody for a second
@@ -238,7 +238,7 @@
             sock.close()
             await until(lambda: not world.node.front.clients, 2)
             before = len(sends())
-            assert not world.node.engine.calls and not world.node.pool.pending_connects
+            assert not world.node.engine.pending_requests and not world.node.pool.pending_connects
             world.news(world.host(0), world.host(1), complete=True)
             for up in world.ups:
                 up.script = gated(gate, reply())
@@ -261,7 +261,7 @@
         socks = [await raw(world) for _ in range(300)]
         for sock in socks:
             sock.send(request("pay", b"b" * 2000))
-        await until(lambda: len(world.node.engine.calls) == 300)
+        await until(lambda: len(world.node.engine.pending_requests) == 300)
         world.news(world.host(0, "draining"), world.host(1, "draining"))
         await until(lambda: not world.node.engine.balancer.ready)
         for sock in socks:
@@ -270,7 +270,7 @@
         await until(lambda: not world.node.front.clients, 5)
         await until(lambda: not world.node.pool.connections, 5)
         assert not [a for a in world.actions[before:] if isinstance(a, io.Send)]
-        assert not world.node.engine.calls and world.node.budget.used == 0
+        assert not world.node.engine.pending_requests and world.node.budget.used == 0
         assert (
             not world.node.engine.balancer.pending_requests
             and world.node.engine.balancer.endpoints.shares.out == 0
@@ -293,8 +293,8 @@
             made(self, transport)
             if crossed < 20:
                 crossed += 1
-                for call in list(world.node.engine.calls.values()):
-                    world.node.engine.gone(call)
+                for call in list(world.node.engine.pending_requests.values()):
+                    world.node.engine.client_disconnected(call)
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Connection, "connection_made", leaves)
@@ -305,7 +305,7 @@
                 await until(lambda before=before: crossed > before)  # type: ignore[misc]
                 await until(lambda: not world.node.pool.pending_connects)
                 sock.close()
-        assert not world.node.pool.connections and not world.node.engine.calls
+        assert not world.node.pool.connections and not world.node.engine.pending_requests
         assert (await world.ask(request("pay", b""))).status == 200
         assert len(world.ups[0].came) == 1
 
@@ -369,7 +369,7 @@
             async with Lag() as lag:
                 with suppress(ConnectionResetError):
                     data = await asyncio.wait_for(read_all(sock), 5)
-            assert loop.time() - before < 1.2 + 2 * lag.worst and not world.node.engine.calls
+            assert loop.time() - before < 1.2 + 2 * lag.worst and not world.node.engine.pending_requests
             # Its client can tell: a reset, fewer bytes than its length says, or chunks with no last one.
             head, _, body = data.partition(b"\r\n\r\n")
             assert not data or b" 502 " in head or b"3000000000" in head or b"chunked" in head
@@ -476,10 +476,14 @@
         world.ups[0].script = half
         sock = await raw(world)
         sock.send(request(left="60000m"))
-        await until(lambda: any(c.attempt and c.attempt.streaming for c in world.node.engine.calls.values()))
-        world.node.engine.end_all()
+        await until(
+            lambda: any(
+                c.attempt and c.attempt.streaming for c in world.node.engine.pending_requests.values()
+            )
+        )
+        world.node.engine.shut_down()
         data = await asyncio.wait_for(read_all(sock), 2)
-        assert data.count(b"h" * 1000) and len(data) < 300_000 and not world.node.engine.calls
+        assert data.count(b"h" * 1000) and len(data) < 300_000 and not world.node.engine.pending_requests
         sock.close()
 
 
--- a/tests/test_extproc_desk.py
+++ b/tests/test_extproc_desk.py
@@ -82,7 +82,7 @@
     def line(self, topic: str, text: str) -> None:
         self.lines.append(f"{topic}: {text}")
 
-    def trouble(self, where: str) -> None:
+    def exception(self, where: str) -> None:
         raise  # noqa: PLE0704  (called from within a handler)
 
 
@@ -104,7 +104,7 @@
     def list(self) -> None:
         rows = tuple(self.entries.values())
         self.backend.listed(Listing(1, True, rows, tuple(("s", int(r.server[1:])) for r in rows)))
-        self.engine.listed("whole", rows)
+        self.engine.endpoint_list_update("whole", rows)
 
     def move(self, number: int, state: str) -> None:
         self.entries[number] = self.entries[number]._replace(state=state)
@@ -333,7 +333,7 @@
     for customer in customers:
         assert len(customer.final) == 1 or (not customer.final and customer.opens), "not answered once"
     assert not world.desk.flights and not world.desk.by_identity
-    assert not world.engine.calls and not world.engine.balancer.pending_requests
+    assert not world.engine.pending_requests and not world.engine.balancer.pending_requests
     assert not any(s.in_flight for s in world.engine.balancer.servers.values()), "an attempt without an end"
     assert not any("overdue" in line for line in world.log.lines)
 
@@ -428,7 +428,7 @@
     world.desk.most = 1
     told(world)
     assert Peer(world).ask(Ask("c2", "pay")).heard == [Refused(0.0, False)]
-    assert len(world.engine.calls) == 1
+    assert len(world.engine.pending_requests) == 1
 
 
 def test_a_request_that_waited_too_long_for_the_desk_is_refused_unasked() -> None:
@@ -436,11 +436,11 @@
     peer = Peer(world)
     peer.asked += 1
     world.desk.ask(peer.stream, Ask("c1", "pay", 500.0), world.clock.at - 0.2)
-    assert peer.heard == [Refused(0.0, False)] and not world.engine.calls
+    assert peer.heard == [Refused(0.0, False)] and not world.engine.pending_requests
     late = Peer(world)
     late.asked += 1
     world.desk.ask(late.stream, Ask("c2", "pay", 500.0), world.clock.at - 0.05)
-    (call,) = world.engine.calls.values()
+    (call,) = world.engine.pending_requests.values()
     assert late.told() and call.deadline == pytest.approx(world.clock.at + 0.45)
 
 
--- a/tests/test_extproc_line.py
+++ b/tests/test_extproc_line.py
@@ -93,7 +93,12 @@
         line.data_received(up(ask(1, world.clock.at, "pay"), ["drop", 1, False], ["drop", 9, False]))
         line._work()
         await asyncio.sleep(0)
-        assert not pipe.written and not world.engine.calls and not line.intake.gone and not line.streams
+        assert (
+            not pipe.written
+            and not world.engine.pending_requests
+            and not line.intake.gone
+            and not line.streams
+        )
 
     on_loop(test)
 
@@ -168,7 +173,7 @@
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert pipe.reading and len(pipe.written) == 10_000
-        assert {m[0] for m in pipe.written} == {"Refused"} and not world.engine.calls
+        assert {m[0] for m in pipe.written} == {"Refused"} and not world.engine.pending_requests
 
     on_loop(test)
 
@@ -176,7 +181,7 @@
 def test_a_line_that_ends_drops_its_streams_and_a_bad_one_spoils_nothing() -> None:
     async def test(world: World, line: DeskLine, pipe: Pipe) -> None:
         line.data_received(up(ask(1, world.clock.at, "pay"), ask(2, world.clock.at, "read")))
-        world.log.trouble = lambda where: world.log.lines.append(where)  # type: ignore[method-assign]
+        world.log.exception = lambda where: world.log.lines.append(where)  # type: ignore[method-assign]
         line.data_received(up(["report", 77, "ok", [], False], ["odd", 1]))
         assert len(world.desk.flights) == 2
         line.connection_lost(None)
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -37,7 +37,7 @@
             done = await site.ask(caller, name)
             assert done.statuses == [200] and len(done.attempts) == 1 and not done.why
             assert site.runs(done.identity) == 1
-        assert site.node.engine.counts["ok"] == 3 and not site.node.engine.calls
+        assert site.node.engine.counts["ok"] == 3 and not site.node.engine.pending_requests
         # The nodos say queue 0 and util 1.0; the module is told, in the order of the settings.
         assert heard == [(0.0, 1.0)] * 3
 
@@ -129,7 +129,7 @@
         await raw.call.write(message)
         await until(site.open_flights)
         raw.drop()
-        await until(lambda: not site.open_flights() and not site.node.engine.calls)
+        await until(lambda: not site.open_flights() and not site.node.engine.pending_requests)
         site.registry.tell(site.nodos[0])
         await until(lambda: site.backend.hosts)
         done = await site.ask(caller, "pay", identity="x1")
@@ -147,7 +147,7 @@
                     nodo.gate = asyncio.Event()
             done = await site.ask(caller, name, drop=stage)
             assert done.dropped == stage and not done.statuses
-            await until(lambda: not site.open_flights() and not site.node.engine.calls)
+            await until(lambda: not site.open_flights() and not site.node.engine.pending_requests)
             again = await site.ask(caller, name, identity=done.identity)
             assert again.statuses == [409]
             assert site.runs(done.identity) == (1 if stage == STAGES[2] else 0)
@@ -350,7 +350,7 @@
         odd = [row for row in rows_of("c3") if row[0] not in ("x-service-class", "x-time-left")]
         raw = Raw(caller)
         assert status_of(await raw.ask([*odd, ("x-time-left", "soon")])) == 0 and raw.address()
-        assert site.node.engine.calls and (await raw.report(200)) and not site.open_flights()
+        assert site.node.engine.pending_requests and (await raw.report(200)) and not site.open_flights()
         assert not site.books.runs
 
 
@@ -396,7 +396,7 @@
         caller = site.caller()
         opener = Raw(caller, opens=True)
         await opener.ask(rows_of("c1"))
-        (call,) = site.node.engine.calls.values()
+        (call,) = site.node.engine.pending_requests.values()
         assert call.attempt is not None
         chosen = call.attempt.server
         nodo = site.nodos[int(chosen[1:])]
@@ -465,7 +465,7 @@
         answers = await asyncio.gather(*asking)
         assert all(len(done.statuses) == 1 for done in answers)
         assert not any(site.runs(done.identity) > 1 for done in answers)
-        assert not site.open_flights() and not site.node.engine.calls
+        assert not site.open_flights() and not site.node.engine.pending_requests
 
 
 @run
--- a/tests/test_frozen_data.py
+++ b/tests/test_frozen_data.py
@@ -101,7 +101,7 @@
     def line(self, topic: str, text: str) -> None:
         raise AssertionError(f"{topic}: {text}")
 
-    def trouble(self, where: str) -> None:
+    def exception(self, where: str) -> None:
         raise AssertionError(where)
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -250,7 +250,7 @@
         await until(lambda: len(world.ups[0].came) > came)
         assert (await figures(world))["edge.in_flight"] == 1
         leaves.transport.abort()
-        await until(lambda: not world.node.engine.calls)
+        await until(lambda: not world.node.engine.pending_requests)
         told = await figures(world)
         for how, count in saw.items():
             assert sum(told[f"edge.{how}.{name}"] for name in ("read", "book", "pay")) == count, how
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -35,7 +35,7 @@
     def line(self, topic: str, text: str) -> None:
         self.lines.append(f"{topic}: {text}")
 
-    def trouble(self, where: str) -> None:
+    def exception(self, where: str) -> None:
         self.lines.append(where)
 
 
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -62,7 +62,7 @@
             assert set(world.outcomes()) == {code}
             assert code == "full" or len(world.ups[0].came) == 1  # unsafe: not sent again if it may have run
             world.ups[0].script = says(reply())
-            await until(lambda: not world.node.engine.calls and world.node.budget.used == 0)
+            await until(lambda: not world.node.engine.pending_requests and world.node.budget.used == 0)
 
     uvloop.run(test())
 
@@ -323,7 +323,7 @@
         assert world.outcomes() == ["cancelled"] and any(
             isinstance(e, io.ClientDisconnected) for e in world.events
         )
-        assert not world.node.engine.calls and world.node.budget.used == 0
+        assert not world.node.engine.pending_requests and world.node.budget.used == 0
 
 
 @run
@@ -333,9 +333,9 @@
         await until(lambda: not world.node.pool.upstreams["s0"].ready)
         _, writer = await world.connect()
         writer.write(request("pay", b"held"))
-        await until(lambda: world.node.engine.calls)
+        await until(lambda: world.node.engine.pending_requests)
         writer.close()
-        await until(lambda: not world.node.engine.calls)
+        await until(lambda: not world.node.engine.pending_requests)
         assert world.outcomes() == [] and world.node.budget.used == 0
         world.news(world.host(0))
         await until(lambda: world.node.pool.upstreams["s0"].ready)
@@ -416,7 +416,7 @@
         assert set(world.outcomes()) == {"error"}
         servers = world.node.engine.balancer.servers.values()
         assert [(s.failing, s.ejections, len(s.in_flight)) for s in servers] == [(0.0, 0, 0)] * 3
-        assert world.node.engine.balancer.endpoints.failing == 0.0 and not world.node.engine.calls
+        assert world.node.engine.balancer.endpoints.failing == 0.0 and not world.node.engine.pending_requests
         for up in world.ups:
             up.script = says(reply(b"", "500 Oops"))
         await world.ask(request("pay", b""))
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -76,7 +76,7 @@
         "decision/admission.py",
         "decision/memory.py",
         "decision/estimates.py",
-        "engine/figures.py",
+        "engine/request_counters.py",
         "replacement/messages.py",
         "replacement/state_machine.py",
         "replacement/state.py",
