--- a/bench/fleetlog.py
+++ b/bench/fleetlog.py
@@ -1,6 +1,6 @@
 """The count lines of all balancers of a run, added up by the second: python -m bench.fleetlog FOLDER.
 
-Reads the lines that `QUARTZFORD_COUNTS_S=1` makes a balancer write (quartzford/counting.py) out of every file
+Reads the lines that `QUARTZFORD_COUNTS_S=1` makes a balancer write (quartzford/metrics.py) out of every file
 *.log in the folder, and nothing else of what the files hold. --zone Z: of the balancers of that zone alone.
 
 Where the balancers wrote ways too (`QUARTZFORD_WAYS=1`): --id ID follows one request, with the news that its
--- a/quartzford/__main__.py
+++ b/quartzford/__main__.py
@@ -40,9 +40,9 @@
         loop.add_signal_handler(number, node.terminate)
     span = os.environ.get("QUARTZFORD_COUNTS_S")
     if span:
-        from quartzford.counting import Counting, span_of  # for experiments alone
+        from quartzford.metrics import MetricsReporter, interval_of  # for experiments alone
 
-        Counting(node, span_of(span))
+        MetricsReporter(node, interval_of(span))
     await start_listening(node)
     await node.finished
 
--- a/quartzford/counting.py
+++ b/quartzford/metrics.py
@@ -24,22 +24,22 @@
     from quartzford.membership.listing import Listing
     from quartzford.node import Node
 
-VARIABLE = "QUARTZFORD_COUNTS_S"
-WAYS = "QUARTZFORD_WAYS"
+INTERVAL_VARIABLE = "QUARTZFORD_COUNTS_S"
+TRACE_VARIABLE = "QUARTZFORD_WAYS"
 
 
-def span_of(text: str) -> float:
+def interval_of(text: str) -> float:
     """Seconds from one line to the next; ConfigError names the variable."""
     try:
         span = float(text)
     except ValueError:
         span = math.nan
     if not 0.05 <= span <= 3600.0:
-        raise ConfigError(f"{VARIABLE}: {text!r} is not a span of 0.05 to 3600 seconds")
+        raise ConfigError(f"{INTERVAL_VARIABLE}: {text!r} is not a span of 0.05 to 3600 seconds")
     return span
 
 
-def process() -> Counter[str]:
+def process_usage() -> Counter[str]:
     """Processor time in microseconds, and how often the process has waited for something (wake-ups)."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return Counter(cpu_us=round((used.ru_utime + used.ru_stime) * 1e6), waits=used.ru_nvcsw)
@@ -54,21 +54,21 @@
     return pages * resource.getpagesize() // 1024
 
 
-class Counting:
+class MetricsReporter:
     """Counts of one balancer, written every so many seconds."""
 
-    def __init__(self, node: Node, every_s: float) -> None:
-        self.node, self.every_s = node, every_s
-        self.before: dict[str, Counter[str]] = {}
+    def __init__(self, node: Node, interval_s: float) -> None:
+        self.node, self.interval_s = node, interval_s
+        self.previous: dict[str, Counter[str]] = {}
         self.sends: Counter[str] = Counter()
         self.cold: Counter[str] = Counter()  # sends by upstream, to those that are in slow start
         self.bad: Counter[str] = Counter()  # outcomes but the good ones, by upstream
-        following = os.environ.get(WAYS) == "1"
-        self.ways: dict[int, list[Any]] | None = {} if following else None  # attempts, by request
+        following = os.environ.get(TRACE_VARIABLE) == "1"
+        self.traces: dict[int, list[Any]] | None = {} if following else None  # attempts, by request
         node.engine.observer = self
         node.followers.append(self)
         print("settings:", node.config.settings, node.config.descriptors, file=sys.stderr, flush=True)
-        node.clock.call_later(every_s, self._tick)
+        node.clock.call_later(interval_s, self._tick)
 
     def listed(self, listing: Listing) -> None:
         """News of the list, before the module hears of them."""
@@ -98,13 +98,13 @@
         """code: the outcome, and how far it had come."""
         if code.split()[0] not in ("ok", "cancelled", "moot"):
             self.bad[f"{code.split()[0]} {attempt.server}"] += 1
-        if self.ways is not None and not attempt.pending.done:
+        if self.traces is not None and not attempt.pending.done:
             times = (self._unix(attempt.sent), self._unix(attempt.written), self._unix())
-            self.ways.setdefault(attempt.pending.number, []).append([attempt.server, *times, code])
+            self.traces.setdefault(attempt.pending.number, []).append([attempt.server, *times, code])
 
     def closed(self, call: PendingRequest, how: str) -> None:
         """A request has ended."""
-        if self.ways is None:
+        if self.traces is None:
             return
         out = [[call.attempt.server, self._unix(call.attempt.sent)]] if call.attempt is not None else []
         way = {
@@ -113,7 +113,7 @@
             "at": self._unix(),
             "left": self._unix(call.deadline),
             "how": how,
-            "tries": self.ways.pop(call.number, []) + out,
+            "tries": self.traces.pop(call.number, []) + out,
         }
         print("way:", json.dumps(way, separators=(",", ":")), file=sys.stderr, flush=True)
 
@@ -124,8 +124,8 @@
         return round(ms, 1) if math.isfinite(ms) else None
 
     def _since(self, name: str, counts: Counter[str]) -> dict[str, int]:
-        before, self.before[name] = self.before.get(name, Counter()), counts.copy()
-        return dict(counts - before)
+        previous, self.previous[name] = self.previous.get(name, Counter()), counts.copy()
+        return dict(counts - previous)
 
     def _line(self) -> dict[str, Any]:
         node, balancer = self.node, self.node.engine.balancer
@@ -146,7 +146,7 @@
             "cold": self._since("cold", self.cold),
             "bad": self._since("bad", self.bad),
             "classes": self._since("classes", classes),
-            "process": self._since("process", process()),
+            "process": self._since("process", process_usage()),
             "memory_kb": resident_kb(),
             "held_at": dict(Counter(connection.owner.name for connection in pool.connections)),
             "held": len(pool.connections),
@@ -166,4 +166,4 @@
 
     def _tick(self) -> None:
         print("counts:", json.dumps(self._line(), separators=(",", ":")), file=sys.stderr, flush=True)
-        self.node.clock.call_later(self.every_s, self._tick)
+        self.node.clock.call_later(self.interval_s, self._tick)
--- a/rig/gate.py
+++ b/rig/gate.py
@@ -18,7 +18,7 @@
     if sys.argv[1:2] == ["serve"]:
         importlib.import_module("quartzford.serve")
     if os.environ.get("QUARTZFORD_COUNTS_S"):
-        importlib.import_module("quartzford.counting")
+        importlib.import_module("quartzford.metrics")
     if os.environ.get("QUARTZFORD_RIG_METER"):
         importlib.import_module("rig.meter").install_to_file(os.environ["QUARTZFORD_RIG_METER"])
     sys.stdout.write("ready\n")
--- a/tests/test_counting.py
+++ b/tests/test_metrics.py
@@ -12,7 +12,7 @@
 from peers import Message, World, reply, request, says, silent, until
 
 from bench import fleetlog
-from quartzford.counting import Counting, span_of
+from quartzford.metrics import MetricsReporter, interval_of
 from quartzford.settings.configuration import ConfigError
 
 
@@ -30,7 +30,7 @@
 
     async def test() -> None:
         async with World(2) as world:
-            counting = Counting(world.node, 0.05)
+            reporter = MetricsReporter(world.node, 0.05)
 
             async def away_once(message: Message, writer: asyncio.StreamWriter) -> None:
                 world.ups[0].script = world.ups[1].script = says(reply())
@@ -38,7 +38,7 @@
 
             world.ups[0].script = world.ups[1].script = away_once
             assert (await world.ask(request())).status == 200
-            await until(lambda: counting.before.get("ends", {}).get("ok"))  # a line, and a connection rests
+            await until(lambda: reporter.previous.get("ends", {}).get("ok"))  # a line, and a connection rests
             world.ups[0].script = world.ups[1].script = silent
             reader, writer = await world.connect()
             writer.write(request("pay", b""))
@@ -48,8 +48,8 @@
             world.news(world.host(0, "draining"))
             await until(lambda: not world.node.pool.upstreams["s0"].ready)
             said = len(world.node.engine.counts)
-            await until(lambda: len(counting.before["ends"]) == said)
-            assert counting.ways == {}  # nothing is kept of what has ended
+            await until(lambda: len(reporter.previous["ends"]) == said)
+            assert reporter.traces == {}  # nothing is kept of what has ended
 
     uvloop.run(asyncio.wait_for(test(), 60))
     text = capsys.readouterr().err
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("text", ["", "x", "0", "0.01", "nan", "3601", "-1"])
 def test_a_span_that_can_t_be_is_refused_by_name(text: str) -> None:
     with pytest.raises(ConfigError, match="QUARTZFORD_COUNTS_S"):
-        span_of(text)
+        interval_of(text)
 
 
 def line(**changes: Any) -> str:
@@ -115,11 +115,11 @@
         born = ["s1", "a", "std", 0, "ready", 1.0, 10_000.0]
         news = {"at": 10_000.0, "rows": [born, ["s2", "a", "std", 0, "ready", 1.0, 0.0]], "missing": []}
         sends = [11_000.0 + 100.0 * number, 12_450.0 + 1_000.0 * number, 9_000.0]
-        ways = [
+        traces = [
             {"at": at, "id": "c", "tries": [["s1", at, at, at, "ok"], ["s2", at, at, at, "ok"]]}
             for at in sends
         ]
-        text = "".join(f"1.0 way: {json.dumps(way)}\n" for way in ways)
+        text = "".join(f"1.0 way: {json.dumps(way)}\n" for way in traces)
         (tmp_path / f"n{number}.log").write_text(f"1.0 news: {json.dumps(news)}\n{text}")
     times = sorted([11_000.0 + 100.0 * n for n in range(10)] + [12_450.0 + 1_000.0 * n for n in range(10)])
     want = max(sum(at <= other < at + 2_000.0 for other in times) for at in times)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -116,7 +116,7 @@
         "quartzford.membership.snapshot_writer",
         "quartzford.membership.snapshot",
         "quartzford.membership.relay_call_policy",
-        "quartzford.counting",
+        "quartzford.metrics",
         "quartzford.serve",
         "quartzford.replacement.handover",
     }
