--- a/bench/fleetmodel.py
+++ b/bench/fleetmodel.py
@@ -161,7 +161,7 @@
 
 
 @dataclass(eq=False)
-class RequestKind:
+class Ask:
     """A client's wish: its tries are one request after another."""
 
     kind: int
@@ -186,7 +186,7 @@
         seed = plan.seed * 10_007 + self.number * 101 + self.lives
         self.module = Balancer(settings(self.zone, plan.balancers, plan.asked), seed)
         self.idle: Counter[Upstream] = Counter()
-        self.asks: dict[int, RequestKind] = {}
+        self.asks: dict[int, Ask] = {}
         self.sends: Counter[int] = Counter()
         self.jobs: dict[int, Job] = {}
         self.known: dict[str, Upstream] = {}
@@ -231,7 +231,7 @@
 
     # ---- requests
 
-    def arrive(self, ask: RequestKind) -> None:
+    def arrive(self, ask: Ask) -> None:
         world = self.world
         number = world.next_number()
         self.asks[number] = ask
@@ -377,11 +377,11 @@
         burst = BURST_MS[0] <= self.now - EPOCH_MS < BURST_MS[1]
         rate = self.rate * (self.plan.burst if burst else 1.0)
         self.later(self.rng.expovariate(rate), self.client)
-        ask = RequestKind(self.rng.choices(range(len(CLASSES)), SHARES)[0], self.now)
+        ask = Ask(self.rng.choices(range(len(CLASSES)), SHARES)[0], self.now)
         self.offered[self.second(self.now)] += CLASSES[ask.kind].priority_weight
         self.place(ask)
 
-    def place(self, ask: RequestKind) -> None:
+    def place(self, ask: Ask) -> None:
         up = [node for node in self.nodes if node.up and not node.leaving]
         if up and self.plan.uneven:
             weights = [5.0 if node.number % 10 == 0 else 1.0 for node in up]
@@ -389,14 +389,14 @@
         elif up:
             self.rng.choice(up).arrive(ask)
 
-    def again(self, ask: RequestKind, pause: float) -> None:
+    def again(self, ask: Ask, pause: float) -> None:
         if ask.tries >= 3 or self.now - ask.first > DEADLINE_MS:
             return
         ask.tries += 1
         wait = pause if pause and self.rng.random() < 1 / 3 else self.rng.choice((1.0, 100.0))
         self.later(wait, lambda: self.place(ask))
 
-    def serve(self, ask: RequestKind) -> None:
+    def serve(self, ask: Ask) -> None:
         kind = CLASSES[ask.kind]
         if ask.served:
             self.broken["served twice"] += 1
