--- a/quartzford/backends/http_attempt.py
+++ b/quartzford/backends/http_attempt.py
@@ -80,19 +80,19 @@
         "size",
         "last_progress",
     )
-    call: HttpCall
+    pending: HttpCall
 
     def __init__(
         self,
         pool: ConnectionPool,
-        call: HttpCall,
+        pending: HttpCall,
         number: int,
         upstream: Upstream,
         sent: float,
         due: float,
         finish: float,
     ) -> None:
-        super().__init__(call, number, upstream.name, sent, due)
+        super().__init__(pending, number, upstream.name, sent, due)
         self.pool = pool
         self.upstream = upstream
         self.finish_by = finish
@@ -163,15 +163,17 @@
             self._give_back(connection)
             return self.fail(outcomes.NOT_SENT)
         time_left = self._upstream_time_left(now)
-        head = self.call.upstream_head(time_left)
+        head = self.pending.upstream_head(time_left)
         # Behind the last reading of the clock: the loop may have been held up since the client disconnected.
-        if not self.call.client_connected():
+        if not self.pending.client_connected():
             self._give_back(connection)
-            return self.pool.engine.client_disconnected(cast("engine.PendingRequest", self.call))
+            return self.pool.engine.client_disconnected(cast("engine.PendingRequest", self.pending))
         self.written = now
-        connection.send(head, self.call.body)
+        connection.send(head, self.pending.body)
         if not connection.flushed:
-            last_byte_within = min(self.pool.engine.may_write_for(self), self.call.deadline - time_left - now)
+            last_byte_within = min(
+                self.pool.engine.may_write_for(self), self.pending.deadline - time_left - now
+            )
             self.pool.clock.call_later(last_byte_within, self._check_flushed)
 
     def _give_back(self, connection: Connection) -> None:
@@ -186,8 +188,8 @@
         The system may take the bytes more slowly than they come, so that the last leaves well after this
         moment. An allowance is made for that, and `_check_flushed` ends what takes longer.
         """
-        left = self.call.deadline - now
-        if len(self.call.body) > MAX_JOINED_BYTES:
+        left = self.pending.deadline - now
+        if len(self.pending.body) > MAX_JOINED_BYTES:
             allowance = LONG_SEND_ALLOWANCE_SHARE * left
         else:
             allowance = min(SEND_ALLOWANCE_S, left / 2)
@@ -222,11 +224,11 @@
     def body_received(self, data: bytes) -> None:
         """Pass a piece of the body on, or hold it until the response is complete."""
         if self.streaming:
-            self.call.write(data)
+            self.pending.write(data)
             return
         self.chunks.append(data)
         self.size += len(data)
-        self.call.charge(len(data))
+        self.pending.charge(len(data))
 
     def response_progressed(self) -> None:
         """More of the response has come: begin to stream one that is long."""
@@ -238,7 +240,7 @@
         if self.streaming or response.status != SERVED:
             return self._refuse_long_body()
         is_long = self.size > MAX_BUFFERED_BYTES or (response.length or 0) > MAX_BUFFERED_BYTES
-        if self.call.streams or is_long or self.pool.budget.full():
+        if self.pending.streams or is_long or self.pool.budget.full():
             self._stream(response)
 
     def _extend(self) -> None:
@@ -261,24 +263,24 @@
         self._disarm()
         self.pool.streams.add(self)
         self.pool.engine.started(self)
-        if not self.call.streams:  # only streamed classes have no deadline once their response has begun
-            left = self.call.deadline + STREAM_OVERTIME_S - self.pool.now()
+        if not self.pending.streams:  # only streamed classes have no deadline once their response has begun
+            left = self.pending.deadline + STREAM_OVERTIME_S - self.pool.now()
             self.timer = self.pool.clock.call_later(left, self._stream_timed_out)
-        self.call.begin(response.fields, response.length)
+        self.pending.begin(response.fields, response.length)
         chunks = self.chunks
         self.chunks = []
-        self.call.release()
+        self.pending.release()
         for data in chunks:
-            self.call.write(data)
+            self.pending.write(data)
 
     def _stream_timed_out(self) -> None:
         """End a response past its deadline, which may never end; the client sees that it is incomplete."""
         self.timer = None
-        self.fail(outcomes.CANCELLED if self.call.write_blocked() else outcomes.TIMED_OUT)
+        self.fail(outcomes.CANCELLED if self.pending.write_blocked() else outcomes.TIMED_OUT)
 
     def end_if_stalled(self, now: float) -> None:
         """Fail a streamed attempt whose upstream has been silent, unless it waits for its client."""
-        if now - self.last_progress > STREAM_STALL_S and not self.call.write_blocked():
+        if now - self.last_progress > STREAM_STALL_S and not self.pending.write_blocked():
             self.fail(outcomes.RESET)
 
     def pause(self) -> None:
--- a/quartzford/backends/http_backend.py
+++ b/quartzford/backends/http_backend.py
@@ -11,6 +11,8 @@
 class HttpBackend(ConnectionPool):
     """The upstreams of the list as a backend of the engine."""
 
-    def attempt(self, call: Any, number: int, server: str, sent: float, due: float, finish: float) -> Attempt:
+    def attempt(
+        self, pending: Any, number: int, server: str, sent: float, due: float, finish: float
+    ) -> Attempt:
         """An attempt, not begun; times on the engine's clock, seconds. See engine.Backend."""
-        return Attempt(self, call, number, self.upstreams[server], sent, due, finish)
+        return Attempt(self, pending, number, self.upstreams[server], sent, due, finish)
