--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,8 +1,8 @@
 """What decisions and list changes cost as the fleet grows: python -m bench.decisions [--quick] [--json FILE].
 
-The module as it is against the module as it was before its cost was cut (at OLD), in turns in one run, since
-absolute times are not stable. Only the module's own time is counted. --million shows P's drift over a million
-updates.
+The module as it is, as it was before its names were renewed (BEFORE), and as it was before its cost was cut
+(the reference that BEFORE's own bench loads), in turns in one run, since absolute times are not stable. Only
+the module's own time is counted. --million shows P's drift over a million updates.
 """
 
 from __future__ import annotations
@@ -10,7 +10,6 @@
 import argparse
 import asyncio
 import gc
-import importlib.util
 import json
 import multiprocessing as mp
 import random
@@ -19,7 +18,7 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from functools import cache
+from contextlib import ExitStack
 from multiprocessing.connection import Connection
 from pathlib import Path
 from statistics import median
@@ -27,7 +26,8 @@
 
 import uvloop
 
-from bench.common import checkout, report
+from bench.common import ROOT, checkout, report
+from bench.module_process import Cost, ModuleProcess
 from quartzford.decision import interface as io
 from quartzford.decision.columns import load_arrays
 from quartzford.decision.logic import Balancer
@@ -36,7 +36,9 @@
 from standins.nodo import Books, Nodo, Registry
 from standins.site import config, free_port
 
-OLD = "d730356b065e0dd163f43b2aa0f5a266d2c40b2f"
+BEFORE = "7c461993f9af943d4dd20f34cddc62e4819d15a2"
+MOST_OVER_BEFORE = 1.05
+LEAST_ROUNDS = 5
 SIZES = (10, 24, 97, 500, 2_000, 10_000)
 SEED = 5
 STALL_MS = 20.0
@@ -67,21 +69,6 @@
     return io.Endpoint(f"s{number}", f"z{number % 3}", "std", number // 4, state, 1.0, started)
 
 
-@cache
-def old_module() -> Callable[[io.Settings, int], Any]:
-    """The module's class as it was, in one file that names this interface."""
-    with tempfile.TemporaryDirectory() as folder:
-        checkout(OLD, Path(folder), "tests/reference_policy.py")
-        path = Path(folder) / "tests" / "reference_policy.py"
-        spec = importlib.util.spec_from_file_location("reference_policy", path)
-        assert spec is not None and spec.loader is not None
-        module = importlib.util.module_from_spec(spec)
-        sys.modules[spec.name] = module  # where dataclasses look for its names
-        spec.loader.exec_module(module)
-    make: Callable[[io.Settings, int], Any] = module.Balancer
-    return make
-
-
 class Site:
     """One module with so many servers; out are half as many requests as servers, up to MOST_OUT."""
 
@@ -121,30 +108,38 @@
         return (spent + self.feed(io.EndpointListUpdate("changes", (entry(number),)))) / 2
 
 
-def decisions(servers: int, seconds: float, with_old: bool) -> dict[str, Any]:
-    sites = {"new": Site(Balancer, servers)} | ({"old": Site(old_module(), servers)} if with_old else {})
+def decisions(servers: int, seconds: float, earlier: Path, with_reference: bool) -> dict[str, Any]:
+    """The costs of one size: of the module here, of the one in `earlier`, and of the first one of all."""
     row: dict[str, Any] = {"servers": servers}
-    costs: dict[str, list[float]] = {name: [] for name in sites}
-    changes: dict[str, list[float]] = {name: [] for name in sites}
-    for site in sites.values():
-        for _ in range(2 * MOST_OUT):  # from here on each request comes with an answer
-            site.request()
-    end = time.monotonic() + seconds
-    while time.monotonic() < end or len(costs["new"]) < 5:
-        for name, site in sites.items():  # in turns: both meet the machine as it is at that moment
-            # So many at a time that the cache that the other has left cold is a small part of it.
-            count = 200 if name == "new" or servers <= 500 else 20 if servers < 5_000 else 5
-            costs[name].append(sum(site.request() for _ in range(count)) / count)
-            changes[name].append(site.change())
-    for name, site in sites.items():
-        row[f"{name}_us"] = round(median(costs[name]), 1)
-        row[f"{name}_change_us"] = round(median(changes[name]), 1)
-        row[f"{name}_first_list_ms"] = round(site.join_ms, 2)
-    if with_old:
+    with ExitStack() as stack:
+        modules = {
+            "new": stack.enter_context(ModuleProcess(ROOT, "Balancer", servers)),
+            "before": stack.enter_context(ModuleProcess(earlier, "Balancer", servers)),
+        }
+        if with_reference:
+            modules["old"] = stack.enter_context(ModuleProcess(earlier, "old_module()", servers))
+        costs: dict[str, list[Cost]] = {name: [] for name in modules}
+        end = time.monotonic() + seconds
+        while time.monotonic() < end or len(costs["new"]) < LEAST_ROUNDS:
+            for name, module in modules.items():  # in turns: all meet the machine as it is at that moment
+                costs[name].append(module.measure(_batch(name, servers)))
+        for name, module in modules.items():
+            row[f"{name}_us"] = round(median(cost.request_us for cost in costs[name]), 1)
+            row[f"{name}_change_us"] = round(median(cost.change_us for cost in costs[name]), 1)
+            row[f"{name}_first_list_ms"] = round(module.first_list_ms, 2)
+    row["new_over_before"] = round(row["new_us"] / row["before_us"], 3)
+    if with_reference:
         row["new_over_old"] = round(row["new_us"] / row["old_us"], 3)
     return row
 
 
+def _batch(name: str, servers: int) -> int:
+    """So many requests at a time that the cache that the others have left cold is a small part of it."""
+    if name != "old" or servers <= 500:
+        return 200
+    return 20 if servers < 5_000 else 5
+
+
 # ---- list updates at a whole balancer
 
 
@@ -280,12 +275,19 @@
     options = parser.parse_args()
     seconds = 1.0 if options.quick else 6.0
     rows = []
-    for servers in SIZES:
-        rows.append(decisions(servers, seconds, servers <= (2_000 if options.quick else 10_000)))
-        print("  " + ", ".join(f"{name} {value}" for name, value in rows[-1].items()), flush=True)
+    with tempfile.TemporaryDirectory() as folder:
+        checkout(BEFORE, Path(folder), "quartzford", "bench", "standins")
+        for servers in SIZES:
+            with_reference = servers <= (2_000 if options.quick else 10_000)
+            rows.append(decisions(servers, seconds, Path(folder), with_reference))
+            print("  " + ", ".join(f"{name} {value}" for name, value in rows[-1].items()), flush=True)
     by_size = {row["servers"]: row for row in rows}
     small = by_size[97]["new_us"]
     aims = {
+        f"no dearer than {MOST_OVER_BEFORE:g} of the module before, in the median over the sizes": median(
+            row["new_over_before"] for row in rows
+        )
+        <= MOST_OVER_BEFORE,
         "at 10 no dearer than the old": by_size[10]["new_over_old"] <= 1.0,
         "at 97 a third of the old at most": by_size[97]["new_over_old"] <= 1 / 3,
         "at 2,000 at most 1.5 times that at 97": by_size[2_000]["new_us"] <= 1.5 * small,
--- /dev/null
+++ b/bench/module_process.py
@@ -0,0 +1,79 @@
+"""A decision module of some checkout in a process of its own, whose costs are measured on request.
+
+Each checkout brings its own names of events and settings, so its own bench.decisions drives its module here.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import subprocess
+import sys
+from pathlib import Path
+from types import TracebackType
+from typing import Any, NamedTuple
+
+from bench.common import ROOT
+
+DRIVER = """
+import json, sys
+from bench import decisions
+from quartzford.decision.logic import Balancer
+make, servers, warm_up = sys.argv[1], int(sys.argv[2]), int(sys.argv[3])
+site = decisions.Site(Balancer if make == "Balancer" else decisions.old_module(), servers)
+for _ in range(warm_up):
+    site.request()
+print(json.dumps(site.join_ms), flush=True)
+for line in sys.stdin:
+    count = int(line)
+    request_us = sum(site.request() for _ in range(count)) / count
+    print(json.dumps([request_us, site.change()]), flush=True)
+"""
+WARM_UP = 120  # requests: from there on each comes with an answer
+
+
+class Cost(NamedTuple):
+    """What one request, with an answer, and one list change cost; in microseconds of the module's time."""
+
+    request_us: float
+    change_us: float
+
+
+class ModuleProcess:
+    """A context: the module of a checkout before so many servers."""
+
+    def __init__(self, checkout: Path, make: str, servers: int) -> None:
+        """make: "Balancer", or "old_module()" for the first module, which a checkout's bench can load."""
+        environment = {**os.environ, "PYTHONPATH": str(checkout), "GIT_DIR": str(ROOT / ".git")}
+        self._process = subprocess.Popen(
+            [sys.executable, "-c", DRIVER, make, str(servers), str(WARM_UP)],
+            cwd=checkout,
+            env=environment,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
+
+    def __enter__(self) -> ModuleProcess:
+        self.first_list_ms = float(self._read())
+        return self
+
+    def __exit__(self, kind: type[BaseException] | None, error: object, trace: TracebackType | None) -> None:
+        assert self._process.stdin is not None
+        self._process.stdin.close()
+        self._process.wait()
+
+    def measure(self, requests: int) -> Cost:
+        """The mean cost of so many requests, and of one list change behind them."""
+        assert self._process.stdin is not None
+        self._process.stdin.write(f"{requests}\n")
+        self._process.stdin.flush()
+        request_us, change_us = self._read()
+        return Cost(request_us, change_us)
+
+    def _read(self) -> Any:
+        assert self._process.stdout is not None
+        line = self._process.stdout.readline()
+        if not line:
+            raise RuntimeError(f"the module's process ended with status {self._process.wait()}")
+        return json.loads(line)
