--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -1,12 +1,14 @@
-"""What the decision module takes in and gives out: settings, events, actions.
+"""What the decision module takes in and gives out: settings, events, actions, and what it has learnt.
 
-Times are milliseconds on the caller's clock. Servers and requests are named by the caller.
+Times are milliseconds on the caller's clock. Servers and requests are named by the caller. Records that are
+built with a value out of its bounds raise ValueError, which names the field.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, fields
+from enum import StrEnum
 from types import MappingProxyType
 from typing import NamedTuple
 
@@ -14,6 +16,31 @@
 GROUPS = ("all", "zone", "cell")
 
 
+class Outcome(StrEnum):
+    """How an attempt ended: the codes of AttemptEnded."""
+
+    OK = "ok"  # a complete good answer
+    ERROR = "error"  # an answer that tells of an error
+    FULL = "full"  # rejected by the server, and not run
+    CONNECT_FAILED = "connect_failed"  # no connection, so it was not run
+    RESET = "reset"  # the connection broke
+    TIMEOUT = "timeout"
+    CANCELLED = "cancelled"  # ended by this balancer or the client
+    NOT_SENT = "moot"  # given up before anything was sent
+
+
+class ListUpdateKind(StrEnum):
+    """What an EndpointListUpdate holds: its field `how`."""
+
+    COMPLETE = "whole"  # the complete list
+    STALE = "stale"  # a complete list, maybe old
+    CHANGES = "changes"
+    FAILED = "failed"  # nothing: a call for the list has failed
+
+
+COMPLETE_LISTS = frozenset({ListUpdateKind.COMPLETE, ListUpdateKind.STALE})
+
+
 def _not_negative(record: object, *names: str) -> None:
     for name in names:
         value = getattr(record, name)
@@ -23,18 +50,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """A request class: what an answer is worth, how long it may take, whether it may run again."""
+    """A request class: the weight of an answer, how long it may take, whether it may run again."""
 
     name: str
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # fraction of the worth left after the aim
-    effect: str = "unsafe"  # free: may be repeated; keyed: repeats are dropped in its group; unsafe
+    late_weight: float = 0.0  # fraction of the weight that is left after the latency objective
+    # free: idempotent; keyed: has an idempotency key, by which its group drops repeats; unsafe: neither
+    effect: str = "unsafe"
     group: str = "all"  # where repeats of a keyed request are dropped: all, zone or cell
     window_ms: float = 0.0  # for how long, from the first send that may have run
     streaming: bool = False
-    objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's work
 
     def __post_init__(self) -> None:
         _not_negative(
@@ -56,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the rate, over all balancers, that counts as within its share."""
+    """A tenant and its quota: a rate over all balancers."""
 
     name: str
     quota_per_s: float
@@ -71,7 +99,7 @@
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    poll_interval_ms: float = 10_000.0  # unsubscribed, a balancer counts as told after this long
+    poll_interval_ms: float = 10_000.0  # without a watch, a balancer knows the list after this long
     slow_start_capacity: float = 1.0  # fraction of its capacity at which a server starts
     slow_start_ms: float = 0.0
     overload_multiple: float = 2.0  # sent more than this multiple of what it can do ...
@@ -133,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is told at start."""
+    """All that a balancer is configured with."""
 
     zone: str
     balancers: int
@@ -143,7 +171,7 @@
     limits: Limits = field(default_factory=Limits)
     goal: Goal = field(default_factory=Goal)
     prices: Prices = field(default_factory=Prices)
-    polls_list: bool = False  # the list must be asked for
+    polls_list: bool = False  # the list must be polled
     report_fields: tuple[str, ...] = ()
     report_by_probe: bool = False
     sized: bool = False  # the list's sizes tell servers apart
@@ -168,7 +196,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One server as the list tells of it.
+    """One server's row in the endpoint list.
 
     started_ms names the incarnation: another value is another one. As a moment it is of the list's clock,
     which need not be the caller's; 0 is long ago.
@@ -187,7 +215,7 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """News of the servers. whole: the complete list; changes; stale: a complete list, maybe old; failed.
+    """An update of the endpoint list; how: one of ListUpdateKind.
 
     starts: by server, when its incarnation started, on the caller's clock. Where it is missing the list's
     clock counts as the caller's.
@@ -199,14 +227,14 @@
 
 
 class MaintenanceChange(NamedTuple):
-    """Operators take a server out, or put it back: draining here, whatever lists say meanwhile."""
+    """Operators put a server into maintenance, or back: it drains here, whatever lists say meanwhile."""
 
     server: str
     out: bool
 
 
 class Request(NamedTuple):
-    """A client's request that this balancer now owes one final answer."""
+    """A client's request, which gets exactly one final answer from now on."""
 
     request: int
     service_class: str
@@ -219,20 +247,20 @@
 
 
 class Timer(NamedTuple):
-    """A timer set by Wake has come due."""
+    """A timer set by SetTimer has come due."""
 
     token: int
 
 
 class AttemptEnded(NamedTuple):
-    """How an attempt ended."""
+    """An attempt has ended; code: one of Outcome."""
 
     request: int
     attempt: int
     server: str
     code: str
     spent_ms: float
-    final: bool  # the request has finished; if not, it is still owed its answer
+    final: bool  # the request has finished; if not, it still needs an answer
     report: Report = ()
     faulted: bool = False  # an error that the server puts down to the request itself
 
@@ -247,17 +275,17 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has left; nothing is owed any more."""
+    """The client has left: its request needs no answer any more."""
 
     request: int
 
 
 class ShutdownStarted(NamedTuple):
-    """The process ends now: what is owed an answer gets its final one, and so does what still comes."""
+    """The process ends now: all pending requests get their final answers, and so do later ones."""
 
 
 class HealthChecked(NamedTuple):
-    """The result of a Probe."""
+    """The result of a HealthCheck."""
 
     server: str
     code: str
@@ -291,11 +319,11 @@
 
 
 class Shed(NamedTuple):
-    """Final answer: not run, a further try is harmless. 0: no advice on when."""
+    """Final answer: not run, a retry is harmless. pause_ms: when to retry; 0: no advice."""
 
     request: int
     pause_ms: float
-    over_quota: bool = False  # turned away on arrival while its tenant asks for more than its share
+    over_quota: bool = False  # rejected on arrival while its tenant is over its quota
 
 
 class Fail(NamedTuple):
@@ -318,14 +346,14 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for a Timer event."""
+    """Send a Timer event after so many ms."""
 
     after_ms: float
     token: int
 
 
 class Watch(NamedTuple):
-    """Ask for the list's changes from now on."""
+    """Call the endpoint list service, and watch the list's changes from now on."""
 
 
 class Log(NamedTuple):
@@ -354,7 +382,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedEndpoint:
-    """What a balancer has seen of one life of a ready server."""
+    """What a balancer has seen of one incarnation of a server in use."""
 
     name: str
     started_ms: float
@@ -379,7 +407,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """All that a balancer has learnt, at one instant. peaks: (time, latency); offers: (worth, class)."""
+    """All that a balancer has learnt, at one instant.
+
+    peaks: (time, latency); offers: (priority weight, class); back: when servers came back from maintenance;
+    usual: typical latencies by class.
+    """
 
     servers: tuple[LearnedEndpoint, ...] = ()
     by_hand: tuple[str, ...] = ()
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -1,8 +1,9 @@
 """Every decision of the balancer. Its settings, events and actions are in quartzford/decision/interface.py.
 
-The ordinary path is the CA-S automaton: a probability P per ready server, moved by Eq. 8 on the smoothed,
+The ordinary path is the CA-S automaton: a probability P per server in use, moved by Eq. 8 on the smoothed,
 normalised cost (Eq. 6, 7); every send is a draw from P over the eligible servers. The module's other files:
-automaton.py (arithmetic), endpoint_set.py (who may be drawn), admission.py (what is let in).
+automaton.py (arithmetic), endpoint_set.py (which servers may be drawn), admission.py (load shedding),
+request_state.py (whether a request may be sent again), latency.py (what answers take).
 """
 
 from __future__ import annotations
@@ -10,52 +11,54 @@
 import math
 import random
 from collections import Counter
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
+from enum import StrEnum
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import LATE_FROM, Admission
-from quartzford.decision.endpoint_set import EndpointSet, OutstandingAttempt, Server
-from quartzford.decision.estimates import Peaks
+from quartzford.decision.endpoint_set import EndpointSet
+from quartzford.decision.interface import Outcome
+from quartzford.decision.latency import LatencyEstimates
+from quartzford.decision.list_polling import ListPolling
 from quartzford.decision.memory import recall, remember
-
-LOAD_FIELDS = ("depth", "concurrent", "load_share")
-MAX_REPORT = 1e9  # a report beyond this is taken for it
-FAIL_MEMORY_MS = 10_000.0  # a failure scores twice the largest latency of this span
-SUSPECT_MULTIPLE = (
-    4.0  # an attempt out for this multiple of its class's usual latency makes its server suspect
-)
+from quartzford.decision.request_state import RequestState
+from quartzford.decision.server import AttemptKey, OutstandingAttempt, Server
+
+LOAD_FIELDS = ("depth", "concurrent", "load_share")  # of a load report; the first that it has is used
+MAX_REPORT = 1e9  # a reported load beyond this counts as this
+FAILURE_PENALTY = 2  # a failure scores this multiple of the largest recent latency
+SUSPECT_MULTIPLE = 4.0  # an attempt out for so many typical latencies makes its server suspect
+GOOD_ANSWER_MULTIPLE = 2.0  # typical latencies within which an answer shows that its server has capacity
+TIMEOUT_MULTIPLE = 4.0  # typical latencies that an attempt gets, if the request may be sent again
+MIN_TYPICAL_SHARE = 0.025  # of the latency objective: a typical latency at the least, for time-outs
 RETRY_BUDGET_PER_REQUEST = 0.1
-GOOD_ANSWER_MULTIPLE = (
-    2.0  # usual latencies within which an answer shows that its server can do what it was sent
-)
+MAX_RETRY_BUDGET = 10.0
+RETRY_COST = 1.0
 RECHECK_MS = 25.0  # a request with no eligible server is looked at again after this
 CLIENT_MARGIN_MS = 3.0  # an answer needs this long to reach the client
-TIMEOUT_MULTIPLE, MIN_TYPICAL_SHARE = (
-    4.0,
-    0.025,
-)  # waits for PATIENCE usual latencies, each LEAST of the aim, if it may go again
-TYPICAL_LATENCY_WEIGHT, PRIOR_ANSWERS = (
-    0.05,
-    5.0,
-)  # of an answer in the usual latency; answers that the first guess stands for
-TIMER_TICK_MS = 1.0  # what ended so much before our own patience was not ended by it
-NEVER_RAN = ("full", "connect_failed", "moot")  # outcomes that prove that the attempt never ran
-LIST_TIMER = 0  # timer token of the list; a request's is its id + 1
-
-
-@dataclass(slots=True, eq=False)
-class RequestState:
-    """A request that is owed its final answer."""
-
-    request: io.Request
-    kind: io.ServiceClass
-    deadline: float  # no answer is worth anything after this
-    sends: int = 0
-    in_flight: int = 0
-    tried: list[str] = field(default_factory=list)
-    possibly_ran_on: io.Endpoint | None = None  # where it may have run first
-    possibly_ran_attempt: int = -1
-    possibly_ran_ms: float = 0.0
+TIMER_TICK_MS = 1.0  # what ended so much before our own time-out was not ended by it
+REJECTED_AGAIN = 2  # attempts before the one whose rejection counts as late
+MIN_OBJECTIVE_MS = 1.0  # of a request of an unknown class
+RETRY_AFTER_SHARE = 0.25  # of the latency objective: what Retry-After advises
+
+LIST_TIMER = 0  # timer token of the list; a request's is its number + 1
+
+ANSWERED = frozenset({Outcome.OK, Outcome.ERROR, Outcome.FULL})
+FAILURES = frozenset({Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED})
+NO_ANSWER = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED})
+SAYS_NOTHING = frozenset({Outcome.CANCELLED, Outcome.NOT_SENT})  # of the server
+NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})  # proof of it
+
+
+class EndCause(StrEnum):
+    """Why a request was ended here without an answer of a server's."""
+
+    SHED = "shed"
+    NO_SERVER = "no server"
+    TIME = "time"
+    ATTEMPTS = "attempts"
+    RETRY_BUDGET = "retry budget"
+    SHUTDOWN = "ending"
 
 
 class Balancer:
@@ -63,31 +66,31 @@
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.rng = random.Random(seed)
+        self.now = 0.0
         self.endpoints = EndpointSet(settings, self.rng, seed)
         self.admission = Admission(settings, self.rng)
-        self.configure(settings)
-        self.now = 0.0
-        self.actions: list[io.Action] = []
+        self.latency = LatencyEstimates()
+        self.list_polling = ListPolling(self.rng)
+        self.actions: list[io.Action] = []  # those of the event in hand
         self.pending_requests: dict[int, RequestState] = {}
-        self.typical_latency: dict[str, float] = {}  # smoothed latency of good answers, by class
-        self.answer_counts: Counter[str] = Counter()  # good answers, by class
-        self.peaks = Peaks(FAIL_MEMORY_MS)  # of good answers' latencies
-        self.retry_budget = 1.0
-        self.end_causes: Counter[str] = Counter()  # why requests were given up here
+        self.retry_budget = RETRY_COST
+        self.end_causes: Counter[str] = Counter()
         self.shutting_down = False  # the process is about to exit
-        self.list_failures = -1  # -1: the list was never asked for
+        self.configure(settings)
 
     def configure(self, settings: io.Settings) -> None:
-        """The settings from now on; what is in flight and what was learnt stay."""
-        self.settings, fields = settings, settings.report_fields
-        self.classes = {c.name: c for c in settings.classes}
+        """Take the settings from now on; what is in flight and what was learnt stay."""
+        self.settings = settings
+        self.classes = {kind.name: kind for kind in settings.classes}
         self.endpoints.configure(settings)
         self.admission.configure(settings)
+        self.latency.configure(settings.classes)
+        fields = settings.report_fields
         self.load_field = next((fields.index(name) for name in LOAD_FIELDS if name in fields), None)
 
     @property
     def servers(self) -> dict[str, Server]:
-        """All servers that the list tells of, by name."""
+        """All servers of the endpoint list, by name."""
         return self.endpoints.servers
 
     @property
@@ -97,11 +100,13 @@
 
     @property
     def ready(self) -> list[Server]:
+        """The servers in use."""
         return self.endpoints.ready
 
     def handle(self, now_ms: float, event: io.Event) -> list[io.Action]:
+        """Take in an event that happened now; what is to be done about it, in order."""
         self.actions = []
-        self.now = self.endpoints.now = max(self.now, now_ms)
+        self._advance(now_ms)
         match event:
             case io.Request():
                 self._request(event)
@@ -116,230 +121,232 @@
             case io.ClientDisconnected(request):
                 self.pending_requests.pop(request, None)
             case io.ShutdownStarted():
-                self.shutting_down = True
-                for pending in list(self.pending_requests.values()):
-                    self._shed_or_fail(pending, "ending")
+                self._shut_down()
             case io.ResponseStarted():
-                # The stream is the client's now: nothing is owed, and its age is no sign of trouble.
-                self.pending_requests.pop(event.request, None)
-                self._observe(event, "ok")
+                self._response_started(event)
         return self.actions
 
+    def _advance(self, now_ms: float) -> None:
+        """Time never runs backwards here, whatever the caller's clock does."""
+        self.now = max(self.now, now_ms)
+        self.endpoints.now = self.now
+
     # ---- a process that follows this one
 
     def hand_over(self, now_ms: float) -> io.LearnedState:
         """What the successor is to know; from now on this one only ends what it has."""
-        self.now = self.endpoints.now = max(self.now, now_ms)
-        memory = remember(self)
+        self._advance(now_ms)
+        state = remember(self)
         self.retry_budget /= 2
-        self.endpoints.handed_over = True
-        return memory
+        self.endpoints.slow_start.handed_over = True
+        return state
 
     def take_back(self, now_ms: float) -> None:
-        """The successor is no more: cold servers' budgets begin anew, as nobody knows what it sent."""
-        self.now = self.endpoints.now = max(self.now, now_ms)
-        self.endpoints.handed_over = False
-        for server in self.endpoints.cold:
-            server.tokens, server.tokens_ms = 0.0, self.now
+        """The successor has died: cold servers' budgets begin anew, as nobody knows what it sent."""
+        self._advance(now_ms)
+        self.endpoints.slow_start.handed_over = False
+        self.endpoints.slow_start.reset_budgets(self.now)
 
-    def inherit(self, now_ms: float, memory: io.LearnedState) -> None:
-        """What the process before knew, after its list was told."""
-        self.now = self.endpoints.now = max(self.now, now_ms)
-        recall(self, memory)
+    def inherit(self, now_ms: float, state: io.LearnedState) -> None:
+        """Take what the predecessor knew, after an update of the endpoint list."""
+        self._advance(now_ms)
+        recall(self, state)
+
+    # ---- requests
+
+    def _request(self, request: io.Request) -> None:
+        self.endpoints.traffic.arrivals.add(self.now)
+        self.endpoints.refresh_working_set()
+        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_BUDGET_PER_REQUEST)
+        kind = self._class_of(request)
+        pending = RequestState(request, kind, self.now + self._time_left(request, kind))
+        self.pending_requests[request.request] = pending
+        if self.shutting_down:
+            self._shed_or_fail(pending, EndCause.SHUTDOWN)
+        elif self.admission.admit(self.now, kind, request.tenant, self.latency.of_name):
+            self._dispatch(pending)
+        else:
+            over_quota = self.admission.within_quota(self.now, request.tenant) < 1.0
+            self._shed_or_fail(pending, EndCause.SHED, over_quota)
+
+    def _class_of(self, request: io.Request) -> io.ServiceClass:
+        kind = self.classes.get(request.service_class)
+        if kind is None:  # names that are made up leave no entries
+            budget = max(request.budget_ms, MIN_OBJECTIVE_MS)
+            return io.ServiceClass("", budget, budget, priority_weight=0.0)
+        if kind.effect == "keyed" and not request.keyed:  # with no key its repeats can't be dropped
+            return replace(kind, effect="unsafe")
+        return kind
+
+    def _time_left(self, request: io.Request, kind: io.ServiceClass) -> float:
+        """For how long an answer is of any use, in ms."""
+        if kind.late_weight != 0:
+            return request.budget_ms
+        objective_ms = kind.latency_objective_ms + kind.objective_stretch * request.work_ms
+        return min(request.budget_ms, objective_ms - self.settings.tick_ms - CLIENT_MARGIN_MS)
+
+    def _shut_down(self) -> None:
+        self.shutting_down = True
+        for pending in list(self.pending_requests.values()):
+            self._shed_or_fail(pending, EndCause.SHUTDOWN)
+
+    def _shed_or_fail(self, pending: RequestState, cause: EndCause, over_quota: bool = False) -> None:
+        """Give the final answer: shed if a retry by the client is harmless, else failed."""
+        del self.pending_requests[pending.number]
+        self.end_causes[cause] += 1
+        if not pending.harmless_to_repeat:
+            self.actions.append(io.Fail(pending.number))
+            return
+        limits = self.settings.limits
+        pause = 0.0
+        if limits.retry_after:
+            advice = RETRY_AFTER_SHARE * pending.kind.latency_objective_ms
+            pause = min(limits.max_retry_after_ms, advice)
+        self.actions.append(io.Shed(pending.number, pause, over_quota))
 
     # ---- attempts
 
     def _dispatch(self, pending: RequestState) -> None:
         """Send, hold for a moment, or end a request that has no attempt out."""
         left = pending.deadline - self.now
-        if left <= 0 or pending.sends >= self.settings.limits.max_attempts or not self._may_send(pending):
-            held = left > 0 and "attempts" or ("time" if pending.sends else "no server")
-            return self._shed_or_fail(pending, held)
+        if left <= 0:
+            return self._shed_or_fail(pending, EndCause.TIME if pending.sends else EndCause.NO_SERVER)
+        if pending.sends >= self.settings.limits.max_attempts or not self._may_send(pending):
+            return self._shed_or_fail(pending, EndCause.ATTEMPTS)
         server = self.endpoints.pick(pending.kind, pending.tried, pending.possibly_ran_on)
         if server is None:
-            return self.actions.append(io.SetTimer(min(RECHECK_MS, left), pending.request.request + 1))
-        typical_latency = max(
-            self.typical_latency.get(pending.kind.name, pending.kind.latency_objective_ms / 4),
-            MIN_TYPICAL_SHARE * pending.kind.latency_objective_ms,
-        )
-        again = pending.kind.effect != "unsafe" and pending.sends + 1 < self.settings.limits.max_attempts
-        again = again and self.retry_budget >= 1.0 and left > (TIMEOUT_MULTIPLE + 1) * typical_latency
-        time_out = (
-            TIMEOUT_MULTIPLE * typical_latency if again else left
-        )  # giving up early with no retry to spend is a loss
-        request, where = pending.request.request, server.entry
-        sent = OutstandingAttempt(
-            self.now + SUSPECT_MULTIPLE * typical_latency, typical_latency, time_out, pending.kind
-        )
-        self.endpoints.attempt_started(server, (request, pending.sends), sent)
+            self.actions.append(io.SetTimer(min(RECHECK_MS, left), pending.number + 1))
+            return None
+        return self._send(pending, server, left)
+
+    def _send(self, pending: RequestState, server: Server, left: float) -> None:
+        kind = pending.kind
+        typical = max(self.latency.of(kind), MIN_TYPICAL_SHARE * kind.latency_objective_ms)
+        timeout = self._attempt_timeout(pending, typical, left)
+        attempt = OutstandingAttempt(self.now + SUSPECT_MULTIPLE * typical, typical, timeout, kind)
+        self.endpoints.attempt_started(server, AttemptKey(pending.number, pending.sends), attempt)
         self.admission.set_in_flight(self.now, self.endpoints.shares.out)
-        if pending.possibly_ran_on is None:
-            pending.possibly_ran_on, pending.possibly_ran_attempt, pending.possibly_ran_ms = (
-                where,
-                pending.sends,
-                self.now,
-            )
-        pending.tried.append(where.server)
-        pending.sends, pending.in_flight = pending.sends + 1, pending.in_flight + 1
-        return self.actions.append(io.Send(request, where.server, time_out, left))
-
-    def _typical_latency(self, name: str) -> float:
-        """What a class's good answers take; before there are any, a quarter of its aim is taken for it."""
-        kind = self.classes.get(name)
-        return max(
-            self.typical_latency.get(name, kind.latency_objective_ms / 4 if kind is not None else 1.0), 0.1
+        pending.sent_to(server.entry, self.now)
+        self.actions.append(io.Send(pending.number, server.entry.server, timeout, left))
+
+    def _attempt_timeout(self, pending: RequestState, typical: float, left: float) -> float:
+        """Giving up early is a loss where the request can't be retried, or there is no budget for it."""
+        may_retry = (
+            pending.kind.effect != "unsafe"
+            and pending.sends + 1 < self.settings.limits.max_attempts
+            and self.retry_budget >= RETRY_COST
+            and left > (TIMEOUT_MULTIPLE + 1) * typical
         )
+        return TIMEOUT_MULTIPLE * typical if may_retry else left
 
     def may_write_for(self, now_ms: float, request: int) -> float:
-        """So many ms more a request's last send may be written: its last byte, too. 0 if it may not."""
-        self.now, pending = max(self.now, now_ms), self.pending_requests.get(request)
+        """For so many ms more a request's last attempt may be written, to its last byte; 0: not at all."""
+        self.now = max(self.now, now_ms)
+        pending = self.pending_requests.get(request)
         if pending is None or self.now >= pending.deadline:
             return 0.0
-        return (
-            math.inf if pending.possibly_ran_attempt == pending.sends - 1 else self._retry_window_ms(pending)
-        )
-
-    def _retry_window_ms(self, pending: RequestState) -> float:
-        """No effect twice: what may have run goes again only if it is free, or keyed and in its window."""
-        if pending.possibly_ran_on is None or pending.kind.effect == "free":
+        if pending.possibly_ran_attempt == pending.sends - 1:
             return math.inf
-        if pending.kind.effect != "keyed":
-            return 0.0
-        window = pending.kind.window_ms - self.settings.tick_ms - self.settings.stall_ms
-        return max(0.0, window - (self.now - pending.possibly_ran_ms))
+        return pending.retry_window_ms(self.now, self.settings)
 
     def _may_send(self, pending: RequestState) -> bool:
-        return self._retry_window_ms(pending) > 0.0
-
-    def _shed_or_fail(self, pending: RequestState, cause: str, over_quota: bool = False) -> None:
-        """The final answer: a refusal where that is true of the request, else a failure."""
-        del self.pending_requests[pending.request.request]
-        self.end_causes[cause] += 1
-        kind, limits = pending.kind, self.settings.limits
-        harmless = kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all")
-        if pending.possibly_ran_on is None or harmless:
-            pause = (
-                min(limits.max_retry_after_ms, kind.latency_objective_ms / 4) if limits.retry_after else 0.0
-            )
-            self.actions.append(io.Shed(pending.request.request, pause, over_quota))
-        else:
-            self.actions.append(io.Fail(pending.request.request))
+        return pending.retry_window_ms(self.now, self.settings) > 0.0
 
     def _attempt_ended(self, event: io.AttemptEnded) -> None:
-        # What a server finds fault with says nothing of its own health, and fares no better elsewhere.
-        self._observe(event, "cancelled" if event.faulted else event.code, event.report)
-        pending = self.pending_requests.get(event.request)
-        if pending is None or event.final or event.faulted:
+        self._observe(event)
+        if event.final or event.faulted or event.request not in self.pending_requests:
+            # An error that the server puts down to the request would come elsewhere, too.
             if self.pending_requests.pop(event.request, None) is not None and not event.final:
                 self.actions.append(io.Fail(event.request))
             return None
+        pending = self.pending_requests[event.request]
         pending.in_flight -= 1
-        if event.code in NEVER_RAN and event.attempt == pending.possibly_ran_attempt:
-            pending.possibly_ran_on = None
+        never_ran = event.code in NEVER_RAN
+        if never_ran:
+            pending.never_ran(event.attempt)
         if pending.in_flight > 0:
             return None
-        if event.code not in NEVER_RAN and self._may_send(pending) and self.now < pending.deadline:
+        if not never_ran and self._may_send(pending) and self.now < pending.deadline:
             if self.retry_budget < 0.0:
-                return self._shed_or_fail(pending, "retry budget")
-            self.retry_budget -= 1.0
+                return self._shed_or_fail(pending, EndCause.RETRY_BUDGET)
+            self.retry_budget -= RETRY_COST
         return self._dispatch(pending)
 
-    def _observe(self, event: io.AttemptEnded | io.ResponseStarted, code: str, said: io.Report = ()) -> None:
-        """What an attempt's end tells of the server, in the life that it was sent to."""
-        endpoints, spent, attempt = self.endpoints, event.spent_ms, event.attempt
-        server = endpoints.servers.get(event.server)
-        sent = endpoints.attempt_ended(server, (event.request, attempt)) if server is not None else None
-        if server and sent and said and self.load_field is not None and server.slot >= 0:
-            endpoints.shares.said(server.slot, min(MAX_REPORT, said[self.load_field]))
-        answered = code in ("ok", "error", "full") or (isinstance(event, io.AttemptEnded) and event.faulted)
-        self.admission.set_in_flight(self.now, endpoints.shares.out, answered and sent is not None)
-        if server is None or sent is None or code in ("cancelled", "moot"):
-            return
-        if code == "ok":
-            endpoints.answers.add(self.now)
-            endpoints.answer_received(
-                server,
-                spent
-                <= GOOD_ANSWER_MULTIPLE
-                * self.typical_latency.get(sent.kind.name, sent.kind.latency_objective_ms / 4),
-            )
-            # Of many that are out the fastest answers first: a mean that began with it would call good
-            # servers late. It begins with what is taken for usual before any answer, PRIOR times over.
-            typical_latency = self.typical_latency.get(sent.kind.name, sent.kind.latency_objective_ms / 4)
-            self.answer_counts[sent.kind.name] += 1
-            weight = max(TYPICAL_LATENCY_WEIGHT, 1.0 / (PRIOR_ANSWERS + self.answer_counts[sent.kind.name]))
-            self.typical_latency[sent.kind.name] = typical_latency + weight * (spent - typical_latency)
-            self.peaks.add(self.now, spent)
-        if code == "full":
-            endpoints.record_rejection(server, sent.kind.name)
-        refused = code == "connect_failed" and spent < sent.time_out - TIMER_TICK_MS
-        if (
-            code in ("timeout", "reset", "connect_failed")
-            and not refused
-            and sent.time_out < sent.typical_latency
-        ):
-            return  # it was given less time than an answer takes: that says nothing of the server
-        endpoints.record_result(server, code in ("error", "timeout", "reset", "connect_failed"), refused)
-        if code in ("ok", "timeout") or (code == "full" and attempt >= 2):
-            late = code == "full" or spent > LATE_FROM * sent.kind.latency_objective_ms
-            self.admission.record_outcome(
-                self.now, late, self._typical_latency(sent.kind.name), sent.kind.latency_objective_ms
-            )
-        if code != "ok":
-            spent = min(2 * self.peaks.most(self.now), sent.time_out)
-        typical_latency = self._typical_latency(sent.kind.name)
-        endpoints.shares.score(server.slot, spent / typical_latency)
+    def _response_started(self, event: io.ResponseStarted) -> None:
+        """The stream is the client's now: no answer is needed, and its age is no sign of a fault."""
+        self.pending_requests.pop(event.request, None)
+        attempt = self._take_back_attempt(event)
+        self._record_in_flight(answered=attempt is not None)
+        if attempt is not None:
+            self._learn(event, self.endpoints.servers[event.server], attempt, Outcome.OK)
 
     def _timer(self, token: int) -> None:
-        pending = self.pending_requests.get(token - 1)
         if token == LIST_TIMER:
             self.actions.append(io.Watch())
-        elif pending is not None and pending.in_flight == 0:
+            return
+        pending = self.pending_requests.get(token - 1)
+        if pending is not None and pending.in_flight == 0:
             self._dispatch(pending)
 
-    # ---- requests
+    # ---- what is learnt from attempts
 
-    def _request(self, request: io.Request) -> None:
-        self.endpoints.arrivals.add(self.now)
-        self.endpoints.refresh_working_set()
-        self.retry_budget = min(10.0, self.retry_budget + RETRY_BUDGET_PER_REQUEST)
-        kind = self.classes.get(request.service_class)
-        if kind is None:
-            budget = max(request.budget_ms, 1.0)
-            kind = io.ServiceClass(
-                "", budget, budget, priority_weight=0.0
-            )  # names that are made up leave no entries
-        if kind.effect == "keyed" and not request.keyed:  # with no key its repeats can't be dropped
-            kind = replace(kind, effect="unsafe")
-        left, objective_ms = (
-            request.budget_ms,
-            kind.latency_objective_ms + kind.objective_stretch * request.work_ms,
-        )
-        if kind.late_weight == 0:
-            left = min(left, objective_ms - self.settings.tick_ms - CLIENT_MARGIN_MS)
-        pending = RequestState(request, kind, self.now + left)
-        self.pending_requests[request.request] = pending
-        if self.shutting_down:
-            return self._shed_or_fail(pending, "ending")
-        if self.admission.admit(self.now, kind, request.tenant, self._typical_latency):
-            return self._dispatch(pending)
-        return self._shed_or_fail(
-            pending, "shed", self.admission.within_quota(self.now, request.tenant) < 1.0
-        )
-
-    # ---- list
+    def _observe(self, event: io.AttemptEnded) -> None:
+        """Learn what an attempt's end tells of the server, in the incarnation that it was sent to."""
+        attempt = self._take_back_attempt(event)
+        if attempt is None:
+            self._record_in_flight(answered=False)
+            return
+        server = self.endpoints.servers[event.server]
+        if event.report and self.load_field is not None and server.slot >= 0:
+            self.endpoints.shares.said(server.slot, min(MAX_REPORT, event.report[self.load_field]))
+        self._record_in_flight(answered=event.faulted or event.code in ANSWERED)
+        # An error that the server puts down to the request says nothing of the server's own health.
+        if not event.faulted and event.code not in SAYS_NOTHING:
+            self._learn(event, server, attempt, event.code)
+
+    def _take_back_attempt(self, event: io.AttemptEnded | io.ResponseStarted) -> OutstandingAttempt | None:
+        """The attempt, which is out no more; None if its server is gone, or another incarnation now."""
+        server = self.endpoints.servers.get(event.server)
+        if server is None:
+            return None
+        return self.endpoints.attempt_ended(server, AttemptKey(event.request, event.attempt))
+
+    def _record_in_flight(self, answered: bool) -> None:
+        self.admission.set_in_flight(self.now, self.endpoints.shares.out, answered)
+
+    def _learn(
+        self,
+        event: io.AttemptEnded | io.ResponseStarted,
+        server: Server,
+        attempt: OutstandingAttempt,
+        code: str,
+    ) -> None:
+        kind = attempt.service_class
+        spent = event.spent_ms
+        if code == Outcome.OK:
+            in_time = spent <= GOOD_ANSWER_MULTIPLE * self.latency.of(kind)
+            self.endpoints.answer_received(server, in_time)
+            self.latency.add(self.now, kind, spent)
+        elif code == Outcome.FULL:
+            self.endpoints.record_rejection(server, kind.name)
+        unreachable = code == Outcome.CONNECT_FAILED and spent < attempt.timeout - TIMER_TICK_MS
+        if code in NO_ANSWER and not unreachable and attempt.timeout < attempt.typical_latency:
+            return  # it was given less time than an answer takes: that says nothing of the server
+        self.endpoints.record_result(server, code in FAILURES, unreachable)
+        typical = self.latency.of_name(kind.name)
+        rejected_again = code == Outcome.FULL and event.attempt >= REJECTED_AGAIN
+        if code == Outcome.OK or code == Outcome.TIMEOUT or rejected_again:
+            late = rejected_again or spent > LATE_FROM * kind.latency_objective_ms
+            self.admission.record_outcome(self.now, late, typical, kind.latency_objective_ms)
+        if code != Outcome.OK:
+            spent = min(FAILURE_PENALTY * self.latency.peaks.largest(self.now), attempt.timeout)
+        self.endpoints.shares.score(server.slot, spent / typical)
+
+    # ---- the endpoint list
 
     def _endpoint_list_update(self, update: io.EndpointListUpdate) -> None:
-        poll_interval = self.settings.rules.poll_interval_ms
-        if self.list_failures < 0:
-            self.list_failures = 0
-            if self.settings.polls_list:
-                # A whole fleet may start at once: the first calls are spread so as not to drown the list.
-                self.actions.append(io.SetTimer(self.rng.random() * 0.3 * poll_interval, LIST_TIMER))
-        elif update.how == "failed":
-            self.list_failures += 1
-            wait = min(0.5 * poll_interval, 500.0 * 2 ** min(self.list_failures, 6))
-            self.actions.append(io.SetTimer(wait * self.rng.uniform(0.5, 1.0), LIST_TIMER))
-        else:
-            self.list_failures = 0
-        self.endpoints.update(update.entries, update.how in ("whole", "stale"), update.starts)
+        wait = self.list_polling.next_call_ms(update.how, self.settings)
+        if wait is not None:
+            self.actions.append(io.SetTimer(wait, LIST_TIMER))
+        complete = update.how in io.COMPLETE_LISTS
+        self.endpoints.update(update.entries, complete, update.starts)
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -7,14 +7,16 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from dataclasses import replace
 from typing import Protocol
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import STARTUP_MS, Admission
-from quartzford.decision.endpoint_set import EJECT_ABOVE, EJECT_MS, EndpointSet, Server
-from quartzford.decision.estimates import Peaks, Rate
+from quartzford.decision.endpoint_set import EndpointSet
+from quartzford.decision.estimates import Rate
+from quartzford.decision.latency import LatencyEstimates
+from quartzford.decision.outlier_ejection import EJECT_ABOVE, EJECT_MS
+from quartzford.decision.server import Server
 
 
 class Learner(Protocol):
@@ -22,10 +24,8 @@
 
     endpoints: EndpointSet
     admission: Admission
+    latency: LatencyEstimates
     classes: dict[str, io.ServiceClass]
-    typical_latency: dict[str, float]
-    answer_counts: Counter[str]
-    peaks: Peaks
     retry_budget: float
     now: float
 
@@ -33,16 +33,15 @@
 def remember(balancer: Learner) -> io.LearnedState:
     """All that has been learnt, at this instant; half of the retry budget."""
     endpoints, admission = balancer.endpoints, balancer.admission
-    if endpoints.cold:
-        endpoints.refill_slow_start()
+    endpoints.slow_start.refill(balancer.now)
     return io.LearnedState(
         servers=tuple(_server(endpoints, server) for server in endpoints.ready),
         by_hand=tuple(endpoints.in_maintenance),
         back=dict(endpoints.maintenance_ended),
-        arrivals=_rate(endpoints.arrivals),
-        answers=_rate(endpoints.answers),
-        usual=dict(balancer.typical_latency),
-        peaks=tuple(balancer.peaks.pairs),
+        arrivals=_rate(endpoints.traffic.arrivals),
+        answers=_rate(endpoints.traffic.answers),
+        usual=dict(balancer.latency.typical),
+        peaks=tuple(balancer.latency.peaks.pairs),
         retry_budget=balancer.retry_budget / 2,
         tenants={name: _rate(rate) for name, rate in admission.rates.items()},
         ends=admission.ends,
@@ -68,23 +67,20 @@
         if server is None or server.slot < 0 or server.entry.started_ms != told.started_ms:
             continue
         rows[server.slot] = (told.p, told.cost, told.latency, told.report)
-        endpoints.set_failing(server, told.failing)
+        endpoints.ejection.set_failing(server, told.failing)
         server.ejections, server.ejected_until = told.ejections, told.ejected_until
         if told.suspect:  # what was out at it stays with the process before: passed over for a while
             server.ejected_until = max(server.ejected_until, now + EJECT_MS)
         if server.failing > EJECT_ABOVE or server.ejected_until > now:
-            endpoints.unhealthy[server] = None
+            endpoints.ejection.unhealthy[server] = None
         server.tokens, server.tokens_ms = told.tokens, min(told.tokens_ms, now)
         server.cold_from = min(told.cold_from, now)
         if server.cold_from > 0:
-            endpoints.cold[server] = None
+            endpoints.slow_start.cold[server] = None
     endpoints.shares.recall(rows)
-    endpoints.arrivals, endpoints.answers = _read(memory.arrivals, now), _read(memory.answers, now)
-    balancer.typical_latency = {
-        name: usual for name, usual in memory.usual.items() if name in balancer.classes
-    }
-    balancer.answer_counts.update(dict.fromkeys(balancer.typical_latency, 100))  # no longer a guess
-    balancer.peaks.pairs.extend(pair for pair in memory.peaks if pair[0] <= now)
+    endpoints.traffic.arrivals = _read(memory.arrivals, now)
+    endpoints.traffic.answers = _read(memory.answers, now)
+    balancer.latency.restore(now, memory.usual, memory.peaks)
     balancer.retry_budget = min(10.0, memory.retry_budget)
     admission.rates.update(
         {
@@ -147,7 +143,7 @@
         min(1.0, max(0.0, server.failing)),
         server.ejections,
         max(0.0, server.ejected_until),
-        endpoints.suspect(server),
+        endpoints.responsiveness.is_suspect(endpoints.now, server),
         server.tokens,
         max(0.0, server.tokens_ms),
         server.cold_from,
--- /dev/null
+++ b/quartzford/decision/slow_start.py
@@ -0,0 +1,121 @@
+"""Slow start: a server that is warming up gets a budget of requests that grows with its age.
+
+All balancers together must not send a cold server more than it can do. Each gives it the ramp's part of what
+a warm server takes from that balancer, in tokens; a send costs one.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+
+from quartzford.decision import interface as io
+from quartzford.decision.estimates import Traffic
+from quartzford.decision.server import Server
+
+PROVEN_MS = 2_000.0  # a cold server's own answers are counted over this
+# A cold server may get this multiple of what it answers well; at most half of what overloads it.
+PROVEN_GROWTH = 2.0
+MAX_TOKENS = 1.0  # no more than one request is saved up
+SEND_COST = 1.0
+
+
+class SlowStart:
+    """The servers that are warming up, and their budgets. ready: the servers in use."""
+
+    def __init__(self, ready: list[Server], traffic: Traffic, rng: random.Random) -> None:
+        self.ready = ready
+        self.traffic = traffic
+        self.rng = rng
+        self.cold: dict[Server, None] = {}
+        self.handed_over = False  # a successor has the budgets
+        self._total_units: float | None = None  # of all servers in use
+
+    def configure(self, settings: io.Settings) -> None:
+        """Take the settings from now on; what warms up goes on doing so."""
+        self.rules = settings.rules
+        self.sized = settings.sized
+        self.servers_changed()
+        self.cold.update(dict.fromkeys(self.ready))
+
+    def servers_changed(self) -> None:
+        """The set of servers in use, or their sizes, have changed."""
+        self._total_units = None
+
+    def join(self, now: float, server: Server) -> None:
+        """Take in a server. Its budget begins at a random phase: all balancers may hear of it at once."""
+        server.tokens = self.rng.random()
+        server.tokens_ms = now
+
+    def begin(self, server: Server, cold_from: float) -> None:
+        """A server warms up from this moment on, in ms; 0: it did so long ago."""
+        server.cold_from = cold_from
+        if cold_from > 0:
+            self.cold[server] = None
+
+    def begin_again(self, server: Server, cold_from: float) -> None:
+        """A server in use has another row: it may be warming up, or not any more."""
+        server.cold_from = cold_from
+        self.cold[server] = None
+
+    def leave_use(self, server: Server) -> None:
+        """The server has left use."""
+        self.cold.pop(server, None)
+
+    def reset_budgets(self, now: float) -> None:
+        """Begin all budgets anew, with nothing in them."""
+        for server in self.cold:
+            server.tokens = 0.0
+            server.tokens_ms = now
+
+    def sent(self, server: Server) -> None:
+        """A request was sent to the server."""
+        if server in self.cold:
+            server.tokens -= SEND_COST
+
+    def answered_in_time(self, now: float, server: Server) -> None:
+        """The server has answered in good time."""
+        if server in self.cold:
+            server.proven = server.proven * math.exp((server.proven_ms - now) / PROVEN_MS) + 1.0
+            server.proven_ms = now
+
+    def exhausted_slots(self, now: float) -> list[int]:
+        """Slots of the cold servers that have no budget left; what has warmed up is forgotten."""
+        since = now - self.rules.slow_start_ms
+        for server in [s for s in self.cold if not 0 < s.cold_from > since]:
+            del self.cold[server]
+        if not self.cold:
+            return []
+        if self.handed_over:
+            return [server.slot for server in self.cold]
+        self.refill(now)
+        return [server.slot for server in self.cold if server.tokens < SEND_COST]
+
+    def refill(self, now: float) -> None:
+        """Bring the cold servers' budgets up to this moment."""
+        if not self.cold:
+            return
+        if self._total_units is None:
+            self._total_units = sum(self._units(server) for server in self.ready)
+        warm_units = self._total_units - sum(self._units(server) for server in self.cold)
+        any_warm = len(self.cold) < len(self.ready)
+        rate_per_unit = self.traffic.answers.read(now) / warm_units if any_warm else 0.0
+        even_share = self.traffic.arrivals.read(now) / len(self.ready)
+        for server in self.cold:
+            full_rate = rate_per_unit * self._units(server) or even_share
+            server.tokens = min(
+                MAX_TOKENS, server.tokens + self._rate(now, server, full_rate) * (now - server.tokens_ms)
+            )
+            server.tokens_ms = now
+
+    def _rate(self, now: float, server: Server, full_rate: float) -> float:
+        """Requests per ms that a cold server may get; full_rate: what a warm one of its size takes."""
+        rules = self.rules
+        age = max(0.0, now - server.cold_from) / rules.slow_start_ms
+        rate = (rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age) * full_rate
+        # What it answers well it can do, and as much again does not overload it: it warms as fast as it can.
+        proven = server.proven * math.exp((server.proven_ms - now) / PROVEN_MS) / PROVEN_MS
+        return max(rate, min(full_rate, min(PROVEN_GROWTH, rules.overload_multiple / 2) * proven))
+
+    def _units(self, server: Server) -> float:
+        return server.entry.units if self.sized else 1.0
--- a/quartzford/metrics.py
+++ b/quartzford/metrics.py
@@ -91,7 +91,7 @@
         self.sends["first" if call.sends == 0 else "again"] += 1
         if server.entry.zone != balancer.settings.zone:
             self.sends["across"] += 1
-        if server in balancer.endpoints.cold:
+        if server in balancer.endpoints.slow_start.cold:
             self.cold[send.server] += 1
 
     def ended(self, attempt: Attempt, code: str) -> None:
@@ -152,14 +152,14 @@
             "held": len(pool.connections),
             "idle": sum(len(upstream.idle) for upstream in pool.upstreams.values()),
             "ready": len(balancer.ready),
-            "cold_now": len(endpoints.cold),
+            "cold_now": len(endpoints.slow_start.cold),
             "report": round(sum(map(float, endpoints.shares.report)) / max(1, len(endpoints.ready)), 2),
             "out": endpoints.shares.out,
-            "ejected": sum(s.slot >= 0 and endpoints.now < s.ejected_until for s in endpoints.unhealthy),
-            "suspect": sum(endpoints.suspect(s) for s in {**endpoints.overdue, **endpoints.unresponsive}),
+            "ejected": len(endpoints.ejection.ejected(endpoints.now)),
+            "suspect": len(set(endpoints.responsiveness.suspects(endpoints.now))),
             "shed": round(balancer.admission.shed, 3),
             "late": round(balancer.admission.late_share, 3),
-            "usual": {name: round(usual, 1) for name, usual in balancer.typical_latency.items()},
+            "usual": {name: round(usual, 1) for name, usual in balancer.latency.typical.items()},
             "retry_budget": round(balancer.retry_budget, 1),
             "entropy": round(-sum(p * math.log2(p) for p in shares), 2),
         }
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 
 from quartzford.decision import interface as io
-from quartzford.decision.endpoint_set import Server
 from quartzford.decision.logic import Balancer
+from quartzford.decision.server import Server
 
 FREE = io.ServiceClass("read", 200.0, 800.0, priority_weight=1.0, effect="free")
 KEYED = io.ServiceClass(
@@ -67,14 +67,14 @@
 def met_often(balancer: Balancer) -> Balancer:
     """The same with all servers in use, however thin its traffic: for rules that are not about which are."""
     balancer.endpoints.working_set.meet_ms = float("inf")
-    balancer.endpoints.arrivals.add(0.0)
+    balancer.endpoints.traffic.arrivals.add(0.0)
     balancer.endpoints.refresh_working_set(at_once=True)
     return balancer
 
 
 def reported(server: Server) -> float:
     """The load that it last told of; 0 if it is not ready."""
-    return float(server.endpoints.shares.report[server.slot]) if server.slot >= 0 else 0.0
+    return float(server.owner.shares.report[server.slot]) if server.slot >= 0 else 0.0
 
 
 def sends(actions: list[io.Action]) -> list[io.Send]:
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -106,7 +106,7 @@
 
     async def test() -> None:
         async with World(3) as world:
-            world.node.engine.balancer.typical_latency["read"] = 20.0
+            world.node.engine.balancer.latency.typical["read"] = 20.0
             came = 0
 
             async def script(message: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -77,7 +77,7 @@
         sizes = dict(tables(world.node))
         assert len(sizes) > 40, "the walk has not reached the parts"
         for part in (
-            ".typical_latency",
+            ".typical",
             ".ended",
             ".oldest_due.heap",
             ".rows",
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -12,8 +12,8 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import Admission
-from quartzford.decision.endpoint_set import FAIL_WEIGHT
 from quartzford.decision.logic import Balancer
+from quartzford.decision.outlier_ejection import FAIL_WEIGHT
 
 
 def test_a_hung_server_is_left_alone_while_an_attempt_ages() -> None:
@@ -143,7 +143,7 @@
 def test_eq_6_to_8_on_numbers_worked_by_hand() -> None:
     """Two servers; the class is known to take 10 ms, so the first answer costs one usual latency."""
     balancer = started(2)
-    balancer.typical_latency["read"], balancer.answer_counts["read"] = 10.0, 100
+    balancer.latency.typical["read"], balancer.latency.answer_counts["read"] = 10.0, 100
     send = sends(ask(balancer, 0.0, 1))[0]
     balancer.handle(10.0, outcome(send, 0, "ok", 10.0))
     one, two = sorted(balancer.ready, key=lambda s: s.entry.server != send.server)
@@ -268,7 +268,7 @@
         out[send.server].append(send)
     silent, other = ("s0", "s1") if len(out["s0"]) >= len(out["s1"]) else ("s1", "s0")
     balancer.handle(now + 1.0, outcome(out[silent][0], 0, "ok", 1.0))
-    later = now + 3.0 * balancer.typical_latency["read"]  # what is out is due after four
+    later = now + 3.0 * balancer.latency.typical["read"]  # what is out is due after four
     for send in out[other]:
         balancer.handle(later - 1.0, outcome(send, 0, "ok", 40.0))
     assert {s.server for n in range(2_000, 2_040) for s in sends(ask(balancer, later, n))} == {other}
@@ -353,7 +353,7 @@
     assert min(patience) > 90.0
     for n in range(400):
         serve(balancer, 500.0 + 20.0 * n, 1000 + n, latency=10.0)
-    assert balancer.typical_latency["read"] == approx(10.0, abs=0.5)  # the guess is forgotten
+    assert balancer.latency.typical["read"] == approx(10.0, abs=0.5)  # the guess is forgotten
 
 
 @pytest.mark.parametrize(("spent", "ejected"), [(5.0, True), (149.0, False), (150.0, False)])
@@ -361,7 +361,7 @@
     """In an overload connections come up late too: a small pool lost sound servers to it by the second."""
     balancer = started(10)
     for server in balancer.ready:  # the others fail as much
-        balancer.endpoints.set_failing(server, 0.4)
+        balancer.endpoints.ejection.set_failing(server, 0.4)
     (send,) = sends(ask(balancer, 0.0, 1, "pay", 150.0))
     assert send.time_out_ms == approx(150.0, abs=1.0)
     balancer.handle(spent, outcome(send, 0, "connect_failed", spent))
@@ -399,7 +399,7 @@
     let_in = {"read": 0, "pay": 0}
     for n in range(2_000):
         name = ("read", "pay")[n % 2]
-        balancer.typical_latency["read"] = balancer.typical_latency["pay"] = 20.0 + 0.1 * n
+        balancer.latency.typical["read"] = balancer.latency.typical["pay"] = 20.0 + 0.1 * n
         balancer.admission.shed, balancer.admission.shed_ms = 0.75, float(n)
         let_in[name] += not finals(ask(balancer, float(n), n, name))
     assert let_in["read"] == 0 and 350 < let_in["pay"] < 650
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -117,12 +117,12 @@
     for name, values in after.items():
         assert values == pytest.approx(before[name], abs=1e-9), name
     assert (
-        new.typical_latency == old.typical_latency
+        new.latency.typical == old.latency.typical
         and new.retry_budget + old.retry_budget == pytest.approx(budget)
     )
     # One budget for the cold server: the old process has none of it left, the new one what was left.
     cold = new.servers["s4"]
-    assert cold in new.endpoints.cold and cold.tokens == old.servers["s4"].tokens
+    assert cold in new.endpoints.slow_start.cold and cold.tokens == old.servers["s4"].tokens
     old_sends = {s.server for n in range(200) for s in sends(ask(old, now + 5_000, 9_000 + n))}
     assert "s4" not in old_sends and old_sends
     old.take_back(now + 5_001)
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -37,8 +37,10 @@
     PlainShares,
     Shares,
 )
-from quartzford.decision.endpoint_set import EJECT_ABOVE, UNRESPONSIVE_IN_FLIGHT, Server
 from quartzford.decision.logic import Balancer
+from quartzford.decision.outlier_ejection import EJECT_ABOVE
+from quartzford.decision.responsiveness import UNRESPONSIVE_IN_FLIGHT
+from quartzford.decision.server import Server
 
 PLANS = {
     "plain": Plan(servers=12, events=500),
@@ -322,7 +324,7 @@
     assert isinstance(actions[0], io.Send | io.SetTimer)
     for server in balancer.ready:
         server.ejected_until, server.failing = 5_000.0, 0.9
-        balancer.endpoints.unhealthy[server] = None
+        balancer.endpoints.ejection.unhealthy[server] = None
         server.tokens = 1.0
     # Where all are doubtful, a sound one can't be had: the draw is over them all.
     assert isinstance(balancer.handle(1_002.0, io.Request(2, "pay", 800.0))[0], io.Send)
@@ -357,8 +359,12 @@
         server.failing = 0.0
     balancer.handle(now, io.Request(10**6, "read", 800.0))
     endpoints = balancer.endpoints
-    assert not endpoints.unhealthy and not endpoints.overdue and not endpoints.cold
-    assert len(endpoints.oldest_due) <= 1
+    assert (
+        not endpoints.ejection.unhealthy
+        and not endpoints.responsiveness.overdue
+        and not endpoints.slow_start.cold
+    )
+    assert len(endpoints.responsiveness.oldest_due) <= 1
 
 
 @pytest.mark.parametrize("said", [1e308, float("inf"), float("nan")])
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -161,7 +161,7 @@
 
         for up in world.ups:
             up.script = hang
-        world.node.engine.balancer.typical_latency["read"] = 20.0
+        world.node.engine.balancer.latency.typical["read"] = 20.0
         assert (await world.ask(request())).status == 200
         assert world.outcomes() == ["timeout", "ok"] and len(open_at) == 1
 
@@ -204,7 +204,7 @@
                 writer.write(b"d")
 
         world.ups[0].script = dribble
-        world.node.engine.balancer.typical_latency["read"] = 20.0  # patience ends after 80 ms
+        world.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
         assert (await world.ask(request())).body == b"dddddd"
         assert world.outcomes() == ["ok"] and len(world.ups[0].came) == 1
 
@@ -213,7 +213,7 @@
 async def test_an_answer_that_begins_and_stops_is_given_up() -> None:
     async with World() as world:
         world.ups[0].script = says(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nd")
-        world.node.engine.balancer.typical_latency["read"] = 20.0
+        world.node.engine.balancer.latency.typical["read"] = 20.0
         await world.ask(request())
         first = next(e for e in world.events if isinstance(e, io.AttemptEnded))
         assert first.code == "timeout" and first.spent_ms < 2000.0
@@ -416,7 +416,10 @@
         assert set(world.outcomes()) == {"error"}
         servers = world.node.engine.balancer.servers.values()
         assert [(s.failing, s.ejections, len(s.in_flight)) for s in servers] == [(0.0, 0, 0)] * 3
-        assert world.node.engine.balancer.endpoints.failing == 0.0 and not world.node.engine.pending_requests
+        assert (
+            world.node.engine.balancer.endpoints.ejection.failing == 0.0
+            and not world.node.engine.pending_requests
+        )
         for up in world.ups:
             up.script = says(reply(b"", "500 Oops"))
         await world.ask(request("pay", b""))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -131,7 +131,7 @@
     site.hears(lines(2, row(4, site.clock.unix_ms() + skew_ms)))
     first, _, after = (site.sends_to("s4", seconds) for seconds in (2.0, 8.0, 4.0))
     assert 0 < first <= 16 and 60 <= after <= 180, (first, after)
-    assert site.balancer.servers["s4"] not in site.balancer.endpoints.cold
+    assert site.balancer.servers["s4"] not in site.balancer.endpoints.slow_start.cold
 
 
 @SKEWS
@@ -162,14 +162,14 @@
     expected = 1_000.0 + 1_000.0 * len(between)
     assert site.age_ms("s4") == pytest.approx(expected, abs=1.0)
     site.sends_to("s4", 0.1)
-    assert {server.entry.server for server in site.balancer.endpoints.cold} == {"s4"}
+    assert {server.entry.server for server in site.balancer.endpoints.slow_start.cold} == {"s4"}
 
 
 def test_another_incarnation_is_told_by_another_born_ms_though_it_is_an_earlier_one() -> None:
     site = serving()
     site.hears(lines(2, row(4, UNIX_MS + 5_000.0)))
     site.sends_to("s4", 12.0)
-    assert site.balancer.servers["s4"] not in site.balancer.endpoints.cold
+    assert site.balancer.servers["s4"] not in site.balancer.endpoints.slow_start.cold
     site.hears(lines(3, row(4, UNIX_MS - HOUR_MS)))
     assert site.age_ms("s4") == 0.0
     assert 0 < site.sends_to("s4", 2.0) <= 16
@@ -195,7 +195,7 @@
     site.hears(lines(2, row(1, UNIX_MS + skew_ms)))
     assert site.age_ms("s1") == pytest.approx(1_000.0 + max(0.0, -skew_ms))
     site.sends_to("s1", COLD_MS / 1000.0)
-    assert not site.balancer.endpoints.cold
+    assert not site.balancer.endpoints.slow_start.cold
 
 
 def test_an_upstream_that_is_taken_into_the_subset_later_is_no_newcomer() -> None:
@@ -209,7 +209,7 @@
     site.hears(lines(2, *changes))
     taken = {server.entry.server for server in site.balancer.ready}
     site.sends_to("s0", 0.1)
-    assert len(taken) == 2 and not taken & used and not site.balancer.endpoints.cold
+    assert len(taken) == 2 and not taken & used and not site.balancer.endpoints.slow_start.cold
 
 
 def test_a_list_of_another_service_has_no_last_moment_without_its_upstreams() -> None:
@@ -286,7 +286,7 @@
     after.hears(lines(3, row(5, born)))
     assert after.age_ms("s5") == 0.0
     after.sends_to("s4", COLD_MS / 1000.0)
-    assert not after.balancer.endpoints.cold
+    assert not after.balancer.endpoints.slow_start.cold
 
 
 class EarlierState(msgspec.Struct):
@@ -368,7 +368,7 @@
         await until(lambda: len(world.watches) > 1)
         world.news(world.host(3, born=time.time() * 1000.0 - HOUR_MS))
         await until(lambda: "s3" in nodes[1].engine.balancer.servers)
-        assert nodes[1].engine.balancer.servers["s3"] in nodes[1].engine.balancer.endpoints.cold
+        assert nodes[1].engine.balancer.servers["s3"] in nodes[1].engine.balancer.endpoints.slow_start.cold
         for node in reversed(nodes):
             node.control.stop()
             node.front.stop_listening()
