--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -20,7 +20,7 @@
 from quartzford.decision.interface import Outcome
 from quartzford.decision.latency import LatencyEstimates
 from quartzford.decision.list_polling import ListPolling
-from quartzford.decision.memory import recall, remember
+from quartzford.decision.memory import MAX_RETRY_BUDGET, recall, remember
 from quartzford.decision.request_state import RequestState
 from quartzford.decision.server import AttemptKey, OutstandingAttempt, Server
 
@@ -32,7 +32,6 @@
 TIMEOUT_MULTIPLE = 4.0  # typical latencies that an attempt gets, if the request may be sent again
 MIN_TYPICAL_SHARE = 0.025  # of the latency objective: a typical latency at the least, for time-outs
 RETRY_BUDGET_PER_REQUEST = 0.1
-MAX_RETRY_BUDGET = 10.0
 RETRY_COST = 1.0
 RECHECK_MS = 25.0  # a request with no eligible server is looked at again after this
 CLIENT_MARGIN_MS = 3.0  # an answer needs this long to reach the client
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -1,8 +1,8 @@
-"""What a balancer knows, taken out of it for its successor and put into one that has just started.
+"""What a balancer has learnt, taken out of it for its successor and put into one that has just started.
 
 Two processes during a replacement are one balancer. The one that hands over sends no more to cold servers:
-their budgets, as they stand, are the successor's. The retry budget is divided. A keyed request's window is
-not handed over: it stays with the request, and that with the process that took it.
+their budgets, as they stand, are the successor's. The retry budget is divided. The window of a request with
+an idempotency key is not handed over: it stays with the request, and that with the process that took it.
 """
 
 from __future__ import annotations
@@ -11,13 +11,15 @@
 from typing import Protocol
 
 from quartzford.decision import interface as io
-from quartzford.decision.admission import STARTUP_MS, Admission
+from quartzford.decision.admission import STARTUP_MS, Admission, Offer
 from quartzford.decision.endpoint_set import EndpointSet
 from quartzford.decision.estimates import Rate
 from quartzford.decision.latency import LatencyEstimates
 from quartzford.decision.outlier_ejection import EJECT_ABOVE, EJECT_MS
 from quartzford.decision.server import Server
 
+MAX_RETRY_BUDGET = 10.0
+
 
 class Learner(Protocol):
     """A balancer, as far as it learns."""
@@ -32,7 +34,8 @@
 
 def remember(balancer: Learner) -> io.LearnedState:
     """All that has been learnt, at this instant; half of the retry budget."""
-    endpoints, admission = balancer.endpoints, balancer.admission
+    endpoints = balancer.endpoints
+    admission = balancer.admission
     endpoints.slow_start.refill(balancer.now)
     return io.LearnedState(
         servers=tuple(_server(endpoints, server) for server in endpoints.ready),
@@ -54,63 +57,77 @@
     )
 
 
-def recall(balancer: Learner, memory: io.LearnedState) -> None:
+def recall(balancer: Learner, state: io.LearnedState) -> None:
     """Put it into a balancer that has the list; servers that either does not know stay as they are."""
-    endpoints, admission, now = balancer.endpoints, balancer.admission, balancer.now
-    endpoints.maintenance_ended.update(memory.back)
-    for name in memory.by_hand:
+    endpoints = balancer.endpoints
+    now = balancer.now
+    endpoints.maintenance_ended.update(state.back)
+    for name in state.by_hand:
         endpoints.set_maintenance(name, True)
-    endpoints.restore_working_set([told.name for told in memory.servers])
-    rows = {}
-    for told in memory.servers:
-        server = endpoints.servers.get(told.name)
-        if server is None or server.slot < 0 or server.entry.started_ms != told.started_ms:
+    endpoints.restore_working_set([learned.name for learned in state.servers])
+    _recall_servers(endpoints, state.servers, now)
+    endpoints.traffic.arrivals = _read(state.arrivals, now)
+    endpoints.traffic.answers = _read(state.answers, now)
+    balancer.latency.restore(now, state.usual, state.peaks)
+    balancer.retry_budget = min(MAX_RETRY_BUDGET, state.retry_budget)
+    _recall_admission(balancer.admission, state, now)
+    known = (Offer(*offer) for offer in state.offers if offer[1] in balancer.classes)
+    balancer.admission.offers.extend(known)
+
+
+def _recall_servers(endpoints: EndpointSet, servers: tuple[io.LearnedEndpoint, ...], now: float) -> None:
+    figures = {}
+    for learned in servers:
+        server = endpoints.servers.get(learned.name)
+        if server is None or server.slot < 0 or server.entry.started_ms != learned.started_ms:
             continue
-        rows[server.slot] = (told.p, told.cost, told.latency, told.report)
-        endpoints.ejection.set_failing(server, told.failing)
-        server.ejections, server.ejected_until = told.ejections, told.ejected_until
-        if told.suspect:  # what was out at it stays with the process before: passed over for a while
-            server.ejected_until = max(server.ejected_until, now + EJECT_MS)
-        if server.failing > EJECT_ABOVE or server.ejected_until > now:
-            endpoints.ejection.unhealthy[server] = None
-        server.tokens, server.tokens_ms = told.tokens, min(told.tokens_ms, now)
-        server.cold_from = min(told.cold_from, now)
-        if server.cold_from > 0:
-            endpoints.slow_start.cold[server] = None
-    endpoints.shares.recall(rows)
-    endpoints.traffic.arrivals = _read(memory.arrivals, now)
-    endpoints.traffic.answers = _read(memory.answers, now)
-    balancer.latency.restore(now, memory.usual, memory.peaks)
-    balancer.retry_budget = min(10.0, memory.retry_budget)
-    admission.rates.update(
-        {
-            name: _read(rate, now)
-            for name, rate in memory.tenants.items()
-            if name in admission.quota or not name
-        }
-    )
-    admission.ends, admission.good, admission.refused = memory.ends, memory.good, memory.refused
-    admission.shed, admission.marginal = memory.shed, memory.marginal
-    admission.shed_ms = min(memory.shed_ms, now)
-    if memory.ends > 0:
+        figures[server.slot] = (learned.p, learned.cost, learned.latency, learned.report)
+        _recall_server(endpoints, server, learned, now)
+    endpoints.shares.recall(figures)
+
+
+def _recall_server(endpoints: EndpointSet, server: Server, learned: io.LearnedEndpoint, now: float) -> None:
+    ejection = endpoints.ejection
+    ejection.set_failing(server, learned.failing)
+    server.ejections = learned.ejections
+    server.ejected_until = learned.ejected_until
+    if learned.suspect:  # what is in flight stays with the predecessor: passed over for a while
+        server.ejected_until = max(server.ejected_until, now + EJECT_MS)
+    if server.failing > EJECT_ABOVE or server.ejected_until > now:
+        ejection.unhealthy[server] = None
+    server.tokens = learned.tokens
+    server.tokens_ms = min(learned.tokens_ms, now)
+    endpoints.slow_start.begin(server, min(learned.cold_from, now))
+
+
+def _recall_admission(admission: Admission, state: io.LearnedState, now: float) -> None:
+    for tenant, rate in state.tenants.items():
+        if tenant in admission.quota or not tenant:
+            admission.rates[tenant] = _read(rate, now)
+    admission.ends = state.ends
+    admission.good = state.good
+    admission.refused = state.refused
+    admission.shed = state.shed
+    admission.marginal = state.marginal
+    admission.shed_ms = min(state.shed_ms, now)
+    if state.ends > 0:
         admission.busy_since_ms = now - STARTUP_MS  # it is no start for what was learnt
-    admission.offers.extend(offer for offer in memory.offers if offer[1] in balancer.classes)
 
 
-def rebase(memory: io.LearnedState, by_ms: float) -> io.LearnedState:
-    """The same memory with its moments on another clock's scale, which is ahead by so many milliseconds.
+def rebase(state: io.LearnedState, by_ms: float) -> io.LearnedState:
+    """The same state with its moments on another clock's scale, which is ahead by so many milliseconds.
 
     0 stands for never, or long ago, on either scale.
     """
     return replace(
-        memory,
-        servers=tuple(_rebase_server(server, by_ms) for server in memory.servers),
-        back={name: _rebase_moment(at, by_ms) for name, at in memory.back.items()},
-        arrivals=_rebase_rate(memory.arrivals, by_ms),
-        answers=_rebase_rate(memory.answers, by_ms),
-        peaks=tuple((_rebase_moment(at, by_ms), latency) for at, latency in memory.peaks),
-        tenants={name: _rebase_rate(rate, by_ms) for name, rate in memory.tenants.items()},
-        shed_ms=_rebase_moment(memory.shed_ms, by_ms),
+        state,
+        servers=tuple(_rebase_server(server, by_ms) for server in state.servers),
+        back={name: _rebase_moment(at, by_ms) for name, at in state.back.items()},
+        arrivals=_rebase_rate(state.arrivals, by_ms),
+        answers=_rebase_rate(state.answers, by_ms),
+        peaks=tuple((_rebase_moment(at, by_ms), latency) for at, latency in state.peaks),
+        tenants={name: _rebase_rate(rate, by_ms) for name, rate in state.tenants.items()},
+        shed_ms=_rebase_moment(state.shed_ms, by_ms),
     )
 
 
@@ -132,21 +149,22 @@
 
 
 def _server(endpoints: EndpointSet, server: Server) -> io.LearnedEndpoint:
-    shares, at = endpoints.shares, server.slot
+    shares = endpoints.shares
+    slot = server.slot
     return io.LearnedEndpoint(
-        server.entry.server,
-        server.entry.started_ms,
-        max(0.0, float(shares.p[at])),
-        float(shares.cost[at]) if shares.known else 0.0,
-        float(shares.latency[at]),
-        float(shares.report[at]),
-        min(1.0, max(0.0, server.failing)),
-        server.ejections,
-        max(0.0, server.ejected_until),
-        endpoints.responsiveness.is_suspect(endpoints.now, server),
-        server.tokens,
-        max(0.0, server.tokens_ms),
-        server.cold_from,
+        name=server.entry.server,
+        started_ms=server.entry.started_ms,
+        p=max(0.0, float(shares.p[slot])),
+        cost=float(shares.cost[slot]) if shares.known else 0.0,
+        latency=float(shares.latency[slot]),
+        report=float(shares.report[slot]),
+        failing=min(1.0, max(0.0, server.failing)),
+        ejections=server.ejections,
+        ejected_until=max(0.0, server.ejected_until),
+        suspect=endpoints.responsiveness.is_suspect(endpoints.now, server),
+        tokens=server.tokens,
+        tokens_ms=max(0.0, server.tokens_ms),
+        cold_from=server.cold_from,
     )
 
 
@@ -154,8 +172,10 @@
     return io.LearnedRate(rate.start, rate.last, rate.value) if rate.value else io.LearnedRate()
 
 
-def _read(memory: io.LearnedRate, now: float) -> Rate:
+def _read(learned: io.LearnedRate, now: float) -> Rate:
     rate = Rate()
-    if memory.value:
-        rate.start, rate.last, rate.value = min(memory.start, now), min(memory.last, now), memory.value
+    if learned.value:
+        rate.start = min(learned.start, now)
+        rate.last = min(learned.last, now)
+        rate.value = learned.value
     return rate
