--- a/quartzford/decision/automaton.py
+++ b/quartzford/decision/automaton.py
@@ -1,4 +1,4 @@
-"""The CA-S automaton's arithmetic: P and the smoothed costs of the ready servers, and the draw from P.
+"""The CA-S automaton's arithmetic: P and the smoothed costs of the servers in use, and the draw from P.
 
 No decision is made here. Two forms hold the same figures (columns.py): lists, and arrays from ARRAYS_FROM
 servers on, where a pass over the fleet costs a few microseconds instead of a few for each server. Eq. 6, 8:
@@ -14,46 +14,62 @@
 from itertools import accumulate
 from typing import Any, NamedTuple
 
-from quartzford.decision.columns import COLUMNS, ArrayColumns, Columns, PlainColumns, load_arrays
+from quartzford.decision.columns import COLUMNS, ArrayColumns, Columns, PlainColumns, Row, load_arrays
 
-STEP = 0.5  # a = b of Eq. 8 times the ready servers: an answer moves its server's share by at most about half
+STEP = (
+    0.5  # a = b of Eq. 8 times the servers in use: an answer moves its server's share by at most about half
+)
 STEP_MAX = 0.078  # a = b at most; the paper's testbed
-SWEEP = 0.1
-MEMORY = 1.0  # alpha of Eq. 6 times the ready servers, so that a server's own few answers are averaged
-REPORT_COST = 1.0  # usual latencies for a reported load of the fleet's mean
-K, DELTA = 0.5, 1.0
-FLOOR = 0.6
+SWEEP = 0.1  # part of Eq. 8's mean over a draw by which each score moves all of P
+MEMORY = 1.0  # alpha of Eq. 6 times the servers in use, so that a server's own few answers are averaged
+REPORT_COST = 1.0  # typical latencies for a reported load of the fleet's mean
+K = 0.5  # weight of load and zone in a cost; the rest is the latency's
+DELTA = 1.0  # factor of the latency
+FLOOR = 0.6  # multiple of the least cost that counts as 0
 CEILING = 3.0  # costs above this multiple of the mean count as the largest
-P_RW = 0.02
+P_RW = 0.02  # of the draws are uniform
 # Attempts that any server may have out beyond its share of all that are out; the last part makes a tie count
 # as within, whichever way P's last bit has fallen.
 SPARE = 0.5 + 1e-9
-ARRAYS_FROM, ARRAYS_TO = 48, 24  # ready servers from which arrays are used, and under which they are left
+ARRAYS_FROM = 48  # servers in use from which arrays are used
+ARRAYS_TO = 24  # and under which they are left
 LOAD_FROM = 256  # and from which numpy is loaded for it: a start costs some 0.15 s and 6 MB with it
 RENEW = 4_096  # scores after which P is brought back to a sum of 1
 LEAST = 1e-9  # share of the rest under which it is summed anew: a difference says nothing of it any more
 
 
 class Place(NamedTuple):
-    """Where a server stands: its toll for crossing zones, and codes for its zone and cell."""
+    """Where a server is: its penalty for crossing zones, and codes for its zone and cell."""
 
     zone_penalty: float
     zone: int
     cell: int
 
 
+class Group(NamedTuple):
+    """A zone or a cell, by its code."""
+
+    is_cell: bool
+    code: int
+
+
 class Query(NamedTuple):
-    """What a send may be drawn from. Slots in barred take nothing now, in tried and doubtful only if need be.
+    """What a send may be drawn from, by slots."""
+
+    excluded: Collection[int]  # take nothing now
+    tried: Collection[int]  # had an attempt of this request; only if nothing else can take it
+    degraded: Collection[int]  # ejected or suspect; only if nothing else can take it
+    group: Group | None  # the request may go nowhere else
+    may_repeat: bool  # what was tried may take it, if nothing else can
+
 
-    place: the zone or cell that the request is bound to, as (is it a cell, code); last: may even what was
-    tried take it, if nothing else can.
-    """
+class Learned(NamedTuple):
+    """The figures of a server as another process had them."""
 
-    excluded: Collection[int]
-    tried: Collection[int]
-    degraded: Collection[int]
-    place: tuple[bool, int] | None
-    last: bool
+    p: float
+    cost: float  # 0: none
+    latency: float
+    report: float
 
 
 class Shares(Columns):
@@ -61,30 +77,34 @@
 
     # ---- members
 
-    def join(self, place: Place, open_: int) -> int:
-        """A newcomer gets 1/N, taken proportionally, at the mean smoothed cost; its slot."""
+    def join(self, place: Place, in_flight: int) -> int:
+        """A newcomer gets 1/N, taken proportionally, at the mean smoothed cost; returns its slot."""
         self.alive += 1
         if self.alive == 1:
-            self.scale, self.total, self.cost_total, self.known = 1.0, 0.0, 0.0, False
+            self.scale = 1.0
+            self.total = 0.0
+            self.cost_total = 0.0
+            self.known = False
         else:
             self.scale *= 1.0 - 1.0 / self.alive
         raw = 1.0 / self.alive / self.scale
         cost = self.cost_total / (self.alive - 1) if self.known else 0.0
         self._append(
-            (
-                raw,
-                cost,
-                1.0,
-                0.0,
-                place.zone_penalty,
-                K * place.zone_penalty + (1 - K) * DELTA,
-                open_,
-                *place[1:],
+            Row(
+                p=raw,
+                cost=cost,
+                latency=1.0,
+                report=0.0,
+                zone_penalty=place.zone_penalty,
+                base=_base_cost(place.zone_penalty, 1.0),
+                open=in_flight,
+                zone=place.zone,
+                cell=place.cell,
             )
         )
         self.total += raw
         self.cost_total += cost
-        self.out += open_
+        self.out += in_flight
         self.n += 1
         return self.n - 1
 
@@ -97,34 +117,39 @@
         before = self.total
         self.total -= float(self.p[slot])
         self.cost_total -= float(self.cost[slot])
-        self.p[slot] = self.cost[slot] = 0.0
+        self.p[slot] = 0.0
+        self.cost[slot] = 0.0
         self.open[slot] = 0
         if not self.alive:
             self.known = False
             return
         if self.total <= LEAST * before:
             self._settle(self.n)
-            self.total, self.cost_total = self._sum(self.p), self._sum(self.cost)
+            self.total = self._sum(self.p)
+            self.cost_total = self._sum(self.cost)
         if self.total <= 0.0:  # all that are left had nothing: they share alike
             self._level()
         self.scale = 1.0 / self.total
 
     def move(self, slot: int, place: Place) -> None:
-        """Its place as the list now tells of it."""
+        """Put a server in another place."""
         self._settle(slot)
-        self.zone_penalty[slot], self.zone[slot], self.cell[slot] = place
-        self.base[slot] = K * place.zone_penalty + (1 - K) * DELTA * self.latency[slot]
+        self.zone_penalty[slot] = place.zone_penalty
+        self.zone[slot] = place.zone
+        self.cell[slot] = place.cell
+        self.base[slot] = _base_cost(place.zone_penalty, self.latency[slot])
 
-    # ---- what is told of a server
+    # ---- what is learnt of a server
 
-    def said(self, slot: int, report: float) -> None:
-        self.report[slot] = report
+    def set_report(self, slot: int, load: float) -> None:
+        """Take the load of a server's latest load report."""
+        self.report[slot] = load
 
     def score(self, slot: int, latency: float) -> None:
         """Eq. 6 for all; Eq. 8 for the one that answered or failed (none: -1), then its mean over a draw."""
         if slot >= 0:
             self.latency[slot] = latency
-            self.base[slot] = K * self.zone_penalty[slot] + (1 - K) * DELTA * latency
+            self.base[slot] = _base_cost(self.zone_penalty[slot], latency)
         if not self.n:
             return
         self._score(slot)
@@ -132,14 +157,17 @@
         if self.scores % RENEW == 0:
             self._rescale(1.0 / self._sum(self.p))
 
-    def recall(self, rows: dict[int, tuple[float, float, float, float]]) -> None:
-        """P, cost, latency and report as a process before had them, by slot; others keep what they have."""
+    def recall(self, rows: dict[int, Learned]) -> None:
+        """Take what a process before had learnt, by slot; other servers keep what they have."""
         if not rows:
             return
-        for slot, (p, cost, latency, report) in rows.items():
-            self.p[slot], self.cost[slot], self.latency[slot], self.report[slot] = p, cost, latency, report
-            self.base[slot] = K * self.zone_penalty[slot] + (1 - K) * DELTA * latency
-        known = [cost for _, cost, _, _ in rows.values() if cost > 0]
+        for slot, learned in rows.items():
+            self.p[slot] = learned.p
+            self.cost[slot] = learned.cost
+            self.latency[slot] = learned.latency
+            self.report[slot] = learned.report
+            self.base[slot] = _base_cost(self.zone_penalty[slot], learned.latency)
+        known = [learned.cost for learned in rows.values() if learned.cost > 0]
         self.known = bool(known)
         for slot in range(self.n):
             if known and slot not in rows:
@@ -159,33 +187,35 @@
         """
         if not self.n:
             return -1
-        excluded, tried, degraded, place, last = query
+        excluded, tried, degraded, group, may_repeat = query
         passed_over = {*excluded, *tried, *degraded} if excluded or tried or degraded else None
-        slot = self._draw(passed_over, place, True, rng)
+        slot = self._draw(passed_over, group, True, rng)
         if slot < 0:
-            slot = self._draw(passed_over, place, False, rng)
+            slot = self._draw(passed_over, group, False, rng)
         if slot < 0 and degraded:
-            slot = self._draw({*excluded, *tried}, place, False, rng)
-        if slot < 0 and last:
-            slot = self._draw(set(excluded), place, False, rng)
+            slot = self._draw({*excluded, *tried}, group, False, rng)
+        if slot < 0 and may_repeat:
+            slot = self._draw(set(excluded), group, False, rng)
         return slot
 
     def _score(self, slot: int) -> None:
+        """Eq. 6 and 8; slot: of the one that answered, or -1."""
         raise NotImplementedError
 
     def _draw(
-        self, passed_over: set[int] | None, place: tuple[bool, int] | None, calm: bool, rng: random.Random
+        self, passed_over: set[int] | None, group: Group | None, underloaded: bool, rng: random.Random
     ) -> int:
-        """A draw over the slots of a place that are not passed over, the calm ones only or all; -1: none."""
+        """A draw over the slots of a group but those passed over, underloaded ones only or all; -1: none."""
         raise NotImplementedError
 
 
 class PlainShares(PlainColumns, Shares):
-    """In lists."""
+    """The figures in lists."""
 
     def _score(self, slot: int) -> None:
         n = self.n
-        memory, load = min(0.5, MEMORY / n), sum(self.report) / n
+        memory = min(0.5, MEMORY / n)
+        load = sum(self.report) / n
         zs = self.base
         if load:
             weight = K * REPORT_COST / (1 + load)
@@ -194,11 +224,13 @@
             rest = 1 - memory
             self.cost = [memory * z + rest * c for z, c in zip(zs, self.cost, strict=True)]
         else:
-            self.cost, self.known = list(zs), True
+            self.cost = list(zs)
+            self.known = True
         if n < 2:
             return
         costs = self.cost
-        low, high = FLOOR * min(costs), min(max(costs), CEILING * sum(costs) / n)
+        low = FLOOR * min(costs)
+        high = min(max(costs), CEILING * sum(costs) / n)
         if high > low:
             per = 1.0 / (high - low)
             betas = [(c - low) * per if c < high else 1.0 for c in costs]
@@ -206,27 +238,31 @@
             betas = [0.5] * n
         ps = self.p
         if slot >= 0:
-            beta, step = betas[slot], min(STEP_MAX, STEP / n)
+            beta = betas[slot]
+            step = min(STEP_MAX, STEP / n)
             own = ps[slot] + step * (1 - beta) * (1 - ps[slot]) - step * beta * ps[slot]
-            part, rest = step * beta / (n - 1), 1 - step
+            part = step * beta / (n - 1)
+            rest = 1 - step
             ps = [p * rest + part for p in ps]
             ps[slot] = own
         # A server answers here once in seconds: the costs just refreshed move P by Eq. 8's mean over a draw.
         parts = [p * beta for p, beta in zip(ps, betas, strict=True)]
-        plus, minus = SWEEP * sum(parts) / (n - 1), SWEEP * n / (n - 1)
+        plus = SWEEP * sum(parts) / (n - 1)
+        minus = SWEEP * n / (n - 1)
         self.p = [p + plus - minus * part for p, part in zip(ps, parts, strict=True)]
 
     def _draw(
-        self, passed_over: set[int] | None, place: tuple[bool, int] | None, calm: bool, rng: random.Random
+        self, passed_over: set[int] | None, group: Group | None, underloaded: bool, rng: random.Random
     ) -> int:
         p: list[float] = self.p
         slots: Sequence[int] = range(self.n)
-        if place is not None:
-            column, code = self.cell if place[0] else self.zone, place[1]
-            slots = [slot for slot in slots if column[slot] == code]
-        if calm:
-            open_, out = self.open, self.out
-            slots = [slot for slot in slots if open_[slot] <= p[slot] * out + SPARE]
+        if group is not None:
+            column = self.cell if group.is_cell else self.zone
+            slots = [slot for slot in slots if column[slot] == group.code]
+        if underloaded:
+            in_flight = self.open
+            out = self.out
+            slots = [slot for slot in slots if in_flight[slot] <= p[slot] * out + SPARE]
         if passed_over:
             slots = [slot for slot in slots if slot not in passed_over]
         if not slots:
@@ -238,33 +274,38 @@
 
 
 class ArrayShares(ArrayColumns, Shares):
-    """In arrays."""
+    """The figures in arrays."""
 
     def __init__(self, numpy: Any, other: Shares) -> None:
         super().__init__()
         self.np = numpy
         # The bare ufuncs: methods such as sum() cost twice as much on a hundred figures.
-        self.added, self.least, self.most = numpy.add.reduce, numpy.minimum.reduce, numpy.maximum.reduce
+        self.added = numpy.add.reduce
+        self.least = numpy.minimum.reduce
+        self.most = numpy.maximum.reduce
         for name in COLUMNS:
             setattr(self, name, numpy.array(getattr(other, name), dtype=float))
-        self.rows: list[tuple[float, ...]] = []
-        self.n, self.alive, self.out, self.known = other.n, other.alive, other.out, other.known
-        self.scores = other.scores
+        self.rows: list[Row] = []
+        self.copy_counts(other)
 
     def plain(self) -> PlainShares:
-        """The same in lists."""
+        """The same figures in lists."""
         other = PlainShares()
         for name in COLUMNS:
             setattr(other, name, getattr(self, name).tolist())
-        other.n, other.alive, other.out, other.known = self.n, self.alive, self.out, self.known
-        other.scores = self.scores
+        other.copy_counts(self)
         return other
 
     def _score(self, slot: int) -> None:
-        np, n, p, cost = self.np, self.n, self.p, self.cost
-        memory, load = min(0.5, MEMORY / n), float(self.added(self.report)) / n
+        np = self.np
+        n = self.n
+        p = self.p
+        cost = self.cost
+        memory = min(0.5, MEMORY / n)
+        load = float(self.added(self.report)) / n
         if not self.known:
-            memory, self.known = 1.0, True
+            memory = 1.0
+            self.known = True
         cost *= 1 - memory
         if load:
             cost += self.report * (memory * K * REPORT_COST / (1 + load))
@@ -278,9 +319,12 @@
             beta = np.minimum(cost, high)  # times per; what it is multiplied with takes that in
             beta -= low
         else:
-            per, beta = 1.0, np.full(n, 0.5)
+            per = 1.0
+            beta = np.full(n, 0.5)
         if slot >= 0:
-            own_beta, step, own = per * float(beta[slot]), min(STEP_MAX, STEP / n), float(p[slot])
+            own_beta = per * float(beta[slot])
+            step = min(STEP_MAX, STEP / n)
+            own = float(p[slot])
             own += step * (1 - own_beta) * (1 - own) - step * own_beta * own
             p *= 1 - step
             p += step * own_beta / (n - 1)
@@ -292,17 +336,17 @@
         p += plus
 
     def _draw(
-        self, passed_over: set[int] | None, place: tuple[bool, int] | None, calm: bool, rng: random.Random
+        self, passed_over: set[int] | None, group: Group | None, underloaded: bool, rng: random.Random
     ) -> int:
         p = self.p
-        if calm:
-            room = p * self.out
-            room += SPARE
-            mask = self.open <= room
+        if underloaded:
+            capacity = p * self.out
+            capacity += SPARE
+            mask = self.open <= capacity
         else:
             mask = self.np.ones(self.n, dtype=bool)
-        if place is not None:
-            mask &= (self.cell if place[0] else self.zone) == place[1]
+        if group is not None:
+            mask &= (self.cell if group.is_cell else self.zone) == group.code
         if passed_over:
             mask[list(passed_over)] = False
         # Those that are out weigh nothing, so the sums are those over the others alone.
@@ -316,6 +360,11 @@
         return slot if slot < self.n and mask[slot] else int(mask.nonzero()[0][-1])
 
 
+def _base_cost(zone_penalty: float, latency: float) -> float:
+    """The part of Eq. 6's z that load reports have no part in, in typical latencies."""
+    return K * zone_penalty + (1 - K) * DELTA * latency
+
+
 def layout_for(shares: Shares, coming: int) -> Shares:
     """The form that suits so many servers; the figures are the same."""
     if isinstance(shares, ArrayShares):
--- a/quartzford/decision/columns.py
+++ b/quartzford/decision/columns.py
@@ -1,4 +1,4 @@
-"""The figures of the ready servers, column by column, in lists or in arrays. Nothing is decided here.
+"""The figures of the servers in use, column by column, in lists or in arrays. Nothing is decided here.
 
 A server is a slot 0..n-1, in the order in which the servers joined. Joins and leaves cost the same however
 many there are: while members change, P is held as raw figures times one scale, and what has left is swept out
@@ -9,9 +9,24 @@
 
 import os
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
-COLUMNS = ("p", "cost", "latency", "report", "zone_penalty", "base", "open", "zone", "cell")
+
+class Row(NamedTuple):
+    """The figures of one server, in the order of the columns."""
+
+    p: float
+    cost: float
+    latency: float
+    report: float
+    zone_penalty: float
+    base: float
+    open: int
+    zone: int
+    cell: int
+
+
+COLUMNS = Row._fields
 
 
 class Columns:
@@ -19,22 +34,37 @@
 
     def __init__(self) -> None:
         self.p: Any = []  # shares; while members change, times scale
-        self.cost: Any = []  # smoothed costs, in usual latencies
-        self.latency: Any = []  # the last known, in usual latencies
-        self.report: Any = []
-        self.zone_penalty: Any = []
+        self.cost: Any = []  # smoothed costs, in typical latencies
+        self.latency: Any = []  # the last known, in typical latencies
+        self.report: Any = []  # loads, as last reported
+        self.zone_penalty: Any = []  # for crossing zones, in typical latencies
         self.base: Any = []  # the part of Eq. 6's z that reports have no part in
-        self.open: Any = []  # attempts that are out
-        self.zone: Any = []
-        self.cell: Any = []
+        self.open: Any = []  # attempts that are in flight
+        self.zone: Any = []  # codes
+        self.cell: Any = []  # codes
         self.n = 0  # slots in use; equal to alive but between begin and commit
-        self.alive = self.out = self.scores = 0
+        self.alive = 0  # servers
+        self.out = 0  # attempts in flight at all of them
+        self.scores = 0  # costs that were scored since the start
         self.known = False  # there are costs: all have one, or none has
-        self.dead: list[int] = []
-        self.scale, self.total, self.cost_total = 1.0, 0.0, 0.0
+        self.dead: list[int] = []  # slots of those that left since begin
+        self.scale = 1.0
+        self.total = 0.0  # sum of p
+        self.cost_total = 0.0
+
+    def copy_counts(self, other: Columns) -> None:
+        """Take over what stands beside the columns."""
+        self.n = other.n
+        self.alive = other.alive
+        self.out = other.out
+        self.known = other.known
+        self.scores = other.scores
 
     def begin(self) -> None:
-        self.scale, self.total, self.cost_total = 1.0, self._sum(self.p), self._sum(self.cost)
+        """Servers may join and leave from now on, until the commit."""
+        self.scale = 1.0
+        self.total = self._sum(self.p)
+        self.cost_total = self._sum(self.cost)
 
     def commit(self) -> int:
         """Sweep out what has left; the first slot that has moved, or -1."""
@@ -45,17 +75,19 @@
             return -1
         first = min(self.dead)
         self._sweep_out()
-        self.n, self.dead = self.alive, []
+        self.n = self.alive
+        self.dead = []
         return first
 
     def sent(self, slot: int, by: int) -> None:
-        """So many more attempts are out at it, or fewer."""
+        """So many more attempts are in flight at it, or fewer."""
         self.open[slot] += by
         self.out += by
 
     # ---- what the two forms do differently
 
-    def _append(self, row: tuple[float, ...]) -> None:
+    def _append(self, row: Row) -> None:
+        """Add a server's figures."""
         raise NotImplementedError
 
     def _settle(self, slot: int) -> None:
@@ -67,22 +99,25 @@
         raise NotImplementedError
 
     def _sum(self, column: Any) -> float:
+        """The sum of a column."""
         raise NotImplementedError
 
     def _level(self) -> None:
+        """All servers share alike."""
         raise NotImplementedError
 
     def _rescale(self, by: float) -> None:
+        """Multiply P by a factor."""
         raise NotImplementedError
 
 
 class PlainColumns(Columns):
-    """In lists."""
+    """The columns in lists."""
 
     def _columns(self) -> Iterable[list[Any]]:
         return (getattr(self, name) for name in COLUMNS)
 
-    def _append(self, row: tuple[float, ...]) -> None:
+    def _append(self, row: Row) -> None:
         for column, value in zip(self._columns(), row, strict=True):
             column.append(value)
 
@@ -106,13 +141,16 @@
 
 
 class ArrayColumns(Columns):
-    """In arrays (numpy). What joins waits as rows until it is read or committed: arrays grow by the batch."""
+    """The columns in arrays (numpy).
+
+    What joins waits as rows until it is read or committed: arrays grow by the batch.
+    """
 
     np: Any
     added: Any  # the bare sum: the method costs twice as much on a hundred figures
-    rows: list[tuple[float, ...]]
+    rows: list[Row]
 
-    def _append(self, row: tuple[float, ...]) -> None:
+    def _append(self, row: Row) -> None:
         self.rows.append(row)
 
     def _settle(self, slot: int) -> None:
--- a/quartzford/decision/endpoint_set.py
+++ b/quartzford/decision/endpoint_set.py
@@ -13,7 +13,7 @@
 
 from quartzford.decision import automaton
 from quartzford.decision import interface as io
-from quartzford.decision.automaton import Place, Query, Shares
+from quartzford.decision.automaton import Group, Place, Query, Shares
 from quartzford.decision.estimates import Traffic
 from quartzford.decision.outlier_ejection import OutlierEjection
 from quartzford.decision.responsiveness import Responsiveness
@@ -22,6 +22,7 @@
 from quartzford.decision.workingset import WorkingSet
 
 ZONE_PENALTY = 50.0  # of the prices of a send to another zone, in typical latencies
+UNKNOWN_ZONE = -1
 WORKING_SET_REFRESH_MS = 200.0  # how often it is looked at again which servers are in use
 
 
@@ -295,8 +296,8 @@
             excluded=self.slow_start.exhausted_slots(self.now) if self.slow_start.cold else (),
             tried=self._slots_of(tried) if tried else (),
             degraded=self._degraded_slots(kind),
-            place=self._group(kind, possibly_ran_on),
-            last=possibly_ran_on is not None,
+            group=self._group(kind, possibly_ran_on),
+            may_repeat=possibly_ran_on is not None,
         )
         slot = self.shares.choose(query, self.rng)
         return self.ready[slot] if slot >= 0 else None
@@ -305,13 +306,13 @@
         servers = (self.servers.get(name) for name in names)
         return [server.slot for server in servers if server is not None and server.slot >= 0]
 
-    def _group(self, kind: io.ServiceClass, possibly_ran_on: io.Endpoint | None) -> tuple[bool, int] | None:
+    def _group(self, kind: io.ServiceClass, possibly_ran_on: io.Endpoint | None) -> Group | None:
         """A keyed request that may have run goes only where its repeats are dropped."""
         if possibly_ran_on is None or kind.effect != "keyed" or kind.group == "all":
             return None
         if kind.group == "zone":
-            return False, self.zones.get(possibly_ran_on.zone, -1)
-        return True, possibly_ran_on.cell
+            return Group(False, self.zones.get(possibly_ran_on.zone, UNKNOWN_ZONE))
+        return Group(True, possibly_ran_on.cell)
 
     def _degraded_slots(self, kind: io.ServiceClass) -> list[int]:
         """Slots that are passed over while there are others."""
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -297,7 +297,7 @@
             return
         server = self.endpoints.servers[event.server]
         if event.report and self.load_field is not None and server.slot >= 0:
-            self.endpoints.shares.said(server.slot, min(MAX_REPORT, event.report[self.load_field]))
+            self.endpoints.shares.set_report(server.slot, min(MAX_REPORT, event.report[self.load_field]))
         self._record_in_flight(answered=event.faulted or event.code in ANSWERED)
         # An error that the server puts down to the request says nothing of the server's own health.
         if not event.faulted and event.code not in SAYS_NOTHING:
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -12,6 +12,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import STARTUP_MS, Admission, Offer
+from quartzford.decision.automaton import Learned
 from quartzford.decision.endpoint_set import EndpointSet
 from quartzford.decision.estimates import Rate
 from quartzford.decision.latency import LatencyEstimates
@@ -81,7 +82,7 @@
         server = endpoints.servers.get(learned.name)
         if server is None or server.slot < 0 or server.entry.started_ms != learned.started_ms:
             continue
-        figures[server.slot] = (learned.p, learned.cost, learned.latency, learned.report)
+        figures[server.slot] = Learned(learned.p, learned.cost, learned.latency, learned.report)
         _recall_server(endpoints, server, learned, now)
     endpoints.shares.recall(figures)
 
--- a/quartzford/decision/workingset.py
+++ b/quartzford/decision/workingset.py
@@ -25,7 +25,7 @@
 PART = LEAST // 2  # larger cells are used in part: so the least are of two cells, and a retry has others
 SLACK = 1.5  # of what is wanted, that may be in use before cells are left: what flaps moves nobody
 
-Able = Callable[[str], bool]  # whether a server counts (not ejected, say)
+Able = Callable[[str], bool]  # whether a server counts, by its name (it is not ejected, say)
 
 
 class Change(NamedTuple):
@@ -138,7 +138,7 @@
         return [name] if cell in self.ranked else list(self.cells[cell])
 
     def wanted(self, per_ms: float) -> int:
-        """Servers that so many requests a millisecond keep known."""
+        """How many servers to use at so many requests a millisecond: what is known of each stays fresh."""
         return max(LEAST, round(min(len(self.cell_of), per_ms * self.meet_ms)))
 
     def choose(self, wanted: int, able: Able) -> Change:
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -174,7 +174,7 @@
         shares.score(slot, latency)
         assert [float(x) for x in shares.p] == pytest.approx(p, rel=1e-9)
         assert [float(x) for x in shares.cost] == pytest.approx(cost, rel=1e-9)
-        shares.said(rng.randrange(count), rng.choice((0.0, 1.0, 30.0)))
+        shares.set_report(rng.randrange(count), rng.choice((0.0, 1.0, 30.0)))
 
 
 @pytest.mark.parametrize("name", PLANS)
@@ -310,7 +310,7 @@
     shares = fleet_of(60, arrays)
     for number in range(300):
         shares.score(number % 60, 1e300 if number % 60 == 7 else 1.0)
-        shares.said(3, 1e9)
+        shares.set_report(3, 1e9)
     assert float(sum(shares.p)) == pytest.approx(1.0)
     assert all(0.0 <= float(p) < 1.0 for p in shares.p) and float(shares.p[7]) == min(map(float, shares.p))
 
