--- a/quartzford/engine/budget.py
+++ b/quartzford/engine/budget.py
@@ -4,11 +4,12 @@
 
 
 class Budget:
-    """Bytes held over all connections; `full` is asked before more is read."""
+    """Bytes held over all connections; whoever reads more asks `full` first."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.used = 0
 
     def full(self) -> bool:
+        """Whether no more may be read for now."""
         return self.used >= self.limit
--- a/quartzford/engine/clock.py
+++ b/quartzford/engine/clock.py
@@ -1,4 +1,4 @@
-"""Time as it is handed to the engine, its fronts and its backends: none of them asks the system."""
+"""Time as it is handed to the engine, its fronts and its backends: none of them reads the system's clock."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 class Handle(Protocol):
-    """A timer that can be called off."""
+    """A timer that can be cancelled."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Cancel it, if it has not fired."""
 
 
 class Clock(Protocol):
@@ -40,4 +41,5 @@
         self._anchor_ms = time.time() * 1000.0 - time.monotonic() * 1000.0  # once: the clock never jumps
 
     def unix_ms(self) -> float:
+        """Unix milliseconds, by the system's clock as it was when this one was made."""
         return self.now() * 1000.0 + self._anchor_ms
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -1,7 +1,7 @@
-"""Turns what fronts, backends and the list tell into the module's events, and carries out its actions.
+"""Turns what fronts, backends and the endpoint list report into events, and carries out the actions.
 
-It owns the requests that are owed an answer, their attempts and deadlines, and the guard that ends what is
-overdue. Clock and seed are handed in; it knows no protocol and no socket.
+It owns the pending requests, their attempts and deadlines, and the guard that ends what is overdue. Clock and
+seed are handed in; it knows no protocol and no socket. Its own times are seconds on the clock handed in.
 """
 
 from __future__ import annotations
@@ -16,40 +16,47 @@
 from quartzford.engine.clock import Clock
 from quartzford.engine.log import Log
 from quartzford.engine.pending_request import Attempt, PendingRequest
-from quartzford.engine.request_counters import RequestCounters
+from quartzford.engine.request_counters import RequestCounters, RequestEnd
 
-OVERDUE_S = 0.02  # past its time a request is ended whatever has become of its attempt or timer
+OVERDUE_S = 0.02  # past its deadline a request is ended whatever has become of its attempt or timer
+MIN_SPENT_MS = 0.01  # an attempt takes this long at the least
+NO_REQUEST = -1
 REQUEST_NUMBERS = 2**32
 
 
 class RequestRecorder(Protocol):
-    """Who is told of what is asked."""
+    """Records the requests that arrive."""
 
-    def record(self, request: io.Request, size: int) -> None: ...
+    def record(self, request: io.Request, size: int) -> None:
+        """A request has arrived; size: of its body, in bytes."""
 
 
 class AttemptObserver(Protocol):
-    """Who counts attempts, and follows requests."""
+    """Observes attempts and the ends of requests, for metrics."""
 
-    def sent(self, send: io.Send, pending: PendingRequest) -> None: ...
+    def sent(self, send: io.Send, pending: PendingRequest) -> None:
+        """An attempt is about to be made."""
 
-    def ended(self, attempt: Attempt, code: str) -> None: ...
+    def ended(self, attempt: Attempt, code: str) -> None:
+        """An attempt has ended; code: its outcome, and how far it had come."""
 
-    def closed(self, pending: PendingRequest, how: str) -> None: ...
+    def closed(self, pending: PendingRequest, how: str) -> None:
+        """A request has ended."""
 
 
 class Engine:
     """Drives one decision module."""
 
     def __init__(self, settings: io.Settings, seed: int, clock: Clock, log: Log) -> None:
-        self.clock, self.log = clock, log
+        self.clock = clock
+        self.log = log
         self.balancer = Balancer(settings, seed)
         self.pending_requests: dict[int, PendingRequest] = {}
         self.counts: Counter[str] = Counter()  # outcomes and answers
         self.request_counters = RequestCounters()
-        self.recorder: RequestRecorder | None = None  # hears of each request taken
+        self.recorder: RequestRecorder | None = None
         self.observer: AttemptObserver | None = None
-        self.watch: Callable[[], None] = lambda: None  # asks for the list, where the module says when
+        self.watch: Callable[[], None] = lambda: None  # polls the list, when the module says so
         self._number = 0
         self._adopt(settings)
 
@@ -69,36 +76,43 @@
         return self.balancer.hand_over(self.clock.unix_ms())
 
     def take_back(self) -> None:
+        """The successor has died: this one sends again to servers in slow start."""
         self.balancer.take_back(self.clock.unix_ms())
 
-    def inherit(self, memory: io.LearnedState) -> None:
-        self.balancer.inherit(self.clock.unix_ms(), memory)
+    def inherit(self, state: io.LearnedState) -> None:
+        """Take what the predecessor knew, after an update of the endpoint list."""
+        self.balancer.inherit(self.clock.unix_ms(), state)
 
     def start(self) -> None:
+        """Begin to guard deadlines."""
         self.clock.call_later(OVERDUE_S, self._end_overdue)
 
     # ---- the module
 
     def feed(self, event: io.Event) -> None:
+        """Hand the module an event, and carry out its actions.
+
+        An exception in the module or in an action is logged, and ends the one request that it concerns.
+        """
         try:
             actions = self.balancer.handle(self.clock.unix_ms(), event)
         except Exception:
             self.log.exception("module")
-            return self._abandon(getattr(event, "request", -1))
+            return self._abandon(getattr(event, "request", NO_REQUEST))
         for action in actions:
             try:
                 self._act(action)
             except Exception:
                 self.log.exception("action")
-                self._abandon(getattr(action, "request", -1))
+                self._abandon(getattr(action, "request", NO_REQUEST))
 
     def _abandon(self, number: int) -> None:
         """End the one request that an exception concerned, if any."""
         pending = self.pending_requests.get(number)
         if pending is not None:
             attempt = pending.attempt
-            self._close(pending, "abandoned")
-            self.request_counters.end("failed", pending.kind)
+            self._close(pending, RequestEnd.ABANDONED)
+            self.request_counters.end(RequestEnd.FAILED, pending.kind)
             self.balancer.pending_requests.pop(pending.number, None)
             if attempt is not None:
                 attempt.fail("cancelled")
@@ -109,10 +123,9 @@
             case io.Send():
                 self._send(self.pending_requests[action.request], action)
             case io.Shed(request, pause, over_quota):
-                pending = self._finish(request, "refused")
-                pending.refused(pause, over_quota)
+                self._finish(request, RequestEnd.REFUSED).refused(pause, over_quota)
             case io.Fail(request):
-                self._finish(request, "failed").failed()
+                self._finish(request, RequestEnd.FAILED).failed()
             case io.SetTimer(after, token):
                 self.clock.call_later(max(0.0, after) / 1000.0, self.feed, io.Timer(token))
             case io.Watch():
@@ -138,31 +151,32 @@
         pending.attempt = attempt
         attempt.start()
 
-    def _finish(self, request: int, how: str) -> PendingRequest:
+    def _finish(self, request: int, how: RequestEnd) -> PendingRequest:
+        """The module has given a request its final answer."""
         pending = self.pending_requests[request]
         self.counts[how] += 1
         self.request_counters.end(how, pending.kind)
         self._close(pending, how)
         return pending
 
-    def _close(self, pending: PendingRequest, how: str) -> None:
+    def _close(self, pending: PendingRequest, how: RequestEnd) -> None:
         if self.observer is not None:
             self.observer.closed(pending, how)
         self.pending_requests.pop(pending.number, None)
         pending.done = True
         pending.attempt = None
 
-    # ---- what fronts tell
+    # ---- from fronts
 
     def next_number(self) -> int:
-        """A number that no open request has."""
+        """A number that no pending request has."""
         self._number = (self._number + 1) % REQUEST_NUMBERS
         while self._number in self.pending_requests:
             self._number = (self._number + 1) % REQUEST_NUMBERS
         return self._number
 
     def request_arrived(self, pending: PendingRequest, request: io.Request, size: int = 0) -> None:
-        """A whole request has come, and is owed its one answer; size: of its body, in bytes."""
+        """A complete request has come, and needs its one answer; size: of its body, in bytes."""
         self.pending_requests[pending.number] = pending
         pending.kind = request.service_class
         if self.recorder is not None:
@@ -170,19 +184,19 @@
         self.feed(request)
 
     def client_disconnected(self, pending: PendingRequest) -> None:
-        """The client has left: nothing is owed, and no further attempt is made."""
+        """The client has left: no answer is needed, and no further attempt is made."""
         if pending.done:
             return
         attempt = pending.attempt
-        self.counts["client gone"] += 1
-        self._close(pending, "client gone")
+        self.counts[RequestEnd.CLIENT_GONE] += 1
+        self._close(pending, RequestEnd.CLIENT_GONE)
         pending.client_disconnected()
         self.feed(io.ClientDisconnected(pending.number))
         if attempt is not None:
             attempt.fail("cancelled")
 
     def shut_down(self) -> None:
-        """The process ends now: nothing that is owed an answer waits any longer for an attempt."""
+        """The process ends now: no pending request waits any longer for an attempt."""
         attempts = [
             pending.attempt for pending in self.pending_requests.values() if pending.attempt is not None
         ]
@@ -191,23 +205,26 @@
             if not attempt.over:
                 attempt.fail("cancelled")
 
-    # ---- what attempts tell
+    # ---- from attempts
 
     def may_begin(self, attempt: Attempt) -> bool:
-        """The decision behind an attempt not begun still holds; of its server, the backend knows."""
+        """Whether an attempt may still begin; of its server's connections, the backend knows."""
         return self.may_write_for(attempt) > 0.0
 
     def may_write_for(self, attempt: Attempt) -> float:
-        """Seconds for which it holds, up to the request's last byte; 0 if it doesn't any more."""
+        """Seconds for which its request may be written, to the last byte; 0: not at all."""
         if attempt.pending.done or self.clock.now() >= attempt.due:
             return 0.0
         return self.balancer.may_write_for(self.clock.unix_ms(), attempt.pending.number) / 1000.0
 
     def started(self, attempt: Attempt) -> None:
-        """The attempt's answer is being passed on from now: it can't be taken back."""
+        """The attempt's response is being passed on from now: it can't be taken back."""
         attempt.streaming = True
-        spent = max(0.01, (self.clock.now() - attempt.sent) * 1000.0)
-        self.feed(io.ResponseStarted(attempt.pending.number, attempt.number, attempt.server, spent))
+        number = attempt.pending.number
+        self.feed(io.ResponseStarted(number, attempt.number, attempt.server, self._spent_ms(attempt)))
+
+    def _spent_ms(self, attempt: Attempt) -> float:
+        return max(MIN_SPENT_MS, (self.clock.now() - attempt.sent) * 1000.0)
 
     def ended(
         self,
@@ -219,50 +236,68 @@
         stage: str = "",
         retryable: bool = True,
     ) -> None:
-        """An attempt has ended. Not owed: the call ends with it, for nobody could send it again."""
+        """An attempt has ended.
+
+        code: one of io.Outcome. answer: a complete one, for the front. report: the server's load report.
+        faulted: the server puts its error down to the request itself. stage: how far the attempt had come,
+        for counts. Not retryable: the request ends with it, for nobody could send it again.
+        """
         pending = attempt.pending
-        spent = max(0.01, (self.clock.now() - attempt.sent) * 1000.0)
+        spent = self._spent_ms(attempt)
+        outcome = f"{code} {stage}".rstrip()
         if self.observer is not None:
-            self.observer.ended(attempt, f"{code} {stage}".rstrip())
+            self.observer.ended(attempt, outcome)
         if pending.attempt is attempt:
             pending.attempt = None
-        final = pending.done or code == "ok" or attempt.streaming or not retryable
+        succeeded = code == io.Outcome.OK
+        final = pending.done or succeeded or attempt.streaming or not retryable
         if final and not pending.done:
-            self._close(pending, "served" if code == "ok" else "failed")
-            self.request_counters.end("served" if code == "ok" else "failed", pending.kind)
-            if attempt.streaming:
-                pending.streamed(code == "ok")
-            elif code == "ok":
-                pending.served(answer)
-            else:
-                self.counts["failed"] += 1
-                pending.failed()
+            self._answer(attempt, succeeded, answer)
         elif not pending.done:
             pending.attempt_discarded()
-        self.counts[f"{code} {stage}".rstrip()] += 1
-        name, number = attempt.server, attempt.number
-        self.feed(io.AttemptEnded(pending.number, number, name, code, spent, final, report, faulted))
+        self.counts[outcome] += 1
+        server = attempt.server
+        self.feed(
+            io.AttemptEnded(pending.number, attempt.number, server, code, spent, final, report, faulted)
+        )
+
+    def _answer(self, attempt: Attempt, succeeded: bool, answer: Any) -> None:
+        """The request's final answer is that of its attempt."""
+        pending = attempt.pending
+        how = RequestEnd.SERVED if succeeded else RequestEnd.FAILED
+        self._close(pending, how)
+        self.request_counters.end(how, pending.kind)
+        if attempt.streaming:
+            pending.streamed(succeeded)
+        elif succeeded:
+            pending.served(answer)
+        else:
+            self.counts[RequestEnd.FAILED] += 1
+            pending.failed()
 
-    # ---- what the list tells
+    # ---- from the endpoint list
 
     def endpoint_list_update(
         self, how: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
-        """The list, or its changes. starts: of incarnations, by server, in ms on the engine's clock."""
+        """The list, or its changes; how: one of io.ListUpdateKind.
+
+        starts: of incarnations, by server, in ms on the engine's clock.
+        """
         self.feed(io.EndpointListUpdate(how, entries, starts))
 
-    # ---- rule one
+    # ---- no request lost
 
     def _end_overdue(self) -> None:
-        """The last resort: no attempt, timer or exception keeps a request past its time."""
+        """The last resort: no attempt, timer or exception keeps a request past its deadline."""
         before = self.clock.now() - OVERDUE_S
         overdue = [pending for pending in self.pending_requests.values() if pending.deadline < before]
         if overdue:
             # After a long turn their own timers are due in this one too, and end them as the module decides.
-            self.clock.call_soon(self._end_late, overdue)
+            self.clock.call_soon(self._abandon_overdue, overdue)
         self.clock.call_later(OVERDUE_S, self._end_overdue)
 
-    def _end_late(self, overdue: list[PendingRequest]) -> None:
+    def _abandon_overdue(self, overdue: list[PendingRequest]) -> None:
         for pending in overdue:
             if not pending.done and (pending.attempt is None or not pending.attempt.streaming):
                 self.log.line("overdue", f"request {pending.number} had no answer when its time was up")
--- a/quartzford/engine/log.py
+++ b/quartzford/engine/log.py
@@ -9,6 +9,7 @@
 from typing import Protocol
 
 LOG_LINES_PER_S = 5.0
+MAX_TEXT = 500  # characters of a line
 
 
 def print_error(text: str) -> None:
@@ -18,11 +19,13 @@
 
 
 class Log(Protocol):
-    """Where a part says what operators should know."""
+    """Takes what operators should know."""
 
-    def line(self, topic: str, text: str) -> None: ...
+    def line(self, topic: str, text: str) -> None:
+        """Log a line."""
 
-    def exception(self, where: str) -> None: ...
+    def exception(self, where: str) -> None:
+        """Log the exception in hand, from within its handler."""
 
 
 class StderrLog:
@@ -30,17 +33,20 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self.tokens, self.refilled_at = LOG_LINES_PER_S, now()
+        self.tokens = LOG_LINES_PER_S
+        self.refilled_at = now()
 
     def line(self, topic: str, text: str) -> None:
+        """Log a line, unless there were too many in the last moment."""
         now = self.now()
         self.tokens = min(LOG_LINES_PER_S, self.tokens + (now - self.refilled_at) * LOG_LINES_PER_S)
         self.refilled_at = now
         if self.tokens >= 1.0:
             self.tokens -= 1.0
-            print_error(f"{topic}: {text[:500]}")
+            print_error(f"{topic}: {text[:MAX_TEXT]}")
 
     def exception(self, where: str) -> None:
-        """An exception at a boundary, from within its handler."""
+        """Log the exception in hand in one line: its text, then the innermost calls."""
         lines = traceback.format_exc(limit=-3).strip().splitlines()
-        self.line(where, " | ".join([lines[-1], *(line.strip() for line in lines[1:-1])]))
+        calls = (line.strip() for line in lines[1:-1])
+        self.line(where, " | ".join([lines[-1], *calls]))
--- a/quartzford/engine/pending_request.py
+++ b/quartzford/engine/pending_request.py
@@ -1,5 +1,4 @@
-"""What the engine asks of a front's request (PendingRequest), of an attempt at it and of who makes
-attempts."""
+"""What the engine needs of a front's request, of an attempt at it and of the backend that makes attempts."""
 
 from __future__ import annotations
 
@@ -9,9 +8,9 @@
 
 
 class PendingRequest(ABC):
-    """A request that is owed exactly one final answer; a front makes one for each request it takes.
+    """A request that gets exactly one final answer; a front makes one for each request that it accepts.
 
-    The engine calls exactly one of served, refused, failed and broken, unless the client has left.
+    The engine calls exactly one of served, refused, failed, aborted and streamed, unless the client has left.
     """
 
     __slots__ = ("number", "deadline", "attempt", "sends", "done", "backend", "kind", "label")
@@ -28,26 +27,26 @@
 
     @abstractmethod
     def served(self, answer: Any) -> None:
-        """A backend's whole answer, in the form that this front and that backend share."""
+        """A backend's complete answer, in the form that this front and that backend share."""
 
     @abstractmethod
     def refused(self, pause_ms: float, over_quota: bool) -> None:
-        """Not run, and harmless to ask again: after pause_ms, if that is above 0."""
+        """Not run, and a retry is harmless: after pause_ms, if that is above 0."""
 
     @abstractmethod
     def failed(self) -> None:
-        """Failed; nothing is promised."""
+        """Failed; whether it has run is not known."""
 
     @abstractmethod
     def aborted(self) -> None:
-        """Ended as a last resort: an exception, or an answer that never came. Nothing is promised."""
+        """Ended as a last resort, by an exception or its deadline; whether it has run is not known."""
 
     def client_connected(self) -> bool:
-        """Whether the client is still there, asked of the system now: the loop may not have been told yet."""
+        """Whether the client is still there, by the system now: the loop may not have noticed yet."""
         return True
 
     def streamed(self, complete: bool) -> None:
-        """The end of an answer that its attempt has begun to pass on."""
+        """The end of a response that its attempt has begun to pass on; complete, or broken off."""
         return None
 
     def client_disconnected(self) -> None:
@@ -60,10 +59,10 @@
 
 
 class Attempt(ABC):
-    """One try of one request at one server; it ends with exactly one outcome, told by Engine.ended.
+    """One attempt of one request at one server; it ends with exactly one outcome, by Engine.ended.
 
-    sent: when the module chose; written: when it left for the server, NaN before; due: when it is given up;
-    all on the engine's clock, seconds.
+    sent: when the module chose; written: when it left for the server, NaN before; due: when it times out;
+    all in seconds on the engine's clock.
     """
 
     __slots__ = ("pending", "number", "server", "sent", "written", "due", "streaming", "over")
@@ -75,21 +74,22 @@
         self.sent = sent
         self.written = math.nan
         self.due = due
-        self.streaming = False  # its answer is being passed on: the attempt belongs to the client now
+        self.streaming = False  # its response is being passed on: it is the client's now
         self.over = False
 
     @abstractmethod
-    def start(self) -> None: ...
+    def start(self) -> None:
+        """Make the attempt."""
 
     @abstractmethod
     def fail(self, code: str) -> None:
-        """End it now with this outcome, if it has not ended."""
+        """End it now with this outcome, one of io.Outcome, if it has not ended."""
 
 
 class Backend(Protocol):
-    """Who makes attempts."""
+    """Makes attempts."""
 
     def attempt(
         self, pending: Any, number: int, server: str, sent: float, due: float, finish: float
     ) -> Attempt:
-        """An attempt, not begun; an answer that has begun by `due` is waited for until `finish`."""
+        """An attempt, not begun; a response that has begun by `due` is waited for until `finish`."""
--- a/quartzford/engine/request_counters.py
+++ b/quartzford/engine/request_counters.py
@@ -1,10 +1,10 @@
 """Counts that only grow, from the start of the process. What each means and when it moves:
 
-served    a whole answer of an upstream's has been handed to the client's connection, or its last piece
-refused   the client was told that trying again is harmless (429, 503), whoever decided it
-failed    the client was told of a failure, or an answer that had begun to be passed on broke
+served    a complete answer of an upstream has been handed to the client's connection, or its last piece
+refused   the client was answered that a retry is harmless (429, 503), whoever decided it
+failed    the client was answered with a failure, or an answer that had begun to be passed on broke
 attempts  the last byte of a request has gone into an upstream's connection
-rejected  what was no request was turned away before the module, by status
+rejected  what was not a valid request was rejected before the decision module, by status
 
 A request whose client left is in none of them. The class is the one that the request named, if the settings
 know it; others are counted together as OTHER.
@@ -14,16 +14,33 @@
 
 from collections import Counter
 from collections.abc import Collection, Iterable
+from enum import StrEnum
 from urllib.parse import quote
 
 OTHER = "other"
+NO_CLASS = ""
+SHED_STATUSES = (429, 503)
+
+
+class RequestEnd(StrEnum):
+    """How a request ended."""
+
+    SERVED = "served"
+    REFUSED = "refused"
+    FAILED = "failed"
+    ABANDONED = "abandoned"  # by an exception, or its deadline; counted as failed
+    CLIENT_GONE = "client gone"  # counted nowhere
 
 
 class RequestCounters:
     """The counts of one process."""
 
     def __init__(self) -> None:
-        self.ended: dict[str, Counter[str]] = {"served": Counter(), "refused": Counter(), "failed": Counter()}
+        self.ended: dict[str, Counter[str]] = {
+            RequestEnd.SERVED.value: Counter(),
+            RequestEnd.REFUSED.value: Counter(),
+            RequestEnd.FAILED.value: Counter(),
+        }
         self.classes: Collection[str] = ()  # those that the settings know
         self.attempts = 0
         self.rejected: Counter[int] = Counter()
@@ -31,22 +48,22 @@
 
     def end(self, how: str, kind: str) -> None:
         """A request has ended; a class that the settings don't know is counted without its name."""
-        self.ended[how][kind if kind in self.classes else ""] += 1
+        self.ended[how][kind if kind in self.classes else NO_CLASS] += 1
 
     def turned_away(self, status: int, kind: str) -> None:
         """An answer made before the module; kind: the class, "" where its head could not be read."""
         self.rejected[status] += 1
         if kind:
-            self.end("refused" if status in (429, 503) else "failed", kind)
+            self.end(RequestEnd.REFUSED if status in SHED_STATUSES else RequestEnd.FAILED, kind)
 
     def page(self, prefix: str, classes: Collection[str], gauges: Iterable[tuple[str, int]]) -> str:
-        """The figures, one `prefix.name=value` a line; classes: those that the settings know."""
+        """The counts and gauges, one `prefix.name=value` a line; classes: those that the settings know."""
         lines = []
         for how, counts in self.ended.items():
             lines += [(f"{how}.{quote(name)}", counts[name]) for name in classes]
-            strange = sum(count for name, count in counts.items() if name not in classes)
-            if strange and OTHER not in classes:
-                lines.append((f"{how}.{OTHER}", strange))
+            unknown = sum(count for name, count in counts.items() if name not in classes)
+            if unknown and OTHER not in classes:
+                lines.append((f"{how}.{OTHER}", unknown))
         lines.append(("attempts", self.attempts))
         lines += [(f"rejected.{status}", count) for status, count in sorted(self.rejected.items())]
         lines += [(f"reloads_{how}", count) for how, count in self.reloads.items()]
--- a/quartzford/metrics.py
+++ b/quartzford/metrics.py
@@ -1,4 +1,4 @@
-"""What one balancer does to what all share, a line of JSON a second; bench.fleetlog adds a fleet's lines up.
+"""Metrics of one balancer for experiments, a line of JSON a second; bench.fleetlog adds a fleet's lines up.
 
 Off unless QUARTZFORD_COUNTS_S is set to a span in seconds: a line costs some hundred microseconds. Counts are
 of the span, gauges of its end. Times are Unix milliseconds: the lines of many balancers can be put together.
@@ -26,17 +26,20 @@
 
 INTERVAL_VARIABLE = "QUARTZFORD_COUNTS_S"
 TRACE_VARIABLE = "QUARTZFORD_WAYS"
+MIN_INTERVAL_S = 0.05
+MAX_INTERVAL_S = 3600.0
+GOOD_OUTCOMES = (io.Outcome.OK, io.Outcome.CANCELLED, io.Outcome.NOT_SENT)  # no fault of the upstream
 
 
 def interval_of(text: str) -> float:
     """Seconds from one line to the next; ConfigError names the variable."""
     try:
-        span = float(text)
+        interval = float(text)
     except ValueError:
-        span = math.nan
-    if not 0.05 <= span <= 3600.0:
+        interval = math.nan
+    if not MIN_INTERVAL_S <= interval <= MAX_INTERVAL_S:
         raise ConfigError(f"{INTERVAL_VARIABLE}: {text!r} is not a span of 0.05 to 3600 seconds")
-    return span
+    return interval
 
 
 def process_usage() -> Counter[str]:
@@ -55,67 +58,73 @@
 
 
 class MetricsReporter:
-    """Counts of one balancer, written every so many seconds."""
+    """Counts of one balancer, written to standard error every so many seconds."""
 
     def __init__(self, node: Node, interval_s: float) -> None:
-        self.node, self.interval_s = node, interval_s
+        self.node = node
+        self.interval_s = interval_s
         self.previous: dict[str, Counter[str]] = {}
         self.sends: Counter[str] = Counter()
         self.cold: Counter[str] = Counter()  # sends by upstream, to those that are in slow start
         self.bad: Counter[str] = Counter()  # outcomes but the good ones, by upstream
-        following = os.environ.get(TRACE_VARIABLE) == "1"
-        self.traces: dict[int, list[Any]] | None = {} if following else None  # attempts, by request
+        tracing = os.environ.get(TRACE_VARIABLE) == "1"
+        self.traces: dict[int, list[Any]] | None = {} if tracing else None  # attempts, by request
         node.engine.observer = self
         node.followers.append(self)
         print("settings:", node.config.settings, node.config.descriptors, file=sys.stderr, flush=True)
         node.clock.call_later(interval_s, self._tick)
 
     def listed(self, listing: Listing) -> None:
-        """News of the list, before the module hears of them."""
-        held = self.node.engine.balancer.servers
-        rows = [tuple(e) for e in listing.entries if e.server not in held or held[e.server].entry != e]
-        named = {e.server for e in listing.entries} if listing.complete else set(held)
-        news = {
+        """An update of the endpoint list, before the module gets it: what it changes."""
+        known = self.node.engine.balancer.servers
+        rows = [tuple(e) for e in listing.entries if e.server not in known or known[e.server].entry != e]
+        named = {e.server for e in listing.entries} if listing.complete else set(known)
+        update = {
             "at": self._unix(),
             "version": listing.version,
             "whole": listing.complete,
             "rows": rows,
-            "missing": [name for name in held if name not in named],
+            "missing": [name for name in known if name not in named],
         }
-        print("news:", json.dumps(news, separators=(",", ":")), file=sys.stderr, flush=True)
+        print("news:", json.dumps(update, separators=(",", ":")), file=sys.stderr, flush=True)
 
-    def sent(self, send: io.Send, call: PendingRequest) -> None:
+    def sent(self, send: io.Send, pending: PendingRequest) -> None:
         """An attempt is about to be made."""
         balancer = self.node.engine.balancer
         server = balancer.servers[send.server]
-        self.sends["first" if call.sends == 0 else "again"] += 1
+        self.sends["first" if pending.sends == 0 else "again"] += 1
         if server.entry.zone != balancer.settings.zone:
             self.sends["across"] += 1
         if server in balancer.endpoints.slow_start.cold:
             self.cold[send.server] += 1
 
     def ended(self, attempt: Attempt, code: str) -> None:
-        """code: the outcome, and how far it had come."""
-        if code.split()[0] not in ("ok", "cancelled", "moot"):
-            self.bad[f"{code.split()[0]} {attempt.server}"] += 1
+        """An attempt has ended; code: its outcome, and how far it had come."""
+        outcome = code.split()[0]
+        if outcome not in GOOD_OUTCOMES:
+            self.bad[f"{outcome} {attempt.server}"] += 1
         if self.traces is not None and not attempt.pending.done:
             times = (self._unix(attempt.sent), self._unix(attempt.written), self._unix())
             self.traces.setdefault(attempt.pending.number, []).append([attempt.server, *times, code])
 
-    def closed(self, call: PendingRequest, how: str) -> None:
+    def closed(self, pending: PendingRequest, how: str) -> None:
         """A request has ended."""
         if self.traces is None:
             return
-        out = [[call.attempt.server, self._unix(call.attempt.sent)]] if call.attempt is not None else []
-        way = {
-            "id": call.label,
-            "class": call.kind,
+        in_flight = (
+            [[pending.attempt.server, self._unix(pending.attempt.sent)]]
+            if pending.attempt is not None
+            else []
+        )
+        trace = {
+            "id": pending.label,
+            "class": pending.kind,
             "at": self._unix(),
-            "left": self._unix(call.deadline),
+            "left": self._unix(pending.deadline),
             "how": how,
-            "tries": self.traces.pop(call.number, []) + out,
+            "tries": self.traces.pop(pending.number, []) + in_flight,
         }
-        print("way:", json.dumps(way, separators=(",", ":")), file=sys.stderr, flush=True)
+        print("way:", json.dumps(trace, separators=(",", ":")), file=sys.stderr, flush=True)
 
     def _unix(self, at: float | None = None) -> float | None:
         """Unix milliseconds of a moment of the engine's clock; now, if none is given; none for never."""
@@ -124,12 +133,16 @@
         return round(ms, 1) if math.isfinite(ms) else None
 
     def _since(self, name: str, counts: Counter[str]) -> dict[str, int]:
-        previous, self.previous[name] = self.previous.get(name, Counter()), counts.copy()
+        """What was counted since the last line."""
+        previous = self.previous.get(name, Counter())
+        self.previous[name] = counts.copy()
         return dict(counts - previous)
 
     def _line(self) -> dict[str, Any]:
-        node, balancer = self.node, self.node.engine.balancer
-        endpoints, pool = balancer.endpoints, node.pool
+        node = self.node
+        balancer = node.engine.balancer
+        endpoints = balancer.endpoints
+        pool = node.pool
         shares = [float(p) for p in endpoints.shares.p if p > 0]
         ended = node.engine.request_counters.ended
         classes = Counter({f"{how} {name}": n for how, by in ended.items() for name, n in by.items()})
