--- a/quartzford/relay/relay.py
+++ b/quartzford/relay/relay.py
@@ -1,4 +1,4 @@
-"""A relay put together: the watch on the source, the catalog, and the server that balancers ask."""
+"""A relay put together: the watch on the source, the catalog, and the server that balancers call."""
 
 from __future__ import annotations
 
@@ -21,7 +21,9 @@
     def __init__(
         self, settings: RelaySettings, clock: Clock, log: Log, loop: asyncio.AbstractEventLoop
     ) -> None:
-        self.settings, self.clock, self.log = settings, clock, log
+        self.settings = settings
+        self.clock = clock
+        self.log = log
         self.catalog = Catalog()
         self.watch = follow(settings, self, clock, log, loop)
         self.server = Server(
@@ -37,18 +39,18 @@
         self._notify_scheduled = False
 
     async def start(self) -> None:
-        """Listen, and ask the source; OSError where the address can't be had."""
+        """Listen, and begin the watch on the source; OSError where the address can't be had."""
         await self.server.listen(*split_address(self.settings.listen))
         self.watch.start()
 
     async def stop(self) -> None:
-        """End all watches in order, and the one on the source."""
+        """End all watches gracefully, and the one on the source."""
         self.log.line("relay", f"ends; {len(self.server.watchers)} watches are ended")
         await self.server.stop()
         self.watch.stop()
 
     def listed(self, listing: Listing) -> None:
-        """A line of the source. What came in one read is sent to watchers as one change."""
+        """Take a line of the source. What came in one read is sent to watchers as one update."""
         before = self.catalog.version
         incarnation = self.catalog.incarnation
         if not self.catalog.apply(listing):
@@ -67,7 +69,7 @@
 
 
 async def run(settings: RelaySettings) -> None:
-    """A relay until SIGTERM or SIGINT; ConfigError where its address can't be had."""
+    """Run a relay until SIGTERM or SIGINT; ConfigError where its address can't be had."""
     loop = asyncio.get_running_loop()
     clock = LoopClock(loop)
     relay = Relay(settings, clock, StderrLog(clock.now), loop)
--- a/quartzford/relay/source.py
+++ b/quartzford/relay/source.py
@@ -1,6 +1,6 @@
-"""The relay as an asker of the list service: one watch, made again whenever it ends.
+"""The relay as a client of the list service: one watch, made again whenever it ends.
 
-Each call asks for everything (a watch at index 0): while no watch stood the service may have begun again,
+Each call is for the complete list (a watch at index 0): while no watch stood the service may have restarted,
 with versions that say nothing of the ones before.
 """
 
