--- a/tests/relay_site.py
+++ b/tests/relay_site.py
@@ -25,7 +25,7 @@
 from standins.listservice import Plan, Service
 
 RECEIVE_BYTES = 32 * 1024  # of a gate's socket: who is before it is soon in the middle of what it writes
-READ_BYTES = 16 * 1024
+READ_BYTES = 16 * 1024  # of a gate
 
 
 def row(name: str, health: str = "ready", born: float = 0.0, port: int = 9) -> dict[str, Any]:
@@ -46,14 +46,15 @@
 
 
 class Gate:
-    """Passes a TCP service on. held: bytes wait on both ways, as in a cut; delay: seconds, of answers alone.
+    """A TCP proxy. held: bytes wait in both directions, as in a cut; delay: seconds, of answers alone.
 
     allowed: so many bytes of answers pass, and then none.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
         self.target = target
-        self.held = self.refusing = False
+        self.held = False
+        self.refusing = False
         self.delay = 0.0
         self.allowed: int | None = None
         self.came = 0  # connections
@@ -108,7 +109,7 @@
             try:
                 both = [self._take(self._up(reader, service)), self._take(self._down(answers, writer))]
                 await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
-                if not both[0].done():  # the service has ended: what it said passes whole
+                if not both[0].done():  # the service has ended: what it sent passes in full
                     both[0].cancel()
                 else:
                     both[1].cancel()
@@ -168,16 +169,19 @@
 
 
 class RelayProcess:
-    """`quartzford relay` as a process, a gate between it and the source, one between it and balancers."""
+    """`quartzford relay` as a process, one gate before the source, one before the relay."""
 
     def __init__(self, folder: Path, to_source: Gate, gate: Gate, relays: int) -> None:
-        self.folder, self.to_source, self.gate, self.relays = folder, to_source, gate, relays
+        self.folder = folder
+        self.to_source = to_source
+        self.gate = gate
+        self.relays = relays
         self.process: asyncio.subprocess.Process | None = None
         self.log: list[str] = []
         self.reading: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """A new process; its gate passes balancers on to it."""
+        """Start a process; its gate connects balancers to it."""
         file = self.folder / f"relay-{self.gate.address[1]}.toml"
         file.write_text(
             f'[relay]\nlisten = "127.0.0.1:0"\nsource = "127.0.0.1:{self.to_source.address[1]}"\n'
@@ -214,7 +218,7 @@
         self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """SIGKILL; until it is gone."""
+        """Send SIGKILL and wait until the process is gone."""
         self.send(signal.SIGKILL)
         self.gate.refusing = True
         assert self.process is not None
@@ -229,7 +233,7 @@
 
 
 class Balancer:
-    """A balancer's control side: its watch, its policy of calls and its rows, with what it was told when."""
+    """A balancer's control side: its watch, its call policy and its rows, and what it received when."""
 
     def __init__(
         self, name: str, relays: list[Gate], direct: Gate, fleet: int, back: float, seed: int
@@ -249,7 +253,7 @@
         self.received.append((time.monotonic(), listing))
 
     def at(self, gate: Gate) -> bool:
-        """The watch stands there."""
+        """Whether the watch stands at this gate."""
         call = self.watch.call
         return self.watch.is_current() and call is not None and call.target.address == gate.address
 
@@ -263,12 +267,12 @@
         return {row["host"]: row for row in self.registry.table()["hosts"]}
 
     def watches_ended(self) -> int:
-        """Watches that stood and ended, not calls that were turned away."""
+        """Watches that stood and ended, not rejected calls."""
         counts = self.watch.counts
         return counts["ended closed"] + counts["ended silent"] + counts["ended in order"]
 
     def received_at(self, version: int) -> float:
-        """When it had that version or a later one; infinity if not yet."""
+        """When it received that version or a later one; infinity if not yet."""
         return next((at for at, listing in self.received if listing.version >= version), float("inf"))
 
 
@@ -327,17 +331,17 @@
         return one
 
     async def settled(self, *balancers: Balancer, seconds: float = 20.0) -> None:
-        """Until these, or all, have a watch and the source's rows."""
+        """Wait until these, or all, have a watch and the source's rows."""
         whom = balancers or self.balancers
         await until(lambda: all(one.watch.is_current() for one in whom), seconds)
         await until(lambda: all(self.has_all(one) for one in whom), seconds)
 
     def has_all(self, balancer: Balancer) -> bool:
-        """The source's version, and its rows exactly."""
+        """Whether it has the source's version, and its rows exactly."""
         return balancer.watch.version == self.service.version and balancer.rows() == self.service.rows
 
     def change(self, *names: str, **changes: Any) -> tuple[float, int]:
-        """These rows change at the source, or all where none is named: when, and to which version."""
+        """Change these rows at the source, or all where none is named: when, and to which version."""
         hosts = [
             host | changes if not names or host["host"] in names else host
             for host in self.service.rows.values()
@@ -347,17 +351,17 @@
         return at, self.service.version
 
     async def all_received(self, version: int, balancers: list[Balancer], seconds: float = 30.0) -> float:
-        """When the last of them had it."""
+        """Wait until all have received a version: when the last of them had it."""
         await until(lambda: all(one.received_at(version) < float("inf") for one in balancers), seconds)
         return max(one.received_at(version) for one in balancers)
 
     async def after_heartbeat(self, gate: Gate) -> None:
-        """Until something has just passed there: the most time is left until silence is noticed."""
+        """Wait until something has just passed: the most time is left until silence is noticed."""
         before = gate.down
         await until(lambda: gate.down > before)
 
     def begin_incarnation(self, version: int, hosts: list[dict[str, Any]]) -> None:
-        """The source begins another life at this version."""
+        """Begin another incarnation of the source at this version."""
         service = self.service
         service.rows = {host["host"]: host for host in hosts}
         service.version, service.removed = version, {}
@@ -365,7 +369,7 @@
         service.encoded_whole = 0, b""
 
     def send_line(self, text: bytes) -> None:
-        """A line on the source's watches, as it is."""
+        """Send a line on the source's watches, as it is."""
         for watch in self.service.watches:
             watch.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
@@ -383,13 +387,13 @@
 
 
 async def begin(lag: Lag) -> None:
-    """What this loop was late at the start is left out."""
+    """Leave out how late this loop was at the start."""
     await asyncio.sleep(0.02)
     lag.worst = 0.0
 
 
 async def run_together(*parts: Callable[[], Awaitable[None]]) -> None:
-    """Independent cases at the same time; the first that fails ends all."""
+    """Run independent cases at the same time; the first that fails ends all."""
     async with asyncio.TaskGroup() as tasks:
         for part in parts:
             tasks.create_task(part())  # type: ignore[arg-type]
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -1,4 +1,4 @@
-"""Source, relays as processes, and balancers: what fails in between, with the crossing forced."""
+"""Source, relays as processes, and balancers: failures in between, at forced moments."""
 
 from __future__ import annotations
 
@@ -35,11 +35,8 @@
             await one.kill()
             one.gate.drop()
             await at.settled()
-            assert (
-                balancer.at(at.relays[1].gate)
-                and balancer.complete_lists() == 1
-                and len(balancer.received) == 1
-            )
+            assert balancer.at(at.relays[1].gate)
+            assert balancer.complete_lists() == 1 and len(balancer.received) == 1
             assert at.next_call_direct.came == 0
 
     async def change() -> None:
@@ -88,7 +85,7 @@
 
 
 async def cut_on_one_side() -> None:
-    """The first relay from the source, the second from its balancers; the third is well."""
+    """The first relay is cut from the source, the second from its balancers; the third is healthy."""
     async with site(3, rows(20)) as at, Lag() as lag:
         one, two, three = at.relays
         balancers = [at.balancer(0, 2) for _ in range(4)] + [at.balancer(1, 2) for _ in range(4)]
@@ -183,7 +180,7 @@
 
 @run
 async def test_the_source_begins_again_with_lower_versions_and_repeats_a_version_with_other_rows() -> None:
-    """On the watch that stands, and behind a death of the source; and garbage in between."""
+    """A new incarnation on the watch that stands, and after the source was down; garbage in between."""
     async with site(2, rows(30)) as at:
         balancers = [at.balancer(number % 2) for number in range(6)]
         await at.settled()
@@ -214,7 +211,7 @@
 
 
 async def index_of_an_earlier_life(anew: bool) -> None:
-    """Its relay is killed before it tells the new life; the other has heard both, or began in the new one."""
+    """Its relay is killed before it sends the new incarnation; the other has heard both, or only that."""
     async with site(2, rows(30)) as at:
         one, two = at.relays
         balancers = [at.balancer(0) for _ in range(4)]
@@ -237,7 +234,7 @@
         await at.settled()
         at.change("host-00000002", health="draining")
         await at.settled()
-        # The new relay lets an index above its version wait, which may look as if no relay were there.
+        # The new relay makes an index above its version wait, which may look as if no relay were there.
         assert anew or (
             all(balancer.at(two.gate) for balancer in balancers) and at.next_call_direct.came == 0
         )
@@ -249,7 +246,7 @@
 
 
 async def back_and_forth() -> None:
-    """The first relay hears all 0.6 s late, the second at once; moved by resets, under changes."""
+    """The first relay hears all lines 0.6 s late, the second at once; moves by resets, under changes."""
     async with site(2, rows(20)) as at:
         one, two = at.relays
         one.to_source.delay = 0.6
@@ -301,7 +298,7 @@
 
 
 async def drains() -> None:
-    """The source's write is the clock; quiet, then a relay killed then, then one that was telling."""
+    """From the source's write on: no failure, a relay killed then, and one killed as it sends."""
     async with site(3, rows(20)) as at, Lag() as lag:
         one, two, three = at.relays
         first, second = [at.balancer(0, 2) for _ in range(3)], [at.balancer(1, 2) for _ in range(3)]
@@ -355,18 +352,16 @@
         assert at.next_call_direct.came == 0
         at.change("host-00000002", health="draining")
         await at.settled()
-        assert [balancer.watches_ended() - was for balancer, was in zip(balancers, ended, strict=True)] == [
-            1
-        ] * 8
-        for balancer, was in zip(balancers, received, strict=True):
-            assert (
-                balancer.complete_lists() == 1 and len(balancer.received) == was + 2
-            )  # nothing new, and the change
+        for balancer, ended_before in zip(balancers, ended, strict=True):
+            assert balancer.watches_ended() == ended_before + 1
+        for balancer, received_before in zip(balancers, received, strict=True):
+            assert balancer.complete_lists() == 1
+            assert len(balancer.received) == received_before + 2  # an empty update, and the change
         assert starter.complete_lists() == 1
 
 
 async def all_relays_gone() -> None:
-    """The spread interval: 92 s in a fleet of 4,600, 2 s in one of 116 that is not let in, 0 in one of 10."""
+    """The spread interval: 92 s in a fleet of 4,600, 2 s in one of 116 that is rejected, 0 in one of 10."""
     async with site(2, rows(20)) as at:
         closed = await at.gate(at.next_call_direct.target)
         closed.refusing = True
@@ -403,7 +398,7 @@
 
 
 class Latest(random.Random):
-    """Draws the longest wait of any range."""
+    """A generator that draws the longest wait of any range."""
 
     def random(self) -> float:
         return 0.999
@@ -411,7 +406,7 @@
 
 @run
 async def test_sigterm_of_a_relay_under_thirty_watchers() -> None:
-    """They go on elsewhere by index within a second, and no whole list is sent anywhere."""
+    """Watchers go on elsewhere by index within a second, and no complete list is sent anywhere."""
     async with site(3, rows(2_000)) as at, Lag() as lag:
         one, others = at.relays[0], at.relays[1:]
         balancers = [at.balancer(0) for _ in range(30)]
