--- a/quartzford/relay/connection.py
+++ b/quartzford/relay/connection.py
@@ -1,36 +1,31 @@
-"""One client's connection to a relay: a call for the complete list, or a watch. Times are in seconds."""
+"""One client's call to a relay: for the complete list, or a watch. Times are in seconds."""
 
 from __future__ import annotations
 
-import asyncio
 from collections import Counter
-from collections.abc import Callable
 from enum import Enum
-from typing import Protocol, cast
+from typing import Protocol
 
-from quartzford.engine import Clock, Handle
-from quartzford.protocols.lingering import LingeringClose
+from quartzford.engine import Clock
 from quartzford.relay.catalog import Catalog, Position, UpdateKind, WatcherUpdate
 from quartzford.relay.list_transfer import ListTransfer
 from quartzford.relay.metrics import Metric
-from quartzford.relay.request import ListRequest, RequestError, RequestParser
+from quartzford.relay.request import ListRequest
 from quartzford.relay.responses import (
     CHUNK_END,
     HEARTBEAT,
     LAST_CHUNK,
     WATCH_HEAD,
     chunk_head,
-    error_response,
     list_head,
     rejection,
 )
+from quartzford.relay.single_request import SingleRequestConnection
 from quartzford.relay.source_monitor import SourceMonitor, SourceState
 from quartzford.relay.transfer_queue import TransferQueue
 from quartzford.relay.transfer_schedule import TransferSchedule
 from quartzford.relay.watch_limit import WatchLimit
 
-REQUEST_TIMEOUT_S = 5.0  # a connection on which no request has begun by then is closed
-REQUEST_READ_TIMEOUT_S = 2.0  # a request that is not complete so long after it began is answered 408
 LIST_SEND_TIMEOUT_S = 60.0  # a client that has not taken the list by then has given up as well
 HEARTBEAT_TICKS = 20  # of the server's clock: a heartbeat to each watcher every two seconds
 AHEAD_SETTLE_S = 2.0  # an index still ahead so long after the source's next line is of another incarnation
@@ -60,7 +55,7 @@
         """A line as a chunk, encoded once for all watchers that get it."""
 
 
-class ConnectionState(Enum):
+class CallState(Enum):
     """How far a call has come."""
 
     READING_REQUEST = "reading request"
@@ -68,157 +63,88 @@
     SCHEDULED = "scheduled"  # for the sending of a complete list
     SENDING_LIST = "sending list"
     WATCHING = "watching"
-    CLOSED = "closed"  # nothing more is written but what has been handed to the transport
+    ENDED = "ended"
 
 
-class ClientConnection(asyncio.Protocol):
+class ClientConnection(SingleRequestConnection):
     """A client's connection, from its request to its end. Clients are balancers."""
 
-    transport: asyncio.Transport
-
     def __init__(self, server: ConnectionServer) -> None:
+        super().__init__(server.clock)
         self.server = server
-        self.state = ConnectionState.READING_REQUEST
+        self.state = CallState.READING_REQUEST
         self.index: int | None = None  # that a watch was called with; None for a call that is no watch
         self.position: Position | None = None  # what a watcher has been sent
         self.heartbeat_slot = 0  # the tick at which heartbeats are sent, modulo HEARTBEAT_TICKS
-        self._request_parser = RequestParser()
         self._requested_at = 0.0
         self._first_ahead_at = 0.0  # when the index was found ahead of a line younger than the request
         self._response_begun = False
-        self._writing_paused = False
         self._transfer: ListTransfer | None = None
         self._reserved_bytes = 0  # of the transfer schedule
-        self._timer: Handle | None = None
-        self._lingering: LingeringClose | None = None
 
     # ---- the connection
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for a request, for REQUEST_TIMEOUT_S."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)
+    def accepted(self) -> None:
+        """Wait for a request, unless the relay stops or has too many connections."""
         self.server.connections.add(self)
         if self.server.stopping:
             return self.abort()
         if self.server.too_many_connections():
             self._reject(FULL_RETRY_S, Metric.FULL)
             return self.transport.close()  # nothing was read, and descriptors are short
-        self._set_timer(REQUEST_TIMEOUT_S, self.abort)
+        self.expect_request()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Release all that the call held."""
-        self._release()
-        self._request_parser.close()
-        self._cancel_timer()
+        """Release all that the connection held."""
+        super().connection_lost(error)
         self.server.connections.discard(self)
 
-    def data_received(self, data: bytes) -> None:
-        """Read the request; bytes behind it are dropped, as a connection carries one call."""
-        if self._lingering is not None:
-            return self._lingering.received(len(data))
-        if self.state is not ConnectionState.READING_REQUEST:
-            return
-        if not self.bytes_read:
-            self._set_timer(REQUEST_READ_TIMEOUT_S, self._respond_error, 408)
-        try:
-            request = self._request_parser.feed(data)
-        except RequestError as error:
-            return self._respond_error(error.status)
-        if request is not None:
-            self._begin_call(request)
-
-    def eof_received(self) -> bool:
-        """A half-close: a call for the list alone is still answered, any other client has left."""
-        is_list_call = self.index is None and self.state is not ConnectionState.READING_REQUEST
-        if is_list_call and self._lingering is None:
-            return True
-        self._release()
-        return False
-
-    def pause_writing(self) -> None:
-        """The socket takes no more bytes."""
-        self._writing_paused = True
-
-    def resume_writing(self) -> None:
-        """The socket has taken all: write what has become due meanwhile."""
-        self._writing_paused = False
-        if self.state is ConnectionState.SENDING_LIST:
+    def writable(self) -> None:
+        """Write what has become due while the socket took no bytes."""
+        if self.state is CallState.SENDING_LIST:
             self.server.transfer_queue.add(self)
         else:
             self.send_updates()
 
-    @property
-    def bytes_read(self) -> int:
-        """Bytes of the request so far."""
-        return self._request_parser.bytes_read
-
-    # ---- the end
-
-    def abort(self) -> None:
-        """Close at once; bytes that have not been sent are dropped."""
-        self._release()
-        self.transport.abort()
+    def release(self) -> None:
+        """Leave the server's tables and give back the reserved slot."""
+        self.state = CallState.ENDED
+        self._transfer = None
+        self.server.waiting.pop(self, None)
+        self.server.watchers.pop(self, None)
+        if self._reserved_bytes:
+            self.server.transfer_schedule.release(self._reserved_bytes)
+            self._reserved_bytes = 0
 
     def end(self) -> None:
         """End the call gracefully: a watch's response ends, a call without a response is rejected."""
-        if self.state is ConnectionState.CLOSED:
+        if self.state is CallState.ENDED:
             return
-        if self.state is ConnectionState.READING_REQUEST and not self.bytes_read:
+        if self.state is CallState.READING_REQUEST and not self.bytes_read:
             return self.abort()
         if not self._response_begun:
             return self._reject(REJECTED_RETRY_S, Metric.REJECTED)
-        if self.state is ConnectionState.SENDING_LIST and not self.server.stopping:
+        if self.state is CallState.SENDING_LIST and not self.server.stopping:
             return  # the list is sent to its end, and the call ends behind it
-        if self._writing_paused or self._transfer is not None:
+        if self.writing_paused or self._transfer is not None:
             return self.abort()
-        self._send_last(LAST_CHUNK if self.index is not None else b"")
-
-    def _send_last(self, data: bytes) -> None:
-        """Write the last bytes; the connection is closed once they are taken."""
-        self._release()
-        if data:
-            self.transport.write(data)
-        self._set_timer(LIST_SEND_TIMEOUT_S, self.transport.abort)
-        clock = self.server.clock
-        self._lingering = LingeringClose(self.transport, clock.now())
-        self._lingering.close_in_time(clock)
-
-    def _respond_error(self, status: int) -> None:
-        self._send_last(error_response(status))
+        self.send_last(LAST_CHUNK if self.index is not None else b"")
 
     def _reject(self, retry_after_s: float, metric: Metric) -> None:
         self.server.counts[metric] += 1
-        self._send_last(rejection(retry_after_s))
-
-    def _release(self) -> None:
-        self.state = ConnectionState.CLOSED
-        self._transfer = None
-        self.server.waiting.pop(self, None)
-        self.server.watchers.pop(self, None)
-        if self._reserved_bytes:
-            self.server.transfer_schedule.release(self._reserved_bytes)
-            self._reserved_bytes = 0
-
-    def _set_timer(self, delay_s: float, callback: Callable[..., object], *arguments: object) -> None:
-        self._cancel_timer()
-        self._timer = self.server.clock.call_later(delay_s, callback, *arguments)
-
-    def _cancel_timer(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
+        self.send_last(rejection(retry_after_s))
 
     # ---- the call
 
-    def _begin_call(self, request: ListRequest) -> None:
+    def request_received(self, request: ListRequest) -> None:
+        """Begin the call: a watch is admitted or rejected, and answered once the source's state allows it."""
         self.index = request.index
-        self._cancel_timer()
         if self.index is None:
             self.server.counts[Metric.LIST_CALLS] += 1
         elif not self._admit_watch():
             return self._reject(FULL_RETRY_S, Metric.FULL)
         self._requested_at = self.server.clock.now()
-        self.state = ConnectionState.WAITING_FOR_SOURCE
+        self.state = CallState.WAITING_FOR_SOURCE
         self.server.waiting[self] = None
         self.proceed()
 
@@ -234,7 +160,7 @@
 
     def proceed(self) -> None:
         """Answer a call that waits for the source, if the source's state allows it by now."""
-        if self.state is not ConnectionState.WAITING_FOR_SOURCE:
+        if self.state is not CallState.WAITING_FOR_SOURCE:
             return
         catalog = self.server.catalog
         has_list = catalog.version is not None
@@ -254,7 +180,7 @@
             self._schedule_list()
         else:
             self.server.waiting.pop(self, None)
-            self.state = ConnectionState.WATCHING
+            self.state = CallState.WATCHING
             self._send_changes(update.line or self.server.catalog.no_changes_line())
 
     def _is_of_another_incarnation(self) -> bool:
@@ -268,7 +194,7 @@
 
     def send_updates(self) -> None:
         """Send a watcher all changes since its position, if its socket takes bytes."""
-        if self.state is not ConnectionState.WATCHING or self._writing_paused:
+        if self.state is not CallState.WATCHING or self.writing_paused:
             return
         update = self.server.catalog.update_for(self.position)
         if update.kind is UpdateKind.CHANGES:
@@ -278,7 +204,7 @@
 
     def send_heartbeat(self) -> None:
         """Send a watcher an empty line, which says that nothing has changed."""
-        if self.state is ConnectionState.WATCHING and not self._writing_paused:
+        if self.state is CallState.WATCHING and not self.writing_paused:
             self.transport.write(HEARTBEAT)
 
     def _send_changes(self, line: bytes) -> None:
@@ -304,11 +230,11 @@
                 return self.end()
             return self._reject(slot.wait, Metric.REJECTED)
         self._reserved_bytes = size
-        self.state = ConnectionState.SCHEDULED
-        self._set_timer(slot.wait, self._begin_list)
+        self.state = CallState.SCHEDULED
+        self.set_timer(slot.wait, self._begin_list)
 
     def _begin_list(self) -> None:
-        if self.state is not ConnectionState.SCHEDULED:
+        if self.state is not CallState.SCHEDULED:
             return
         if self.server.stopping:
             return self.end()
@@ -321,10 +247,10 @@
         self._transfer = ListTransfer(complete_list)
         head = self._list_response_head(self._transfer.length)
         self._response_begun = True
-        self.state = ConnectionState.SENDING_LIST
-        self._set_timer(LIST_SEND_TIMEOUT_S, self.abort)
+        self.state = CallState.SENDING_LIST
+        self.set_timer(LIST_SEND_TIMEOUT_S, self.abort)
         self.transport.write(head)
-        if not self._writing_paused:
+        if not self.writing_paused:
             self.server.transfer_queue.add(self)
 
     def _list_response_head(self, length: int) -> bytes:
@@ -346,7 +272,7 @@
     def send_part(self) -> bool:
         """Write the next part of the complete list; whether another one may follow at once."""
         transfer = self._transfer
-        if transfer is None or self._writing_paused:
+        if transfer is None or self.writing_paused:
             return False
         if transfer.position.incarnation != self.server.catalog.incarnation:
             self.abort()  # the source has restarted: the list is of no use
@@ -354,16 +280,16 @@
         self.transport.write(transfer.next_part())
         if transfer.finished:
             self._finish_list(transfer.position)
-        return self.state is ConnectionState.SENDING_LIST and not self._writing_paused
+        return self.state is CallState.SENDING_LIST and not self.writing_paused
 
     def _finish_list(self, position: Position) -> None:
         """All of the list is written: a watch goes on from its position."""
         if self.index is None:
-            return self._send_last(b"")
-        self._cancel_timer()
+            return self.send_last(b"")
+        self.cancel_timer()
         self._transfer = None
         self.position = position
-        self.state = ConnectionState.WATCHING
+        self.state = CallState.WATCHING
         self.transport.write(CHUNK_END)
         if self.server.source.state() is SourceState.LOST:
             return self.end()
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -14,7 +14,7 @@
 
 from quartzford.fronts import operations
 from quartzford.fronts.http1 import MAX_LINGERING
-from quartzford.relay.connection import ConnectionState
+from quartzford.relay.connection import CallState
 
 STATUS = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
 ANSWERED_S = 3.0  # whoever stops in the middle of a request is answered by then
@@ -206,7 +206,7 @@
     async with site() as here:
         sock = await relay_client(here, "GET /else HTTP/1.1\r\n")
         sock.send(b"Content-Length: 99999999\r\n\r\n")
-        await until(lambda: all(each.state is ConnectionState.CLOSED for each in here.server.connections))
+        await until(lambda: all(each.state is CallState.ENDED for each in here.server.connections))
         for _ in range(7):
             await asyncio.get_running_loop().sock_sendall(sock, b"b" * 10_000)
         assert await status_of(sock) == 404
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -19,9 +19,9 @@
 from test_relay_catalog import row
 
 from quartzford.engine import LoopClock, StderrLog
-from quartzford.relay import connection
+from quartzford.relay import single_request
 from quartzford.relay.catalog import MAX_ENCODINGS
-from quartzford.relay.connection import ConnectionState
+from quartzford.relay.connection import CallState
 from quartzford.relay.list_transfer import PART_BYTES
 from quartzford.relay.relay import Relay
 from quartzford.settings.operator_settings import RelaySettings
@@ -175,7 +175,7 @@
 
 
 def test_what_is_no_call_for_the_list_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 1.0)
+    monkeypatch.setattr(single_request, "REQUEST_TIMEOUT_S", 1.0)
 
     async def main() -> None:
         async with site() as here:
@@ -208,7 +208,7 @@
             slow, quick = await here.watch(8, receive=4096), await here.watch(8)
             watcher = next(iter(here.server.watchers))
             version = 8
-            while not watcher._writing_paused:
+            while not watcher.writing_paused:
                 version += 1
                 here.source.send_line(
                     table(version, *(row(f"s{n}", born_ms=version) for n in range(900)), complete=False)
@@ -252,7 +252,7 @@
                 assert (await quick.lines_to(version))[-1]["hosts"] == [row("s5", block=version)]
                 for drip in drips:
                     drip.taken += await drip.reader.readexactly(1)
-            sending = [c for c in here.server.watchers if c.state is ConnectionState.SENDING_LIST]
+            sending = [c for c in here.server.watchers if c.state is CallState.SENDING_LIST]
             assert len(sending) == len(drips)
             assert all(c.transport.get_write_buffer_size() <= PART_BYTES + 64 for c in sending)
             assert len(here.relay.catalog._encodings) <= MAX_ENCODINGS + 1
