--- /dev/null
+++ b/quartzford/housekeeping.py
@@ -0,0 +1,60 @@
+"""What a balancer does at intervals: it looks for time-outs on its connections, and logs a summary."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from quartzford.backends.http_backend import HttpBackend
+from quartzford.engine import Budget, Clock, Engine, Log
+from quartzford.fronts.http1 import HttpFront
+
+SWEEP_INTERVAL_S = 0.25
+SUMMARY_INTERVAL_S = 10.0
+
+
+class Housekeeping:
+    """The repeated work of one balancer."""
+
+    def __init__(
+        self,
+        engine: Engine,
+        front: HttpFront,
+        backend: HttpBackend,
+        budget: Budget,
+        clock: Clock,
+        log: Log,
+    ) -> None:
+        self.engine = engine
+        self.front = front
+        self.backend = backend
+        self.budget = budget
+        self.clock = clock
+        self.log = log
+        self._summarized: Counter[str] = Counter()  # the counts at the last summary
+
+    def schedule_summary(self) -> None:
+        """Log a summary after each interval from now on."""
+        self.clock.call_later(SUMMARY_INTERVAL_S, self._log_summary)
+
+    def schedule_sweep(self) -> None:
+        """Look for time-outs after each interval from now on."""
+        self.clock.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def _log_summary(self) -> None:
+        counts = self.engine.counts
+        since_last = counts - self._summarized
+        self._summarized = counts.copy()
+        parts = [f"{name} {count}" for name, count in sorted(since_last.items())]
+        parts.append(f"clients {len(self.front.clients)}")
+        parts.append(f"upstream connections {len(self.backend.connections)}")
+        parts.append(f"buffered {self.budget.used}")
+        self.log.line("summary", ", ".join(parts))
+        self.schedule_summary()
+
+    def _sweep(self) -> None:
+        try:
+            self.backend.sweep()
+            self.front.sweep()
+        except Exception:
+            self.log.exception("sweep")
+        self.schedule_sweep()
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -149,7 +149,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.node.terminate)
         await self.start()
-        while not self.node.ending:
+        while not self.node.shutting_down:
             await asyncio.sleep(0.02)
         if self.extproc is not None:
             await self.extproc.stop()
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -253,11 +253,11 @@
             stays.sendall(request()[:-1])
             await until(lambda: len([c for c in node.front.clients if c.in_message]) == WRITERS + 1)
             node.terminate()
-            killed = node.draining_since + DEADLINE_S + KILL_MARGIN_S
+            killed = node.shutdown.started_at + DEADLINE_S + KILL_MARGIN_S
             known.set_result(killed)
             hold: HeldClock | HeldAnswer
             if place == "clock":
-                node.clock = hold = HeldClock(node.clock, killed - before_s)  # type: ignore[assignment]
+                node.shutdown.clock = hold = HeldClock(node.clock, killed - before_s)  # type: ignore[assignment]
             else:
                 hold = HeldAnswer(monkeypatch, killed - before_s)
             await node.finished
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -173,7 +173,7 @@
         open_call.write(status[10:])
         assert (await read_message(reader)).status == 200
         assert not world.node.engine.balancer.in_maintenance
-        world.node.ending = True
+        world.node.shutting_down = True
         assert (await call(world, status)).status == 503
         for _, writer in silent:
             writer.close()
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -9,7 +9,7 @@
 from peers import SETTINGS, Message, World, read_message, reply, request, run, until
 
 from quartzford.backends.connection_pool import MIN_IDLE_S, Upstream
-from quartzford.node import BASE_DESCRIPTORS
+from quartzford.resource_limits import BASE_DESCRIPTORS
 
 
 @run
