--- a/bench/slopes_configuration.py
+++ b/bench/slopes_configuration.py
@@ -19,7 +19,7 @@
 from bench.fit import figure
 from bench.slopes_list import quiet_node
 from bench.slopes_process import Ticks, measured, resident_mb
-from quartzford.__main__ import reload
+from quartzford.__main__ import reload_configuration
 from quartzford.decision.columns import load_arrays
 from quartzford.settings.configuration import load_config
 from standins.site import CLASSES, config, free_port
@@ -65,7 +65,7 @@
     resident, done = resident_mb(), asyncio.Event()
 
     def reread() -> None:
-        reload(node)
+        reload_configuration(node)
         done.set()
 
     node.loop.add_signal_handler(signal.SIGHUP, reread)
