--- a/quartzford/replacement/messages.py
+++ b/quartzford/replacement/messages.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 
 from quartzford.replacement.errors import MessageFormatError
@@ -57,7 +55,7 @@
 Message = Hello | ListenerTransfer | StatePart | Serving | Heartbeat | ClientTransfer | MaintenanceUpdate
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder: Any = msgspec.msgpack.Decoder(Message)
+_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 def encode_message(message: Message) -> bytes:
@@ -68,7 +66,6 @@
 def decode_message(data: bytes) -> Message:
     """The message in a datagram; MessageFormatError where there is none that this version knows."""
     try:
-        message: Message = _decoder.decode(data)
+        return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise MessageFormatError(f"a message that can't be read: {error}") from None
-    return message
--- a/quartzford/replacement/state.py
+++ b/quartzford/replacement/state.py
@@ -59,8 +59,8 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder: Any = msgspec.msgpack.Decoder(BalancerState)
-_any_format_decoder: Any = msgspec.msgpack.Decoder(dict[str, Any])
+_decoder: msgspec.msgpack.Decoder[BalancerState] = msgspec.msgpack.Decoder(BalancerState)
+_any_format_decoder: msgspec.msgpack.Decoder[dict[str, Any]] = msgspec.msgpack.Decoder(dict[str, Any])
 
 
 def split_state(state: BalancerState) -> list[bytes]:
@@ -80,7 +80,6 @@
         sent_format = _any_format_decoder.decode(data).get("format")
         if sent_format != STATE_FORMAT:
             raise StateFormatError(f"a state of format {sent_format!r}; this process reads {STATE_FORMAT}")
-        state: BalancerState = _decoder.decode(data)
+        return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, OverflowError) as error:
         raise StateFormatError(f"a state that can't be read: {error}") from None
-    return state
