--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -472,7 +472,7 @@
     return (
         row(
             "state",
-            "who is out by hand",
+            "endpoints in maintenance",
             UNKNOWN,
             "number",
             today="`replacement/maintenance_file.py`, at each balancer",
--- a/quartzford/fronts/http1.py
+++ b/quartzford/fronts/http1.py
@@ -146,7 +146,7 @@
             self.listener.close()
 
     async def adopt(self, sock: socket.socket) -> None:
-        """A connection that rests, from the process before."""
+        """An idle connection, from the predecessor."""
         await open_connection(self.loop, lambda: Client(self), sock)
 
     def offer_all(self) -> None:
