--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -22,7 +22,7 @@
 import uvloop
 from helpers import started
 from peers import request, run, until
-from test_replacement import Line, in_line
+from test_replacement import ReplacedBalancer, with_replaced_balancer
 
 from quartzford import atomic_file
 from quartzford.decision import interface as io
@@ -479,19 +479,19 @@
     assert read_maintenance_file(str(path)) == ["of the old one"] and os.listdir(tmp_path) == ["out"]
 
 
-@in_line
-async def test_a_ban_that_the_process_before_could_not_put_on_file_is_put_there_by_its_successor(
-    it: Line,
+@with_replaced_balancer
+async def test_maintenance_that_the_predecessor_could_not_write_is_written_by_its_successor(
+    balancer: ReplacedBalancer,
 ) -> None:
-    assert (await it.call("PUT /maintenance/enter", "s1")).status == 200
-    (file,) = it.folder.glob("*.out")
+    assert (await balancer.call("PUT /maintenance/enter", "s1")).status == 200
+    (file,) = balancer.folder.glob("*.out")
     file.unlink()  # as if it had never been written
-    await it.replace()
-    it.processes[-1].kill()
-    await it.processes[-1].wait()
-    await it.start()
-    await it.yes()
-    assert (await it.figures())["edge.upstreams_excluded"] == 1
+    await balancer.replace()
+    balancer.processes[-1].kill()
+    await balancer.processes[-1].wait()
+    await balancer.start()
+    await balancer.yes()
+    assert (await balancer.figures())["edge.upstreams_excluded"] == 1
 
 
 @pytest.mark.parametrize("name", ["open", "chmod", "replace"])
@@ -546,11 +546,11 @@
     monkeypatch.setattr(test_process, "COMMAND", f"{test_process.COMMAND} 2>/dev/full")
 
     async def test() -> None:
-        async with test_process.program(tmp_path) as it:
-            it.process.send_signal(signal.SIGHUP)
-            assert (await it.ask(request())).status == 200
-            it.process.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(it.process.wait(), 20) == 0
+        async with test_process.program(tmp_path) as balancer:
+            balancer.process.send_signal(signal.SIGHUP)
+            assert (await balancer.ask(request())).status == 200
+            balancer.process.send_signal(signal.SIGTERM)
+            assert await asyncio.wait_for(balancer.process.wait(), 20) == 0
         bad = await test_process.spawn("{", tmp_path / "bad.json")
         assert await asyncio.wait_for(bad.wait(), 20) == 2
 
@@ -604,12 +604,12 @@
     monkeypatch.setattr(test_process, "COMMAND", command)
 
     async def test() -> None:
-        async with test_process.program(tmp_path) as it:
+        async with test_process.program(tmp_path) as balancer:
             for _ in range(300):
-                assert (await it.ask(request())).status == 200
-            it.process.send_signal(signal.SIGTERM)
-            _, errors = await asyncio.wait_for(it.process.communicate(), 20)
-        assert it.process.returncode == 0
+                assert (await balancer.ask(request())).status == 200
+            balancer.process.send_signal(signal.SIGTERM)
+            _, errors = await asyncio.wait_for(balancer.process.communicate(), 20)
+        assert balancer.process.returncode == 0
         waited = re.search(rb"not written to its end within ([0-9.]+) s", errors)
         assert waited is not None and float(waited[1]) <= 3.0 + 0.7
 
--- a/tests/test_frozen_data.py
+++ b/tests/test_frozen_data.py
@@ -15,7 +15,7 @@
 
 import pytest
 from canonical import plain
-from test_replacement import learnt
+from test_replacement import learned_balancer
 from test_wirehost import play
 
 from quartzford.decision import interface as io
@@ -134,7 +134,7 @@
 
 
 def make_state() -> bytes:
-    memory = learnt(tenants=(io.Tenant("acme", 100.0),)).hand_over(2_100.0)
+    memory = learned_balancer(tenants=(io.Tenant("acme", 100.0),)).hand_over(2_100.0)
     return write_state(wire.BalancerState(wire.STATE_FORMAT, LIST, 41, ["10.0.0.5", 8500], True, 3, memory))
 
 
--- a/tests/test_frozen_replacement.py
+++ b/tests/test_frozen_replacement.py
@@ -18,7 +18,7 @@
 import uvloop
 from peers import request, until
 from test_process import ROOT
-from test_replacement import Line, line
+from test_replacement import ReplacedBalancer, replaced_balancer
 
 FROZEN_COMMIT = Path(__file__).parent / "data" / "FROZEN_COMMIT"
 CLIENTS = 12
@@ -57,8 +57,8 @@
 class Clients:
     """Clients with a request out at all times, safe ones and unsafe, each on a connection that is kept."""
 
-    def __init__(self, it: Line) -> None:
-        self.it = it
+    def __init__(self, balancer: ReplacedBalancer) -> None:
+        self.balancer = balancer
         self.stopped = False
         self.served = [0] * CLIENTS
         self.tasks = [asyncio.ensure_future(self._run(number)) for number in range(CLIENTS)]
@@ -70,7 +70,7 @@
 
     async def _run(self, number: int) -> None:
         """One client: every answer is a good one, and none ends its connection."""
-        kept = await self.it.connect()
+        kept = await self.balancer.connect()
         data = request("pay", b"x") if number % 2 else request()
         while not self.stopped:
             answer = await kept.ask(data)
@@ -93,19 +93,19 @@
 
 async def replaced_back_and_forth(folder: Path, roots: list[Path]) -> None:
     """Processes of these places follow one another under load; what operators took out stays out."""
-    async with line(folder, root=roots[0]) as it:
-        clients = Clients(it)
+    async with replaced_balancer(folder, root=roots[0]) as balancer:
+        clients = Clients(balancer)
         await clients.all_served(5)
-        assert (await it.call("PUT /maintenance/enter", "s0")).status == 200
+        assert (await balancer.call("PUT /maintenance/enter", "s0")).status == 200
         for root in roots[1:]:
-            assert runs_from(it.processes[-1], it.root)
-            it.root = root
-            await it.replace()
-            assert runs_from(it.processes[-1], root)
+            assert runs_from(balancer.processes[-1], balancer.root)
+            balancer.root = root
+            await balancer.replace()
+            assert runs_from(balancer.processes[-1], root)
             await clients.all_served(5)
-            assert (await it.figures())["edge.upstreams_excluded"] == 1
+            assert (await balancer.figures())["edge.upstreams_excluded"] == 1
         await clients.stop()
-        came = [message.fields.get("x-service-class") for up in it.world.ups for message in up.came]
+        came = [message.fields.get("x-service-class") for up in balancer.world.ups for message in up.came]
         assert came.count("pay") == sum(clients.served[1::2])  # unsafe: each was run once
 
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -39,7 +39,7 @@
         self.lines.append(where)
 
 
-def recorder(path: Path, keys: str = "hashed", most: int = 10**9) -> tuple[Recorder, Said]:
+def open_recorder(path: Path, keys: str = "hashed", most: int = 10**9) -> tuple[Recorder, Said]:
     said = Said()
     return Recorder(str(path), keys, most, LoopClock(asyncio.get_running_loop()), said), said
 
@@ -57,7 +57,7 @@
 def test_what_is_taken_is_in_the_trace_and_keys_as_the_operator_wants(tmp_path: Path, keys: str) -> None:
     @run
     async def test() -> None:
-        one, _ = recorder(tmp_path / "t", keys)
+        one, _ = open_recorder(tmp_path / "t", keys)
         for number in range(50):
             one.record(asked(number, f"user-{number % 5}"), number)
         one.close()
@@ -75,7 +75,7 @@
 async def test_a_full_file_ends_the_recording_with_a_whole_trace() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t"
-        one, said = recorder(path, most=200)
+        one, said = open_recorder(path, most=200)
         for number in range(50):
             one.record(asked(number), 0)
         one.close()
@@ -89,7 +89,7 @@
 def test_a_disk_that_fails_ends_the_recording_and_says_so() -> None:
     @run
     async def test() -> None:
-        one, said = recorder(Path("/dev/full"))
+        one, said = open_recorder(Path("/dev/full"))
         one.record(asked(1), 0)
         await until(lambda: said.lines)
         assert "No space left" in said.lines[0] and one.stopped
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -40,7 +40,7 @@
 # ---- the table
 
 
-def test_whatever_comes_in_whatever_order_one_process_serves_and_ends() -> None:
+def test_events_in_any_order_leave_one_process_serving() -> None:
     """Drawn events: it takes connections in SERVING and DRAINING alone, and hands them to the living."""
     for seed in range(300):
         rng, actions = random.Random(seed), []
@@ -82,7 +82,7 @@
 # ---- what is handed over
 
 
-def learnt(**changes: Any) -> Balancer:
+def learned_balancer(**changes: Any) -> Balancer:
     """A balancer with a fast and a failing server, a cold one, one out by hand and one suspect."""
     balancer = started(6, **changes)
     balancer.handle(5.0, io.MaintenanceChange("s5", True))
@@ -98,8 +98,8 @@
     return balancer
 
 
-def test_a_successor_goes_on_where_the_process_before_stopped() -> None:
-    old, now = learnt(), 2_100.0
+def test_a_successor_goes_on_where_its_predecessor_stopped() -> None:
+    old, now = learned_balancer(), 2_100.0
     before = {s.entry.server: (s.p, s.cost, s.failing, max(0.0, s.ejected_until)) for s in old.ready}
     budget = old.retry_budget
     memory = wire.decode_state(
@@ -129,8 +129,8 @@
     assert old.servers["s4"].tokens == 0.0
 
 
-def test_servers_of_another_life_and_unknown_ones_start_as_they_are() -> None:
-    old = learnt()
+def test_another_incarnation_and_unknown_endpoints_start_without_what_was_learned() -> None:
+    old = learned_balancer()
     memory = old.hand_over(2_100.0)
     new = Balancer(settings(), 1)
     new.handle(2_100.0, io.EndpointListUpdate("stale", (entry(0, started=2_000.0), entry(1), entry(9))))
@@ -141,7 +141,7 @@
 
 
 def _table(**changes: Any) -> dict[str, Any]:
-    memory = learnt().hand_over(2_100.0)
+    memory = learned_balancer().hand_over(2_100.0)
     state = wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, memory)
     return msgspec.to_builtins(state) | changes
 
@@ -168,7 +168,7 @@
         (lambda: b"\xc1", "state that can't"),
     ],
 )
-def test_a_state_that_can_t_be_is_turned_away_with_its_reason(table: Any, reason: str) -> None:
+def test_an_invalid_state_is_rejected_with_its_reason(table: Any, reason: str) -> None:
     made = table()
     data = made if isinstance(made, bytes) else msgspec.msgpack.encode(made)
     with pytest.raises(StateFormatError, match=reason):
@@ -181,8 +181,8 @@
 # ---- processes
 
 
-class Line:
-    """A balancer's processes, one after the other, in one folder."""
+class ReplacedBalancer:
+    """A balancer whose processes replace one another, in one folder."""
 
     def __init__(self, path: Path, upstreams: int) -> None:
         self.path, self.world = path, World(upstreams)
@@ -259,8 +259,8 @@
         old.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(old.wait(), 20) == 0
 
-    async def connect(self) -> Kept:
-        return Kept(*await asyncio.open_connection("127.0.0.1", self.port, limit=2**22))
+    async def connect(self) -> ClientConnection:
+        return ClientConnection(*await asyncio.open_connection("127.0.0.1", self.port, limit=2**22))
 
     async def ask(self, data: bytes | None = None) -> Message:
         kept = await self.connect()
@@ -270,7 +270,7 @@
             kept.writer.close()
 
 
-class Kept:
+class ClientConnection:
     """A client's connection that is kept."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -282,27 +282,29 @@
 
 
 @asynccontextmanager
-async def line(path: Path, upstreams: int = 2, root: Path = ROOT) -> AsyncIterator[Line]:
-    it = Line(path, upstreams)
-    it.root = root
+async def replaced_balancer(
+    path: Path, upstreams: int = 2, root: Path = ROOT
+) -> AsyncIterator[ReplacedBalancer]:
+    balancer = ReplacedBalancer(path, upstreams)
+    balancer.root = root
     try:
-        await it.begin()
-        yield it
+        await balancer.begin()
+        yield balancer
     finally:
-        for process in it.processes:
+        for process in balancer.processes:
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
                 process.kill()
             await process.wait()
-        for peer in (*it.world.ups, it.world.discovery):
+        for peer in (*balancer.world.ups, balancer.world.discovery):
             await peer.stop()
 
 
-def in_line(test: Any) -> Any:
+def with_replaced_balancer(test: Any) -> Any:
     def wrapped(tmp_path: Path) -> None:
         async def body() -> None:
-            async with line(tmp_path) as it:
-                await test(it)
+            async with replaced_balancer(tmp_path) as balancer:
+                await test(balancer)
 
         uvloop.run(asyncio.wait_for(body(), 60))
 
@@ -310,9 +312,11 @@
     return wrapped
 
 
-@in_line
-async def test_two_replacements_in_a_row_lose_nothing_and_keep_every_connection(it: Line) -> None:
-    kept = [await it.connect() for _ in range(20)]
+@with_replaced_balancer
+async def test_two_replacements_in_a_row_lose_nothing_and_keep_every_connection(
+    balancer: ReplacedBalancer,
+) -> None:
+    kept = [await balancer.connect() for _ in range(20)]
     stop, served = asyncio.Event(), [0] * len(kept)
 
     async def client(number: int) -> None:
@@ -322,87 +326,91 @@
             served[number] += 1
             await asyncio.sleep(0.002 * (number % 5))
 
-    resting = await it.connect()
+    resting = await balancer.connect()
     assert (await resting.ask()).status == 200
     clients = [asyncio.ensure_future(client(n)) for n in range(len(kept))]
     await until(lambda: min(served) > 5)
-    assert (await it.call("PUT /maintenance/enter", "s0")).status == 200
+    assert (await balancer.call("PUT /maintenance/enter", "s0")).status == 200
     for _ in range(2):
         marks = list(served)
-        await it.replace()
+        await balancer.replace()
         await until(lambda marks=marks: all(a > b + 3 for a, b in zip(served, marks, strict=True)))
     stop.set()
     await asyncio.gather(*clients)
     assert (await resting.ask()).status == 200
-    assert (await it.figures())["edge.upstreams_excluded"] == 1
-    came = len(it.world.ups[0].came)
-    assert (await it.ask()).status == 200 and len(it.world.ups[0].came) == came
-    assert (await it.call("PUT /maintenance/exit", "s0")).status == 200
-    await it.until_figure("upstreams_excluded", 0)
+    assert (await balancer.figures())["edge.upstreams_excluded"] == 1
+    came = len(balancer.world.ups[0].came)
+    assert (await balancer.ask()).status == 200 and len(balancer.world.ups[0].came) == came
+    assert (await balancer.call("PUT /maintenance/exit", "s0")).status == 200
+    await balancer.until_figure("upstreams_excluded", 0)
 
 
-@in_line
-async def test_what_is_open_ends_at_the_old_process_and_its_connection_goes_on(it: Line) -> None:
+@with_replaced_balancer
+async def test_what_is_open_ends_at_the_old_process_and_its_connection_goes_on(
+    balancer: ReplacedBalancer,
+) -> None:
     gate = asyncio.Event()
 
     async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
         await gate.wait()
         writer.write(reply(b"late"))
 
-    for up in it.world.ups:
+    for up in balancer.world.ups:
         up.script = wait
-    kept, half = await it.connect(), await it.connect()
-    asked = asyncio.ensure_future(kept.ask(request("pay", b"x")))
+    kept, half = await balancer.connect(), await balancer.connect()
+    pending = asyncio.ensure_future(kept.ask(request("pay", b"x")))
     half.writer.write(request("pay", b"body")[:-2])
-    await until(lambda: sum(len(up.came) for up in it.world.ups) == 1)
-    old = it.processes[0]
-    await it.start()
-    await it.yes()
-    await it.until_figure("in_flight", 1, at=0)
+    await until(lambda: sum(len(up.came) for up in balancer.world.ups) == 1)
+    old = balancer.processes[0]
+    await balancer.start()
+    await balancer.yes()
+    await balancer.until_figure("in_flight", 1, at=0)
     old.send_signal(signal.SIGTERM)
     half.writer.write(b"dy")
-    await until(lambda: sum(len(up.came) for up in it.world.ups) == 2)
+    await until(lambda: sum(len(up.came) for up in balancer.world.ups) == 2)
     gate.set()
-    assert (await asked).body == b"late" and (await read_message(half.reader)).body == b"late"
+    assert (await pending).body == b"late" and (await read_message(half.reader)).body == b"late"
     assert await asyncio.wait_for(old.wait(), 20) == 0
     assert (await kept.ask()).status == (await half.ask()).status == 200
-    assert (await it.figures())["edge.served.read"] == 2
-
-
-@in_line
-async def test_calls_out_by_hand_go_both_ways_while_two_processes_live(it: Line) -> None:
-    await it.start()
-    await it.yes()
-    assert (await it.call("PUT /maintenance/enter", "s0", at=0)).status == 200
-    await it.until_figure("upstreams_excluded", 1, at=1)
-    assert (await it.call("PUT /maintenance/enter", "s1", at=1)).status == 200
-    await it.until_figure("upstreams_excluded", 2, at=0)
-    assert (await it.call("PUT /maintenance/exit", "s0", at=1)).status == 200
-    await it.until_figure("upstreams_excluded", 1, at=0)
-
-
-@in_line
-async def test_a_successor_that_dies_or_can_t_start_leaves_the_old_one_serving(it: Line) -> None:
-    kept = await it.connect()
+    assert (await balancer.figures())["edge.served.read"] == 2
+
+
+@with_replaced_balancer
+async def test_maintenance_changes_go_both_ways_while_two_processes_live(balancer: ReplacedBalancer) -> None:
+    await balancer.start()
+    await balancer.yes()
+    assert (await balancer.call("PUT /maintenance/enter", "s0", at=0)).status == 200
+    await balancer.until_figure("upstreams_excluded", 1, at=1)
+    assert (await balancer.call("PUT /maintenance/enter", "s1", at=1)).status == 200
+    await balancer.until_figure("upstreams_excluded", 2, at=0)
+    assert (await balancer.call("PUT /maintenance/exit", "s0", at=1)).status == 200
+    await balancer.until_figure("upstreams_excluded", 1, at=0)
+
+
+@with_replaced_balancer
+async def test_a_successor_that_dies_or_can_t_start_leaves_the_old_one_serving(
+    balancer: ReplacedBalancer,
+) -> None:
+    kept = await balancer.connect()
     assert (await kept.ask()).status == 200
-    bad = await it.start({**it.config, "seed": "xyz"})
+    bad = await balancer.start({**balancer.config, "seed": "xyz"})
     assert await asyncio.wait_for(bad.wait(), 20) == 2
-    assert (await it.ask()).status == (await kept.ask()).status == 200
-    after = await it.start()
-    await it.yes()
-    assert (await it.ask()).status == 200
+    assert (await balancer.ask()).status == (await kept.ask()).status == 200
+    after = await balancer.start()
+    await balancer.yes()
+    assert (await balancer.ask()).status == 200
     after.kill()
     await after.wait()
-    assert (await it.ask()).status == 200  # it waited in the queue of a listener that both held
-    it.admins[1:] = []
-    it.processes[1:] = []
-    await it.replace()
-    assert (await it.ask()).status == 200
+    assert (await balancer.ask()).status == 200  # it waited in the queue of a listener that both held
+    balancer.admins[1:] = []
+    balancer.processes[1:] = []
+    await balancer.replace()
+    assert (await balancer.ask()).status == 200
 
 
-async def offered(it: Line) -> tuple[socket.socket, list[int]]:
-    """A successor that we play: it has asked and was given the listener."""
-    path = balancer_path(str(it.folder.resolve()), "n0", ("127.0.0.1", it.port)) + ".sock"
+async def connect_as_successor(balancer: ReplacedBalancer) -> tuple[socket.socket, list[int]]:
+    """A successor that the test plays: it has requested the handover and has the listener."""
+    path = balancer_path(str(balancer.folder.resolve()), "n0", ("127.0.0.1", balancer.port)) + ".sock"
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     with short_path(path) as address:
         sock.connect(address)
@@ -419,42 +427,44 @@
 @pytest.mark.parametrize("how", ["ends", "hangs", "talks nonsense"])
 def test_a_successor_lost_in_the_middle_gives_the_listener_back(tmp_path: Path, how: str) -> None:
     async def test() -> None:
-        async with line(tmp_path) as it:
-            sock, descriptors = await offered(it)
-            asked = asyncio.ensure_future(it.ask())  # waits in the queue: nobody accepts
+        async with replaced_balancer(tmp_path) as balancer:
+            sock, descriptors = await connect_as_successor(balancer)
+            pending = asyncio.ensure_future(balancer.ask())  # waits in the queue: nobody accepts
             if how == "ends":
                 sock.close()
             elif how == "talks nonsense":
                 sock.send(b"\xc1\xc1")
-            assert (await asked).status == 200
+            assert (await pending).status == 200
             sock.close()
             os.close(descriptors[0])
-            assert (await it.ask()).status == 200
-            await it.replace()
+            assert (await balancer.ask()).status == 200
+            await balancer.replace()
 
     uvloop.run(asyncio.wait_for(test(), 60))
 
 
 @pytest.mark.parametrize("how", ["hangs", "killed"])
-def test_an_old_process_that_gives_nothing_costs_a_cold_start_and_no_ban(tmp_path: Path, how: str) -> None:
+def test_a_predecessor_that_gives_nothing_costs_a_cold_start_and_keeps_maintenance(
+    tmp_path: Path, how: str
+) -> None:
     """Also: the socket's file of an earlier life is no obstacle."""
 
     async def test() -> None:
-        async with line(tmp_path) as it:
-            assert (await it.call("PUT /maintenance/enter", "s1")).status == 200
-            it.processes[0].send_signal(signal.SIGSTOP if how == "hangs" else signal.SIGKILL)
+        async with replaced_balancer(tmp_path) as balancer:
+            assert (await balancer.call("PUT /maintenance/enter", "s1")).status == 200
+            balancer.processes[0].send_signal(signal.SIGSTOP if how == "hangs" else signal.SIGKILL)
             if how == "killed":
-                await it.processes[0].wait()
-            await it.start()
-            await it.yes()
-            assert (await it.figures())["edge.upstreams_excluded"] == 1
+                await balancer.processes[0].wait()
+            await balancer.start()
+            await balancer.yes()
+            assert (await balancer.figures())["edge.upstreams_excluded"] == 1
             if how == "hangs":  # half of the new connections wait in its queue until it is gone
-                it.processes[0].send_signal(signal.SIGKILL)
-                await it.processes[0].wait()
-            assert (await it.ask()).status == 200
-            it.processes[0:1] = []
-            await it.replace()
-            assert (await it.figures())["edge.upstreams_excluded"] == 1
+                balancer.processes[0].send_signal(signal.SIGKILL)
+                await balancer.processes[0].wait()
+            assert (await balancer.ask()).status == 200
+            balancer.processes[0:1] = []
+            await balancer.replace()
+            assert (await balancer.figures())["edge.upstreams_excluded"] == 1
 
     uvloop.run(asyncio.wait_for(test(), 60))
 
@@ -474,7 +484,7 @@
         server.bind(path + ".sock")
         server.listen(1)
         listener = socket.create_server(("127.0.0.1", 0))
-        asked = asyncio.ensure_future(
+        pending = asyncio.ensure_future(
             Handover(None, path, clock, StderrLog(clock.now), loop).request_handover()  # type: ignore[arg-type]
         )
         sock, _ = await loop.run_in_executor(None, server.accept)
@@ -491,84 +501,90 @@
         )
         if not complete:
             sock.close()
-        given = await asked
+        result = await pending
         server.close()
         if not complete:  # killed in the middle: nothing is taken that is not whole
-            assert given is None
+            assert result is None
             return listener.close()
-        assert given is not None and given.state is None
-        assert given.listener.getsockname() == listener.getsockname()
-        given.listener.close()
+        assert result is not None and result.state is None
+        assert result.listener.getsockname() == listener.getsockname()
+        result.listener.close()
 
 
-@in_line
-async def test_a_second_successor_takes_the_place_of_one_that_has_not_served(it: Line) -> None:
+@with_replaced_balancer
+async def test_a_second_successor_takes_the_place_of_one_that_has_not_served(
+    balancer: ReplacedBalancer,
+) -> None:
     """Taking connections back for the first one's loss must not outlive the second one's coming."""
-    first, descriptors = await offered(it)
-    second, more = await offered(it)
-    asked = asyncio.ensure_future(it.ask())
+    first, descriptors = await connect_as_successor(balancer)
+    second, more = await connect_as_successor(balancer)
+    pending = asyncio.ensure_future(balancer.ask())
     await asyncio.sleep(0.4)
-    assert not asked.done()  # the listener is the second one's
+    assert not pending.done()  # the listener is the second one's
     second.close()
-    assert (await asked).status == 200
+    assert (await pending).status == 200
     first.close()
     for fd in (*descriptors, *more):
         os.close(fd)
 
 
-@in_line
-async def test_an_old_process_killed_after_the_change_takes_nothing_along(it: Line) -> None:
-    resting = await it.connect()
+@with_replaced_balancer
+async def test_a_predecessor_killed_after_the_handover_takes_nothing_along(
+    balancer: ReplacedBalancer,
+) -> None:
+    resting = await balancer.connect()
     assert (await resting.ask()).status == 200
-    await it.start()
-    await it.yes()
-    moved = await it.connect()
-    assert (await moved.ask()).status == 200 and (await it.figures())["edge.served.read"] == 1
+    await balancer.start()
+    await balancer.yes()
+    moved = await balancer.connect()
+    assert (await moved.ask()).status == 200 and (await balancer.figures())["edge.served.read"] == 1
     for _ in range(1000):  # the resting one has gone over: the new process answers it
         assert (await resting.ask()).status == 200
-        if (await it.figures())["edge.served.read"] > 1:
+        if (await balancer.figures())["edge.served.read"] > 1:
             break
-    it.processes[0].kill()
-    await it.processes[0].wait()
-    assert (await resting.ask()).status == (await moved.ask()).status == (await it.ask()).status == 200
-
-
-@in_line
-async def test_a_replacement_during_a_drain_sends_nothing_there(it: Line) -> None:
-    await until(lambda: it.world.watches)
-    it.world.current = it.world.list(it.world.host(0, "draining"), it.world.host(1))
-    it.world.news(it.world.host(0, "draining"))
-    await it.replace()
-    came = len(it.world.ups[0].came)
+    balancer.processes[0].kill()
+    await balancer.processes[0].wait()
+    assert (await resting.ask()).status == (await moved.ask()).status == (await balancer.ask()).status == 200
+
+
+@with_replaced_balancer
+async def test_a_replacement_during_a_drain_sends_nothing_there(balancer: ReplacedBalancer) -> None:
+    await until(lambda: balancer.world.watches)
+    balancer.world.current = balancer.world.list(balancer.world.host(0, "draining"), balancer.world.host(1))
+    balancer.world.news(balancer.world.host(0, "draining"))
+    await balancer.replace()
+    came = len(balancer.world.ups[0].came)
     for _ in range(30):
-        assert (await it.ask()).status == 200
-    assert len(it.world.ups[0].came) == came
+        assert (await balancer.ask()).status == 200
+    assert len(balancer.world.ups[0].came) == came
 
 
-@in_line
-async def test_a_replacement_during_a_reload_asks_the_new_discovery_for_the_whole_list(it: Line) -> None:
+@with_replaced_balancer
+async def test_a_replacement_during_a_reload_asks_the_new_discovery_for_the_whole_list(
+    balancer: ReplacedBalancer,
+) -> None:
     """The old one counts by the old discovery: changes since its number would be of another list."""
-    await until(lambda: it.world.watches)
-    it.world.version = 900
-    it.world.news(it.world.host(0))
+    await until(lambda: balancer.world.watches)
+    balancer.world.version = 900
+    balancer.world.news(balancer.world.host(0))
     elsewhere = World(3)
     for peer in (elsewhere.ups[2], elsewhere.discovery):
         await peer.start()
     elsewhere.ups[2].script, elsewhere.version = says(reply(b"new")), 1_000
     elsewhere.current = elsewhere.list(elsewhere.host(2))
-    it.config = {**it.config, "discovery": f"127.0.0.1:{elsewhere.discovery.port}"}
-    old = it.processes[0]
-    await it.start()  # while the old one still follows the old discovery
-    await it.yes()
-    (it.path / "1.json").write_text(json.dumps(it.config))
+    balancer.config = {**balancer.config, "discovery": f"127.0.0.1:{elsewhere.discovery.port}"}
+    old = balancer.processes[0]
+    await balancer.start()  # while the old one still follows the old discovery
+    await balancer.yes()
+    (balancer.path / "1.json").write_text(json.dumps(balancer.config))
     old.send_signal(signal.SIGHUP)
     old.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(old.wait(), 20) == 0
     await until(lambda: elsewhere.watches)
     assert not any("index=901" in message.line for message in elsewhere.discovery.came)
     for _ in range(1000):
-        if (await it.ask()).body == b"new":
+        if (await balancer.ask()).body == b"new":
             break
-    assert [(await it.ask()).body for _ in range(20)] == [b"new"] * 20
+    assert [(await balancer.ask()).body for _ in range(20)] == [b"new"] * 20
     for peer in (elsewhere.ups[2], elsewhere.discovery):
         await peer.stop()
