--- a/quartzford/fronts/extproc/line.py
+++ b/quartzford/fronts/extproc/line.py
@@ -30,9 +30,18 @@
 from quartzford.fronts.extproc.intake import Intake
 from quartzford.fronts.extproc.outcome import Result
 
-REPLIES: dict[str, type[Any]] = {
-    kind.__name__: kind for kind in (Told, Opened, Refused, Failed, Passed, Again, Cut)
+# The first field of a reply's line. A restarted worker may run newer code than the deciding process:
+# the tags stay as they are, whatever the types are called.
+REPLY_TAGS: dict[type[Any], str] = {
+    Told: "Told",
+    Opened: "Opened",
+    Refused: "Refused",
+    Failed: "Failed",
+    Passed: "Passed",
+    Again: "Again",
+    Cut: "Cut",
 }
+REPLIES: dict[str, type[Any]] = {tag: kind for kind, tag in REPLY_TAGS.items()}
 
 
 TURN_S = 0.004  # the deciding process works so long at a line, then looks at all else: drains above all
@@ -153,7 +162,7 @@
 
     def _stream(self, number: int) -> Stream:
         def reply(said: Reply) -> None:
-            self.send(type(said).__name__, number, *said)
+            self.send(REPLY_TAGS[type(said)], number, *said)
 
         stream = self.streams[number] = Stream(reply)
         return stream
