--- a/quartzford/fronts/extproc/outcome.py
+++ b/quartzford/fronts/extproc/attempt_result.py
@@ -27,10 +27,10 @@
 )
 # A caller that keeps to the end of a decision's validity says so in these words, having sent nothing.
 EXPIRED = ("decision_expired",)
-BROKE = ("upstream_reset", "upstream_response_header")
+RESET = ("upstream_reset", "upstream_response_header")
 
 
-class Result(NamedTuple):
+class AttemptResult(NamedTuple):
     """The outcome of an attempt."""
 
     code: str
@@ -38,15 +38,17 @@
     faulted: bool = False  # the server finds fault with the request itself
 
 
-def read_result(status: int, unprocessed: bool, details: str, load: bytes, names: tuple[str, ...]) -> Result:
+def read_result(
+    status: int, unprocessed: bool, details: str, load: bytes, names: tuple[str, ...]
+) -> AttemptResult:
     """From an answer's status, X-Unprocessed, code details ('' where not told) and load report."""
-    local = (("connect_failed", NEVER_SENT), ("moot", EXPIRED), ("timeout", TIMED_OUT), ("reset", BROKE))
+    local = (("connect_failed", NEVER_SENT), ("moot", EXPIRED), ("timeout", TIMED_OUT), ("reset", RESET))
     for code, starts in local:
         if details.startswith(starts):
-            return Result(code)
+            return AttemptResult(code)
     report = read_report(load, names) if load else ()
     if status == 200:
-        return Result("ok", report)
+        return AttemptResult("ok", report)
     if status in (503, 504) and unprocessed:
-        return Result("full", report)
-    return Result("error", report, 400 <= status < 500 and status not in (408, 429))
+        return AttemptResult("full", report)
+    return AttemptResult("error", report, 400 <= status < 500 and status not in (408, 429))
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -13,8 +13,17 @@
 from envoy.extensions.filters.http.ext_proc.v3 import processing_mode_pb2 as mode
 from envoy.service.ext_proc.v3 import external_processor_pb2 as proto
 
-from quartzford.fronts.extproc.desk import Again, Ask, Failed, Opened, Passed, Refused, Reply, Told
-from quartzford.fronts.extproc.outcome import Result, read_result
+from quartzford.fronts.extproc.attempt_result import AttemptResult, read_result
+from quartzford.fronts.extproc.decision_service import (
+    Decision,
+    DecisionRequest,
+    Failed,
+    Rejected,
+    Reply,
+    RequestOpened,
+    ResponseForwarded,
+    RetryOffered,
+)
 from quartzford.settings.header_values import read_cookie, read_number, read_time_left
 
 ATTRIBUTES = "envoy.filters.http.ext_proc"
@@ -26,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class HeaderNames:
     """What the operator's file calls the headers, and the bounds on them."""
 
     identity: str = "x-correlation-id"
@@ -47,10 +56,10 @@
     report_names: tuple[str, ...] = field(default=())
 
 
-class Reader:
+class HeaderReader:
     """Reads headers by the names in force."""
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: HeaderNames) -> None:
         self.names = names
         n = names
         self.wanted = {
@@ -65,7 +74,7 @@
             "cookie": "cookie",
         }
 
-    def ask(self, headers: Any, opens: bool) -> Ask | int:
+    def read_request(self, headers: Any, opens: bool) -> DecisionRequest | int:
         """What a request's headers ask, or the status that turns them away."""
         rows = headers.headers.headers
         if len(rows) > self.names.most_headers or headers.ByteSize() > self.names.most_bytes:
@@ -82,7 +91,7 @@
         if not identity:
             return 400
         left = read_time_left(read.get("left", "").strip())
-        return Ask(
+        return DecisionRequest(
             identity,
             read.get("service_class", "") or self.names.default_class,
             -1.0 if left is None else left,
@@ -95,7 +104,7 @@
             opens,
         )
 
-    def result(self, request: Any) -> Result:
+    def result(self, request: Any) -> AttemptResult:
         """What a ProcessingRequest with response headers reports."""
         status, unprocessed, load = 0, False, b""
         for row in request.response_headers.headers.headers:
@@ -113,10 +122,10 @@
         return read_result(status, unprocessed, details, load, self.names.report_names)
 
 
-class Writer:
+class ReplyWriter:
     """Writes replies, serialized; those that never change are made once."""
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: HeaderNames) -> None:
         self.names = names
         skip, send, none = mode.ProcessingMode.SKIP, mode.ProcessingMode.SEND, mode.ProcessingMode.NONE
 
@@ -135,13 +144,13 @@
         self.passed = self._response_headers(proto.HeaderMutation(remove_headers=gone))
         # If the caller can't go on, a nodo's own 503 must not pass for a refusal of what may have run.
         self.again = {
-            harmless: self._response_headers(
+            never_ran: self._response_headers(
                 proto.HeaderMutation(
                     set_headers=[header(names.retry, b"1"), header(":status", status)],
                     remove_headers=[LOAD, names.token],
                 )
             )
-            for harmless, status in ((True, b"503"), (False, b"502"))
+            for never_ran, status in ((True, b"503"), (False, b"502"))
         }
         # A request that no attempt may be made for keeps no destination that a client wrote.
         self.neutral = {
@@ -173,29 +182,29 @@
     def write(self, reply: Reply, now: float) -> bytes:
         """The reply as it leaves at this moment, in seconds on the machine's monotonic clock."""
         match reply:
-            case Told(address, token, due, tell_until, within, _):
+            case Decision(address, token, due, server_deadline, within, _):
                 rows = [
                     header(self.names.destination, address.encode()),
                     header(self.names.token, token.encode()),
                     header(TIME_OUT, b"%d" % ((due - now) * 1000.0)),
-                    header(self.names.left, b"%dm" % ((tell_until - now) * 1000.0)),
+                    header(self.names.left, b"%dm" % ((server_deadline - now) * 1000.0)),
                     header(self.names.within, b"%d" % max(0.0, within)),
                 ]
-                return self._told(rows, self.attempt_mode)
-            case Opened(token):
-                return self._told([header(self.names.token, token.encode())], self.opener_mode)
-            case Refused(pause, over_quota):
+                return self._request_headers(rows, self.attempt_mode)
+            case RequestOpened(token):
+                return self._request_headers([header(self.names.token, token.encode())], self.opener_mode)
+            case Rejected(pause, over_quota):
                 return immediate(429 if over_quota else 503, pause, self.names.retry)
             case Failed(status):
                 return immediate(status, 0.0, self.names.retry)
-            case Passed():
+            case ResponseForwarded():
                 return self.passed
-            case Again(harmless):
-                return self.again[harmless]
+            case RetryOffered(never_ran):
+                return self.again[never_ran]
             case _:
                 raise ValueError(f"{reply!r} is no message")
 
-    def _told(self, rows: list[Any], mode_override: Any) -> bytes:
+    def _request_headers(self, rows: list[Any], mode_override: Any) -> bytes:
         removed = [] if len(rows) > 1 else [self.names.destination]
         mutation = proto.HeaderMutation(set_headers=rows, remove_headers=removed)
         common = proto.CommonResponse(header_mutation=mutation, clear_route_cache=False)
@@ -216,9 +225,9 @@
     return core.HeaderValueOption(header=core.HeaderValue(key=name, raw_value=value), append_action=OVERWRITE)
 
 
-def immediate(status: int, pause_ms: float, retry: str) -> bytes:
+def immediate(status: int, retry_after_ms: float, retry: str) -> bytes:
     """An answer to the client at once, from here."""
-    rows = [header("retry-after", b"%.3f" % (pause_ms / 1000.0))] if pause_ms > 0 else []
+    rows = [header("retry-after", b"%.3f" % (retry_after_ms / 1000.0))] if retry_after_ms > 0 else []
     message = proto.ImmediateResponse(
         headers=proto.HeaderMutation(set_headers=rows, remove_headers=[retry]), details="quartzford"
     )
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -2,7 +2,7 @@
 
 gRPC over HTTP/2 as its protocol page (PROTOCOL-HTTP2.md of gRPC) has it, for this one method. Everything here
 is called back: a stream costs no task and no timer. A process that serves gRPC need not be the one that
-decides: `Link` is the desk itself, or a line to it.
+decides: `DecisionLink` is the desk itself, or a line to it.
 """
 
 from __future__ import annotations
@@ -15,59 +15,84 @@
 from google.protobuf.message import DecodeError
 
 from quartzford.engine import Clock, Log
-from quartzford.fronts.extproc.desk import Ask, Cut, Desk, Failed, Opened, Reply, Stream, Told
-from quartzford.fronts.extproc.messages import Names, Reader, Writer
-from quartzford.fronts.extproc.outcome import Result
+from quartzford.fronts.extproc.attempt_result import AttemptResult
+from quartzford.fronts.extproc.decision_service import (
+    DeadlineExceeded,
+    Decision,
+    DecisionRequest,
+    DecisionService,
+    Failed,
+    Reply,
+    RequestOpened,
+    Stream,
+)
+from quartzford.fronts.extproc.messages import HeaderNames, HeaderReader, ReplyWriter
 from quartzford.fronts.listener import Listener, bind_each, listen_patiently
 from quartzford.protocols import http2
 
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 ROLE, OPENS = b"x-quartzford-role", b"open"
 BACKLOG = 1024
-MESSAGE_BYTES = 256 * 1024
-WAITING = 16  # messages of one stream that came ahead of a reply
-STREAM_SPARE_S = 2.0  # a stream lives for the longest deadline and so much more, whatever its caller does
-SWEEP_S = 0.25
-LEAST_LEFT_S = 0.001  # time-outs are written in whole ms, and 0 of them would mean none
+MAX_MESSAGE_BYTES = 256 * 1024
+MAX_READ_AHEAD = 16  # messages of one stream that came ahead of a reply
+STREAM_GRACE_S = 2.0  # a stream lives for the longest deadline and so much more, whatever its caller does
+SWEEP_INTERVAL_S = 0.25
+MIN_REMAINING_S = 0.001  # time-outs are written in whole ms, and 0 of them would mean none
 # gRPC status codes
-OK, INVALID_ARGUMENT, DEADLINE_EXCEEDED, EXHAUSTED, UNIMPLEMENTED = 0, 3, 4, 8, 12
-ANSWER = http2.block(((b":status", b"200"), (b"content-type", b"application/grpc")))
-DONE = http2.block(((b"grpc-status", b"0"),))
+OK, INVALID_ARGUMENT, DEADLINE_EXCEEDED, RESOURCE_EXHAUSTED, UNIMPLEMENTED = 0, 3, 4, 8, 12
+RESPONSE_HEADERS = http2.block(((b":status", b"200"), (b"content-type", b"application/grpc")))
+OK_TRAILERS = http2.block(((b"grpc-status", b"0"),))
 
 
-class Link(Protocol):
+class DecisionLink(Protocol):
     """The way to the desk, for one stream after another."""
 
     def open(self, stream: Stream) -> None: ...
 
-    def ask(self, stream: Stream, ask: Ask) -> None: ...
+    def request_decision(self, stream: Stream, decision_request: DecisionRequest) -> None: ...
 
-    def report(self, stream: Stream, result: Result) -> None: ...
+    def report_result(self, stream: Stream, result: AttemptResult) -> None: ...
 
-    def late(self, stream: Stream) -> None: ...
+    def decision_expired(self, stream: Stream) -> None: ...
 
-    def drop(self, stream: Stream, unwritten: bool) -> None: ...
+    def stream_closed(self, stream: Stream, unwritten: bool) -> None: ...
 
 
-class Direct:
+class LocalLink:
     """The desk in this very process."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.ask, self.report, self.late, self.drop = desk.ask, desk.report, desk.late, desk.drop
+    def __init__(self, service: DecisionService) -> None:
+        self.request_decision, self.report_result, self.decision_expired, self.stream_closed = (
+            service.request_decision,
+            service.report_result,
+            service.decision_expired,
+            service.stream_closed,
+        )
 
     def open(self, stream: Stream) -> None:
         return None
 
 
-class Wire(Stream):
+class ExtprocStream(Stream):
     """A stream with its gRPC side."""
 
-    __slots__ = ("caller", "number", "opens", "told", "busy", "begun", "answered", "buffer", "queue", "ended")
-
-    def __init__(self, caller: Caller, number: int, opens: bool, now: float) -> None:
+    __slots__ = (
+        "caller",
+        "number",
+        "opens",
+        "decided",
+        "busy",
+        "begun",
+        "answered",
+        "buffer",
+        "queue",
+        "ended",
+    )
+
+    def __init__(self, caller: CallerConnection, number: int, opens: bool, now: float) -> None:
         super().__init__(self._replied)
         self.caller, self.number, self.opens, self.begun = caller, number, opens, now
-        self.told = False  # was sent to a nodo, and may report on it
+        self.decided = False  # was sent to a nodo, and may report on it
         self.busy = False  # a reply is due
         self.answered = False  # our headers are out
         self.ended = False  # the caller writes no more
@@ -82,8 +107,8 @@
             size = int.from_bytes(self.buffer[1:5], "big")
             if self.buffer[0]:
                 return self.caller.finish(self, UNIMPLEMENTED, "no compression was offered")
-            if size > MESSAGE_BYTES or len(self.queue) >= WAITING:
-                return self.caller.finish(self, EXHAUSTED, "more than is read ahead")
+            if size > MAX_MESSAGE_BYTES or len(self.queue) >= MAX_READ_AHEAD:
+                return self.caller.finish(self, RESOURCE_EXHAUSTED, "more than is read ahead")
             if len(self.buffer) < 5 + size:
                 break
             message, self.buffer = self.buffer[5 : 5 + size], self.buffer[5 + size :]
@@ -107,27 +132,31 @@
         kind = request.WhichOneof("request")
         if kind is None:
             raise DecodeError("no phase is set")
-        if kind == "request_headers" and not self.told:
-            ask = processor.reader.ask(request.request_headers, self.opens)
-            if isinstance(ask, int):
-                return self._say(processor.writer.write(Failed(ask), processor.clock.now()))
+        if kind == "request_headers" and not self.decided:
+            decision_request = processor.reader.read_request(request.request_headers, self.opens)
+            if isinstance(decision_request, int):
+                return self._say(processor.writer.write(Failed(decision_request), processor.clock.now()))
             self.busy = True
-            return processor.link.ask(self, ask)
-        if kind == "response_headers" and self.told and not self.opens:
-            self.told, self.busy = False, True
-            return processor.link.report(self, processor.reader.result(request))
+            return processor.link.request_decision(self, decision_request)
+        if kind == "response_headers" and self.decided and not self.opens:
+            self.decided, self.busy = False, True
+            return processor.link.report_result(self, processor.reader.result(request))
         return self._say(processor.writer.neutral[kind])
 
     def _replied(self, reply: Reply) -> None:
-        if isinstance(reply, Cut):
+        if isinstance(reply, DeadlineExceeded):
             return self.caller.finish(self, DEADLINE_EXCEEDED, "the request's time is over")
         if not self.busy:
             return
         processor = self.caller.processor
         now = processor.clock.now()
-        if isinstance(reply, Told) and (now > reply.by or reply.tell_until - now < LEAST_LEFT_S):
-            return processor.link.late(self)  # the nodo may drain by now, or the time is over: decide afresh
-        self.busy, self.told = False, isinstance(reply, Told | Opened)
+        if isinstance(reply, Decision) and (
+            now > reply.valid_until or reply.server_deadline - now < MIN_REMAINING_S
+        ):
+            return processor.link.decision_expired(
+                self
+            )  # the nodo may drain by now, or the time is over: decide afresh
+        self.busy, self.decided = False, isinstance(reply, Decision | RequestOpened)
         self._say(processor.writer.write(reply, now))
         self.advance()
 
@@ -135,12 +164,12 @@
         connection = self.caller.connection
         if not self.answered:
             self.answered = True
-            connection.send_headers(self.number, ANSWER)
+            connection.send_headers(self.number, RESPONSE_HEADERS)
         connection.send_data(self.number, b"\0" + len(message).to_bytes(4, "big") + message)
         self.caller.flush()
 
 
-class Caller(asyncio.Protocol):
+class CallerConnection(asyncio.Protocol):
     """One connection of a calling proxy."""
 
     transport: asyncio.Transport
@@ -150,7 +179,7 @@
         self.connection: http2.ServerConnection = http2.ServerConnection(
             self, processor.most_streams, processor.list_bytes
         )
-        self.wires: dict[int, Wire] = {}
+        self.extproc_streams: dict[int, ExtprocStream] = {}
         self.flushing = False
 
     # ---- asyncio.Protocol
@@ -172,9 +201,9 @@
         self._drop_all()
 
     def _drop_all(self) -> None:
-        wires, self.wires = self.wires, {}
-        for wire in wires.values():
-            self._drop(wire)
+        extproc_streams, self.extproc_streams = self.extproc_streams, {}
+        for extproc_stream in extproc_streams.values():
+            self._drop(extproc_stream)
 
     def flush(self) -> None:
         """All that is said in one turn of the loop goes out as one piece."""
@@ -195,51 +224,51 @@
     def headers(self, stream: int, headers: list[tuple[bytes, bytes]], end: bool) -> None:
         processor, read = self.processor, dict(headers)
         if read.get(b":method") != b"POST" or read.get(b":path") != PATH:
-            return self._turn_away(stream, UNIMPLEMENTED, "no such method")
+            return self._reject(stream, UNIMPLEMENTED, "no such method")
         if not read.get(b"content-type", b"").startswith(b"application/grpc"):
-            return self._turn_away(stream, UNIMPLEMENTED, "not gRPC")
-        wire = Wire(self, stream, read.get(ROLE) == OPENS, processor.clock.now())
-        self.wires[stream] = wire
+            return self._reject(stream, UNIMPLEMENTED, "not gRPC")
+        extproc_stream = ExtprocStream(self, stream, read.get(ROLE) == OPENS, processor.clock.now())
+        self.extproc_streams[stream] = extproc_stream
         processor.streams += 1
-        processor.link.open(wire)
+        processor.link.open(extproc_stream)
         if end:
-            wire.feed(b"", True)
+            extproc_stream.feed(b"", True)
 
     def data(self, stream: int, data: bytes, end: bool) -> None:
-        wire = self.wires.get(stream)
-        if wire is not None:
-            wire.feed(data, end)
+        extproc_stream = self.extproc_streams.get(stream)
+        if extproc_stream is not None:
+            extproc_stream.feed(data, end)
 
     def reset(self, stream: int, code: int) -> None:
-        wire = self.wires.pop(stream, None)
-        if wire is not None:
-            self._drop(wire)
+        extproc_stream = self.extproc_streams.pop(stream, None)
+        if extproc_stream is not None:
+            self._drop(extproc_stream)
 
     # ---- ends
 
-    def _drop(self, wire: Wire) -> None:
-        if not wire.over:
+    def _drop(self, extproc_stream: ExtprocStream) -> None:
+        if not extproc_stream.over:
             self.processor.streams -= 1
-            self.processor.link.drop(wire, wire.busy)
-            wire.over = True
+            self.processor.link.stream_closed(extproc_stream, extproc_stream.busy)
+            extproc_stream.over = True
 
-    def finish(self, wire: Wire, status: int, why: str) -> None:
+    def finish(self, extproc_stream: ExtprocStream, status: int, why: str) -> None:
         """Trailers end the stream; a caller that still writes to it is told to stop."""
-        if self.wires.pop(wire.number, None) is None:
+        if self.extproc_streams.pop(extproc_stream.number, None) is None:
             return
-        self._trailers(wire.number, wire.answered, status, why)
-        self._drop(wire)
+        self._trailers(extproc_stream.number, extproc_stream.answered, status, why)
+        self._drop(extproc_stream)
 
-    def _turn_away(self, stream: int, status: int, why: str) -> None:
+    def _reject(self, stream: int, status: int, why: str) -> None:
         self._trailers(stream, False, status, why)
 
     def _trailers(self, stream: int, answered: bool, status: int, why: str) -> None:
         trailers = (
-            DONE
+            OK_TRAILERS
             if not status
             else http2.block(((b"grpc-status", b"%d" % status), (b"grpc-message", why.encode())))
         )
-        self.connection.send_headers(stream, trailers if answered else ANSWER + trailers, end=True)
+        self.connection.send_headers(stream, trailers if answered else RESPONSE_HEADERS + trailers, end=True)
         self.connection.reset(stream, http2.NO_ERROR)  # if its caller has not ended it
         self.flush()
 
@@ -248,26 +277,36 @@
     """The service: connections of callers, and what they all need. most_streams: of each connection."""
 
     def __init__(
-        self, link: Link, names: Names, longest_s: float, most_streams: int, clock: Clock, log: Log
+        self,
+        link: DecisionLink,
+        names: HeaderNames,
+        longest_s: float,
+        most_streams: int,
+        clock: Clock,
+        log: Log,
     ) -> None:
         self.link, self.clock, self.log, self.most_streams = link, clock, log, most_streams
         self.loop = asyncio.get_running_loop()
-        self.callers: set[Caller] = set()
+        self.callers: set[CallerConnection] = set()
         self.streams = 0
         self.list_bytes = 32 * 1024
         self.listener: Listener | None = None
         self.configure(names, longest_s)
-        clock.call_later(SWEEP_S, self._sweep)
+        clock.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def configure(self, names: Names, longest_s: float) -> None:
-        self.reader, self.writer, self.stream_s = Reader(names), Writer(names), longest_s + STREAM_SPARE_S
+    def configure(self, names: HeaderNames, longest_s: float) -> None:
+        self.reader, self.writer, self.stream_s = (
+            HeaderReader(names),
+            ReplyWriter(names),
+            longest_s + STREAM_GRACE_S,
+        )
 
     async def listen(self, address: str) -> int:
         """Serve on host:port (port 0: the kernel's choice), which other processes may share; the port."""
         host, _, port = address.rpartition(":")
         where = host.strip("[]"), int(port)
         listening = await listen_patiently(lambda: bind_each(where, BACKLOG, shared=True))
-        self.listener = Listener(listening, lambda: Caller(self), self.clock, self.loop)
+        self.listener = Listener(listening, lambda: CallerConnection(self), self.clock, self.loop)
         self.listener.start()
         bound: int = listening[0].getsockname()[1]
         return bound
@@ -277,11 +316,11 @@
         before = self.clock.now() - self.stream_s
         for caller in list(self.callers):
             # In the order of their beginning: the first young one ends the search.
-            for wire in list(caller.wires.values()):
-                if wire.begun > before:
+            for extproc_stream in list(caller.extproc_streams.values()):
+                if extproc_stream.begun > before:
                     break
-                caller.finish(wire, DEADLINE_EXCEEDED, "the stream's time is over")
-        self.clock.call_later(SWEEP_S, self._sweep)
+                caller.finish(extproc_stream, DEADLINE_EXCEEDED, "the stream's time is over")
+        self.clock.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def stop(self, grace_s: float) -> None:
         """GOAWAY to all; streams that are open finish, in so many seconds at most."""
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -11,17 +11,17 @@
 from typing import Any
 
 from quartzford.engine import Backend, Clock, Engine, Log
-from quartzford.fronts.extproc.desk import Desk
-from quartzford.fronts.extproc.line import DeskLine
-from quartzford.fronts.extproc.messages import Names
-from quartzford.fronts.extproc.server import STREAM_SPARE_S, Direct, Processor
+from quartzford.fronts.extproc.decision_service import DecisionService
+from quartzford.fronts.extproc.messages import HeaderNames
+from quartzford.fronts.extproc.server import STREAM_GRACE_S, LocalLink, Processor
 from quartzford.fronts.extproc.token import Tokens
+from quartzford.fronts.extproc.worker_channel import ServiceChannel
 from quartzford.settings.operator_checks import OperatorError
 from quartzford.settings.operator_settings import ExtprocSettings
 
-RESTART_S = (0.1, 5.0)  # from a worker's death to its successor, doubling while it dies at once
-QUIET_S = 0.02
-START_S = 10.0  # for all workers to be up; after it those that are serve
+RESTART_BACKOFF_S = (0.1, 5.0)  # from a worker's death to its successor, doubling while it dies at once
+POLL_INTERVAL_S = 0.02
+WORKER_START_TIMEOUT_S = 10.0  # for all workers to be up; after it those that are serve
 
 
 def token_key(path: str) -> bytes:
@@ -37,8 +37,8 @@
     return key
 
 
-def names_of(settings: ExtprocSettings, report_names: tuple[str, ...]) -> Names:
-    return Names(
+def names_of(settings: ExtprocSettings, report_names: tuple[str, ...]) -> HeaderNames:
+    return HeaderNames(
         **dict(settings.headers),
         cookie=settings.cookie,
         default_class=settings.default_class,
@@ -63,7 +63,7 @@
         self.settings, self.engine, self.clock, self.log = settings, engine, clock, log
         self.names = names_of(settings, report_names)
         tokens = Tokens(token_key(settings.token_key_file), os.urandom(8))
-        self.desk = Desk(
+        self.service = DecisionService(
             engine,
             backend,
             clock,
@@ -74,7 +74,7 @@
             settings.queue_ms / 1000.0,
         )
         self.port = 0
-        self.lines: set[DeskLine] = set()
+        self.channels: set[ServiceChannel] = set()
         self.workers: dict[int, asyncio.subprocess.Process] = {}
         self.tasks: list[asyncio.Task[None]] = []
         self.processor: Processor | None = None
@@ -88,7 +88,7 @@
 
     async def start(self) -> None:
         if self.settings.workers == 0:
-            link, most = Direct(self.desk), self.settings.most_streams
+            link, most = LocalLink(self.service), self.settings.most_streams
             self.processor = Processor(link, self.names, self.longest_s, most, self.clock, self.log)
             self.port = await self.processor.listen(self.settings.listen)
             return
@@ -96,35 +96,35 @@
         path = str(Path(self.folder.name) / "desk")
         loop = asyncio.get_running_loop()
         self.unix = await loop.create_unix_server(
-            lambda: DeskLine(self.desk, self.log, self.lines, self._greeting), path
+            lambda: ServiceChannel(self.service, self.log, self.channels, self._greeting), path
         )
         host, _, port = self.settings.listen.rpartition(":")
         for number in range(self.settings.workers):
-            self.tasks.append(loop.create_task(self._keep(number, path, f"{host}:{self.port or port}")))
+            self.tasks.append(loop.create_task(self._supervise(number, path, f"{host}:{self.port or port}")))
             if port == "0" and not self.port:  # the kernel's choice is every worker's port
                 self.port = await self._bound()
         if not self.port:
             self.port = int(port)
-        limit = self.clock.now() + START_S
-        while sum(bool(line.port) for line in self.lines) < self.settings.workers:
+        limit = self.clock.now() + WORKER_START_TIMEOUT_S
+        while sum(bool(line.port) for line in self.channels) < self.settings.workers:
             if self.clock.now() > limit:
                 return self.log.line("extproc", "not all workers are up yet")
-            await asyncio.sleep(QUIET_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _bound(self) -> int:
         while True:
-            for line in self.lines:
+            for line in self.channels:
                 if line.port:
                     return line.port
-            await asyncio.sleep(QUIET_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _greeting(self) -> tuple[Any, ...]:
         """The names in force; to a worker that comes up while all stop, that it is to stop too."""
         return ("stop",) if self.stopping else ("names", asdict(self.names), self.longest_s)
 
-    async def _keep(self, number: int, path: str, address: str) -> None:
+    async def _supervise(self, number: int, path: str, address: str) -> None:
         """A worker, and its successors: what a dead one's callers had been told of stays with the desk."""
-        wait, most = RESTART_S
+        wait, most = RESTART_BACKOFF_S
         while not self.stopping:
             begun = self.clock.now()
             where = f"{address.rpartition(':')[0]}:{self.port}" if self.port else address
@@ -141,29 +141,32 @@
             if self.stopping:
                 return
             self.log.line("extproc", f"worker {number} ended with {code}; another one follows")
-            wait = RESTART_S[0] if self.clock.now() - begun > most else min(most, 2 * wait)
+            wait = RESTART_BACKOFF_S[0] if self.clock.now() - begun > most else min(most, 2 * wait)
             await asyncio.sleep(wait)
 
     def reconfigure(self, settings: ExtprocSettings, report_names: tuple[str, ...]) -> None:
         """New settings under load. Streams that are open go on by the new names."""
         self.settings, self.names = settings, names_of(settings, report_names)
-        self.desk.return_s, self.desk.overlap_s = settings.return_ms / 1000.0, settings.overlap_ms / 1000.0
-        self.desk.most, self.desk.queue_s = settings.most_requests, settings.queue_ms / 1000.0
+        self.service.return_s, self.service.overlap_s = (
+            settings.return_ms / 1000.0,
+            settings.overlap_ms / 1000.0,
+        )
+        self.service.max_requests, self.service.queue_s = settings.most_requests, settings.queue_ms / 1000.0
         if self.processor is not None:
             self.processor.configure(self.names, self.longest_s)
-        for line in self.lines:
+        for line in self.channels:
             line.configure()
 
     async def stop(self) -> None:
         """GOAWAY to all callers; what is open finishes, in the longest deadline's time."""
         self.stopping = True
         if self.processor is not None:
-            await self.processor.stop(self.longest_s + STREAM_SPARE_S)
-        for line in list(self.lines):
+            await self.processor.stop(self.longest_s + STREAM_GRACE_S)
+        for line in list(self.channels):
             line.send("stop")
         for process in self.workers.values():
             try:
-                await asyncio.wait_for(process.wait(), self.longest_s + 2 * STREAM_SPARE_S)
+                await asyncio.wait_for(process.wait(), self.longest_s + 2 * STREAM_GRACE_S)
             except TimeoutError:
                 process.kill()
                 await process.wait()
--- a/quartzford/fronts/extproc/token.py
+++ b/quartzford/fronts/extproc/token.py
@@ -10,11 +10,11 @@
 from enum import Enum
 
 MAC_BYTES = 16
-FORM = struct.Struct(">8sIQ")  # the life that made it, the flight's number, Unix ms at which it ends
+LAYOUT = struct.Struct(">8sIQ")  # the life that made it, the flight's number, Unix ms at which it ends
 VERSION = b"q1"
 
 
-class Fault(Enum):
+class InvalidToken(Enum):
     """Why a token opens nothing. Neither kind is ever taken for a request without a token."""
 
     STALE = "stale"  # ours, but of another life of this balancer, or its time is over
@@ -24,27 +24,27 @@
 class Tokens:
     """Makes and reads tokens. key: 16 bytes or more; life: 8 bytes, new with each start."""
 
-    def __init__(self, key: bytes, life: bytes) -> None:
-        if len(key) < 16 or len(life) != 8:
+    def __init__(self, key: bytes, incarnation: bytes) -> None:
+        if len(key) < 16 or len(incarnation) != 8:
             raise ValueError("key: 16 bytes or more; life: 8 bytes")
-        self.key, self.life = hashlib.blake2b(key).digest(), life
+        self.key, self.incarnation = hashlib.blake2b(key).digest(), incarnation
 
     def make(self, number: int, identity: str, ends_ms: float) -> str:
         """A token for a flight; identity is the request's correlation id, which it is good for alone."""
-        body = FORM.pack(self.life, number, int(ends_ms))
+        body = LAYOUT.pack(self.incarnation, number, int(ends_ms))
         return base64.urlsafe_b64encode(body + self._mac(body, identity)).decode().rstrip("=")
 
-    def read(self, text: str, identity: str, now_ms: float) -> int | Fault:
+    def read(self, text: str, identity: str, now_ms: float) -> int | InvalidToken:
         """The flight's number. A token of an earlier life can be told from a forged one if the key lasts."""
         try:
             raw = base64.b64decode(text + "=" * (-len(text) % 4), b"-_", validate=True)
         except (ValueError, binascii.Error):
-            return Fault.FORGED
-        body, mac = raw[: FORM.size], raw[FORM.size :]
-        if len(raw) != FORM.size + MAC_BYTES or not hmac.compare_digest(mac, self._mac(body, identity)):
-            return Fault.FORGED
-        life, number, ends = FORM.unpack(body)
-        return int(number) if life == self.life and now_ms <= ends else Fault.STALE
+            return InvalidToken.FORGED
+        body, mac = raw[: LAYOUT.size], raw[LAYOUT.size :]
+        if len(raw) != LAYOUT.size + MAC_BYTES or not hmac.compare_digest(mac, self._mac(body, identity)):
+            return InvalidToken.FORGED
+        incarnation, number, ends = LAYOUT.unpack(body)
+        return int(number) if incarnation == self.incarnation and now_ms <= ends else InvalidToken.STALE
 
     def _mac(self, body: bytes, identity: str) -> bytes:
         text = VERSION + body + identity.encode("utf-8", "surrogateescape")
--- a/quartzford/fronts/extproc/worker.py
+++ b/quartzford/fronts/extproc/worker.py
@@ -10,13 +10,13 @@
 import uvloop
 
 from quartzford.engine import LoopClock, StderrLog
-from quartzford.fronts.extproc.line import WorkerLine
-from quartzford.fronts.extproc.messages import Names
+from quartzford.fronts.extproc.messages import HeaderNames
 from quartzford.fronts.extproc.server import Processor
+from quartzford.fronts.extproc.worker_channel import WorkerChannel
 
 
-def names_of(table: dict[str, Any]) -> Names:
-    return Names(**{**table, "report_names": tuple(table["report_names"])})
+def names_of(table: dict[str, Any]) -> HeaderNames:
+    return HeaderNames(**{**table, "report_names": tuple(table["report_names"])})
 
 
 async def work(path: str, address: str, most_streams: int) -> None:
@@ -24,21 +24,21 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)  # the deciding process says when; a group's signal must not
-    told: asyncio.Queue[list[Any]] = asyncio.Queue()
-    lost = asyncio.Event()
+    messages: asyncio.Queue[list[Any]] = asyncio.Queue()
+    disconnected = asyncio.Event()
     clock = LoopClock(loop)
-    _, line = await loop.create_unix_connection(
-        lambda: WorkerLine(told.put_nowait, lost.set, clock.now), path
+    _, channel = await loop.create_unix_connection(
+        lambda: WorkerChannel(messages.put_nowait, disconnected.set, clock.now), path
     )
-    greeting = await told.get()
+    greeting = await messages.get()
     if greeting[0] == "stop":
         return
     _, table, longest_s = greeting
-    processor = Processor(line, names_of(table), longest_s, most_streams, clock, StderrLog(clock.now))
-    line.send("bound", await processor.listen(address))
-    ending = loop.create_task(lost.wait())
+    processor = Processor(channel, names_of(table), longest_s, most_streams, clock, StderrLog(clock.now))
+    channel.send("bound", await processor.listen(address))
+    ending = loop.create_task(disconnected.wait())
     while not ending.done():
-        following = loop.create_task(told.get())
+        following = loop.create_task(messages.get())
         await asyncio.wait((following, ending), return_when=asyncio.FIRST_COMPLETED)
         if not following.done():
             following.cancel()
--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -58,7 +58,7 @@
         return self
 
     def ports(self) -> list[int]:
-        return [line.port for line in self.front.lines if line.port]
+        return [line.port for line in self.front.channels if line.port]
 
     async def __aexit__(self, *error: object) -> None:
         for caller in self.callers:
@@ -98,8 +98,8 @@
     def runs(self, identity: str) -> int:
         return sum(run.identity == identity for run in self.books.runs)
 
-    def open_flights(self) -> int:
-        return len(self.front.desk.flights)
+    def open_requests(self) -> int:
+        return len(self.front.service.requests)
 
 
 class Raw:
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -18,8 +18,8 @@
 from quartzford.backends.http_attempt import Attempt
 from quartzford.backends.upstream_connection import Connection
 from quartzford.fronts.extproc import server
-from quartzford.fronts.extproc.desk import Reply
-from quartzford.fronts.extproc.messages import Writer
+from quartzford.fronts.extproc.decision_service import Reply
+from quartzford.fronts.extproc.messages import ReplyWriter
 
 SLACK_S = 0.15  # of the rule, and for as long a balancer may be held up between its clock and a write
 TRANSIT_S = 0.02  # from the balancer's write to this test's clock
@@ -269,12 +269,12 @@
     again: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A worker has the decision 0.08 s later, and is held up by 0.15 s between its clock and its write."""
-    replied, write = server.Wire._replied, Writer.write
+    replied, write = server.ExtprocStream._replied, ReplyWriter.write
 
-    def later(self: server.Wire, reply: Reply) -> None:
+    def later(self: server.ExtprocStream, reply: Reply) -> None:
         asyncio.get_running_loop().call_later(0.08, replied, self, reply)
 
-    def held(self: Writer, reply: Reply, now: float) -> bytes:
+    def held(self: ReplyWriter, reply: Reply, now: float) -> bytes:
         message = write(self, reply, now)
         time.sleep(SLACK_S)
         return message
@@ -288,8 +288,8 @@
                 await raw.ask(rows)
                 await raw.report(503, ("x-unprocessed", "1"))
                 rows, raw = [*rows, raw.token()], Raw(caller)
-            monkeypatch.setattr(server.Wire, "_replied", later)
-            monkeypatch.setattr(Writer, "write", held)
+            monkeypatch.setattr(server.ExtprocStream, "_replied", later)
+            monkeypatch.setattr(ReplyWriter, "write", held)
             await raw.ask(rows)
             left, time_out = told_by(raw)
             assert 0 < left <= time_out
--- a/tests/test_extproc_desk.py
+++ b/tests/test_extproc_decisions.py
@@ -15,25 +15,25 @@
 
 from quartzford.backends.caller import CallerBackend
 from quartzford.engine import Engine
-from quartzford.fronts.extproc.desk import (
-    Again,
-    Ask,
-    Cut,
-    Desk,
+from quartzford.fronts.extproc.attempt_result import AttemptResult, read_result
+from quartzford.fronts.extproc.decision_service import (
+    DeadlineExceeded,
+    Decision,
+    DecisionRequest,
+    DecisionService,
     Failed,
-    Opened,
-    Passed,
-    Refused,
+    Rejected,
     Reply,
+    RequestOpened,
+    ResponseForwarded,
+    RetryOffered,
     Stream,
-    Told,
 )
-from quartzford.fronts.extproc.outcome import Result, read_result
-from quartzford.fronts.extproc.token import Fault, Tokens
+from quartzford.fronts.extproc.token import InvalidToken, Tokens
 from quartzford.membership.listing import Listing
 
 KIND = {c.name: c for c in CLASSES}
-PROOF = ("full", "connect_failed")
+NEVER_RAN_CODES = ("full", "connect_failed")
 
 
 class Timer:
@@ -94,7 +94,7 @@
         self.engine = Engine(settings(), seed, self.clock, self.log)
         self.backend = CallerBackend(self.engine, self.clock, 0.1)
         tokens = Tokens(b"k" * 16, b"life-one")
-        self.desk = Desk(self.engine, self.backend, self.clock, tokens, 0.2, 0.03, 1000)
+        self.service = DecisionService(self.engine, self.backend, self.clock, tokens, 0.2, 0.03, 1000)
         self.entries = {n: entry(n) for n in range(servers)}
         self.drained: dict[str, float] = {}
         self.list()
@@ -120,7 +120,7 @@
 
     def __init__(self, world: World, slow: bool = False) -> None:
         self.world, self.slow = world, slow  # slow: its worker has the first Told too late to write it
-        self.held: Told | None = None
+        self.held: Decision | None = None
         self.heard: list[Reply] = []
         self.asked = self.reported = 0
         self.stream = Stream(self.hear)
@@ -129,40 +129,40 @@
 
     def hear(self, reply: Reply) -> None:
         assert not self.dropped, "a word to a stream that has ended"
-        if self.slow and isinstance(reply, Told):
+        if self.slow and isinstance(reply, Decision):
             self.slow, self.held = False, reply
-            late_s = reply.by - self.world.clock.at + 0.001
+            late_s = reply.valid_until - self.world.clock.at + 0.001
             self.world.clock.call_later(late_s, self.late)
             return
         self.heard.append(reply)
-        replies = [r for r in self.heard if not isinstance(r, Cut)]
+        replies = [r for r in self.heard if not isinstance(r, DeadlineExceeded)]
         assert len(replies) <= self.asked + self.reported, "a reply that nobody waits for"
 
-    def ask(self, ask: Ask) -> Peer:
+    def ask(self, ask: DecisionRequest) -> Peer:
         self.asked += 1
-        self.world.desk.ask(self.stream, ask)
+        self.world.service.request_decision(self.stream, ask)
         return self
 
     def report(self, code: str) -> None:
         self.reported += 1
-        self.world.desk.report(self.stream, Result(code))
+        self.world.service.report_result(self.stream, AttemptResult(code))
 
     def drop(self) -> None:
         if not self.dropped:
             self.dropped = True
-            self.world.desk.drop(self.stream, self.held is not None)
+            self.world.service.stream_closed(self.stream, self.held is not None)
 
     def late(self) -> None:
         held, self.held = self.held, None
         if held is not None and not self.dropped:
-            self.world.desk.late(self.stream)
+            self.world.service.decision_expired(self.stream)
 
-    def told(self) -> Told | None:
-        return next((r for r in self.heard if isinstance(r, Told)), None)
+    def told(self) -> Decision | None:
+        return next((r for r in self.heard if isinstance(r, Decision)), None)
 
     def out(self) -> bool:
         """Its caller has an attempt out."""
-        cut = any(isinstance(r, Cut) for r in self.heard)
+        cut = any(isinstance(r, DeadlineExceeded) for r in self.heard)
         return self.told() is not None and not self.reported and not self.dropped and not cut
 
 
@@ -178,40 +178,40 @@
         self.final: list[str] = []
         self.token = ""
         self.peer = Peer(world, slow)
-        self.peer.ask(Ask(self.identity, name, left_ms, keyed=name != "pay", opens=opens))
+        self.peer.ask(DecisionRequest(self.identity, name, left_ms, keyed=name != "pay", opens=opens))
         self.opens, self.spare = opens, 0
         self.look()
 
     def next(self) -> None:
-        self.peer = Peer(self.world).ask(Ask(self.identity, self.name, token=self.token))
+        self.peer = Peer(self.world).ask(DecisionRequest(self.identity, self.name, token=self.token))
         self.look()
 
     def look(self) -> None:
         """What the present stream heard, as a caller takes it."""
         if self.final:
             return
-        heard = [r for r in self.peer.heard if not isinstance(r, Cut)]
-        if any(isinstance(r, Cut) for r in self.peer.heard):
+        heard = [r for r in self.peer.heard if not isinstance(r, DeadlineExceeded)]
+        if any(isinstance(r, DeadlineExceeded) for r in self.peer.heard):
             return self.end("cut")
         if not heard:
             return
         last = heard[-1]
-        if isinstance(last, Opened) and len(heard) == 1 and not self.token:
+        if isinstance(last, RequestOpened) and len(heard) == 1 and not self.token:
             self.token = last.token
             return
-        if isinstance(last, Told) and len(self.sends) < self.world_sends():
+        if isinstance(last, Decision) and len(self.sends) < self.world_sends():
             self.send(last)
-        elif isinstance(last, Refused):
+        elif isinstance(last, Rejected):
             self.end("refused")
         elif isinstance(last, Failed):
             self.end("failed")
-        elif isinstance(last, Passed):
+        elif isinstance(last, ResponseForwarded):
             self.end("served")
 
     def world_sends(self) -> int:
         return len(self.sends) + (0 if getattr(self.peer, "used", False) else 1)
 
-    def send(self, told: Told) -> None:
+    def send(self, told: Decision) -> None:
         self.peer.used = True  # type: ignore[attr-defined]
         self.token = told.token
         now, number = self.world.clock.at, int(told.address.rpartition(":")[2])
@@ -220,7 +220,7 @@
         drained = self.world.drained.get(f"s{number}")
         assert drained is None or now - drained <= RULES.drain_grace_ms / 1000.0, "told of a drained nodo"
         assert drained is None, "told of a nodo known to drain"
-        ran = [(at, n) for at, n, how in self.sends if how not in PROOF]
+        ran = [(at, n) for at, n, how in self.sends if how not in NEVER_RAN_CODES]
         kind = KIND[self.name]
         if ran and kind.effect == "unsafe":
             raise AssertionError("an unsafe request sent again")
@@ -238,7 +238,7 @@
     def end(self, how: str) -> None:
         self.final.append(how)
         if how == "refused":
-            ran = [how for _, _, how in self.sends if how not in PROOF]
+            ran = [how for _, _, how in self.sends if how not in NEVER_RAN_CODES]
             kind = KIND[self.name]
             harmless = kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all")
             assert harmless or not ran, "refused though it may have run"
@@ -294,7 +294,7 @@
         customer.done(code)
         peer.report(code)
         customer.look()
-        if any(isinstance(r, Again) for r in peer.heard) and not customer.final:
+        if any(isinstance(r, RetryOffered) for r in peer.heard) and not customer.final:
             peer.drop()
             customer.next()
     elif what == "report" and customer.opens and customer.token and not customer.sends:
@@ -309,12 +309,12 @@
         else:
             customer.final.append("left")
     elif what == "overlap" and peer.out():
-        other = Peer(world).ask(Ask(customer.identity, customer.name, token=customer.token))
+        other = Peer(world).ask(DecisionRequest(customer.identity, customer.name, token=customer.token))
         world.clock.pass_time(0.02)
         assert not other.told(), "a second attempt beside one that is out"
         other.drop()
     elif what == "copy" and peer.out():
-        other = Peer(world).ask(Ask(customer.identity, customer.name, 100.0))
+        other = Peer(world).ask(DecisionRequest(customer.identity, customer.name, 100.0))
         assert other.heard == [Failed(409)]
         other.drop()
 
@@ -332,7 +332,7 @@
             customer.look()
     for customer in customers:
         assert len(customer.final) == 1 or (not customer.final and customer.opens), "not answered once"
-    assert not world.desk.flights and not world.desk.by_identity
+    assert not world.service.requests and not world.service.requests_by_identity
     assert not world.engine.pending_requests and not world.engine.balancer.pending_requests
     assert not any(s.in_flight for s in world.engine.balancer.servers.values()), "an attempt without an end"
     assert not any("overdue" in line for line in world.log.lines)
@@ -350,14 +350,22 @@
             step(world, customers, number, (what, number % 7, name, code, (0.0, 0.02, 0.15)[number % 3]))
         world.clock.pass_time(5.0)
         kinds |= {type(r) for peer in world.streams for r in peer.heard}
-    assert kinds == {Told, Opened, Refused, Failed, Passed, Again, Cut}
+    assert kinds == {
+        Decision,
+        RequestOpened,
+        Rejected,
+        Failed,
+        ResponseForwarded,
+        RetryOffered,
+        DeadlineExceeded,
+    }
 
 
 # ---- the table in docs/extproc.md, row by row
 
 
 def told(world: World, name: str = "pay", identity: str = "c1") -> Peer:
-    peer = Peer(world).ask(Ask(identity, name, 500.0, keyed=name != "pay"))
+    peer = Peer(world).ask(DecisionRequest(identity, name, 500.0, keyed=name != "pay"))
     assert peer.told()
     return peer
 
@@ -368,28 +376,28 @@
     peer = told(world)
     peer.report(code)
     assert peer.heard[1:] == [Failed(502)]
-    assert Peer(world).ask(Ask("c1", "pay")).heard == [Failed(409)]
+    assert Peer(world).ask(DecisionRequest("c1", "pay")).heard == [Failed(409)]
 
 
-@pytest.mark.parametrize("code", PROOF)
+@pytest.mark.parametrize("code", NEVER_RAN_CODES)
 def test_told_and_reported_as_never_run_goes_on(code: str) -> None:
     world = World()
     peer = told(world)
     first = peer.told()
     peer.report(code)
-    assert peer.heard[1:] == [Again(True)] and first is not None
-    following = Peer(world).ask(Ask("c1", "pay", token=first.token))
+    assert peer.heard[1:] == [RetryOffered(True)] and first is not None
+    following = Peer(world).ask(DecisionRequest("c1", "pay", token=first.token))
     assert following.told() and following.told().address != first.address  # type: ignore[union-attr]
 
 
 def test_decided_and_never_claimed_counts_as_never_sent() -> None:
     world = World()
-    opener = Peer(world).ask(Ask("c1", "pay", 500.0, opens=True))
-    assert isinstance(opener.heard[0], Opened)
+    opener = Peer(world).ask(DecisionRequest("c1", "pay", 500.0, opens=True))
+    assert isinstance(opener.heard[0], RequestOpened)
     world.clock.pass_time(0.25)  # nobody comes for it
-    assert not world.desk.flights and not world.engine.counts["overdue"]
-    assert world.desk.past["c1"].harmless
-    again = Peer(world).ask(Ask("c1", "pay", 500.0))
+    assert not world.service.requests and not world.engine.counts["overdue"]
+    assert world.service.completed["c1"].never_ran
+    again = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
     assert again.told()
 
 
@@ -397,9 +405,9 @@
     world = World()
     peer = told(world)
     peer.drop()
-    assert world.desk.flights
+    assert world.service.requests
     world.clock.pass_time(0.25)
-    assert not world.desk.flights and not world.desk.past["c1"].harmless
+    assert not world.service.requests and not world.service.completed["c1"].never_ran
     assert world.engine.counts["cancelled"] == 1 and world.engine.counts["client gone"] == 1
 
 
@@ -408,11 +416,11 @@
     peer = told(world)
     peer.report("ok")
     peer.report("error")
-    assert peer.heard[1:] == [Passed(), Passed()]
+    assert peer.heard[1:] == [ResponseForwarded(), ResponseForwarded()]
     assert world.engine.counts["error"] == 0
     stranger = Peer(world)
     stranger.report("error")
-    assert stranger.heard == [Passed()] and world.engine.counts["error"] == 0
+    assert stranger.heard == [ResponseForwarded()] and world.engine.counts["error"] == 0
 
 
 def test_the_memory_of_ended_requests_is_bounded_in_time() -> None:
@@ -420,26 +428,26 @@
     for n in range(300):
         told(world, "read", f"c{n}").report("ok")
         world.clock.pass_time(0.01)
-    assert len(world.desk.past) < 200
+    assert len(world.service.completed) < 200
 
 
 def test_no_room_is_told_as_a_refusal_and_opens_nothing() -> None:
     world = World()
-    world.desk.most = 1
+    world.service.max_requests = 1
     told(world)
-    assert Peer(world).ask(Ask("c2", "pay")).heard == [Refused(0.0, False)]
+    assert Peer(world).ask(DecisionRequest("c2", "pay")).heard == [Rejected(0.0, False)]
     assert len(world.engine.pending_requests) == 1
 
 
-def test_a_request_that_waited_too_long_for_the_desk_is_refused_unasked() -> None:
+def test_a_request_that_waited_too_long_for_the_service_is_rejected_undecided() -> None:
     world = World()
     peer = Peer(world)
     peer.asked += 1
-    world.desk.ask(peer.stream, Ask("c1", "pay", 500.0), world.clock.at - 0.2)
-    assert peer.heard == [Refused(0.0, False)] and not world.engine.pending_requests
+    world.service.request_decision(peer.stream, DecisionRequest("c1", "pay", 500.0), world.clock.at - 0.2)
+    assert peer.heard == [Rejected(0.0, False)] and not world.engine.pending_requests
     late = Peer(world)
     late.asked += 1
-    world.desk.ask(late.stream, Ask("c2", "pay", 500.0), world.clock.at - 0.05)
+    world.service.request_decision(late.stream, DecisionRequest("c2", "pay", 500.0), world.clock.at - 0.05)
     (call,) = world.engine.pending_requests.values()
     assert late.told() and call.deadline == pytest.approx(world.clock.at + 0.45)
 
@@ -449,7 +457,7 @@
     peer = told(world)
     world.engine.reconfigure(settings(balancers=3))
     peer.report("ok")
-    assert peer.heard[1:] == [Passed()]
+    assert peer.heard[1:] == [ResponseForwarded()]
 
 
 # ---- tokens and outcomes
@@ -459,13 +467,13 @@
     one, other = Tokens(b"k" * 16, b"life-one"), Tokens(b"k" * 16, b"life-two")
     text = one.make(7, "c1", 1000.0)
     assert one.read(text, "c1", 999.0) == 7
-    assert one.read(text, "c1", 1001.0) is Fault.STALE
-    assert other.read(text, "c1", 999.0) is Fault.STALE
-    assert one.read(text, "c2", 999.0) is Fault.FORGED
-    assert Tokens(b"x" * 16, b"life-one").read(text, "c1", 999.0) is Fault.FORGED
+    assert one.read(text, "c1", 1001.0) is InvalidToken.STALE
+    assert other.read(text, "c1", 999.0) is InvalidToken.STALE
+    assert one.read(text, "c2", 999.0) is InvalidToken.FORGED
+    assert Tokens(b"x" * 16, b"life-one").read(text, "c1", 999.0) is InvalidToken.FORGED
     for n in range(len(text)):
         changed = text[:n] + ("A" if text[n] != "A" else "B") + text[n + 1 :]
-        assert one.read(changed, "c1", 999.0) is Fault.FORGED
+        assert one.read(changed, "c1", 999.0) is InvalidToken.FORGED
     with pytest.raises(ValueError):
         Tokens(b"short", b"life-one")
 
@@ -473,7 +481,7 @@
 @given(st.text(max_size=120))
 @budget(max_examples=200, deadline=None, derandomize=True, database=None)
 def test_no_text_is_a_token(text: str) -> None:
-    assert Tokens(b"k" * 16, b"life-one").read(text, "c1", 0.0) is Fault.FORGED
+    assert Tokens(b"k" * 16, b"life-one").read(text, "c1", 0.0) is InvalidToken.FORGED
 
 
 @pytest.mark.parametrize(
@@ -502,8 +510,8 @@
 
 @pytest.mark.parametrize("load", [b"{", b"[]", b'{"queue":-1}', b'{"queue":"x"}', b"[" * 9000, b"\xff"])
 def test_a_load_report_that_cannot_be_read_spoils_nothing(load: bytes) -> None:
-    assert read_result(200, False, "", load, ("depth",)) == Result("ok")
-    assert read_result(200, False, "", b'{"queue":3}', ("depth",)) == Result("ok", (3.0,))
+    assert read_result(200, False, "", load, ("depth",)) == AttemptResult("ok")
+    assert read_result(200, False, "", b'{"queue":3}', ("depth",)) == AttemptResult("ok", (3.0,))
 
 
 # ---- a decision's end
@@ -511,53 +519,53 @@
 
 def test_a_decision_not_written_in_time_is_made_anew_and_nothing_ran() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(Ask("c1", "pay", 500.0))
+    peer = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", 500.0))
     first = peer.held
-    assert first is not None and abs(first.within_ms - 100.0) < 1e-6
+    assert first is not None and abs(first.valid_for_ms - 100.0) < 1e-6
     world.move(int(first.address.rpartition(":")[2]), "draining")
     world.clock.pass_time(0.102)
     (told,) = peer.heard
-    assert isinstance(told, Told) and told.address != first.address and told.by > world.clock.at
+    assert isinstance(told, Decision) and told.address != first.address and told.valid_until > world.clock.at
     assert (
-        abs(told.within_ms - 201.0) < 1.0
+        abs(told.valid_for_ms - 201.0) < 1.0
     )  # counted from the ask: the caller's clock knows no other instant
     counts = world.engine.counts
     assert counts["moot"] == counts["written too late"] == 1
     peer.report("ok")
-    assert peer.heard[1:] == [Passed()] and not world.desk.flights
+    assert peer.heard[1:] == [ResponseForwarded()] and not world.service.requests
 
 
 def test_a_stream_that_ends_before_its_decision_is_written_ran_nothing() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(Ask("c1", "pay", 500.0))
+    peer = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", 500.0))
     assert peer.held is not None
     peer.drop()
-    assert not world.desk.flights and world.engine.counts["client gone"] == 1
-    again = Peer(world).ask(Ask("c1", "pay", 500.0))
-    assert isinstance(again.heard[0], Told)
+    assert not world.service.requests and world.engine.counts["client gone"] == 1
+    again = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
+    assert isinstance(again.heard[0], Decision)
     again.drop()  # this one was written: it may run
-    assert Peer(world).ask(Ask("c1", "pay", 500.0)).heard == [Failed(409)]
+    assert Peer(world).ask(DecisionRequest("c1", "pay", 500.0)).heard == [Failed(409)]
 
 
 def test_a_late_word_after_the_clients_time_changes_nothing() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(Ask("c1", "pay", 80.0))
+    peer = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", 80.0))
     world.clock.pass_time(0.5)
-    assert peer.heard == [Cut()] and not world.desk.flights
+    assert peer.heard == [DeadlineExceeded()] and not world.service.requests
     assert world.engine.counts["written too late"] == 0 and world.engine.counts["timeout"] == 1
 
 
-def test_after_a_proven_failure_a_late_decision_is_still_harmless() -> None:
+def test_after_a_proven_failure_an_expired_decision_is_still_safe_to_retry() -> None:
     """What was known before the decision is known again once it is taken back: here, that nothing ran."""
     world = World()
-    first = Peer(world).ask(Ask("c1", "pay", 500.0))
+    first = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
     told = first.told()
     assert told is not None
     first.report("full")
-    assert first.heard[-1] == Again(True)
-    second = Peer(world, slow=True).ask(Ask("c1", "pay", token=told.token))
+    assert first.heard[-1] == RetryOffered(True)
+    second = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", token=told.token))
     assert second.held is not None
     world.clock.pass_time(0.102)
     assert second.told() is not None
     second.report("full")
-    assert second.heard[-1] == Again(True) or isinstance(second.heard[-1], Refused)
+    assert second.heard[-1] == RetryOffered(True) or isinstance(second.heard[-1], Rejected)
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -49,12 +49,12 @@
         raws = [Raw(caller) for caller in callers]
         for number, raw in enumerate(raws):
             await raw.ask(rows_of(f"w{number}"))
-        assert site.open_flights() == 12
+        assert site.open_requests() == 12
         victim = site.front.workers[0]
         victim.kill()
-        await until(lambda: site.open_flights() < 12 and len(site.ports()) == 1)
+        await until(lambda: site.open_requests() < 12 and len(site.ports()) == 1)
         await until(lambda: len(site.ports()) == 2, 30)  # its successor
-        lost = [n for n in range(12) if f"w{n}" not in site.front.desk.by_identity]
+        lost = [n for n in range(12) if f"w{n}" not in site.front.service.requests_by_identity]
         fresh = site.caller()
         for number in lost:
             assert status_of(await Raw(fresh).ask(rows_of(f"w{number}"))) == 409
@@ -72,14 +72,14 @@
     await until(lambda: not site.backend.hosts)
     raw = Raw(site.caller())
     asking = asyncio.create_task(raw.ask(rows_of("c1", name)))
-    await until(lambda: site.open_flights() == 1)
+    await until(lambda: site.open_requests() == 1)
     site.front.workers[0].send_signal(signal.SIGSTOP)
     for nodo in site.nodos:
         site.registry.tell(nodo)
-    (flight,) = site.front.desk.flights.values()
-    await until(lambda: flight.holder is not None)
-    assert flight.attempt is not None and not asking.done()
-    return raw, asking, flight.attempt.server
+    (request,) = site.front.service.requests.values()
+    await until(lambda: request.attempt_stream is not None)
+    assert request.attempt is not None and not asking.done()
+    return raw, asking, request.attempt.server
 
 
 @run
@@ -96,7 +96,7 @@
         assert raw.address() != f"127.0.0.1:{nodo.port}"
         assert site.node.engine.counts["written too late"] == site.node.engine.counts["moot"] == 1
         await raw.report(200)
-        assert site.node.engine.counts["ok"] == 1 and not site.open_flights()
+        assert site.node.engine.counts["ok"] == 1 and not site.open_requests()
 
 
 @run
@@ -108,7 +108,7 @@
         site.front.workers[0].send_signal(signal.SIGCONT)
         with pytest.raises((asyncio.CancelledError, asyncio.InvalidStateError, grpc.aio.AioRpcError)):
             await asking
-        await until(lambda: not site.open_flights())
+        await until(lambda: not site.open_requests())
         done = await site.ask(site.caller(), "pay", identity="c1")
         assert done.statuses == [200] and site.runs("c1") == 1
 
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -54,7 +54,7 @@
                 assert done.statuses == [200] and site.runs(done.identity) == 1
                 several += len(done.attempts) > 1
                 assert len({a.address for a in done.attempts}) == len(done.attempts)
-            assert several and not site.open_flights()
+            assert several and not site.open_requests()
 
     uvloop.run(test())
 
@@ -83,7 +83,7 @@
         for nodo in site.nodos:
             nodo.mode = "ok"
         # It surely did not run: the same request may come again.
-        await until(lambda: not site.open_flights())
+        await until(lambda: not site.open_requests())
         again = await site.ask(site.caller(), "pay", identity=done.identity)
         assert again.statuses == [200] and site.runs(done.identity) == 1
 
@@ -127,9 +127,9 @@
         raw = Raw(caller)
         message = proto.ProcessingRequest(request_headers=_message(rows_of("x1")))
         await raw.call.write(message)
-        await until(site.open_flights)
+        await until(site.open_requests)
         raw.drop()
-        await until(lambda: not site.open_flights() and not site.node.engine.pending_requests)
+        await until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
         site.registry.tell(site.nodos[0])
         await until(lambda: site.backend.hosts)
         done = await site.ask(caller, "pay", identity="x1")
@@ -147,7 +147,7 @@
                     nodo.gate = asyncio.Event()
             done = await site.ask(caller, name, drop=stage)
             assert done.dropped == stage and not done.statuses
-            await until(lambda: not site.open_flights() and not site.node.engine.pending_requests)
+            await until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
             again = await site.ask(caller, name, identity=done.identity)
             assert again.statuses == [409]
             assert site.runs(done.identity) == (1 if stage == STAGES[2] else 0)
@@ -164,7 +164,7 @@
         raw = Raw(caller)
         raw.headers = Headers(rows_of("c1"))
         await raw.call.write(proto.ProcessingRequest(request_headers=raw.headers.message(True, True)))
-        await until(lambda: any(w.told for c in processor.callers for w in c.wires.values()))
+        await until(lambda: any(w.decided for c in processor.callers for w in c.extproc_streams.values()))
         raw.drop()
         await until(lambda: site.node.engine.counts["client gone"] == 1)
         again = await site.ask(caller, "pay", identity="c1")
@@ -177,19 +177,19 @@
     async with Site(2, return_ms=50.0) as site:
         assert site.front.processor is not None
         link, loop = site.front.processor.link, asyncio.get_running_loop()
-        ask = link.ask
+        request_decision = link.request_decision
 
         def late(stream: Any, asked: Any) -> None:
             reply = stream.reply
             stream.reply = lambda said: loop.call_later(0.3, reply, said)
-            ask(stream, asked)
+            request_decision(stream, asked)
 
-        link.ask = late  # type: ignore[method-assign]
+        link.request_decision = late  # type: ignore[method-assign]
         caller = site.caller(message_timeout_s=0.1)
         done = await site.ask(caller, "pay")
         assert done.statuses == [504] and not done.attempts
         await until(lambda: site.node.engine.counts["client gone"] == 1)
-        link.ask = ask  # type: ignore[method-assign]
+        link.request_decision = request_decision  # type: ignore[method-assign]
         again = await site.ask(site.caller(), "pay", identity=done.identity)
         assert again.statuses == [200] and site.runs(done.identity) == 1
 
@@ -204,7 +204,7 @@
             await raw.call.read()
             await raw.report(200)
         assert error.value.code() == grpc.StatusCode.DEADLINE_EXCEEDED
-        assert site.node.engine.counts["timeout"] == 1 and not site.open_flights()
+        assert site.node.engine.counts["timeout"] == 1 and not site.open_requests()
 
 
 # ---- callers that go again
@@ -218,7 +218,7 @@
             one, two = Raw(caller), Raw(caller)
             await one.ask(rows_of("c1", name))
             assert status_of(await two.ask(rows_of("c1", name, one.token()))) == status
-            assert status_of(await one.report(200)) == 0 and not site.open_flights()
+            assert status_of(await one.report(200)) == 0 and not site.open_requests()
 
     uvloop.run(test())
 
@@ -233,7 +233,7 @@
             one, two = Raw(caller), Raw(caller)
             await one.ask(rows_of("c1", name))
             asking = asyncio.ensure_future(two.ask(rows_of("c1", name, one.token())))
-            await until(lambda: any(f.following for f in site.front.desk.flights.values()))
+            await until(lambda: any(f.next_stream for f in site.front.service.requests.values()))
             one.drop()
             reply = await asking
             if not sent:
@@ -243,7 +243,7 @@
                 block = {f"127.0.0.1:{n.port}": n.block for n in site.nodos}
                 assert block[two.address()] == block[one.address()]
             await two.report(200)
-            assert not site.open_flights()
+            assert not site.open_requests()
 
     uvloop.run(test())
 
@@ -295,7 +295,7 @@
         # Of a flight that has ended: whatever it was, it is not sent again.
         assert status_of(await Raw(caller).ask(rows_of("c1", "pay", one.token()))) == 502
         # Of an earlier life, with a key that lasts.
-        tokens = site.front.desk.tokens
+        tokens = site.front.service.tokens
         tokens.key = Tokens(b"k" * 16, b"l" * 8).key
         old = Tokens(b"k" * 16, os.urandom(8)).make(3, "c7", site.node.clock.unix_ms() + 1e6)
         assert status_of(await Raw(caller).ask(rows_of("c7", "pay", ("x-quartzford-token", old)))) == 502
@@ -350,7 +350,7 @@
         odd = [row for row in rows_of("c3") if row[0] not in ("x-service-class", "x-time-left")]
         raw = Raw(caller)
         assert status_of(await raw.ask([*odd, ("x-time-left", "soon")])) == 0 and raw.address()
-        assert site.node.engine.pending_requests and (await raw.report(200)) and not site.open_flights()
+        assert site.node.engine.pending_requests and (await raw.report(200)) and not site.open_requests()
         assert not site.books.runs
 
 
@@ -365,7 +365,7 @@
             with pytest.raises(grpc.aio.AioRpcError):
                 assert await asyncio.wait_for(call.read(), 20) is not grpc.aio.EOF
                 raise AssertionError("it was answered")
-        assert (await site.ask(caller, "pay")).statuses == [200] and not site.open_flights()
+        assert (await site.ask(caller, "pay")).statuses == [200] and not site.open_requests()
 
 
 @run
@@ -384,7 +384,7 @@
             assert reply.WhichOneof("response") == kind
         await raw.report(200)
         reply = await raw.say(proto.ProcessingRequest(response_body=proto.HttpBody(body=b"x")))
-        assert reply.WhichOneof("response") == "response_body" and not site.open_flights()
+        assert reply.WhichOneof("response") == "response_body" and not site.open_requests()
 
 
 # ---- decisions that age
@@ -444,7 +444,7 @@
         caller = site.caller()
         opener = Raw(caller, opens=True)
         await opener.ask(rows_of("c1"))
-        await until(lambda: not site.open_flights())
+        await until(lambda: not site.open_requests())
         assert site.node.engine.counts["client gone"] == 1
         assert status_of(await Raw(caller).ask(rows_of("c1", "pay", opener.token()))) == 502
 
@@ -465,7 +465,7 @@
         answers = await asyncio.gather(*asking)
         assert all(len(done.statuses) == 1 for done in answers)
         assert not any(site.runs(done.identity) > 1 for done in answers)
-        assert not site.open_flights() and not site.node.engine.pending_requests
+        assert not site.open_requests() and not site.node.engine.pending_requests
 
 
 @run
@@ -491,12 +491,12 @@
             writer.write(deaf.data_to_send())
             # h2 keeps the window that it was told of: none of this needs our words.
             writer.write(http2.frame(http2.DATA, 0, stream, b"\0" + len(data).to_bytes(4, "big") + data))
-        await until(lambda: site.open_flights() >= 190)
+        await until(lambda: site.open_requests() >= 190)
         assert site.front.processor is not None
         callers = site.front.processor.callers
         (connection,) = (c for c in callers if len(c.connection.streams) > 100)
         assert (await site.ask(site.caller(), "pay", left_s=0.5)).statuses == [200]
-        await until(lambda: not site.open_flights() and not connection.wires, 20)
+        await until(lambda: not site.open_requests() and not connection.extproc_streams, 20)
         assert connection.transport.get_write_buffer_size() + connection.connection.out_bytes < 300_000
         writer.transport.abort()
         await until(lambda: connection not in callers)
@@ -517,7 +517,7 @@
         assert other.statuses == [200] and site.front.processor is not None
         # Where the caller waits for a stream to end, or opens a further connection, is its own affair.
         held = [len(c.connection.streams) for c in site.front.processor.callers]
-        assert max(held) <= 4 and site.open_flights() in (4, 5)
+        assert max(held) <= 4 and site.open_requests() in (4, 5)
         await first.report(200)
         await first.call.done_writing()
         assert status_of(await fifth) == 0
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -16,16 +16,16 @@
 from extproc_site import Site as ExtprocSite
 from helpers import ZONED, settings
 from peers import SETTINGS, Message, World, reply, request, silent, until
-from test_extproc_desk import Peer
-from test_extproc_desk import World as Desk
+from test_extproc_decisions import Peer
+from test_extproc_decisions import World as ServiceWorld
 
 from quartzford.backends.connection_pool import MIN_IDLE_S
 from quartzford.backends.upstream_connection import Connection
 from quartzford.engine import Clock
 from quartzford.fronts import http1 as front
 from quartzford.fronts.extproc import server
-from quartzford.fronts.extproc.desk import Ask, Reply
-from quartzford.fronts.extproc.messages import Writer
+from quartzford.fronts.extproc.decision_service import DecisionRequest, Reply
+from quartzford.fronts.extproc.messages import ReplyWriter
 from quartzford.serve import decision_valid_s
 
 HELD_S = 0.15
@@ -81,23 +81,23 @@
     asked_for_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A worker has a decision shortly before it ends, and is held up between its clock and its write."""
-    replied, write = server.Wire._replied, Writer.write
+    replied, write = server.ExtprocStream._replied, ReplyWriter.write
 
     async def test() -> None:
         async with ExtprocSite(2, decision_valid_ms=asked_for_ms) as site:
             site.backend.valid_s = decision_valid_s(site.extproc, site.config.settings)
             decided: list[float] = []
 
-            def later(self: server.Wire, said: Reply) -> None:
+            def later(self: server.ExtprocStream, said: Reply) -> None:
                 decided.append(time.monotonic())
                 asyncio.get_running_loop().call_later(site.backend.valid_s - 0.03, replied, self, said)
 
-            def held(self: Writer, said: Reply, now: float) -> bytes:
+            def held(self: ReplyWriter, said: Reply, now: float) -> bytes:
                 time.sleep(HELD_S)
                 return write(self, said, now)
 
-            monkeypatch.setattr(server.Wire, "_replied", later)
-            monkeypatch.setattr(Writer, "write", held)
+            monkeypatch.setattr(server.ExtprocStream, "_replied", later)
+            monkeypatch.setattr(ReplyWriter, "write", held)
             raw = Raw(site.caller())
             await raw.ask(rows_of("c1"))
             assert raw.address() and time.monotonic() <= decided[0] + GRACE_S
@@ -107,17 +107,17 @@
 
 def test_a_caller_is_told_no_send_past_the_keyed_window() -> None:
     """What stands for longer as a decision ends with its request's window, less what a hold-up may take."""
-    world = Desk()
+    world = ServiceWorld()
     world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
-    first = Peer(world).ask(Ask("c1", "hold", 700.0, keyed=True))
+    first = Peer(world).ask(DecisionRequest("c1", "hold", 700.0, keyed=True))
     begun = world.clock.at
     told = first.told()
-    assert told is not None and told.by == pytest.approx(begun + 0.1)
+    assert told is not None and told.valid_until == pytest.approx(begun + 0.1)
     world.clock.pass_time(0.12)
     first.report("reset")
-    second = Peer(world).ask(Ask("c1", "hold", 700.0, keyed=True, token=told.token))
+    second = Peer(world).ask(DecisionRequest("c1", "hold", 700.0, keyed=True, token=told.token))
     again = second.told()
-    assert again is not None and again.by <= begun + ZONED.window_ms / 1000.0 - HELD_S
+    assert again is not None and again.valid_until <= begun + ZONED.window_ms / 1000.0 - HELD_S
 
 
 @pytest.mark.parametrize("reused", [False, True])
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -99,7 +99,7 @@
         "load/clients.py",
         "load/trace.py",
         "load/record.py",
-        *(f"fronts/extproc/{n}.py" for n in ("desk", "intake", "outcome", "token")),
+        *(f"fronts/extproc/{n}.py" for n in ("decision_service", "message_queue", "attempt_result", "token")),
     )
     for name in pure:
         tops = {n.split(".")[0] for n in imports(PACKAGE / name)}
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,13 +13,13 @@
 import msgspec
 import pytest
 from peers import SETTINGS, Message, World, reserved_port, run, until
-from test_extproc_desk import FakeClock, Quiet
+from test_extproc_decisions import FakeClock, Quiet
 
 from quartzford.control import ControlSide, InheritedStarts, assemble
 from quartzford.decision import interface as io
 from quartzford.decision.memory import rebase
 from quartzford.engine import LoopClock
-from quartzford.fronts.extproc.token import Fault, Tokens
+from quartzford.fronts.extproc.token import InvalidToken, Tokens
 from quartzford.membership import start_times
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.membership.start_times import StartTimes
@@ -397,7 +397,7 @@
             recorder.record(io.Request(1, "read", 800.0), 0)
             assert 0.0 <= clock.unix_ms() - begun < 30_000.0
             assert tokens.read(text, "c1", clock.unix_ms()) == 7
-        assert tokens.read(text, "c1", clock.unix_ms() + 61_000.0) is Fault.STALE
+        assert tokens.read(text, "c1", clock.unix_ms() + 61_000.0) is InvalidToken.STALE
         recorder.close()
         offsets = [
             float(line.split()[0])
