--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -14,7 +14,7 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as proto
 
 from quartzford.fronts.extproc.attempt_result import AttemptResult, read_result
-from quartzford.fronts.extproc.decision_service import (
+from quartzford.fronts.extproc.decision_messages import (
     Decision,
     DecisionRequest,
     Failed,
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -16,17 +16,17 @@
 
 from quartzford.engine import Clock, Log
 from quartzford.fronts.extproc.attempt_result import AttemptResult
-from quartzford.fronts.extproc.decision_service import (
+from quartzford.fronts.extproc.decision_messages import (
     DeadlineExceeded,
     Decision,
     DecisionRequest,
-    DecisionService,
     Failed,
     Reply,
     RequestOpened,
-    Stream,
 )
+from quartzford.fronts.extproc.decision_service import DecisionService
 from quartzford.fronts.extproc.messages import HeaderNames, HeaderReader, ReplyWriter
+from quartzford.fronts.extproc.remote_request import Stream
 from quartzford.fronts.listener import Listener, bind_each, listen_patiently
 from quartzford.protocols import http2
 
--- a/quartzford/fronts/extproc/worker_channel.py
+++ b/quartzford/fronts/extproc/worker_channel.py
@@ -15,20 +15,20 @@
 
 from quartzford.engine import Log
 from quartzford.fronts.extproc.attempt_result import AttemptResult
-from quartzford.fronts.extproc.decision_service import (
+from quartzford.fronts.extproc.decision_messages import (
     DeadlineExceeded,
     Decision,
     DecisionRequest,
-    DecisionService,
     Failed,
     Rejected,
     Reply,
     RequestOpened,
     ResponseForwarded,
     RetryOffered,
-    Stream,
 )
+from quartzford.fronts.extproc.decision_service import DecisionService
 from quartzford.fronts.extproc.message_queue import MessageQueue
+from quartzford.fronts.extproc.remote_request import Stream
 
 # The first field of a reply's line. A restarted worker may run newer code than the deciding process:
 # the tags stay as they are, whatever the types are called.
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -18,7 +18,7 @@
 from quartzford.backends.http_attempt import Attempt
 from quartzford.backends.upstream_connection import Connection
 from quartzford.fronts.extproc import server
-from quartzford.fronts.extproc.decision_service import Reply
+from quartzford.fronts.extproc.decision_messages import Reply
 from quartzford.fronts.extproc.messages import ReplyWriter
 
 SLACK_S = 0.15  # of the rule, and for as long a balancer may be held up between its clock and a write
--- a/tests/test_extproc_channel.py
+++ b/tests/test_extproc_channel.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from test_extproc_decisions import World
 
-from quartzford.fronts.extproc.decision_service import DecisionRequest
+from quartzford.fronts.extproc.decision_messages import DecisionRequest
 from quartzford.fronts.extproc.message_queue import MessageQueue
 from quartzford.fronts.extproc.worker_channel import ServiceChannel
 
--- a/tests/test_extproc_decisions.py
+++ b/tests/test_extproc_decisions.py
@@ -16,19 +16,19 @@
 from quartzford.backends.caller import CallerBackend
 from quartzford.engine import Engine
 from quartzford.fronts.extproc.attempt_result import AttemptResult, read_result
-from quartzford.fronts.extproc.decision_service import (
+from quartzford.fronts.extproc.decision_messages import (
     DeadlineExceeded,
     Decision,
     DecisionRequest,
-    DecisionService,
     Failed,
     Rejected,
     Reply,
     RequestOpened,
     ResponseForwarded,
     RetryOffered,
-    Stream,
 )
+from quartzford.fronts.extproc.decision_service import DecisionService
+from quartzford.fronts.extproc.remote_request import Stream
 from quartzford.fronts.extproc.token import InvalidToken, Tokens
 from quartzford.membership.listing import Listing
 
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -24,7 +24,7 @@
 from quartzford.engine import Clock
 from quartzford.fronts import http1 as front
 from quartzford.fronts.extproc import server
-from quartzford.fronts.extproc.decision_service import DecisionRequest, Reply
+from quartzford.fronts.extproc.decision_messages import DecisionRequest, Reply
 from quartzford.fronts.extproc.messages import ReplyWriter
 from quartzford.serve import decision_valid_s
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -99,7 +99,13 @@
         "load/clients.py",
         "load/trace.py",
         "load/record.py",
-        *(f"fronts/extproc/{n}.py" for n in ("decision_service", "message_queue", "attempt_result", "token")),
+        "fronts/extproc/attempt_result.py",
+        "fronts/extproc/completed_requests.py",
+        "fronts/extproc/decision_messages.py",
+        "fronts/extproc/decision_service.py",
+        "fronts/extproc/message_queue.py",
+        "fronts/extproc/remote_request.py",
+        "fronts/extproc/token.py",
     )
     for name in pure:
         tops = {n.split(".")[0] for n in imports(PACKAGE / name)}
