--- a/quartzford/fronts/extproc/decision_messages.py
+++ b/quartzford/fronts/extproc/decision_messages.py
@@ -1,6 +1,6 @@
 """Typed messages between a calling proxy's stream and the decision service.
 
-Their fields, in this order, are also what a worker's channel carries (`worker_channel.py`).
+Their fields, in this order, are also what a worker's channel carries (`channel_messages.py`).
 """
 
 from __future__ import annotations
--- a/quartzford/fronts/extproc/message_queue.py
+++ b/quartzford/fronts/extproc/message_queue.py
@@ -1,37 +1,37 @@
-"""The order in which the deciding process looks at what waits for it. No I/O.
+"""The order in which the deciding process handles a worker's messages. No I/O.
 
-A bound on this process alone, as others have one on connections or bytes: what it can't look at in time the
-desk turns away, unread. What is looked at, the decision module judges. Ends (reports, drops, decisions not
-written) go before asks, since each frees something; asks go by their class's worth, oldest first: a lack of
-time costs the least.
-No stream asks after its drop: their numbers are never used again on a line.
+The bound is on this process's time alone, as others are on connections or bytes: a decision request that
+waited too long the decision service rejects without a decision; what is handled in time, the decision module
+judges. Ends (results, closed streams, expired decisions) go first, since each frees capacity; decision
+requests go by their class's priority weight, the oldest first. No decision request follows its stream's end:
+stream numbers are never used again on a channel.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
-Message = list[Any]  # as on the line: ["ask", stream, at, identity, class, ...], ["drop", stream], ...
+from quartzford.fronts.extproc.channel_messages import DECISION_REQUEST, STREAM_CLOSED, Message
 
 
 class MessageQueue:
-    """What waits. worth: of a class by its name."""
+    """Messages that wait. priority_weight: of a class by its name."""
 
     def __init__(self, priority_weight: Callable[[str], float]) -> None:
         self.priority_weight = priority_weight
         self.end_messages: deque[Message] = deque()
-        self.decision_requests: dict[float, deque[Message]] = {}
-        self.requests_by_stream: dict[int, int] = {}  # asks by stream
-        self.request_count = 0  # of the asks
-        self.closed_streams: set[int] = set()  # streams that ended while their ask waited
+        self.decision_requests: dict[float, deque[Message]] = {}  # by priority weight
+        self.requests_by_stream: dict[int, int] = {}  # how many decision requests of a stream wait
+        self.request_count = 0
+        self.closed_streams: set[int] = set()  # streams that ended while their decision request waited
 
     def __len__(self) -> int:
         return len(self.end_messages) + self.request_count
 
     def put(self, message: Message) -> None:
-        if message[0] != "ask":
+        """Queue a message as it came from the channel."""
+        if message[0] != DECISION_REQUEST:
             return self.end_messages.append(message)
         stream = message[1]
         self.requests_by_stream[stream] = self.requests_by_stream.get(stream, 0) + 1
@@ -39,13 +39,13 @@
         self.decision_requests.setdefault(self.priority_weight(message[4]), deque()).append(message)
 
     def next(self) -> Message | None:
-        """What is to be looked at now; None if nothing is left."""
+        """The message to be handled now; None if nothing is left."""
         while len(self):
             message = self._pop()
             stream = message[1]
-            if message[0] == "drop" and stream in self.requests_by_stream:
+            if message[0] == STREAM_CLOSED and stream in self.requests_by_stream:
                 self.closed_streams.add(stream)
-            if message[0] == "ask" and stream in self.closed_streams:
+            if message[0] == DECISION_REQUEST and stream in self.closed_streams:
                 if stream not in self.requests_by_stream:
                     self.closed_streams.discard(stream)
                 continue
@@ -55,16 +55,17 @@
     def _pop(self) -> Message:
         if self.end_messages:
             return self.end_messages.popleft()
-        priority_weight = max(
-            priority_weight for priority_weight, queue in self.decision_requests.items() if queue
-        )
-        message = self.decision_requests[priority_weight].popleft()
-        if not self.decision_requests[priority_weight]:
-            del self.decision_requests[priority_weight]
+        highest = max(weight for weight, queue in self.decision_requests.items() if queue)
+        message = self.decision_requests[highest].popleft()
+        if not self.decision_requests[highest]:
+            del self.decision_requests[highest]
+        self._count_out(message[1])
+        return message
+
+    def _count_out(self, stream: int) -> None:
         self.request_count -= 1
-        left = self.requests_by_stream[message[1]] - 1
+        left = self.requests_by_stream[stream] - 1
         if left:
-            self.requests_by_stream[message[1]] = left
+            self.requests_by_stream[stream] = left
         else:
-            del self.requests_by_stream[message[1]]
-        return message
+            del self.requests_by_stream[stream]
--- a/tests/test_extproc_channel.py
+++ b/tests/test_extproc_channel.py
@@ -14,7 +14,7 @@
 
 from quartzford.fronts.extproc.decision_messages import DecisionRequest
 from quartzford.fronts.extproc.message_queue import MessageQueue
-from quartzford.fronts.extproc.worker_channel import ServiceChannel
+from quartzford.fronts.extproc.service_channel import ServiceChannel
 
 
 class Pipe:
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -100,6 +100,7 @@
         "load/trace.py",
         "load/record.py",
         "fronts/extproc/attempt_result.py",
+        "fronts/extproc/channel_messages.py",
         "fronts/extproc/completed_requests.py",
         "fronts/extproc/decision_messages.py",
         "fronts/extproc/decision_service.py",
