--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -1,80 +1,59 @@
-"""The gRPC side: streams of envoy.service.ext_proc.v3.ExternalProcessor/Process, each tied to the desk.
+"""The gRPC side: streams of envoy.service.ext_proc.v3.ExternalProcessor/Process, and their connections.
 
 gRPC over HTTP/2 as its protocol page (PROTOCOL-HTTP2.md of gRPC) has it, for this one method. Everything here
 is called back: a stream costs no task and no timer. A process that serves gRPC need not be the one that
-decides: `DecisionLink` is the desk itself, or a line to it.
+decides: `DecisionLink` is the service itself, or a channel to it.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections import deque
-from typing import Any, Protocol, cast
+from typing import Any, cast
 
 from envoy.service.ext_proc.v3 import external_processor_pb2 as proto
 from google.protobuf.message import DecodeError
 
 from quartzford.engine import Clock, Log
-from quartzford.fronts.extproc.attempt_result import AttemptResult
+from quartzford.fronts.extproc.decision_link import DecisionLink
 from quartzford.fronts.extproc.decision_messages import (
     DeadlineExceeded,
     Decision,
-    DecisionRequest,
     Failed,
     Reply,
     RequestOpened,
 )
-from quartzford.fronts.extproc.decision_service import DecisionService
 from quartzford.fronts.extproc.messages import HeaderNames, HeaderReader, ReplyWriter
 from quartzford.fronts.extproc.remote_request import Stream
 from quartzford.fronts.listener import Listener, bind_each, listen_patiently
 from quartzford.protocols import http2
 
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-ROLE, OPENS = b"x-quartzford-role", b"open"
+ROLE_HEADER = b"x-quartzford-role"
+OPENER_ROLE = b"open"
 BACKLOG = 1024
 MAX_MESSAGE_BYTES = 256 * 1024
 MAX_READ_AHEAD = 16  # messages of one stream that came ahead of a reply
 STREAM_GRACE_S = 2.0  # a stream lives for the longest deadline and so much more, whatever its caller does
 SWEEP_INTERVAL_S = 0.25
 MIN_REMAINING_S = 0.001  # time-outs are written in whole ms, and 0 of them would mean none
+FRAME_HEADER_BYTES = 5  # of a gRPC message: whether it is compressed, and its length
+DRAIN_POLL_S = 0.02
 # gRPC status codes
-OK, INVALID_ARGUMENT, DEADLINE_EXCEEDED, RESOURCE_EXHAUSTED, UNIMPLEMENTED = 0, 3, 4, 8, 12
+OK = 0
+INVALID_ARGUMENT = 3
+DEADLINE_EXCEEDED = 4
+RESOURCE_EXHAUSTED = 8
+UNIMPLEMENTED = 12
 RESPONSE_HEADERS = http2.block(((b":status", b"200"), (b"content-type", b"application/grpc")))
 OK_TRAILERS = http2.block(((b"grpc-status", b"0"),))
 
 
-class DecisionLink(Protocol):
-    """The way to the desk, for one stream after another."""
-
-    def open(self, stream: Stream) -> None: ...
-
-    def request_decision(self, stream: Stream, decision_request: DecisionRequest) -> None: ...
-
-    def report_result(self, stream: Stream, result: AttemptResult) -> None: ...
-
-    def decision_expired(self, stream: Stream) -> None: ...
-
-    def stream_closed(self, stream: Stream, unwritten: bool) -> None: ...
-
-
-class LocalLink:
-    """The desk in this very process."""
-
-    def __init__(self, service: DecisionService) -> None:
-        self.request_decision, self.report_result, self.decision_expired, self.stream_closed = (
-            service.request_decision,
-            service.report_result,
-            service.decision_expired,
-            service.stream_closed,
-        )
-
-    def open(self, stream: Stream) -> None:
-        return None
-
-
 class ExtprocStream(Stream):
-    """A stream with its gRPC side."""
+    """A stream with its gRPC side.
+
+    opens: it registers a request and gets a token, and makes no attempt. now: seconds.
+    """
 
     __slots__ = (
         "caller",
@@ -91,8 +70,11 @@
 
     def __init__(self, caller: CallerConnection, number: int, opens: bool, now: float) -> None:
         super().__init__(self._replied)
-        self.caller, self.number, self.opens, self.begun = caller, number, opens, now
-        self.decided = False  # was sent to a nodo, and may report on it
+        self.caller = caller
+        self.number = number
+        self.opens = opens
+        self.begun = now
+        self.decided = False  # got a destination or a token, and may report on it
         self.busy = False  # a reply is due
         self.answered = False  # our headers are out
         self.ended = False  # the caller writes no more
@@ -100,19 +82,20 @@
         self.queue: deque[bytes] = deque()
 
     def feed(self, data: bytes, end: bool) -> None:
-        """Bytes of length-prefixed messages."""
+        """Bytes of length-prefixed messages; end: the caller writes no more."""
         self.ended = self.ended or end
         self.buffer = self.buffer + data if self.buffer else data
-        while len(self.buffer) >= 5:
+        while len(self.buffer) >= FRAME_HEADER_BYTES:
             size = int.from_bytes(self.buffer[1:5], "big")
             if self.buffer[0]:
                 return self.caller.finish(self, UNIMPLEMENTED, "no compression was offered")
             if size > MAX_MESSAGE_BYTES or len(self.queue) >= MAX_READ_AHEAD:
                 return self.caller.finish(self, RESOURCE_EXHAUSTED, "more than is read ahead")
-            if len(self.buffer) < 5 + size:
+            frame_end = FRAME_HEADER_BYTES + size
+            if len(self.buffer) < frame_end:
                 break
-            message, self.buffer = self.buffer[5 : 5 + size], self.buffer[5 + size :]
-            self.queue.append(message)
+            self.queue.append(self.buffer[FRAME_HEADER_BYTES:frame_end])
+            self.buffer = self.buffer[frame_end:]
         self.advance()
 
     def advance(self) -> None:
@@ -139,7 +122,8 @@
             self.busy = True
             return processor.link.request_decision(self, decision_request)
         if kind == "response_headers" and self.decided and not self.opens:
-            self.decided, self.busy = False, True
+            self.decided = False
+            self.busy = True
             return processor.link.report_result(self, processor.reader.result(request))
         return self._say(processor.writer.neutral[kind])
 
@@ -150,13 +134,10 @@
             return
         processor = self.caller.processor
         now = processor.clock.now()
-        if isinstance(reply, Decision) and (
-            now > reply.valid_until or reply.server_deadline - now < MIN_REMAINING_S
-        ):
-            return processor.link.decision_expired(
-                self
-            )  # the nodo may drain by now, or the time is over: decide afresh
-        self.busy, self.decided = False, isinstance(reply, Decision | RequestOpened)
+        if isinstance(reply, Decision) and expired(reply, now):
+            return processor.link.decision_expired(self)
+        self.busy = False
+        self.decided = isinstance(reply, Decision | RequestOpened)
         self._say(processor.writer.write(reply, now))
         self.advance()
 
@@ -169,6 +150,11 @@
         self.caller.flush()
 
 
+def expired(decision: Decision, now: float) -> bool:
+    """Whether it is too late to write the decision: the server may drain by now, or the time is over."""
+    return now > decision.valid_until or decision.server_deadline - now < MIN_REMAINING_S
+
+
 class CallerConnection(asyncio.Protocol):
     """One connection of a calling proxy."""
 
@@ -185,11 +171,13 @@
     # ---- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Part of asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
         self.processor.callers.add(self)
         self.flush()
 
     def data_received(self, data: bytes) -> None:
+        """Part of asyncio.Protocol."""
         self.connection.receive(data)
         self._write()
         if self.connection.over:
@@ -197,6 +185,7 @@
             self._drop_all()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Part of asyncio.Protocol: all its streams are closed."""
         self.processor.callers.discard(self)
         self._drop_all()
 
@@ -206,7 +195,7 @@
             self._drop(extproc_stream)
 
     def flush(self) -> None:
-        """All that is said in one turn of the loop goes out as one piece."""
+        """Write, at the end of this iteration of the loop, all that was sent in it."""
         if not self.flushing:
             self.flushing = True
             self.processor.loop.call_soon(self._write)
@@ -222,12 +211,15 @@
     # ---- http2.Events
 
     def headers(self, stream: int, headers: list[tuple[bytes, bytes]], end: bool) -> None:
+        """A new HTTP/2 stream; what is not this method of gRPC is rejected."""
         processor, read = self.processor, dict(headers)
         if read.get(b":method") != b"POST" or read.get(b":path") != PATH:
             return self._reject(stream, UNIMPLEMENTED, "no such method")
         if not read.get(b"content-type", b"").startswith(b"application/grpc"):
             return self._reject(stream, UNIMPLEMENTED, "not gRPC")
-        extproc_stream = ExtprocStream(self, stream, read.get(ROLE) == OPENS, processor.clock.now())
+        extproc_stream = ExtprocStream(
+            self, stream, read.get(ROLE_HEADER) == OPENER_ROLE, processor.clock.now()
+        )
         self.extproc_streams[stream] = extproc_stream
         processor.streams += 1
         processor.link.open(extproc_stream)
@@ -235,11 +227,13 @@
             extproc_stream.feed(b"", True)
 
     def data(self, stream: int, data: bytes, end: bool) -> None:
+        """Bytes of a stream's messages."""
         extproc_stream = self.extproc_streams.get(stream)
         if extproc_stream is not None:
             extproc_stream.feed(data, end)
 
     def reset(self, stream: int, code: int) -> None:
+        """The caller has cancelled a stream."""
         extproc_stream = self.extproc_streams.pop(stream, None)
         if extproc_stream is not None:
             self._drop(extproc_stream)
@@ -285,7 +279,10 @@
         clock: Clock,
         log: Log,
     ) -> None:
-        self.link, self.clock, self.log, self.most_streams = link, clock, log, most_streams
+        self.link = link
+        self.clock = clock
+        self.log = log
+        self.most_streams = most_streams
         self.loop = asyncio.get_running_loop()
         self.callers: set[CallerConnection] = set()
         self.streams = 0
@@ -295,11 +292,10 @@
         clock.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def configure(self, names: HeaderNames, longest_s: float) -> None:
-        self.reader, self.writer, self.stream_s = (
-            HeaderReader(names),
-            ReplyWriter(names),
-            longest_s + STREAM_GRACE_S,
-        )
+        """Header names in force, and the longest deadline in seconds."""
+        self.reader = HeaderReader(names)
+        self.writer = ReplyWriter(names)
+        self.stream_s = longest_s + STREAM_GRACE_S
 
     async def listen(self, address: str) -> int:
         """Serve on host:port (port 0: the kernel's choice), which other processes may share; the port."""
@@ -332,7 +328,7 @@
             caller.flush()
         limit = self.clock.now() + grace_s
         while self.streams and self.clock.now() < limit:
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(DRAIN_POLL_S)
         for caller in list(self.callers):
             caller._write()
             caller.transport.close()
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -11,9 +11,10 @@
 from typing import Any
 
 from quartzford.engine import Backend, Clock, Engine, Log
+from quartzford.fronts.extproc.decision_link import LocalLink
 from quartzford.fronts.extproc.decision_service import DecisionService
 from quartzford.fronts.extproc.messages import HeaderNames
-from quartzford.fronts.extproc.server import STREAM_GRACE_S, LocalLink, Processor
+from quartzford.fronts.extproc.server import STREAM_GRACE_S, Processor
 from quartzford.fronts.extproc.service_channel import ServiceChannel
 from quartzford.fronts.extproc.token import Tokens
 from quartzford.settings.operator_checks import OperatorError
