--- a/quartzford/fronts/extproc/attempt_result.py
+++ b/quartzford/fronts/extproc/attempt_result.py
@@ -41,7 +41,7 @@
 def read_result(
     status: int, unprocessed: bool, details: str, load: bytes, names: tuple[str, ...]
 ) -> AttemptResult:
-    """From an answer's status, X-Unprocessed, code details ('' where not told) and load report."""
+    """From an answer's status, X-Unprocessed, code details ('' where there are none) and load report."""
     local = (("connect_failed", NEVER_SENT), ("moot", EXPIRED), ("timeout", TIMED_OUT), ("reset", RESET))
     for code, starts in local:
         if details.startswith(starts):
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -1,6 +1,6 @@
-"""Envoy's ext_proc messages, to and from the desk's words. Message classes come from the package xds-protos.
+"""Envoy's ext_proc messages, from and to the decision service's types.
 
-Source: envoy/service/ext_proc/v3/external_processor.proto and its documentation. Only the two headers phases
+Message classes come from the package xds-protos. Source: envoy/service/ext_proc/v3/external_processor.proto and its documentation. Only the two headers phases
 matter here; every other message is answered with the protocol's neutral reply.
 """
 
@@ -28,7 +28,8 @@
 
 ATTRIBUTES = "envoy.filters.http.ext_proc"
 DETAILS = "response.code_details"
-LOAD, UNPROCESSED = "x-backend-load", "x-unprocessed"
+LOAD = "x-backend-load"
+UNPROCESSED = "x-unprocessed"
 # Envoy's router takes the attempt's time-out from here (its page "Router", HTTP headers), in whole ms.
 TIME_OUT = "x-envoy-upstream-rq-timeout-ms"
 OVERWRITE = core.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
@@ -75,7 +76,7 @@
         }
 
     def read_request(self, headers: Any, opens: bool) -> DecisionRequest | int:
-        """What a request's headers ask, or the status that turns them away."""
+        """The decision request in a request's headers, or the status that rejects them."""
         rows = headers.headers.headers
         if len(rows) > self.names.most_headers or headers.ByteSize() > self.names.most_bytes:
             return 431
@@ -142,7 +143,7 @@
         self.attempt_mode, self.opener_mode = headers_only(send), headers_only(skip)
         gone = [LOAD, names.token, names.retry, names.destination]
         self.passed = self._response_headers(proto.HeaderMutation(remove_headers=gone))
-        # If the caller can't go on, a nodo's own 503 must not pass for a refusal of what may have run.
+        # If the caller can't go on, a server's own 503 must not pass for a rejection of what may have run.
         self.again = {
             never_ran: self._response_headers(
                 proto.HeaderMutation(
@@ -216,6 +217,7 @@
 
 
 def serialized(message: Any) -> bytes:
+    """A protobuf message's bytes, typed."""
     data: bytes = message.SerializeToString()
     return data
 
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -1,4 +1,4 @@
-"""The external processor put together: the desk, and the gRPC server here or in workers of its own."""
+"""The external processor put together: the decision service, and the gRPC server here or in workers."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from typing import Any
 
 from quartzford.engine import Backend, Clock, Engine, Log
+from quartzford.fronts.extproc.channel_messages import CONFIGURATION, STOP
 from quartzford.fronts.extproc.decision_link import LocalLink
 from quartzford.fronts.extproc.decision_service import DecisionService
 from quartzford.fronts.extproc.messages import HeaderNames
@@ -20,25 +21,35 @@
 from quartzford.settings.operator_checks import OperatorError
 from quartzford.settings.operator_settings import ExtprocSettings
 
-RESTART_BACKOFF_S = (0.1, 5.0)  # from a worker's death to its successor, doubling while it dies at once
+MIN_RESTART_BACKOFF_S = 0.1  # from a worker's death to its successor, doubled while it dies at once
+MAX_RESTART_BACKOFF_S = 5.0
 POLL_INTERVAL_S = 0.02
+TOKEN_KEY_BYTES = 32
+MIN_TOKEN_KEY_BYTES = 16
+INCARNATION_BYTES = 8
 WORKER_START_TIMEOUT_S = 10.0  # for all workers to be up; after it those that are serve
 
 
 def token_key(path: str) -> bytes:
-    """The key in a file, or one drawn for this life."""
+    """The key in a file; with no path, one drawn for this incarnation of the process.
+
+    Raises OperatorError where the file can't be read or is too short.
+    """
     if not path:
-        return os.urandom(32)
+        return os.urandom(TOKEN_KEY_BYTES)
     try:
         key = Path(path).read_bytes()
     except OSError as error:
         raise OperatorError(f"extproc.token_key_file: {error}") from None
-    if len(key) < 16:
-        raise OperatorError(f"extproc.token_key_file: {path}: {len(key)} bytes; 16 or more are needed")
+    if len(key) < MIN_TOKEN_KEY_BYTES:
+        raise OperatorError(
+            f"extproc.token_key_file: {path}: {len(key)} bytes; {MIN_TOKEN_KEY_BYTES} or more are needed"
+        )
     return key
 
 
 def names_of(settings: ExtprocSettings, report_names: tuple[str, ...]) -> HeaderNames:
+    """The header names and bounds in force. report_names: the load report's figures, in their order."""
     return HeaderNames(
         **dict(settings.headers),
         cookie=settings.cookie,
@@ -50,7 +61,7 @@
 
 
 class ExtprocFront:
-    """One decider with its desk; any number of processes that speak gRPC for it."""
+    """One deciding process with its decision service; any number of workers that speak gRPC for it."""
 
     def __init__(
         self,
@@ -61,9 +72,12 @@
         clock: Clock,
         log: Log,
     ) -> None:
-        self.settings, self.engine, self.clock, self.log = settings, engine, clock, log
+        self.settings = settings
+        self.engine = engine
+        self.clock = clock
+        self.log = log
         self.names = names_of(settings, report_names)
-        tokens = Tokens(token_key(settings.token_key_file), os.urandom(8))
+        tokens = Tokens(token_key(settings.token_key_file), os.urandom(INCARNATION_BYTES))
         self.service = DecisionService(
             engine,
             backend,
@@ -85,9 +99,11 @@
 
     @property
     def longest_s(self) -> float:
+        """The longest deadline of all classes, seconds."""
         return self.engine.longest_ms / 1000.0
 
     async def start(self) -> None:
+        """Listen, here or in workers; returns when these are up, or after a time-out without some of them."""
         if self.settings.workers == 0:
             link, most = LocalLink(self.service), self.settings.most_streams
             self.processor = Processor(link, self.names, self.longest_s, most, self.clock, self.log)
@@ -107,25 +123,27 @@
         if not self.port:
             self.port = int(port)
         limit = self.clock.now() + WORKER_START_TIMEOUT_S
-        while sum(bool(line.port) for line in self.channels) < self.settings.workers:
+        while sum(bool(channel.port) for channel in self.channels) < self.settings.workers:
             if self.clock.now() > limit:
                 return self.log.line("extproc", "not all workers are up yet")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _bound(self) -> int:
         while True:
-            for line in self.channels:
-                if line.port:
-                    return line.port
+            for channel in self.channels:
+                if channel.port:
+                    return channel.port
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _greeting(self) -> tuple[Any, ...]:
         """The names in force; to a worker that comes up while all stop, that it is to stop too."""
-        return ("stop",) if self.stopping else ("names", asdict(self.names), self.longest_s)
+        if self.stopping:
+            return (STOP,)
+        return (CONFIGURATION, asdict(self.names), self.longest_s)
 
     async def _supervise(self, number: int, path: str, address: str) -> None:
-        """A worker, and its successors: what a dead one's callers had been told of stays with the desk."""
-        wait, most = RESTART_BACKOFF_S
+        """Run a worker, and its successors: the requests of a dead one's callers stay with the service."""
+        backoff_s = MIN_RESTART_BACKOFF_S
         while not self.stopping:
             begun = self.clock.now()
             where = f"{address.rpartition(':')[0]}:{self.port}" if self.port else address
@@ -142,29 +160,32 @@
             if self.stopping:
                 return
             self.log.line("extproc", f"worker {number} ended with {code}; another one follows")
-            wait = RESTART_BACKOFF_S[0] if self.clock.now() - begun > most else min(most, 2 * wait)
-            await asyncio.sleep(wait)
+            if self.clock.now() - begun > MAX_RESTART_BACKOFF_S:
+                backoff_s = MIN_RESTART_BACKOFF_S
+            else:
+                backoff_s = min(MAX_RESTART_BACKOFF_S, 2 * backoff_s)
+            await asyncio.sleep(backoff_s)
 
     def reconfigure(self, settings: ExtprocSettings, report_names: tuple[str, ...]) -> None:
         """New settings under load. Streams that are open go on by the new names."""
-        self.settings, self.names = settings, names_of(settings, report_names)
-        self.service.return_s, self.service.overlap_s = (
-            settings.return_ms / 1000.0,
-            settings.overlap_ms / 1000.0,
-        )
-        self.service.max_requests, self.service.queue_s = settings.most_requests, settings.queue_ms / 1000.0
+        self.settings = settings
+        self.names = names_of(settings, report_names)
+        self.service.return_s = settings.return_ms / 1000.0
+        self.service.overlap_s = settings.overlap_ms / 1000.0
+        self.service.max_requests = settings.most_requests
+        self.service.queue_s = settings.queue_ms / 1000.0
         if self.processor is not None:
             self.processor.configure(self.names, self.longest_s)
-        for line in self.channels:
-            line.configure()
+        for channel in self.channels:
+            channel.configure()
 
     async def stop(self) -> None:
-        """GOAWAY to all callers; what is open finishes, in the longest deadline's time."""
+        """GOAWAY to all callers; open streams finish, within the longest deadline."""
         self.stopping = True
         if self.processor is not None:
             await self.processor.stop(self.longest_s + STREAM_GRACE_S)
-        for line in list(self.channels):
-            line.send("stop")
+        for channel in list(self.channels):
+            channel.send(STOP)
         for process in self.workers.values():
             try:
                 await asyncio.wait_for(process.wait(), self.longest_s + 2 * STREAM_GRACE_S)
--- a/quartzford/fronts/extproc/token.py
+++ b/quartzford/fronts/extproc/token.py
@@ -1,4 +1,4 @@
-"""Attempt tokens: they bind each stream of a retried request to its flight, and nobody else can make one."""
+"""Attempt tokens: they bind each stream of a retried request to it, and nobody else can make one."""
 
 from __future__ import annotations
 
@@ -10,32 +10,36 @@
 from enum import Enum
 
 MAC_BYTES = 16
-LAYOUT = struct.Struct(">8sIQ")  # the life that made it, the flight's number, Unix ms at which it ends
+LAYOUT = struct.Struct(">8sIQ")  # the incarnation that made it, the request's number, its end in Unix ms
 VERSION = b"q1"
 
 
 class InvalidToken(Enum):
     """Why a token opens nothing. Neither kind is ever taken for a request without a token."""
 
-    STALE = "stale"  # ours, but of another life of this balancer, or its time is over
+    STALE = "stale"  # ours, but of another incarnation of this balancer, or its time is over
     FORGED = "forged"
 
 
 class Tokens:
-    """Makes and reads tokens. key: 16 bytes or more; life: 8 bytes, new with each start."""
+    """Makes and reads tokens. key: 16 bytes or more; incarnation: 8 bytes, new with each start."""
 
     def __init__(self, key: bytes, incarnation: bytes) -> None:
         if len(key) < 16 or len(incarnation) != 8:
-            raise ValueError("key: 16 bytes or more; life: 8 bytes")
-        self.key, self.incarnation = hashlib.blake2b(key).digest(), incarnation
+            raise ValueError("key: 16 bytes or more; incarnation: 8 bytes")
+        self.key = hashlib.blake2b(key).digest()
+        self.incarnation = incarnation
 
     def make(self, number: int, identity: str, ends_ms: float) -> str:
-        """A token for a flight; identity is the request's correlation id, which it is good for alone."""
+        """A token for a request; identity is the request's correlation id, which it is good for alone."""
         body = LAYOUT.pack(self.incarnation, number, int(ends_ms))
         return base64.urlsafe_b64encode(body + self._mac(body, identity)).decode().rstrip("=")
 
     def read(self, text: str, identity: str, now_ms: float) -> int | InvalidToken:
-        """The flight's number. A token of an earlier life can be told from a forged one if the key lasts."""
+        """The request's number, or why there is none; now_ms: Unix ms.
+
+        A token of an earlier incarnation differs from a forged one only where the key is kept.
+        """
         try:
             raw = base64.b64decode(text + "=" * (-len(text) % 4), b"-_", validate=True)
         except (ValueError, binascii.Error):
