--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -1,7 +1,8 @@
 """Envoy's ext_proc messages, from and to the decision service's types.
 
-Message classes come from the package xds-protos. Source: envoy/service/ext_proc/v3/external_processor.proto and its documentation. Only the two headers phases
-matter here; every other message is answered with the protocol's neutral reply.
+Message classes come from the package xds-protos. Source: envoy/service/ext_proc/v3/external_processor.proto
+and its documentation. Only the two headers phases matter here; every other message is answered with the
+protocol's neutral reply.
 """
 
 from __future__ import annotations
