--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -33,7 +33,7 @@
             "effect": EFFECTS[c["effect"]],
             "group": c.get("group", "all"),
             "memorySpanMs": float(c.get("window_ms", 0.0)),
-            "sloMs": float(c["latency_objective_ms"]),
+            "sloMs": float(c["aim_ms"]),
             "deadlineMs": float(c["deadline_ms"]),
             "value": c["worth"],
         }
