--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""Traces recorded from a running balancer: whole, replayable, and never in the service's way."""
+"""Traces recorded from a running balancer: complete, replayable, and never in the service's way."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-class Said:
+class LogLines:
     def __init__(self) -> None:
         self.lines: list[str] = []
 
@@ -39,12 +39,12 @@
         self.lines.append(where)
 
 
-def open_recorder(path: Path, keys: str = "hashed", most: int = 10**9) -> tuple[Recorder, Said]:
-    said = Said()
-    return Recorder(str(path), keys, most, LoopClock(asyncio.get_running_loop()), said), said
+def open_recorder(path: Path, keys: str = "hashed", most: int = 10**9) -> tuple[Recorder, LogLines]:
+    log = LogLines()
+    return Recorder(str(path), keys, most, LoopClock(asyncio.get_running_loop()), log), log
 
 
-def asked(number: int, key: str = "") -> io.Request:
+def make_request(number: int, key: str = "") -> io.Request:
     return io.Request(number, "consulta", 2000.0, "lima", key)
 
 
@@ -54,13 +54,13 @@
 
 
 @pytest.mark.parametrize("keys", ["hashed", "plain", "none"])
-def test_what_is_taken_is_in_the_trace_and_keys_as_the_operator_wants(tmp_path: Path, keys: str) -> None:
+def test_requests_are_in_the_trace_with_their_keys_as_the_operator_wants(tmp_path: Path, keys: str) -> None:
     @run
     async def test() -> None:
-        one, _ = open_recorder(tmp_path / "t", keys)
+        recorder, _ = open_recorder(tmp_path / "t", keys)
         for number in range(50):
-            one.record(asked(number, f"user-{number % 5}"), number)
-        one.close()
+            recorder.record(make_request(number, f"user-{number % 5}"), number)
+        recorder.close()
 
     test()
     rows = rows_in(tmp_path / "t")
@@ -75,12 +75,12 @@
 async def test_a_full_file_ends_the_recording_with_a_whole_trace() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t"
-        one, said = open_recorder(path, most=200)
+        recorder, log = open_recorder(path, most=200)
         for number in range(50):
-            one.record(asked(number), 0)
-        one.close()
+            recorder.record(make_request(number), 0)
+        recorder.close()
         rows = rows_in(path)
-        assert 0 < len(rows) < 50 and said.lines == [
+        assert 0 < len(rows) < 50 and log.lines == [
             f"trace: the file has its full size; recording has ended with {len(rows)} requests"
         ]
 
@@ -89,17 +89,17 @@
 def test_a_disk_that_fails_ends_the_recording_and_says_so() -> None:
     @run
     async def test() -> None:
-        one, said = open_recorder(Path("/dev/full"))
-        one.record(asked(1), 0)
-        await until(lambda: said.lines)
-        assert "No space left" in said.lines[0] and one.stopped
-        one.record(asked(2), 0)  # nothing is thrown, nothing waits
-        one.close()
+        recorder, log = open_recorder(Path("/dev/full"))
+        recorder.record(make_request(1), 0)
+        await until(lambda: log.lines)
+        assert "No space left" in log.lines[0] and recorder.stopped
+        recorder.record(make_request(2), 0)  # nothing is thrown, nothing waits
+        recorder.close()
 
     test()
 
 
-def test_a_balancer_records_what_it_was_asked_and_the_trace_can_be_played(tmp_path: Path) -> None:
+def test_a_balancer_records_its_requests_and_the_trace_can_be_played(tmp_path: Path) -> None:
     async def test() -> None:
         nodos, _, registry = await fleet(2, lambda n, books: Nodo(f"s{n}", books))
         config: dict[str, Any] = {
