--- a/quartzford/decision/admission.py
+++ b/quartzford/decision/admission.py
@@ -131,7 +131,8 @@
         By what classes take now: remembered with each offer, a rising latency would rank what comes next
         under its equals of before, and shed a whole class where a part was meant.
         """
-        offers = [(weight, typical_latency(service_class)) for weight, service_class in self.offers]
+        work_of = {name: typical_latency(name) for name in {name for _, name in self.offers}}
+        offers = [(weight, work_of[name]) for weight, name in self.offers]
         if not self.settings.weight_by_work:
             offers = [(weight / work, work) for weight, work in offers]
         own_weight = offers[-1][0]
--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -12,6 +12,11 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
+from quartzford.decision.checks import require_not_negative
+from quartzford.decision.learned_state import LearnedEndpoint as LearnedEndpoint
+from quartzford.decision.learned_state import LearnedRate as LearnedRate
+from quartzford.decision.learned_state import LearnedState as LearnedState
+
 EFFECTS = ("free", "keyed", "unsafe")
 GROUPS = ("all", "zone", "cell")
 
@@ -41,13 +46,6 @@
 COMPLETE_LISTS = frozenset({ListUpdateKind.COMPLETE, ListUpdateKind.STALE})
 
 
-def _not_negative(record: object, *names: str) -> None:
-    for name in names:
-        value = getattr(record, name)
-        if not isinstance(value, int | float) or not 0 <= value < float("inf"):
-            raise ValueError(f"{name}: {value!r} is not a figure of 0 or more")
-
-
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
     """A request class: the weight of an answer, how long it may take, whether it may run again."""
@@ -65,7 +63,7 @@
     objective_stretch: float = 0.0  # the objective grows by this multiple of the request's work
 
     def __post_init__(self) -> None:
-        _not_negative(
+        require_not_negative(
             self,
             "latency_objective_ms",
             "deadline_ms",
@@ -90,7 +88,7 @@
     quota_per_s: float
 
     def __post_init__(self) -> None:
-        _not_negative(self, "quota_per_s")
+        require_not_negative(self, "quota_per_s")
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +104,7 @@
     overload_window_ms: float = 1_000.0
 
     def __post_init__(self) -> None:
-        _not_negative(self, *(f.name for f in fields(self)))
+        require_not_negative(self, *(f.name for f in fields(self)))
         if not 0 < self.slow_start_capacity <= 1:
             raise ValueError("slow_start_capacity: must be above 0 and at most 1")
 
@@ -124,7 +122,7 @@
     multiplex: int = 1
 
     def __post_init__(self) -> None:
-        _not_negative(self, "max_retry_after_ms")
+        require_not_negative(self, "max_retry_after_ms")
         if self.max_attempts < 1:
             raise ValueError("max_attempts: must be 1 or more")
         if self.multiplex < 1:
@@ -141,7 +139,7 @@
     worst_tenant: float = 0.0
 
     def __post_init__(self) -> None:
-        _not_negative(self, *(f.name for f in fields(self)))
+        require_not_negative(self, *(f.name for f in fields(self)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,7 +154,7 @@
     handshake: float = 0.0
 
     def __post_init__(self) -> None:
-        _not_negative(self, *(f.name for f in fields(self)))
+        require_not_negative(self, *(f.name for f in fields(self)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -183,7 +181,7 @@
     stall_ms: float = 0.0  # the host may stand still for so long between an event's time and its action
 
     def __post_init__(self) -> None:
-        _not_negative(self, "over_quota_weight", "tick_ms", "stall_ms")
+        require_not_negative(self, "over_quota_weight", "tick_ms", "stall_ms")
         if self.balancers < 1:
             raise ValueError("balancers: must be 1 or more")
         if not self.classes:
@@ -363,80 +361,3 @@
 
 
 Action = Send | Shed | Fail | Cancel | HealthCheck | SetTimer | Watch | Log
-
-
-# What a balancer knows, for the process that follows it
-
-
-@dataclass(frozen=True, slots=True)
-class LearnedRate:
-    """A smoothed rate: since when, the last event, its value; times in Unix milliseconds."""
-
-    start: float = 0.0
-    last: float = 0.0
-    value: float = 0.0
-
-    def __post_init__(self) -> None:
-        _not_negative(self, "start", "last", "value")
-
-
-@dataclass(frozen=True, slots=True)
-class LearnedEndpoint:
-    """What a balancer has seen of one incarnation of a server in use."""
-
-    name: str
-    started_ms: float
-    p: float
-    cost: float
-    latency: float
-    report: float
-    failing: float = 0.0
-    ejections: int = 0
-    ejected_until: float = 0.0
-    suspect: bool = False
-    tokens: float = 0.0
-    tokens_ms: float = 0.0
-    cold_from: float = 0.0
-
-    def __post_init__(self) -> None:
-        _not_negative(self, "started_ms", "p", "cost", "latency", "report", "failing", "ejections")
-        _not_negative(self, "ejected_until", "tokens_ms", "cold_from")
-        if not -1e6 < self.tokens <= 1 or self.failing > 1:
-            raise ValueError(f"{self.name}: tokens or failing is out of bounds")
-
-
-@dataclass(frozen=True, slots=True)
-class LearnedState:
-    """All that a balancer has learnt, at one instant.
-
-    peaks: (time, latency); offers: (priority weight, class); back: when servers came back from maintenance;
-    usual: typical latencies by class.
-    """
-
-    servers: tuple[LearnedEndpoint, ...] = ()
-    by_hand: tuple[str, ...] = ()
-    back: dict[str, float] = field(default_factory=dict)
-    arrivals: LearnedRate = LearnedRate()
-    answers: LearnedRate = LearnedRate()
-    usual: dict[str, float] = field(default_factory=dict)
-    peaks: tuple[tuple[float, float], ...] = ()
-    retry_budget: float = 0.0
-    tenants: dict[str, LearnedRate] = field(default_factory=dict)
-    ends: float = 0.0
-    good: float = 0.0
-    refused: float = 0.0
-    shed: float = 0.0
-    shed_ms: float = 0.0
-    marginal: float = 0.5
-    offers: tuple[tuple[float, str], ...] = ()
-
-    def __post_init__(self) -> None:
-        _not_negative(self, "ends", "good", "refused", "shed", "shed_ms", "marginal")
-        pairs = [number for pair in self.peaks for number in pair] + [
-            priority_weight for priority_weight, _ in self.offers
-        ]
-        for number in (*pairs, *self.back.values(), *self.usual.values()):
-            if not 0 <= number < float("inf"):
-                raise ValueError(f"{number!r} is not a figure of 0 or more")
-        if not -1e6 < self.retry_budget <= 1e6 or self.shed > 1 or self.good > self.ends:
-            raise ValueError("retry_budget, shed or good is out of bounds")
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -322,22 +322,25 @@
     ) -> None:
         kind = attempt.service_class
         spent = event.spent_ms
-        if code == Outcome.OK:
+        succeeded = code == Outcome.OK
+        rejected = code == Outcome.FULL
+        if succeeded:
             in_time = spent <= GOOD_ANSWER_MULTIPLE * self.latency.of(kind)
             self.endpoints.answer_received(server, in_time)
             self.latency.add(self.now, kind, spent)
-        elif code == Outcome.FULL:
+        elif rejected:
             self.endpoints.record_rejection(server, kind.name)
-        unreachable = code == Outcome.CONNECT_FAILED and spent < attempt.timeout - TIMER_TICK_MS
+        failed = code in FAILURES
+        unreachable = failed and code == Outcome.CONNECT_FAILED and spent < attempt.timeout - TIMER_TICK_MS
         if code in NO_ANSWER and not unreachable and attempt.timeout < attempt.typical_latency:
             return  # it was given less time than an answer takes: that says nothing of the server
-        self.endpoints.record_result(server, code in FAILURES, unreachable)
+        self.endpoints.record_result(server, failed, unreachable)
         typical = self.latency.of_name(kind.name)
-        rejected_again = code == Outcome.FULL and event.attempt >= REJECTED_AGAIN
-        if code == Outcome.OK or code == Outcome.TIMEOUT or rejected_again:
+        rejected_again = rejected and event.attempt >= REJECTED_AGAIN
+        if succeeded or rejected_again or code == Outcome.TIMEOUT:
             late = rejected_again or spent > LATE_FROM * kind.latency_objective_ms
             self.admission.record_outcome(self.now, late, typical, kind.latency_objective_ms)
-        if code != Outcome.OK:
+        if not succeeded:
             spent = min(FAILURE_PENALTY * self.latency.peaks.largest(self.now), attempt.timeout)
         self.endpoints.shares.score(server.slot, spent / typical)
 
--- a/quartzford/decision/responsiveness.py
+++ b/quartzford/decision/responsiveness.py
@@ -54,8 +54,10 @@
 
     def update(self, now: float) -> None:
         """Take in the servers whose deadlines have passed."""
-        self.overdue.update((server, None) for server, _ in self.oldest_due.passed(now))
-        self.unresponsive.update((server, None) for server, _ in self.answers_due.passed(now))
+        for server, _ in self.oldest_due.passed(now):
+            self.overdue[server] = None
+        for server, _ in self.answers_due.passed(now):
+            self.unresponsive[server] = None
 
     def suspect_slots(self, now: float) -> list[int]:
         """Slots of the suspect servers; those that are no longer suspect are forgotten."""
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -72,6 +72,8 @@
     pure = (
         "decision/logic.py",
         "decision/interface.py",
+        "decision/learned_state.py",
+        "decision/checks.py",
         "decision/endpoint_set.py",
         "decision/latency.py",
         "decision/list_polling.py",
