--- a/quartzford/fronts/extproc/__init__.py
+++ b/quartzford/fronts/extproc/__init__.py
@@ -1,5 +1,6 @@
-"""The external processor: other proxies ask for each request where it goes, and report what came back.
+"""The external processor: other proxies request a decision for each attempt, and report its result.
 
-token: attempt tokens. desk: flights, streams and the module, without I/O. outcome: what a report means.
-messages: Envoy's ext_proc messages. server: gRPC. line: the desk over a Unix socket, for more than one core.
+decision_service, remote_request: requests over their streams, without I/O. messages: Envoy's messages.
+server: gRPC. service_channel, worker_channel: between processes, for more than one core. docs/extproc.md has
+the modules one by one.
 """
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -129,51 +129,35 @@
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
-        skip, send, none = mode.ProcessingMode.SKIP, mode.ProcessingMode.SEND, mode.ProcessingMode.NONE
-
-        def headers_only(response: Any) -> Any:
-            return mode.ProcessingMode(
-                request_header_mode=send,
-                response_header_mode=response,
-                request_body_mode=none,
-                response_body_mode=none,
-                request_trailer_mode=skip,
-                response_trailer_mode=skip,
-            )
-
-        self.attempt_mode, self.opener_mode = headers_only(send), headers_only(skip)
-        gone = [LOAD, names.token, names.retry, names.destination]
-        self.passed = self._response_headers(proto.HeaderMutation(remove_headers=gone))
+        self.attempt_mode = headers_only_mode(mode.ProcessingMode.SEND)
+        self.opener_mode = headers_only_mode(mode.ProcessingMode.SKIP)
+        removed = [LOAD, names.token, names.retry, names.destination]
+        self.passed = self._response_headers(proto.HeaderMutation(remove_headers=removed))
         # If the caller can't go on, a server's own 503 must not pass for a rejection of what may have run.
-        self.again = {
-            never_ran: self._response_headers(
-                proto.HeaderMutation(
-                    set_headers=[header(names.retry, b"1"), header(":status", status)],
-                    remove_headers=[LOAD, names.token],
-                )
-            )
-            for never_ran, status in ((True, b"503"), (False, b"502"))
-        }
+        self.retry_offered = {True: self._retry_offered(b"503"), False: self._retry_offered(b"502")}
+        self.neutral = self._neutral_replies()
+
+    def _retry_offered(self, status: bytes) -> bytes:
+        mutation = proto.HeaderMutation(
+            set_headers=[header(self.names.retry, b"1"), header(":status", status)],
+            remove_headers=[LOAD, self.names.token],
+        )
+        return self._response_headers(mutation)
+
+    def _neutral_replies(self) -> dict[str, bytes]:
+        """The reply by the kind of message, where there is nothing to decide."""
         # A request that no attempt may be made for keeps no destination that a client wrote.
-        self.neutral = {
-            "request_headers": serialized(
-                proto.ProcessingResponse(
-                    request_headers=proto.HeadersResponse(
-                        response=proto.CommonResponse(
-                            header_mutation=proto.HeaderMutation(remove_headers=[names.destination])
-                        )
-                    )
-                )
-            ),
+        mutation = proto.HeaderMutation(remove_headers=[self.names.destination])
+        request_headers = proto.HeadersResponse(response=proto.CommonResponse(header_mutation=mutation))
+        body = proto.BodyResponse()
+        trailers = proto.TrailersResponse()
+        return {
+            "request_headers": serialized(proto.ProcessingResponse(request_headers=request_headers)),
             "response_headers": self.passed,
-            "request_body": serialized(proto.ProcessingResponse(request_body=proto.BodyResponse())),
-            "response_body": serialized(proto.ProcessingResponse(response_body=proto.BodyResponse())),
-            "request_trailers": serialized(
-                proto.ProcessingResponse(request_trailers=proto.TrailersResponse())
-            ),
-            "response_trailers": serialized(
-                proto.ProcessingResponse(response_trailers=proto.TrailersResponse())
-            ),
+            "request_body": serialized(proto.ProcessingResponse(request_body=body)),
+            "response_body": serialized(proto.ProcessingResponse(response_body=body)),
+            "request_trailers": serialized(proto.ProcessingResponse(request_trailers=trailers)),
+            "response_trailers": serialized(proto.ProcessingResponse(response_trailers=trailers)),
         }
 
     @staticmethod
@@ -202,7 +186,7 @@
             case ResponseForwarded():
                 return self.passed
             case RetryOffered(never_ran):
-                return self.again[never_ran]
+                return self.retry_offered[never_ran]
             case _:
                 raise ValueError(f"{reply!r} is no message")
 
@@ -217,6 +201,18 @@
         )
 
 
+def headers_only_mode(response_headers: Any) -> Any:
+    """Of a request its headers alone are sent to us; of its response the headers too, or nothing."""
+    return mode.ProcessingMode(
+        request_header_mode=mode.ProcessingMode.SEND,
+        response_header_mode=response_headers,
+        request_body_mode=mode.ProcessingMode.NONE,
+        response_body_mode=mode.ProcessingMode.NONE,
+        request_trailer_mode=mode.ProcessingMode.SKIP,
+        response_trailer_mode=mode.ProcessingMode.SKIP,
+    )
+
+
 def serialized(message: Any) -> bytes:
     """A protobuf message's bytes, typed."""
     data: bytes = message.SerializeToString()
