--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -15,7 +15,12 @@
 from quartzford.decision import interface as io
 from quartzford.engine import Clock, Engine, Log
 from quartzford.membership.addresses import Address, Addresses, RelayAddresses, SingleAddress
-from quartzford.membership.call_policy import AgentCallPolicy, CallPolicy, SharedServiceCallPolicy, draws
+from quartzford.membership.call_policy import (
+    AgentCallPolicy,
+    CallPolicy,
+    SharedServiceCallPolicy,
+    seeded_random,
+)
 from quartzford.membership.list_chunks import ListingQueue
 from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Listing
@@ -63,7 +68,9 @@
         self.config, self.engine, self.loop, self.subset = config, engine, loop, subset
         self.clock, self.log = engine.clock, engine.log
         self.lists_per_s = lists_per_s
-        self.asked = config.settings.polls_list  # one service for the whole fleet; else an agent's pushes
+        self.polls_list = (
+            config.settings.polls_list
+        )  # one service for the whole fleet; else an agent's pushes
         self.followers: list[Follower] = []
         self.pending = ListingQueue()
         self.registry = Registry()
@@ -78,11 +85,11 @@
         """When calls are made and to whom, by the configuration. relays: asked in discovery's place."""
         settings, now = self.config.settings, self.clock.now
         one = SingleAddress(lambda: self.config.discovery)
-        if not self.asked:
+        if not self.polls_list:
             own = random.Random(self.config.seed ^ 1)
             return AgentCallPolicy(own, settings.rules.drain_grace_ms / 1000.0), one
         host, port = self.config.listen
-        own = draws(self.config.name, f"{host}:{port}", self.config.seed)
+        own = seeded_random(self.config.name, f"{host}:{port}", self.config.seed)
         most_wait = settings.rules.poll_interval_ms / 1000.0
         if not relays:
             return SharedServiceCallPolicy(settings.balancers, self.lists_per_s, most_wait, own, now), one
@@ -99,7 +106,7 @@
         self,
         known: Listing,
         version: int | None = None,
-        memory: io.LearnedState | None = None,
+        learned: io.LearnedState | None = None,
         inherited: InheritedStarts | None = None,
     ) -> None:
         """Adopt what is known and follow the list from there.
@@ -107,19 +114,19 @@
         memory: of the process before, which had the list known; it may be followed from this version.
         inherited: when its upstreams started, as that process dated them.
         """
-        stored = self._newer_of_snapshot(known)
+        stored = self._newer_snapshot(known)
         if stored is not None:
             known = stored.listing
         self._date_first_list(known, stored is not None and stored.cold, inherited)
-        self._adopt(self._in_subset(known), "stale")
-        if memory is None:
+        self._apply(self._in_subset(known), "stale")
+        if learned is None:
             self.watch.version = known.version
         else:
             self.watch.version = version
-            self.engine.inherit(memory)
+            self.engine.inherit(learned)
         self.watch.start()
 
-    def _newer_of_snapshot(self, known: Listing) -> StoredList | None:
+    def _newer_snapshot(self, known: Listing) -> StoredList | None:
         """The snapshot's list, where there is one not older than what the configuration knows."""
         if self.snapshot_writer is None:
             return None
@@ -177,12 +184,12 @@
         snapshot_listing, self._snapshot_listing = self._snapshot_listing, None
         if snapshot_listing is not None and not listing.complete:
             # The service has spoken: these are changes to the list as it was written.
-            self._take_up(snapshot_listing)
-        self._take_up(listing)
+            self._enqueue(snapshot_listing)
+        self._enqueue(listing)
         if not in_progress:
-            self._take_in()
+            self._apply_next_chunk()
 
-    def _take_up(self, listing: Listing) -> None:
+    def _enqueue(self, listing: Listing) -> None:
         """Date a line of the service, before it is reduced to the subset, and put it into the queue."""
         self.start_times.learn(listing, self.list_known_ms(), self.clock.unix_ms())
         self.pending.put(self._in_subset(listing))
@@ -190,21 +197,21 @@
     def _in_subset(self, listing: Listing) -> Listing:
         return listing if self.subset is None else self.subset.filter(listing)
 
-    def _take_in(self) -> None:
-        piece = self.pending.next(self.engine.balancer.servers)
-        if piece is None:
+    def _apply_next_chunk(self) -> None:
+        chunk = self.pending.next(self.engine.balancer.servers)
+        if chunk is None:
             return
         try:
-            self._adopt(piece, "whole" if piece.complete else "changes")
+            self._apply(chunk, "whole" if chunk.complete else "changes")
         finally:
             if self.pending.waiting():
-                self.loop.call_soon(self._take_in)
+                self.loop.call_soon(self._apply_next_chunk)
             else:
                 self.first_list_adopted.set()
                 if self.snapshot_writer is not None:
                     self.snapshot_writer.list_changed()
 
-    def _adopt(self, listing: Listing, how: str) -> None:
+    def _apply(self, listing: Listing, how: str) -> None:
         self.registry.apply(listing)
         masked = self.registry.masked(listing, self.engine.balancer.in_maintenance)
         for follower in self.followers:
--- a/quartzford/membership/call_policy.py
+++ b/quartzford/membership/call_policy.py
@@ -253,7 +253,7 @@
         return math.nan
 
 
-def draws(name: str, listen: str, seed: int) -> random.Random:
+def seeded_random(name: str, listen: str, seed: int) -> random.Random:
     """A balancer's own random numbers, shared with no other of the fleet, whatever names and seeds are alike.
 
     An address belongs to one balancer, and the seed is new with each start.
--- a/quartzford/membership/list_chunks.py
+++ b/quartzford/membership/list_chunks.py
@@ -14,13 +14,15 @@
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
 
-PIECE = 256  # entries of one turn
+CHUNK_ENTRIES = 256  # entries of one turn
 NOWHERE = ("", 0)
 
 Row = tuple[io.Endpoint, tuple[str, int]]
 
 
-def split_into_chunks(listing: Listing, known: Collection[str], size: int = PIECE) -> Iterator[Listing]:
+def split_into_chunks(
+    listing: Listing, known: Collection[str], size: int = CHUNK_ENTRIES
+) -> Iterator[Listing]:
     """A listing as changes of so many entries at most, first what takes servers away; a short one as it is.
 
     known: the names that are in use, of which a whole list takes away those that it does not name. Where a
@@ -50,25 +52,25 @@
 
     def __init__(self) -> None:
         self.listings: deque[Listing] = deque()
-        self.parts: Iterator[Listing] = iter(())
+        self.chunks: Iterator[Listing] = iter(())
         self.following: Listing | None = None
 
     def put(self, listing: Listing) -> None:
         """Add a listing; a whole one replaces all that waits."""
         if listing.complete:  # it covers all that is left
             self.listings.clear()
-            self.parts, self.following = iter(()), None
+            self.chunks, self.following = iter(()), None
         self.listings.append(listing)
 
     def next(self, known: Collection[str]) -> Listing | None:
         """The next piece; None if nothing waits. known: the names in use at this moment."""
-        piece, self.following = self.following, None
-        if piece is None and self.listings:
-            self.parts = split_into_chunks(self.listings.popleft(), known)
-            piece = next(self.parts, None)
-        if piece is not None:
-            self.following = next(self.parts, None)
-        return piece
+        chunk, self.following = self.following, None
+        if chunk is None and self.listings:
+            self.chunks = split_into_chunks(self.listings.popleft(), known)
+            chunk = next(self.chunks, None)
+        if chunk is not None:
+            self.following = next(self.chunks, None)
+        return chunk
 
     def waiting(self) -> bool:
         """Whether any piece is left."""
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -59,9 +59,9 @@
         self.timer: Handle | None = None
         self.writing = False
         self.write_started = self.hang_logged = -math.inf
-        self.owed = False  # the list as it stands has to be written yet
+        self.write_pending = False  # the list as it stands has to be written yet
         self.retry_s = WRITE_INTERVAL_S
-        self.failed = 0  # writes in a row
+        self.failed_writes = 0  # writes in a row
         self.last_error = ""
         self.written = 0
         self.stopped = False
@@ -97,7 +97,7 @@
 
     def list_changed(self) -> None:
         """The list has changed: it is owed to the disk until a write of it has succeeded."""
-        self.owed = True
+        self.write_pending = True
         self._write_in(WRITE_INTERVAL_S)
 
     def _write_in(self, delay_s: float) -> None:
@@ -125,7 +125,7 @@
             return
         if not self.confirmed():
             return self._write_in(WRITE_INTERVAL_S)
-        self.owed = False
+        self.write_pending = False
         snapshot = Snapshot(self.service(), self.clock.unix_ms(), self.table())
         self.writing, self.write_started = True, self.clock.now()
         # A thread of its own: the loop's executor is waited for at the end of the process, also where a write
@@ -155,20 +155,20 @@
             self._succeeded()
 
     def _succeeded(self) -> None:
-        if self.failed:
-            self.log.line("snapshot", f"{self.path} is written again, after {self.failed} failures")
+        if self.failed_writes:
+            self.log.line("snapshot", f"{self.path} is written again, after {self.failed_writes} failures")
         self.written += 1
-        self.failed, self.last_error, self.retry_s = 0, "", WRITE_INTERVAL_S
-        if self.owed:
+        self.failed_writes, self.last_error, self.retry_s = 0, "", WRITE_INTERVAL_S
+        if self.write_pending:
             self._write_in(WRITE_INTERVAL_S)
 
     def _fail(self, why: str) -> None:
         """The list stays owed. Logged once until a write has succeeded, whatever the errors in between."""
-        self.failed += 1
+        self.failed_writes += 1
         self.last_error = f"{self.path} can't be written: {why}"
-        if self.failed == 1:
+        if self.failed_writes == 1:
             self.log.line("snapshot", self.last_error)
-        self.owed = True
+        self.write_pending = True
         self._write_in(self.retry_s)
         self.retry_s = min(MOST_RETRY_S, 2.0 * self.retry_s)
 
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -191,7 +191,7 @@
             self.control.begin(inherited.listing, inherited.version, inherited.memory, inherited.starts)
         # Requests in the queue of an inherited listener count as accepted: they can't wait, and the
         # predecessor served by the same list.
-        if not self.control.asked and self._listener is None:
+        if not self.control.polls_list and self._listener is None:
             wait_s = max(0.0, self.list_due_at - self.clock.now())
             self.clock.call_later(wait_s, self.first_list_adopted.set)
             await self.first_list_adopted.wait()
@@ -201,7 +201,7 @@
         if self.shutting_down or not self._listening:
             return False
         list_late = self.clock.now() >= self.list_due_at
-        list_settled = self.watch.ever_answered or self.control.asked or list_late
+        list_settled = self.watch.ever_answered or self.control.polls_list or list_late
         return list_settled and any(upstream.ready for upstream in self.pool.upstreams.values())
 
     # ---- end
--- a/quartzford/relay/source.py
+++ b/quartzford/relay/source.py
@@ -11,7 +11,7 @@
 
 from quartzford.engine import Clock, Log
 from quartzford.membership.addresses import SingleAddress
-from quartzford.membership.call_policy import NOTIFY_BOUND_S, SharedServiceCallPolicy, draws
+from quartzford.membership.call_policy import NOTIFY_BOUND_S, SharedServiceCallPolicy, seeded_random
 from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Sink
 from quartzford.settings.operator_checks import split_address
@@ -22,7 +22,7 @@
     settings: RelaySettings, sink: Sink, clock: Clock, log: Log, loop: asyncio.AbstractEventLoop
 ) -> ListWatch:
     """A watch on the source, not yet started; its calls are spread with those of the other relays."""
-    rng = draws("relay", settings.listen, secrets.randbits(32))
+    rng = seeded_random("relay", settings.listen, secrets.randbits(32))
     calls = SharedServiceCallPolicy(
         settings.relays, settings.source_calls_per_s, NOTIFY_BOUND_S, rng, clock.now
     )
--- a/rig/meter.py
+++ b/rig/meter.py
@@ -106,7 +106,7 @@
 
 
 def _wrap_sides(make: Callable[[], Meter]) -> None:
-    begin, listed, adopt = ControlSide.__init__, ControlSide.listed, ControlSide._adopt
+    begin, listed, adopt = ControlSide.__init__, ControlSide.listed, ControlSide._apply
 
     @functools.wraps(begin)
     def init(self: Any, *rest: Any, **named: Any) -> None:
@@ -126,7 +126,7 @@
 
     ControlSide.__init__ = init  # type: ignore[method-assign]
     ControlSide.listed = heard  # type: ignore[method-assign]
-    ControlSide._adopt = adopted  # type: ignore[method-assign]
+    ControlSide._apply = adopted  # type: ignore[method-assign]
 
 
 def install(make: Callable[[], Meter]) -> None:
--- a/tests/test_calls.py
+++ b/tests/test_call_policy.py
@@ -19,8 +19,8 @@
     CallOutcome,
     CallPolicy,
     SharedServiceCallPolicy,
-    draws,
     retry_after,
+    seeded_random,
 )
 
 TROUBLE = {trouble.name: trouble for trouble in TROUBLES}
@@ -86,14 +86,14 @@
 def test_equal_names_and_equal_seeds_do_not_call_in_step() -> None:
     firsts = [
         SharedServiceCallPolicy(
-            200, 50.0, 10.0, draws("n1", f"127.0.0.{n}:80", 7), lambda: 0.0
+            200, 50.0, 10.0, seeded_random("n1", f"127.0.0.{n}:80", 7), lambda: 0.0
         ).initial_delay()
         for n in range(64)
     ]
     busiest = max(sum(abs(a - b) < 0.1 for b in firsts) for a in firsts)
     assert len(set(firsts)) == 64 and busiest < 16
-    assert draws("n1", "a:1", 7).random() == draws("n1", "a:1", 7).random()
-    assert draws("n1", "a:1", 7).random() != draws("n1", "a:1", 8).random()
+    assert seeded_random("n1", "a:1", 7).random() == seeded_random("n1", "a:1", 7).random()
+    assert seeded_random("n1", "a:1", 7).random() != seeded_random("n1", "a:1", 8).random()
 
 
 def test_small_fleets_and_pushed_lists_are_asked_for_at_once() -> None:
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from quartzford.membership.call_policy import draws
+from quartzford.membership.call_policy import seeded_random
 from rig.scenario import Scenario, Start, play
 from standins.site import config
 
@@ -78,8 +78,8 @@
     """Two loop; the spread interval of a fleet of a hundred is 1.7 s, and they live for one.
 
     Each start calls once at most, and not before the moment that it has drawn from the whole interval. That
-    such draws come to a call in an interval is held over thousands of them in test_calls.py: twelve starts
-    would tell it by chance, as the draws follow from the ports that the system gave.
+    such draws come to a call in an interval is held over thousands of them in test_call_policy.py: twelve
+    starts would tell it by chance, as the draws follow from the ports that the system gave.
     """
     events = "0.8 loop nodes[:2] every 1 until 5"
     result = played(events=events, settings={"nInstances": 100}, seconds=6.0)
@@ -87,7 +87,7 @@
     assert len(result["starts"]) == 8 + 2 * 6
     for number in range(10):
         for start, calls in calls_of_each_start(result, number):
-            drawn_s = draws(start.name, start.listen, start.seed).random() * SPREAD_INTERVAL_S
+            drawn_s = seeded_random(start.name, start.listen, start.seed).random() * SPREAD_INTERVAL_S
             assert len(calls) <= 1 and all(at >= drawn_s - TIMER_S for at in calls), (start, drawn_s, calls)
 
 
