--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -9,7 +9,7 @@
 import asyncio
 import math
 import random
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from quartzford.decision import interface as io
@@ -53,7 +53,7 @@
 
 
 class ControlSide:
-    """What a balancer knows and by which policy it learns it. Made by `assemble`, which sets the watch."""
+    """A balancer's decision module and endpoint list, kept current by a watch. Made by `assemble`."""
 
     watch: ListWatch
 
@@ -65,8 +65,12 @@
         subset: Subset | None,
         lists_per_s: float,
     ) -> None:
-        self.config, self.engine, self.loop, self.subset = config, engine, loop, subset
-        self.clock, self.log = engine.clock, engine.log
+        self.config = config
+        self.engine = engine
+        self.loop = loop
+        self.subset = subset
+        self.clock = engine.clock
+        self.log = engine.log
         self.lists_per_s = lists_per_s
         self.polls_list = (
             config.settings.polls_list
@@ -81,24 +85,28 @@
         # The snapshot's list, while its upstreams are presumed to have just started.
         self._snapshot_listing: Listing | None = None
 
-    def policy(self, relays: Sequence[Address]) -> tuple[CallPolicy, Addresses]:
-        """When calls are made and to whom, by the configuration. relays: asked in discovery's place."""
-        settings, now = self.config.settings, self.clock.now
-        one = SingleAddress(lambda: self.config.discovery)
+    def call_policy(self, relays: Sequence[Address]) -> tuple[CallPolicy, Addresses]:
+        """When calls for the list are made, and to whom. relays: called in the list service's place."""
+        settings = self.config.settings
+        service = SingleAddress(lambda: self.config.discovery)
         if not self.polls_list:
-            own = random.Random(self.config.seed ^ 1)
-            return AgentCallPolicy(own, settings.rules.drain_grace_ms / 1000.0), one
-        host, port = self.config.listen
-        own = seeded_random(self.config.name, f"{host}:{port}", self.config.seed)
-        most_wait = settings.rules.poll_interval_ms / 1000.0
+            agent_random = random.Random(self.config.seed ^ 1)
+            return AgentCallPolicy(agent_random, settings.rules.drain_grace_ms / 1000.0), service
         if not relays:
-            return SharedServiceCallPolicy(settings.balancers, self.lists_per_s, most_wait, own, now), one
-        from quartzford.membership.relay_call_policy import (
-            RelayCallPolicy,  # only here: the platform's run has none
-        )
+            return SharedServiceCallPolicy(*self._shared_service()), service
+        # Only here: the platform's run has no relays.
+        from quartzford.membership.relay_call_policy import RelayCallPolicy
 
-        several = RelayAddresses(self.config.name, relays, one.address)
-        return RelayCallPolicy(several, settings.balancers, self.lists_per_s, most_wait, own, now), several
+        addresses = RelayAddresses(self.config.name, relays, service.address)
+        return RelayCallPolicy(addresses, *self._shared_service()), addresses
+
+    def _shared_service(self) -> tuple[int, float, float, random.Random, Callable[[], float]]:
+        """What a policy needs to know of a list service that the whole fleet polls."""
+        settings = self.config.settings
+        host, port = self.config.listen
+        own_random = seeded_random(self.config.name, f"{host}:{port}", self.config.seed)
+        most_wait = settings.rules.poll_interval_ms / 1000.0
+        return settings.balancers, self.lists_per_s, most_wait, own_random, self.clock.now
 
     # ---- start, reload, end
 
@@ -109,9 +117,9 @@
         learned: io.LearnedState | None = None,
         inherited: InheritedStarts | None = None,
     ) -> None:
-        """Adopt what is known and follow the list from there.
+        """Apply what is known and follow the list from there.
 
-        memory: of the process before, which had the list known; it may be followed from this version.
+        learned: by the predecessor, which had this list; changes may follow from this version.
         inherited: when its upstreams started, as that process dated them.
         """
         stored = self._newer_snapshot(known)
@@ -179,7 +187,7 @@
     # ---- what the watch brings
 
     def listed(self, listing: Listing) -> None:
-        """Short lists at once; long ones in pieces, one a turn of the loop, and later ones behind them."""
+        """Apply a short list at once, a long one in chunks, one in each turn of the loop."""
         in_progress = self.pending.waiting()
         snapshot_listing, self._snapshot_listing = self._snapshot_listing, None
         if snapshot_listing is not None and not listing.complete:
@@ -246,7 +254,7 @@
     """
     engine = Engine(config.settings, config.seed, clock, log)
     side = ControlSide(config, engine, loop, subset, lists_per_s)
-    calls, addresses = side.policy(relays)
+    calls, addresses = side.call_policy(relays)
     side.watch = ListWatch(side, addresses, calls, clock, log, loop)
     engine.watch = side.watch.start
     return side
--- a/quartzford/membership/list_chunks.py
+++ b/quartzford/membership/list_chunks.py
@@ -1,8 +1,8 @@
-"""A long list in pieces, so that no update holds the loop for long. No I/O.
+"""Splits a long endpoint list into chunks, so that no update blocks the event loop for long. No I/O.
 
-A rolling deploy of 10,000 servers costs over 100 ms at once; in pieces of 256 each turn of the loop takes a
-few. What takes servers away goes first: a drain is to be kept from the moment at which it was announced. A
-whole list that comes while another is being taken in replaces what is left of it.
+A rolling deploy of 10,000 endpoints costs over 100 ms at once; in chunks of 256 each turn of the loop takes a
+few. Removals and drains go first: a drain holds from the moment at which it was announced. A complete list
+that comes while another is being applied replaces what is left of it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
 
-CHUNK_ENTRIES = 256  # entries of one turn
+CHUNK_ENTRIES = 256  # of one turn of the loop
 NOWHERE = ("", 0)
 
 Row = tuple[io.Endpoint, tuple[str, int]]
@@ -23,10 +23,10 @@
 def split_into_chunks(
     listing: Listing, known: Collection[str], size: int = CHUNK_ENTRIES
 ) -> Iterator[Listing]:
-    """A listing as changes of so many entries at most, first what takes servers away; a short one as it is.
+    """A listing as changes of `size` entries at most, removals and drains first; a short one as it is.
 
-    known: the names that are in use, of which a whole list takes away those that it does not name. Where a
-    server is taken away in the end, earlier entries of it are left out.
+    known: the names in use, of which a complete list removes those that it does not name. Where an endpoint
+    is removed in the end, earlier entries of it are left out.
     """
     if len(listing.entries) <= size and (not listing.complete or len(known) <= size):
         yield listing
@@ -48,7 +48,7 @@
 
 
 class ListingQueue:
-    """Listings that wait, handed out piece by piece."""
+    """Listings that wait to be applied, handed out in chunks."""
 
     def __init__(self) -> None:
         self.listings: deque[Listing] = deque()
@@ -56,14 +56,14 @@
         self.following: Listing | None = None
 
     def put(self, listing: Listing) -> None:
-        """Add a listing; a whole one replaces all that waits."""
+        """Add a listing; a complete one replaces all that waits."""
         if listing.complete:  # it covers all that is left
             self.listings.clear()
             self.chunks, self.following = iter(()), None
         self.listings.append(listing)
 
     def next(self, known: Collection[str]) -> Listing | None:
-        """The next piece; None if nothing waits. known: the names in use at this moment."""
+        """The next chunk; None if nothing waits. known: the names in use at this moment."""
         chunk, self.following = self.following, None
         if chunk is None and self.listings:
             self.chunks = split_into_chunks(self.listings.popleft(), known)
@@ -73,5 +73,5 @@
         return chunk
 
     def waiting(self) -> bool:
-        """Whether any piece is left."""
+        """Whether any chunk is left."""
         return self.following is not None or bool(self.listings)
--- a/quartzford/membership/relay_call_policy.py
+++ b/quartzford/membership/relay_call_policy.py
@@ -1,9 +1,10 @@
 """When the relays of a list service are called, and when the service itself. No I/O.
 
-Six seconds hold as in call_policy.py. A relay that says nothing is noticed 2.75 s after its last line, and up
-to two more may be dead or stopped in a row: 2.75 + 0.5 (spread) + 2 * (1.0 + 0.2) = 5.65 s, and the fourth
-answers by index at once. So a connection has 0.6 s, the first line by index 1.0 s, and the next relay is
-asked within 0.2 s. A call that was accepted and is late is kept beside the next (a whole list takes longer).
+The bound of six seconds holds as in call_policy.py. A relay that says nothing is noticed 2.75 s after its
+last line, and up to two more may be dead or stopped in a row: 2.75 + 0.5 (spread) + 2 * (1.0 + 0.2) = 5.65 s,
+and the fourth answers by index at once. So a connection has 0.6 s, the first line by index 1.0 s, and the
+next relay is asked within 0.2 s. A call that was accepted and is late is kept beside the next (a whole list
+takes longer).
 
 - Where each relay has failed and one of them has turned a call away, it lives and has lost the source: the
   list in use stays, and calls go round so that each relay is asked again within the six seconds.
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -1,8 +1,8 @@
-"""Writes the last list to a file, atomically and beside the loop, and reads it at a start.
+"""Writes the last list to a file, atomically and in a thread, and reads it at a start.
 
-The file is replaced as a whole: written beside, flushed to the disk, renamed. A disk that is full or gone
-costs a log line, not the service: the newest list is written as soon as the disk takes it. All changes within
-WRITE_INTERVAL_S go into one write.
+The file is replaced as a whole: a temporary file is written, flushed to the disk and renamed. A disk that is
+full or gone costs a log line, not the service: the newest list is written as soon as the disk takes it. All
+changes within WRITE_INTERVAL_S go into one write.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class SnapshotWriter:
-    """Keeps one file. table: the list as it stands; heard: whether the service confirms it now."""
+    """Writes one snapshot file. table: the list as it stands; confirmed: whether a watch on it stands."""
 
     def __init__(
         self,
@@ -54,11 +54,18 @@
         log: Log,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.path, self.rule, self.service, self.table, self.confirmed = path, rule, service, table, confirmed
-        self.clock, self.log, self.loop = clock, log, loop
+        self.path = path
+        self.rule = rule
+        self.service = service
+        self.table = table
+        self.confirmed = confirmed
+        self.clock = clock
+        self.log = log
+        self.loop = loop
         self.timer: Handle | None = None
         self.writing = False
-        self.write_started = self.hang_logged = -math.inf
+        self.write_started = -math.inf
+        self.hang_logged = -math.inf  # the start of the write whose hang was logged
         self.write_pending = False  # the list as it stands has to be written yet
         self.retry_s = WRITE_INTERVAL_S
         self.failed_writes = 0  # writes in a row
@@ -83,7 +90,7 @@
             age = usable(snapshot, self.service(), now, self.rule)
             listing = read_listing(snapshot.table)
             if not listing.complete:
-                raise SnapshotError("it is not a whole list")
+                raise SnapshotError("it is not a complete list")
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self.log.line("snapshot", f"{self.path} is not used: {error}")
             return None
@@ -96,7 +103,7 @@
     # ---- while it serves
 
     def list_changed(self) -> None:
-        """The list has changed: it is owed to the disk until a write of it has succeeded."""
+        """The list has changed: a write is pending until one has succeeded."""
         self.write_pending = True
         self._write_in(WRITE_INTERVAL_S)
 
@@ -105,7 +112,7 @@
             self.timer = self.clock.call_later(delay_s, self._write)
 
     def refresh_age(self) -> None:
-        """So often the age of an unchanged list is brought up to now."""
+        """Write an unchanged list with its new age, every REFRESH_INTERVAL_S."""
         if self.stopped:
             return
         if self.confirmed():
@@ -127,7 +134,8 @@
             return self._write_in(WRITE_INTERVAL_S)
         self.write_pending = False
         snapshot = Snapshot(self.service(), self.clock.unix_ms(), self.table())
-        self.writing, self.write_started = True, self.clock.now()
+        self.writing = True
+        self.write_started = self.clock.now()
         # A thread of its own: the loop's executor is waited for at the end of the process, also where a write
         # hangs in a disk that is gone.
         thread = threading.Thread(target=self._replace, args=(snapshot,), name="snapshot", daemon=True)
@@ -158,12 +166,14 @@
         if self.failed_writes:
             self.log.line("snapshot", f"{self.path} is written again, after {self.failed_writes} failures")
         self.written += 1
-        self.failed_writes, self.last_error, self.retry_s = 0, "", WRITE_INTERVAL_S
+        self.failed_writes = 0
+        self.last_error = ""
+        self.retry_s = WRITE_INTERVAL_S
         if self.write_pending:
             self._write_in(WRITE_INTERVAL_S)
 
     def _fail(self, why: str) -> None:
-        """The list stays owed. Logged once until a write has succeeded, whatever the errors in between."""
+        """The write stays pending. Logged once until one has succeeded, whatever the errors in between."""
         self.failed_writes += 1
         self.last_error = f"{self.path} can't be written: {why}"
         if self.failed_writes == 1:
