--- a/quartzford/decision/__init__.py
+++ b/quartzford/decision/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the balancer, and the events and actions by which it is told and tells. No I/O."""
+"""Every decision of the balancer: events come in, actions go out. No I/O, and no clock of its own."""
--- a/quartzford/decision/automaton.py
+++ b/quartzford/decision/automaton.py
@@ -16,9 +16,8 @@
 
 from quartzford.decision.columns import COLUMNS, ArrayColumns, Columns, PlainColumns, Row, load_arrays
 
-STEP = (
-    0.5  # a = b of Eq. 8 times the servers in use: an answer moves its server's share by at most about half
-)
+# a = b of Eq. 8 times the servers in use: an answer moves its server's share by at most about half.
+STEP = 0.5
 STEP_MAX = 0.078  # a = b at most; the paper's testbed
 SWEEP = 0.1  # part of Eq. 8's mean over a draw by which each score moves all of P
 MEMORY = 1.0  # alpha of Eq. 6 times the servers in use, so that a server's own few answers are averaged
--- a/quartzford/decision/workingset.py
+++ b/quartzford/decision/workingset.py
@@ -196,7 +196,8 @@
             counted += able(name)
             if counted == PART:
                 yield part
-                part, counted = [], 0
+                part = []
+                counted = 0
         if part:
             yield part
 
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -115,7 +115,7 @@
             self.request_counters.end(RequestEnd.FAILED, pending.kind)
             self.balancer.pending_requests.pop(pending.number, None)
             if attempt is not None:
-                attempt.fail("cancelled")
+                attempt.fail(io.Outcome.CANCELLED)
             pending.aborted()
 
     def _act(self, action: io.Action) -> None:
@@ -133,7 +133,7 @@
             case io.Cancel(request, number):
                 attempt = self.pending_requests[request].attempt
                 if attempt is not None and attempt.number == number and not attempt.streaming:
-                    attempt.fail("cancelled")
+                    attempt.fail(io.Outcome.CANCELLED)
             case io.Log(text):
                 self.log.line("module", text)
             case io.HealthCheck(server):
@@ -193,7 +193,7 @@
         pending.client_disconnected()
         self.feed(io.ClientDisconnected(pending.number))
         if attempt is not None:
-            attempt.fail("cancelled")
+            attempt.fail(io.Outcome.CANCELLED)
 
     def shut_down(self) -> None:
         """The process ends now: no pending request waits any longer for an attempt."""
@@ -203,7 +203,7 @@
         self.feed(io.ShutdownStarted())
         for attempt in attempts:
             if not attempt.over:
-                attempt.fail("cancelled")
+                attempt.fail(io.Outcome.CANCELLED)
 
     # ---- from attempts
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The module's size, and the settings it turns away."""
+"""The decision module's size, and the settings that it rejects."""
 
 from __future__ import annotations
 
