--- a/quartzford/decision/server.py
+++ b/quartzford/decision/server.py
@@ -57,11 +57,6 @@
     in_flight: dict[AttemptKey, OutstandingAttempt] = field(default_factory=dict)  # oldest first
     rejecting_until: dict[str, float] = field(default_factory=dict)  # by class that it rejected
 
-    @property
-    def name(self) -> str:
-        """The server's name in the list."""
-        return self.entry.server
-
     @property
     def in_use(self) -> bool:
         """Whether requests may be sent to it at all."""
