--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -63,35 +63,34 @@
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
-        n = names
         self.wanted = {
-            n.identity: "identity",
-            n.service_class: "service_class",
-            n.tenant: "tenant",
-            n.left: "left",
-            n.idempotency: "idempotency",
-            n.repeat: "repeat",
-            n.hint: "hint",
-            n.token: "token",
+            names.identity: "identity",
+            names.service_class: "service_class",
+            names.tenant: "tenant",
+            names.left: "left",
+            names.idempotency: "idempotency",
+            names.repeat: "repeat",
+            names.hint: "hint",
+            names.token: "token",
             "cookie": "cookie",
         }
 
-    def read_request(self, headers: Any, opens: bool) -> DecisionRequest | int:
-        """The decision request in a request's headers, or the status that rejects them."""
+    def read_request(self, headers: Any, opens: bool) -> DecisionRequest | Failed:
+        """The decision request in a request's headers, or the failure that answers them."""
         rows = headers.headers.headers
         if len(rows) > self.names.most_headers or headers.ByteSize() > self.names.most_bytes:
-            return 431
+            return Failed(431)
         read: dict[str, str] = {}
         for row in rows:
             name = self.wanted.get(row.key)
             if name is None:
                 continue
             if name in ("identity", "token") and name in read:
-                return 400  # the next reader may take the other one
+                return Failed(400)  # the next reader may take the other one
             read[name] = text_of(row)
         identity = read.get("identity", "").strip()
         if not identity:
-            return 400
+            return Failed(400)
         left = read_time_left(read.get("left", "").strip())
         return DecisionRequest(
             identity,
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -117,15 +117,15 @@
             raise DecodeError("no phase is set")
         if kind == "request_headers" and not self.decided:
             decision_request = processor.reader.read_request(request.request_headers, self.opens)
-            if isinstance(decision_request, int):
-                return self._say(processor.writer.write(Failed(decision_request), processor.clock.now()))
+            if isinstance(decision_request, Failed):
+                return self._send(processor.writer.write(decision_request, processor.clock.now()))
             self.busy = True
             return processor.link.request_decision(self, decision_request)
         if kind == "response_headers" and self.decided and not self.opens:
             self.decided = False
             self.busy = True
             return processor.link.report_result(self, processor.reader.result(request))
-        return self._say(processor.writer.neutral[kind])
+        return self._send(processor.writer.neutral[kind])
 
     def _replied(self, reply: Reply) -> None:
         if isinstance(reply, DeadlineExceeded):
@@ -138,10 +138,10 @@
             return processor.link.decision_expired(self)
         self.busy = False
         self.decided = isinstance(reply, Decision | RequestOpened)
-        self._say(processor.writer.write(reply, now))
+        self._send(processor.writer.write(reply, now))
         self.advance()
 
-    def _say(self, message: bytes) -> None:
+    def _send(self, message: bytes) -> None:
         connection = self.caller.connection
         if not self.answered:
             self.answered = True
@@ -212,14 +212,14 @@
 
     def headers(self, stream: int, headers: list[tuple[bytes, bytes]], end: bool) -> None:
         """A new HTTP/2 stream; what is not this method of gRPC is rejected."""
-        processor, read = self.processor, dict(headers)
+        processor = self.processor
+        read = dict(headers)
         if read.get(b":method") != b"POST" or read.get(b":path") != PATH:
             return self._reject(stream, UNIMPLEMENTED, "no such method")
         if not read.get(b"content-type", b"").startswith(b"application/grpc"):
             return self._reject(stream, UNIMPLEMENTED, "not gRPC")
-        extproc_stream = ExtprocStream(
-            self, stream, read.get(ROLE_HEADER) == OPENER_ROLE, processor.clock.now()
-        )
+        opens = read.get(ROLE_HEADER) == OPENER_ROLE
+        extproc_stream = ExtprocStream(self, stream, opens, processor.clock.now())
         self.extproc_streams[stream] = extproc_stream
         processor.streams += 1
         processor.link.open(extproc_stream)
@@ -257,11 +257,9 @@
         self._trailers(stream, False, status, why)
 
     def _trailers(self, stream: int, answered: bool, status: int, why: str) -> None:
-        trailers = (
-            OK_TRAILERS
-            if not status
-            else http2.block(((b"grpc-status", b"%d" % status), (b"grpc-message", why.encode())))
-        )
+        trailers = OK_TRAILERS
+        if status != OK:
+            trailers = http2.block(((b"grpc-status", b"%d" % status), (b"grpc-message", why.encode())))
         self.connection.send_headers(stream, trailers if answered else RESPONSE_HEADERS + trailers, end=True)
         self.connection.reset(stream, http2.NO_ERROR)  # if its caller has not ended it
         self.flush()
--- a/tests/test_extproc_channel.py
+++ b/tests/test_extproc_channel.py
@@ -1,4 +1,4 @@
-"""The line between a worker and the process that decides: what an overload delays, and what it must not."""
+"""The channel of a worker to the deciding process: what an overload delays, and what it must not."""
 
 from __future__ import annotations
 
@@ -166,7 +166,9 @@
         if message[0] == "ask":
             assert not before[0], "an ask went before an end"
             higher = [m for w, q in before[1].items() if w > priority_weight[message[4]] for m in q]
-            assert all(m[1] in queue.closed_streams or m[1] in dropped for m in higher), "not by worth"
+            assert all(
+                m[1] in queue.closed_streams or m[1] in dropped for m in higher
+            ), "not by priority weight"
     assert not len(queue) and not queue.closed_streams and not queue.requests_by_stream
     ends = [m for m in put if m[0] != "ask"]
     assert [m for m in got if m[0] != "ask"] == ends, "an end was lost, or out of order"
--- a/tests/test_extproc_decisions.py
+++ b/tests/test_extproc_decisions.py
@@ -1,4 +1,4 @@
-"""The desk and its remote attempts without I/O: random orders of what callers, nodos and clocks do."""
+"""The decision service and its remote attempts without I/O: random orders of callers, nodos and clocks."""
 
 from __future__ import annotations
 
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -1,4 +1,4 @@
-"""The external processor as processes: workers that die, SIGTERM, SIGHUP, files turned away."""
+"""The external processor as processes: workers that die, SIGTERM, SIGHUP, files rejected."""
 
 from __future__ import annotations
 
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -292,7 +292,7 @@
         await one.ask(rows_of("c1"))
         assert status_of(await Raw(caller).ask(rows_of("other", "pay", one.token()))) == 400
         await one.report(200)
-        # Of a flight that has ended: whatever it was, it is not sent again.
+        # Of a request that has ended: whatever it was, it is not sent again.
         assert status_of(await Raw(caller).ask(rows_of("c1", "pay", one.token()))) == 502
         # Of an earlier life, with a key that lasts.
         tokens = site.front.service.tokens
