--- a/tests/test_extproc_channel.py
+++ b/tests/test_extproc_channel.py
@@ -194,7 +194,7 @@
     on_loop(test)
 
 
-def test_a_line_that_ends_drops_its_streams_and_a_bad_one_spoils_nothing() -> None:
+def test_a_lost_channel_closes_its_streams_and_a_bad_message_spoils_nothing() -> None:
     async def test(world: World, line: ServiceChannel, pipe: Pipe) -> None:
         line.data_received(
             up(request_message(1, world.clock.at, "pay"), request_message(2, world.clock.at, "read"))
--- a/tests/test_extproc_decisions.py
+++ b/tests/test_extproc_decisions.py
@@ -121,25 +121,25 @@
     def __init__(self, world: World, slow: bool = False) -> None:
         self.world, self.slow = world, slow  # slow: its worker has the first Told too late to write it
         self.held: Decision | None = None
-        self.heard: list[Reply] = []
-        self.asked = self.reported = 0
-        self.stream = Stream(self.hear)
+        self.received: list[Reply] = []
+        self.requested = self.reported = 0
+        self.stream = Stream(self.receive)
         self.dropped = False
         world.streams.append(self)
 
-    def hear(self, reply: Reply) -> None:
+    def receive(self, reply: Reply) -> None:
         assert not self.dropped, "a word to a stream that has ended"
         if self.slow and isinstance(reply, Decision):
             self.slow, self.held = False, reply
             late_s = reply.valid_until - self.world.clock.at + 0.001
             self.world.clock.call_later(late_s, self.late)
             return
-        self.heard.append(reply)
-        replies = [r for r in self.heard if not isinstance(r, DeadlineExceeded)]
-        assert len(replies) <= self.asked + self.reported, "a reply that nobody waits for"
+        self.received.append(reply)
+        replies = [r for r in self.received if not isinstance(r, DeadlineExceeded)]
+        assert len(replies) <= self.requested + self.reported, "a reply that nobody waits for"
 
     def ask(self, ask: DecisionRequest) -> Peer:
-        self.asked += 1
+        self.requested += 1
         self.world.service.request_decision(self.stream, ask)
         return self
 
@@ -157,13 +157,13 @@
         if held is not None and not self.dropped:
             self.world.service.decision_expired(self.stream)
 
-    def told(self) -> Decision | None:
-        return next((r for r in self.heard if isinstance(r, Decision)), None)
+    def decision(self) -> Decision | None:
+        return next((r for r in self.received if isinstance(r, Decision)), None)
 
     def out(self) -> bool:
         """Its caller has an attempt out."""
-        cut = any(isinstance(r, DeadlineExceeded) for r in self.heard)
-        return self.told() is not None and not self.reported and not self.dropped and not cut
+        cut = any(isinstance(r, DeadlineExceeded) for r in self.received)
+        return self.decision() is not None and not self.reported and not self.dropped and not cut
 
 
 class Customer:
@@ -190,13 +190,13 @@
         """What the present stream heard, as a caller takes it."""
         if self.final:
             return
-        heard = [r for r in self.peer.heard if not isinstance(r, DeadlineExceeded)]
-        if any(isinstance(r, DeadlineExceeded) for r in self.peer.heard):
+        received = [r for r in self.peer.received if not isinstance(r, DeadlineExceeded)]
+        if any(isinstance(r, DeadlineExceeded) for r in self.peer.received):
             return self.end("cut")
-        if not heard:
+        if not received:
             return
-        last = heard[-1]
-        if isinstance(last, RequestOpened) and len(heard) == 1 and not self.token:
+        last = received[-1]
+        if isinstance(last, RequestOpened) and len(received) == 1 and not self.token:
             self.token = last.token
             return
         if isinstance(last, Decision) and len(self.sends) < self.world_sends():
@@ -211,10 +211,10 @@
     def world_sends(self) -> int:
         return len(self.sends) + (0 if getattr(self.peer, "used", False) else 1)
 
-    def send(self, told: Decision) -> None:
+    def send(self, decision: Decision) -> None:
         self.peer.used = True  # type: ignore[attr-defined]
-        self.token = told.token
-        now, number = self.world.clock.at, int(told.address.rpartition(":")[2])
+        self.token = decision.token
+        now, number = self.world.clock.at, int(decision.address.rpartition(":")[2])
         assert now <= self.deadline, "told after the deadline"
         assert all(how for _, _, how in self.sends), "two attempts out at once"
         drained = self.world.drained.get(f"s{number}")
@@ -294,7 +294,7 @@
         customer.done(code)
         peer.report(code)
         customer.look()
-        if any(isinstance(r, RetryOffered) for r in peer.heard) and not customer.final:
+        if any(isinstance(r, RetryOffered) for r in peer.received) and not customer.final:
             peer.drop()
             customer.next()
     elif what == "report" and customer.opens and customer.token and not customer.sends:
@@ -311,11 +311,11 @@
     elif what == "overlap" and peer.out():
         other = Peer(world).ask(DecisionRequest(customer.identity, customer.name, token=customer.token))
         world.clock.pass_time(0.02)
-        assert not other.told(), "a second attempt beside one that is out"
+        assert not other.decision(), "a second attempt beside one that is out"
         other.drop()
     elif what == "copy" and peer.out():
         other = Peer(world).ask(DecisionRequest(customer.identity, customer.name, 100.0))
-        assert other.heard == [Failed(409)]
+        assert other.received == [Failed(409)]
         other.drop()
 
 
@@ -349,7 +349,7 @@
             name = ("read", "book", "pay")[number % 3]
             step(world, customers, number, (what, number % 7, name, code, (0.0, 0.02, 0.15)[number % 3]))
         world.clock.pass_time(5.0)
-        kinds |= {type(r) for peer in world.streams for r in peer.heard}
+        kinds |= {type(r) for peer in world.streams for r in peer.received}
     assert kinds == {
         Decision,
         RequestOpened,
@@ -364,46 +364,46 @@
 # ---- the table in docs/extproc.md, row by row
 
 
-def told(world: World, name: str = "pay", identity: str = "c1") -> Peer:
+def peer_with_decision(world: World, name: str = "pay", identity: str = "c1") -> Peer:
     peer = Peer(world).ask(DecisionRequest(identity, name, 500.0, keyed=name != "pay"))
-    assert peer.told()
+    assert peer.decision()
     return peer
 
 
 @pytest.mark.parametrize("code", ["error", "timeout", "reset"])
-def test_told_and_reported_as_maybe_run_fails_an_unsafe_one(code: str) -> None:
+def test_an_unsafe_request_reported_as_maybe_executed_fails(code: str) -> None:
     world = World()
-    peer = told(world)
+    peer = peer_with_decision(world)
     peer.report(code)
-    assert peer.heard[1:] == [Failed(502)]
-    assert Peer(world).ask(DecisionRequest("c1", "pay")).heard == [Failed(409)]
+    assert peer.received[1:] == [Failed(502)]
+    assert Peer(world).ask(DecisionRequest("c1", "pay")).received == [Failed(409)]
 
 
 @pytest.mark.parametrize("code", NEVER_RAN_CODES)
-def test_told_and_reported_as_never_run_goes_on(code: str) -> None:
+def test_a_request_reported_as_never_executed_is_retried(code: str) -> None:
     world = World()
-    peer = told(world)
-    first = peer.told()
+    peer = peer_with_decision(world)
+    first = peer.decision()
     peer.report(code)
-    assert peer.heard[1:] == [RetryOffered(True)] and first is not None
+    assert peer.received[1:] == [RetryOffered(True)] and first is not None
     following = Peer(world).ask(DecisionRequest("c1", "pay", token=first.token))
-    assert following.told() and following.told().address != first.address  # type: ignore[union-attr]
+    assert following.decision() and following.decision().address != first.address  # type: ignore[union-attr]
 
 
 def test_decided_and_never_claimed_counts_as_never_sent() -> None:
     world = World()
     opener = Peer(world).ask(DecisionRequest("c1", "pay", 500.0, opens=True))
-    assert isinstance(opener.heard[0], RequestOpened)
+    assert isinstance(opener.received[0], RequestOpened)
     world.clock.pass_time(0.25)  # nobody comes for it
     assert not world.service.requests and not world.engine.counts["overdue"]
     assert world.service.completed["c1"].never_ran
     again = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
-    assert again.told()
+    assert again.decision()
 
 
-def test_lost_and_not_returned_is_remembered_as_maybe_run() -> None:
+def test_a_lost_attempt_is_remembered_as_maybe_executed() -> None:
     world = World()
-    peer = told(world)
+    peer = peer_with_decision(world)
     peer.drop()
     assert world.service.requests
     world.clock.pass_time(0.25)
@@ -413,57 +413,57 @@
 
 def test_a_report_that_comes_twice_or_for_nothing_teaches_nothing() -> None:
     world = World()
-    peer = told(world)
+    peer = peer_with_decision(world)
     peer.report("ok")
     peer.report("error")
-    assert peer.heard[1:] == [ResponseForwarded(), ResponseForwarded()]
+    assert peer.received[1:] == [ResponseForwarded(), ResponseForwarded()]
     assert world.engine.counts["error"] == 0
     stranger = Peer(world)
     stranger.report("error")
-    assert stranger.heard == [ResponseForwarded()] and world.engine.counts["error"] == 0
+    assert stranger.received == [ResponseForwarded()] and world.engine.counts["error"] == 0
 
 
 def test_the_memory_of_ended_requests_is_bounded_in_time() -> None:
     world = World()
     for n in range(300):
-        told(world, "read", f"c{n}").report("ok")
+        peer_with_decision(world, "read", f"c{n}").report("ok")
         world.clock.pass_time(0.01)
     assert len(world.service.completed) < 200
 
 
-def test_no_room_is_told_as_a_refusal_and_opens_nothing() -> None:
+def test_without_capacity_a_request_is_rejected_and_nothing_is_opened() -> None:
     world = World()
     world.service.max_requests = 1
-    told(world)
-    assert Peer(world).ask(DecisionRequest("c2", "pay")).heard == [Rejected(0.0, False)]
+    peer_with_decision(world)
+    assert Peer(world).ask(DecisionRequest("c2", "pay")).received == [Rejected(0.0, False)]
     assert len(world.engine.pending_requests) == 1
 
 
 def test_a_request_that_waited_too_long_for_the_service_is_rejected_undecided() -> None:
     world = World()
     peer = Peer(world)
-    peer.asked += 1
+    peer.requested += 1
     world.service.request_decision(peer.stream, DecisionRequest("c1", "pay", 500.0), world.clock.at - 0.2)
-    assert peer.heard == [Rejected(0.0, False)] and not world.engine.pending_requests
+    assert peer.received == [Rejected(0.0, False)] and not world.engine.pending_requests
     late = Peer(world)
-    late.asked += 1
+    late.requested += 1
     world.service.request_decision(late.stream, DecisionRequest("c2", "pay", 500.0), world.clock.at - 0.05)
     (call,) = world.engine.pending_requests.values()
-    assert late.told() and call.deadline == pytest.approx(world.clock.at + 0.45)
+    assert late.decision() and call.deadline == pytest.approx(world.clock.at + 0.45)
 
 
 def test_a_reload_keeps_what_is_in_flight() -> None:
     world = World()
-    peer = told(world)
+    peer = peer_with_decision(world)
     world.engine.reconfigure(settings(balancers=3))
     peer.report("ok")
-    assert peer.heard[1:] == [ResponseForwarded()]
+    assert peer.received[1:] == [ResponseForwarded()]
 
 
 # ---- tokens and outcomes
 
 
-def test_a_token_is_good_for_its_request_and_life_alone() -> None:
+def test_a_token_is_valid_for_its_request_and_incarnation_alone() -> None:
     one, other = Tokens(b"k" * 16, b"life-one"), Tokens(b"k" * 16, b"life-two")
     text = one.make(7, "c1", 1000.0)
     assert one.read(text, "c1", 999.0) == 7
@@ -524,15 +524,19 @@
     assert first is not None and abs(first.valid_for_ms - 100.0) < 1e-6
     world.move(int(first.address.rpartition(":")[2]), "draining")
     world.clock.pass_time(0.102)
-    (told,) = peer.heard
-    assert isinstance(told, Decision) and told.address != first.address and told.valid_until > world.clock.at
+    (decision,) = peer.received
     assert (
-        abs(told.valid_for_ms - 201.0) < 1.0
+        isinstance(decision, Decision)
+        and decision.address != first.address
+        and decision.valid_until > world.clock.at
+    )
+    assert (
+        abs(decision.valid_for_ms - 201.0) < 1.0
     )  # counted from the ask: the caller's clock knows no other instant
     counts = world.engine.counts
     assert counts["moot"] == counts["written too late"] == 1
     peer.report("ok")
-    assert peer.heard[1:] == [ResponseForwarded()] and not world.service.requests
+    assert peer.received[1:] == [ResponseForwarded()] and not world.service.requests
 
 
 def test_a_stream_that_ends_before_its_decision_is_written_ran_nothing() -> None:
@@ -542,16 +546,16 @@
     peer.drop()
     assert not world.service.requests and world.engine.counts["client gone"] == 1
     again = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
-    assert isinstance(again.heard[0], Decision)
+    assert isinstance(again.received[0], Decision)
     again.drop()  # this one was written: it may run
-    assert Peer(world).ask(DecisionRequest("c1", "pay", 500.0)).heard == [Failed(409)]
+    assert Peer(world).ask(DecisionRequest("c1", "pay", 500.0)).received == [Failed(409)]
 
 
-def test_a_late_word_after_the_clients_time_changes_nothing() -> None:
+def test_an_expired_decision_after_the_clients_deadline_changes_nothing() -> None:
     world = World()
     peer = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", 80.0))
     world.clock.pass_time(0.5)
-    assert peer.heard == [DeadlineExceeded()] and not world.service.requests
+    assert peer.received == [DeadlineExceeded()] and not world.service.requests
     assert world.engine.counts["written too late"] == 0 and world.engine.counts["timeout"] == 1
 
 
@@ -559,13 +563,13 @@
     """What was known before the decision is known again once it is taken back: here, that nothing ran."""
     world = World()
     first = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
-    told = first.told()
-    assert told is not None
+    decision = first.decision()
+    assert decision is not None
     first.report("full")
-    assert first.heard[-1] == RetryOffered(True)
-    second = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", token=told.token))
+    assert first.received[-1] == RetryOffered(True)
+    second = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", token=decision.token))
     assert second.held is not None
     world.clock.pass_time(0.102)
-    assert second.told() is not None
+    assert second.decision() is not None
     second.report("full")
-    assert second.heard[-1] == RetryOffered(True) or isinstance(second.heard[-1], Rejected)
+    assert second.received[-1] == RetryOffered(True) or isinstance(second.received[-1], Rejected)
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -65,7 +65,7 @@
         assert (await site.ask(site.caller(), "pay")).statuses == [200]
 
 
-async def told_while_the_worker_stands_still(site: Site, name: str) -> tuple[Raw, asyncio.Task[Any], str]:
+async def decision_while_the_worker_is_stopped(site: Site, name: str) -> tuple[Raw, asyncio.Task[Any], str]:
     """A request held until its worker stands still, then decided: who asked, its question, the nodo."""
     for nodo in site.nodos:
         site.registry.tell(nodo, health="draining")
@@ -86,7 +86,7 @@
 async def test_a_worker_that_stood_still_gives_a_decision_back_unwritten() -> None:
     """The nodo drained meanwhile: the request goes elsewhere, and runs once."""
     async with Site(3, workers=1) as site:
-        raw, asking, chosen = await told_while_the_worker_stands_still(site, "pay")
+        raw, asking, chosen = await decision_while_the_worker_is_stopped(site, "pay")
         nodo = site.nodos[int(chosen[1:])]
         site.registry.tell(nodo, health="draining")
         await until(lambda: chosen not in site.backend.hosts)
@@ -102,7 +102,7 @@
 @run
 async def test_a_caller_that_left_a_worker_that_stood_still_ran_nothing() -> None:
     async with Site(3, workers=1) as site:
-        raw, asking, _ = await told_while_the_worker_stands_still(site, "pay")
+        raw, asking, _ = await decision_while_the_worker_is_stopped(site, "pay")
         raw.drop()
         await asyncio.sleep(site.extproc.decision_valid_ms / 1000.0)
         site.front.workers[0].send_signal(signal.SIGCONT)
@@ -284,7 +284,7 @@
 
 
 @pytest.mark.parametrize(("text", "reason"), BAD)
-def test_an_operators_file_that_cannot_be_used_is_turned_away_with_its_key(text: str, reason: str) -> None:
+def test_an_operators_file_that_cannot_be_used_is_rejected_with_its_key(text: str, reason: str) -> None:
     with pytest.raises(OperatorError) as error:
         read_operator_settings(text)
     assert reason in str(error.value) and "\n" not in str(error.value)
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("opener", [False, True])
-def test_what_was_turned_away_goes_elsewhere_as_a_fresh_decision(opener: bool) -> None:
+def test_a_rejected_attempt_goes_elsewhere_by_a_new_decision(opener: bool) -> None:
     async def test() -> None:
         async with Site(2) as site:
             site.nodos[0].mode = "full"
@@ -60,7 +60,7 @@
 
 
 @run
-async def test_an_unsafe_request_that_may_have_run_fails_and_is_not_refused() -> None:
+async def test_an_unsafe_request_that_may_have_run_fails_and_is_not_rejected() -> None:
     async with Site(2) as site:
         for nodo in site.nodos:
             nodo.mode = "error"
@@ -74,7 +74,7 @@
 
 
 @run
-async def test_what_never_ran_is_refused_with_a_time_to_come_back() -> None:
+async def test_what_never_ran_is_rejected_with_retry_after() -> None:
     async with Site(2) as site:
         for nodo in site.nodos:
             nodo.mode = "full"
@@ -103,7 +103,7 @@
 
 
 @run
-async def test_a_tenant_over_its_share_is_told_429() -> None:
+async def test_a_tenant_over_its_quota_gets_429() -> None:
     customers = [{"name": "acme", "quotaPerS": 0.5}]
     async with Site(1, settings={"customers": customers}) as site:
         admission = site.node.engine.balancer.admission
@@ -156,7 +156,7 @@
 
 
 @run
-async def test_a_cobro_whose_decision_comes_after_its_caller_gave_up() -> None:
+async def test_an_unsafe_request_whose_decision_comes_after_its_caller_gave_up() -> None:
     """The caller never read it, but who can tell? It is neither sent again nor refused as harmless."""
     async with Site(2, return_ms=50.0) as site:
         processor, caller = site.front.processor, site.caller()
@@ -172,7 +172,7 @@
 
 
 @run
-async def test_a_cobro_whose_caller_gave_up_before_the_decision_was_written() -> None:
+async def test_an_unsafe_request_whose_caller_gave_up_before_the_decision_was_written() -> None:
     """Nothing left us, so it surely did not run: its client may come again."""
     async with Site(2, return_ms=50.0) as site:
         assert site.front.processor is not None
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize(("name", "status"), [("pay", 409), ("read", 409)])
-def test_a_second_attempt_beside_one_that_is_out_is_turned_away(name: str, status: int) -> None:
+def test_a_second_attempt_beside_one_in_flight_is_rejected(name: str, status: int) -> None:
     async def test() -> None:
         async with Site(3, overlap_ms=30.0) as site:
             caller = site.caller()
@@ -369,7 +369,7 @@
 
 
 @run
-async def test_phases_that_were_not_asked_for_get_the_neutral_reply() -> None:
+async def test_phases_that_were_not_requested_get_the_neutral_reply() -> None:
     async with Site() as site:
         raw = Raw(site.caller())
         reply = await raw.say(proto.ProcessingRequest(response_headers=_message([(":status", "200")])))
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -111,12 +111,12 @@
     world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
     first = Peer(world).ask(DecisionRequest("c1", "hold", 700.0, keyed=True))
     begun = world.clock.at
-    told = first.told()
+    told = first.decision()
     assert told is not None and told.valid_until == pytest.approx(begun + 0.1)
     world.clock.pass_time(0.12)
     first.report("reset")
     second = Peer(world).ask(DecisionRequest("c1", "hold", 700.0, keyed=True, token=told.token))
-    again = second.told()
+    again = second.decision()
     assert again is not None and again.valid_until <= begun + ZONED.window_ms / 1000.0 - HELD_S
 
 
