--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -34,7 +34,7 @@
             asked = [world.ask(request(name, b"", left="300m")) for name in ("read", "book", "pay") * 3]
             answers = await asyncio.gather(*asked)
             assert {a.status for a in answers} == {503} and time.monotonic() - began > 0.2
-            assert not world.ups[0].came and not world.ups[1].came and not world.node.engine.policy
+            assert not world.ups[0].came and not world.ups[1].came and not world.node.engine.pending_requests
             world.news(world.host(1, born=5.0), complete=True)
             await until(lambda: ready(world) == {"s1"})
             assert (await world.ask(request("pay", b""))).status == 200
@@ -111,7 +111,7 @@
                     assert answer.status == 200 and answer.body == b"made once"
                 else:
                     assert answer.status == 502, "a refusal would say that it has not run"
-            assert not world.node.engine.policy
+            assert not world.node.engine.pending_requests
 
     uvloop.run(asyncio.wait_for(test(), 60))
 
@@ -134,7 +134,7 @@
             not world.node.engine.balancer.pending_requests
             and world.node.engine.balancer.endpoints.shares.out == 0
         )
-        assert not world.node.engine.policy and [len(up.came) for up in world.ups] == sent
+        assert not world.node.engine.pending_requests and [len(up.came) for up in world.ups] == sent
         for up in world.ups:
             up.script = says(reply())
         for _, writer in clients:
@@ -149,9 +149,9 @@
         for round_ in range(30):
             _, writer = await world.connect()
             writer.write(request(("read", "book", "pay")[round_ % 3], b""))
-            await until(lambda: world.node.engine.policy)
+            await until(lambda: world.node.engine.pending_requests)
             writer.transport.abort()
-            await until(lambda: not world.node.engine.policy)
+            await until(lambda: not world.node.engine.pending_requests)
         came = sum(len(up.writers) for up in world.ups)
         await until(lambda: sum(up.left for up in world.ups) == came)
         await until(lambda: not world.node.pool.connections)  # a peer sees it a turn before
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -280,7 +280,7 @@
         site.writer.list_changed()
         for _ in range(20):
             await site.settle()
-        assert not site.path.exists() and 4 <= site.writer.failed < 10
+        assert not site.path.exists() and 4 <= site.writer.failed_writes < 10
         site.error = None
         await site.settle(MOST_RETRY_S)
         assert site.version() == 2 and not site.clock.timers
@@ -320,7 +320,7 @@
             site.error = OSError(code, os.strerror(code))
             site.writer.list_changed()
             await site.settle(MOST_RETRY_S)
-        assert len(site.log.lines) == 1 and site.writer.failed == 100
+        assert len(site.log.lines) == 1 and site.writer.failed_writes == 100
         assert "can't be written" in site.log.lines[0] and "No space left" in site.log.lines[0]
         site.error = None
         await site.settle(MOST_RETRY_S)
--- a/tests/test_relay_catalog.py
+++ b/tests/test_relay_catalog.py
@@ -176,7 +176,7 @@
     for version, changed in ((2, row("s3", block=8)), (3, row("s4", health="gone")), (4, row("new"))):
         catalog.apply(line(version, changed))
         assert catalog.complete_list_bytes() - len(catalog.complete_list(exact=True).line) == 2
-    catalog._whole = first
+    catalog._latest_encoding = first
     assert catalog.complete_list().position.version == 4  # three of twenty rows have changed since
     last = catalog.complete_list()
     catalog.apply(line(5, row("s3", block=7)))
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -219,7 +219,7 @@
 
         async with world:
             fleet = world.node.engine.balancer.endpoints
-            assert len(fleet.ready) == 2 and len(fleet.cold) == 2
+            assert len(fleet.ready) == 2 and len(fleet.slow_start.cold) == 2
             upstream = world.node.pool.upstreams["s0"]
 
             async def speaks(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -233,7 +233,7 @@
                 writer.transport.abort()
             await until(lambda: len(fleet.ready) == 1)
             assert (await world.ask(request())).status == 200
-            assert not fleet.cold and fleet.ready[0].entry.server == "s0"
+            assert not fleet.slow_start.cold and fleet.ready[0].entry.server == "s0"
             assert world.node.pool.upstreams["s0"] is upstream  # the same incarnation
 
     test()
