--- /dev/null
+++ b/quartzford/fronts/client_timeouts.py
@@ -0,0 +1,50 @@
+"""How long a client connection may be silent, send a request or take a response."""
+
+from __future__ import annotations
+
+from quartzford.engine import Budget
+from quartzford.fronts.client_connection import Client
+from quartzford.fronts.responses import REQUEST_TIMEOUT, UNAVAILABLE
+
+IDLE_TIMEOUT_S = 2.25  # a silent client, also one that has never sent, gives its descriptor back after this
+HEAD_TIMEOUT_S = 2.0  # a client that stops within a request gets its error within 3 s
+BODY_STALL_S = 2.0  # without a byte of a body
+REQUEST_TIMEOUT_S = 5.0  # for a complete request, however slowly its bytes drip in
+WRITE_STALL_S = 20.0  # without a byte of a response that the client has taken
+MAX_PAUSE_S = 1.0  # in reading a body, for want of memory
+
+
+def check_timeouts(client: Client, budget: Budget, now: float) -> None:
+    """End what has taken too long; now: on the engine's clock, seconds."""
+    unsent_bytes = client.transport.get_write_buffer_size()
+    if client.lingering is not None and client.lingering.expired(now):
+        client.transport.abort()
+    elif unsent_bytes and (client.closing or client.write_blocked):
+        _check_response(client, unsent_bytes, now)
+    elif client.closing:
+        return
+    elif client.exchange is None and client.in_message:
+        _check_request(client, budget, now)
+    elif now - client.last_progress > IDLE_TIMEOUT_S:
+        client.close_if_idle()
+
+
+def _check_response(client: Client, unsent_bytes: int, now: float) -> None:
+    if unsent_bytes != client.unsent_bytes:
+        client.unsent_bytes = unsent_bytes
+        client.last_progress = now
+    elif now - client.last_progress > WRITE_STALL_S:
+        client.transport.abort()
+
+
+def _check_request(client: Client, budget: Budget, now: float) -> None:
+    if client.reader.in_head:
+        stalled = now - client.message_started > HEAD_TIMEOUT_S
+    else:
+        stalled = now - client.last_progress > BODY_STALL_S
+    if stalled or now - client.message_started > REQUEST_TIMEOUT_S:
+        client.reject(REQUEST_TIMEOUT)
+    elif client.paused_at and not budget.full():
+        client.resume_body()
+    elif client.paused_at and now - client.paused_at > MAX_PAUSE_S:
+        client.reject(UNAVAILABLE)
--- /dev/null
+++ b/quartzford/fronts/request_intake.py
@@ -0,0 +1,60 @@
+"""A request that was read, as the engine takes it: an exchange, and the request for the decision module."""
+
+from __future__ import annotations
+
+from quartzford.decision import interface as io
+from quartzford.engine import Backend, Budget, Engine
+from quartzford.fronts.exchange import Exchange, ResponseChannel
+from quartzford.fronts.request_reader import (
+    ACCOUNT,
+    COOKIE,
+    CORRELATION_ID,
+    IDEMPOTENCY_KEY,
+    REPEAT,
+    SERVICE_CLASS,
+    TIME_LEFT,
+    WEIGHT_HINT,
+    RequestReader,
+)
+from quartzford.settings.header_values import read_cookie, read_number, read_time_left
+
+SESSION_COOKIE = "sid"
+
+
+def new_exchange(
+    reader: RequestReader, client: ResponseChannel, backend: Backend, budget: Budget
+) -> Exchange:
+    """The exchange of the request that the reader has completed; it takes body and charge over."""
+    line = b"%b %b HTTP/1.1\r\n" % (reader.method, reader.target)
+    exchange = Exchange(client, backend, budget, line, reader.forwarded_fields(), reader.body)
+    exchange.keep_alive = reader.keep_alive
+    exchange.is_http_1_0 = reader.is_http_1_0
+    exchange.has_no_length = reader.has_no_length
+    exchange.charged = reader.drop_body()
+    return exchange
+
+
+def new_request(reader: RequestReader, exchange: Exchange, engine: Engine, now: float) -> io.Request:
+    """The request for the decision module; numbers the exchange and sets its deadline.
+
+    No deadline is longer than that of the request's class. now: on the engine's clock, seconds.
+    """
+    name = reader.value(SERVICE_CLASS)
+    service_class = engine.classes.get(name)
+    longest_ms = service_class.deadline_ms if service_class is not None else engine.longest_ms
+    stated_ms = read_time_left(reader.value(TIME_LEFT).strip())
+    left_ms = longest_ms if stated_ms is None else min(stated_ms, longest_ms)
+    exchange.streams = service_class is not None and service_class.streaming
+    exchange.deadline = now + left_ms / 1000.0
+    exchange.number = engine.next_number()
+    exchange.label = reader.value(CORRELATION_ID)
+    return io.Request(
+        exchange.number,
+        name,
+        left_ms,
+        reader.value(ACCOUNT),
+        read_cookie(reader.value(COOKIE), SESSION_COOKIE),
+        read_number(reader.value(WEIGHT_HINT)) / 1000.0,
+        reader.value(REPEAT).strip() == "1",
+        bool(reader.value(IDEMPOTENCY_KEY).strip()),
+    )
--- /dev/null
+++ b/quartzford/fronts/responses.py
@@ -0,0 +1,67 @@
+"""The bytes of responses to clients: status line, head, chunks."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+OK = 200
+BAD_REQUEST = 400
+REQUEST_TIMEOUT = 408
+CONTENT_TOO_LARGE = 413
+FIELDS_TOO_LARGE = 431
+INTERNAL_ERROR = 500
+BAD_GATEWAY = 502
+UNAVAILABLE = 503
+
+REASONS = {
+    OK: b"OK",
+    BAD_REQUEST: b"Bad Request",
+    REQUEST_TIMEOUT: b"Request Timeout",
+    CONTENT_TOO_LARGE: b"Content Too Large",
+    FIELDS_TOO_LARGE: b"Request Header Fields Too Large",
+    INTERNAL_ERROR: b"Internal Server Error",
+    BAD_GATEWAY: b"Bad Gateway",
+    UNAVAILABLE: b"Service Unavailable",
+}
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
+CHUNKED = b"Transfer-Encoding: chunked\r\n"
+CLOSE = b"Connection: close\r\n"
+KEEP_ALIVE = b"Connection: keep-alive\r\n"
+
+
+class CompleteResponse(Protocol):
+    """A backend's complete 200 response."""
+
+    @property
+    def fields(self) -> list[bytes]:
+        """Header fields as they are forwarded, each with its line end."""
+
+    @property
+    def chunks(self) -> list[bytes]:
+        """The body in pieces."""
+
+
+def response_head(status: int, fields: list[bytes], framing: bytes) -> bytes:
+    """A head; framing: more fields, with their line ends."""
+    return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, REASONS[status], b"".join(fields), framing)
+
+
+def content_length(size: int) -> bytes:
+    """The field that states a body's length in bytes."""
+    return b"Content-Length: %d\r\n" % size
+
+
+def retry_after(pause_ms: float) -> bytes:
+    """The field that asks for a pause, in seconds with three decimals."""
+    return b"Retry-After: %.3f\r\n" % (pause_ms / 1000.0)
+
+
+def chunk(data: bytes) -> bytes:
+    """A piece of a body with chunked framing."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+def rejection(status: int) -> bytes:
+    """A response without a body, the last one of its connection."""
+    return response_head(status, [], content_length(0) + CLOSE)
--- a/quartzford/graceful_shutdown.py
+++ b/quartzford/graceful_shutdown.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from quartzford.engine import Clock, Engine
-from quartzford.fronts.http1 import HttpFront
+from quartzford.fronts.http_front import HttpFront
 
 ACCEPT_S = 0.6  # new connections are accepted for so long after SIGTERM
 # SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as this at most, and a margin.
--- a/quartzford/housekeeping.py
+++ b/quartzford/housekeeping.py
@@ -6,7 +6,7 @@
 
 from quartzford.backends.http_backend import HttpBackend
 from quartzford.engine import Budget, Clock, Engine, Log
-from quartzford.fronts.http1 import HttpFront
+from quartzford.fronts.http_front import HttpFront
 
 SWEEP_INTERVAL_S = 0.25
 SUMMARY_INTERVAL_S = 10.0
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -12,7 +12,7 @@
 from quartzford.control import LISTS_PER_S as LISTS_PER_S
 from quartzford.control import assemble
 from quartzford.engine import Budget, LoopClock, StderrLog
-from quartzford.fronts.http1 import HttpFront
+from quartzford.fronts.http_front import HttpFront
 from quartzford.fronts.operations import OperationsFront
 from quartzford.graceful_shutdown import GracefulShutdown
 from quartzford.housekeeping import Housekeeping
--- a/quartzford/replaceable_node.py
+++ b/quartzford/replaceable_node.py
@@ -13,7 +13,7 @@
 from quartzford.backends.http_backend import HttpBackend
 from quartzford.control import ControlSide
 from quartzford.decision import interface as io
-from quartzford.fronts.http1 import HttpFront
+from quartzford.fronts.http_front import HttpFront
 from quartzford.graceful_shutdown import GracefulShutdown
 from quartzford.handover_state import InheritedState, anchor_ms, capture_state, read_state
 from quartzford.replacement.handover import Handover
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -16,7 +16,8 @@
 from test_endings import RESET, raw
 
 from quartzford.engine.pending_request import Attempt
-from quartzford.fronts.http1 import HANGUP_EVENTS, Exchange
+from quartzford.fronts.client_connection import HANGUP_EVENTS
+from quartzford.fronts.exchange import Exchange
 
 
 def reset(sock: socket.socket) -> None:
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -13,7 +13,7 @@
 from test_relay_server import PATH, Site, site
 
 from quartzford.fronts import operations
-from quartzford.fronts.http1 import MAX_LINGERING
+from quartzford.fronts.http_front import MAX_LINGERING
 from quartzford.relay.connection import CallState
 
 STATUS = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -22,7 +22,7 @@
 from quartzford.backends.connection_pool import MIN_IDLE_S
 from quartzford.backends.upstream_connection import Connection
 from quartzford.engine import Clock
-from quartzford.fronts import http1 as front
+from quartzford.fronts.client_connection import Client
 from quartzford.fronts.extproc import server
 from quartzford.fronts.extproc.decision_messages import DecisionRequest, Reply
 from quartzford.fronts.extproc.messages import ReplyWriter
@@ -181,27 +181,27 @@
     """The first answer past a moment is held up between its request's last byte and its own first."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, since: float) -> None:
-        answer = front.Client.answer
+        answer = Client.answer
         self.held = False
 
-        def late(client: front.Client, *arguments: Any) -> None:
+        def late(client: Client, *arguments: Any) -> None:
             if time.monotonic() >= since and not self.held:
                 self.held = True
                 time.sleep(HELD_S)
             answer(client, *arguments)
 
-        monkeypatch.setattr(front.Client, "answer", late)
+        monkeypatch.setattr(Client, "answer", late)
 
 
 def note_ends(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """When a connection's last answer had been written, for each."""
-    end, ends = front.Client._end_sending, list[float]()
+    end, ends = Client._end_sending, list[float]()
 
-    def noted(client: front.Client) -> None:
+    def noted(client: Client) -> None:
         end(client)
         ends.append(time.monotonic())
 
-    monkeypatch.setattr(front.Client, "_end_sending", noted)
+    monkeypatch.setattr(Client, "_end_sending", noted)
     return ends
 
 
