--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -47,33 +47,30 @@
     ) -> None:
         """folder: where this process and its successor find each other; "": they don't.
 
-        lists_per_s: calls a second that a list service answers which a whole fleet polls.
-        relays: are polled in its place.
+        lists_per_s: calls a second that a whole fleet's list service answers. relays: polled in its place.
         """
         self.loop = loop
-        self.clock = LoopClock(loop)
-        self.log = StderrLog(self.clock.now)
+        self.clock = clock = LoopClock(loop)
+        self.log = StderrLog(clock.now)
         self.budget = Budget(0)
-        self.control = assemble(config, loop, self.clock, self.log, subset, lists_per_s, relays)
+        self.control = assemble(config, loop, clock, self.log, subset, lists_per_s, relays)
         self.engine = self.control.engine
         self.watch = self.control.watch
         self.registry = self.control.registry
         self.pending = self.control.pending
         self.first_list_adopted = self.control.first_list_adopted
         self.followers = self.control.followers
-        self.pool = HttpBackend(self.engine, self.budget, self.clock, loop)
+        self.pool = HttpBackend(self.engine, self.budget, clock, loop)
         self.followers.append(self.pool)
-        self.operations = OperationsFront(self, self.clock)
-        self.front = HttpFront(self.engine, self.pool, self.budget, self.clock, self.ready)
-        self.shutdown = GracefulShutdown(self.engine, self.front, self.clock, self._finish)
-        self.housekeeping = Housekeeping(
-            self.engine, self.front, self.pool, self.budget, self.clock, self.log
-        )
+        self.operations = OperationsFront(self, clock)
+        self.front = HttpFront(self.engine, self.pool, self.budget, clock, self.ready)
+        self.shutdown = GracefulShutdown(self.engine, self.front, clock, self._finish)
+        self.housekeeping = Housekeeping(self.engine, self.front, self.pool, self.budget, clock, self.log)
         self.shutting_down = False
         self.replacement = self._make_replaceable(folder) if folder else None
         self._apply_limits(config)
         self.finished = loop.create_future()
-        self.list_due_at = self.clock.now() + LISTED_S  # requests wait no longer for the first list
+        self.list_due_at = clock.now() + LISTED_S  # requests wait no longer for the first list
         self._begun = False
         self._listening = False  # the address takes clients, of this process or of its predecessor
         self._listener: socket.socket | None = None  # the predecessor's
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -86,6 +86,10 @@
         "decision/memory.py",
         "decision/estimates.py",
         "engine/request_counters.py",
+        "resource_limits.py",
+        "graceful_shutdown.py",
+        "housekeeping.py",
+        "handover_state.py",
         "replacement/messages.py",
         "replacement/state_machine.py",
         "replacement/state.py",
@@ -134,6 +138,7 @@
         "quartzford.membership.relay_call_policy",
         "quartzford.metrics",
         "quartzford.serve",
+        "quartzford.replaceable_node",
         "quartzford.replacement.handover",
     }
     names = set(loaded.stdout.decode().split())
