--- a/quartzford/wirehost.py
+++ b/quartzford/wirehost.py
@@ -60,6 +60,7 @@
 
 
 def write_action(instance: int, action: io.Action) -> list[Any]:
+    """An action of one instance in the form of the wire."""
     match action:
         case io.Send(request, server, time_out, _):
             return ["ROUTE", instance, request, server, time_out]
@@ -140,6 +141,7 @@
 
 
 def run(source: TextIO, sink: TextIO) -> None:
+    """Answer each batch of messages, one a line, until the source ends; WireError names a malformed line."""
     host = Host()
     replies: list[str] = []
     for number, text in enumerate(source, 1):
