--- a/quartzford/fronts/operations.py
+++ b/quartzford/fronts/operations.py
@@ -1,4 +1,4 @@
-"""The second address: what operators ask and tell, one call to a connection. docs/operators/operations.md
+"""The second address: status and maintenance, one call to a connection. docs/operators/operations.md
 
 Answered in the loop, from a reserve of descriptors that clients can't take. Once too many are open, whoever
 has said nothing makes room for the next caller; a call of which something was read is answered in any case.
@@ -15,14 +15,14 @@
 from quartzford.protocols.onecall import OneCall, Reader, State, answer
 
 BACKLOG = 256
-MOST_OPEN = 20  # calls at once; within the descriptors that a balancer keeps for itself
-WHOLE_S = 10.0  # a call that has not come whole by then is answered 408
+MAX_OPEN_CALLS = 20  # within the descriptors that a balancer keeps for itself
+CALL_TIMEOUT_S = 10.0  # a call that is not complete by then is answered 408
 STALL_S = 2.0  # and so is one that has begun, and of which nothing more has come for so long
 PREFIX = "edge"
 
 
 class Operated(Protocol):
-    """The balancer that is asked and told."""
+    """The balancer that is operated."""
 
     def ready(self) -> bool:
         """It can serve."""
@@ -66,7 +66,8 @@
     """The listener for operators' calls."""
 
     def __init__(self, node: Operated, clock: Clock) -> None:
-        self.node, self.clock = node, clock
+        self.node = node
+        self.clock = clock
         self.calls: dict[Caller, None] = {}  # oldest first
         self.listener: Listener | None = None
 
@@ -76,7 +77,7 @@
         self.listener.start()
 
     def stop(self) -> None:
-        """Nobody is taken any more; calls of which something was read are told to come again."""
+        """Accept no connection any more; calls of which something was read are answered 503."""
         if self.listener is not None:
             self.listener.close()
         for caller in list(self.calls):
@@ -102,7 +103,7 @@
         self.front = front
         self.reader = Reader()
         self.timer: Handle | None = None
-        self.whole_by = front.clock.now() + WHOLE_S
+        self.complete_by = front.clock.now() + CALL_TIMEOUT_S
         self.lingering: LingeringClose | None = None
 
     @property
@@ -119,39 +120,44 @@
         return self.answered and not self.transport.get_write_buffer_size()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the call in the bound, and give it its time."""
         self.transport = cast(asyncio.Transport, transport)
         calls = self.front.calls
         calls[self] = None
-        if len(calls) > MOST_OPEN:
+        if len(calls) > MAX_OPEN_CALLS:
             self.front.make_room(self)
-        self._give_up_after(WHOLE_S)
+        self._give_up_after(CALL_TIMEOUT_S)
 
     def data_received(self, data: bytes) -> None:
+        """Read on in the call; carry it out once it is complete."""
         if self.lingering is not None:
             return self.lingering.received(len(data))
         reader = self.reader
         reader.feed(data)
-        self._give_up_after(min(STALL_S, self.whole_by - self.front.clock.now()))
+        self._give_up_after(min(STALL_S, self.complete_by - self.front.clock.now()))
         if reader.error:
             self._answer(answer(reader.error))
         elif reader.call is not None:
-            try:
-                said = respond(reader.call, self.front.node)
-            except Exception:
-                self._answer(answer(500))
-                raise
-            self._answer(said)
+            self._carry_out(reader.call)
         elif reader.expects and reader.state is State.BODY:
             reader.expects = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
+    def _carry_out(self, call: OneCall) -> None:
+        try:
+            response = respond(call, self.front.node)
+        except Exception:
+            self._answer(answer(500))
+            raise
+        self._answer(response)
+
     def eof_received(self) -> None:
-        """A caller may end its sending and still read; what was not whole by then gets its 400."""
+        """A caller may end its sending and still read; a call that is incomplete by then gets its 400."""
         if not self.answered:
             self._answer(answer(400))
 
     def leave(self) -> None:
-        """End a call that is not whole: it has changed nothing, and may come again."""
+        """End an incomplete call: it has changed nothing, and may be retried."""
         if self.answered:
             return
         if self.unread():
@@ -162,9 +168,9 @@
     def _give_up_after(self, wait_s: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.front.clock.call_later(wait_s, self._late)
+        self.timer = self.front.clock.call_later(wait_s, self._timed_out)
 
-    def _late(self) -> None:
+    def _timed_out(self) -> None:
         if not self.answered:
             self._answer(answer(408))
         elif not self.transport.is_closing():
@@ -175,9 +181,10 @@
         self.transport.write(data)
         self.lingering = LingeringClose(self.transport, clock.now())
         self.lingering.close_in_time(clock)
-        self._give_up_after(WHOLE_S)  # where its answer is not taken
+        self._give_up_after(CALL_TIMEOUT_S)  # where its answer is not taken
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection has ended, on either side."""
         self.front.calls.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
--- a/quartzford/protocols/lingering.py
+++ b/quartzford/protocols/lingering.py
@@ -33,13 +33,13 @@
             self._transport.abort()
 
     def expired(self, now: float) -> bool:
-        """Whether LINGER_S have passed since all was written; asked now and then, from the start."""
+        """Whether LINGER_S have passed since all was written; to be called now and then, from the start."""
         if self._transport.get_write_buffer_size():
             self._since = now
         return now - self._since > LINGER_S
 
     def close_in_time(self, clock: Clock) -> None:
-        """Close the connection once it has expired, if its owner does not ask for that itself."""
+        """Close the connection once it has expired, for an owner that does not check `expired` itself."""
         if self._transport.is_closing():
             return
         if self.expired(clock.now()):
--- a/quartzford/protocols/onecall.py
+++ b/quartzford/protocols/onecall.py
@@ -13,8 +13,10 @@
 
 import httptools
 
-HEAD_BYTES = 8 * 1024
-BODY_BYTES = 4 * 1024
+MAX_HEAD_BYTES = 8 * 1024
+MAX_BODY_BYTES = 4 * 1024
+MAX_LENGTH_DIGITS = 9  # of a Content-Length that is looked at as a number
+ABSOLUTE_FORM = "http://"
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -38,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OneCall:
-    """A whole call. body: as sent, its framing taken off."""
+    """A complete call. body: as sent, its framing taken off."""
 
     method: str
     path: str
@@ -51,54 +53,60 @@
     def __init__(self) -> None:
         self.state = State.HEAD
         self.call: OneCall | None = None
-        self.error = 0  # the status that is owed instead
+        self.error = 0  # the status that answers what is no call
         self.expects = False  # a 100 is wanted before the body (RFC 9110, 10.1.1)
         self._parser: Any = httptools.HttpRequestParser(self)
-        self._url = self._body = b""
-        self._seen = 0
+        self._url = b""
+        self._body = b""
+        self._head_bytes = 0
         self._hosts = 0
 
     @property
     def begun(self) -> bool:
-        return self._seen > 0
+        """A part of a call has been read."""
+        return self._head_bytes > 0
 
     def feed(self, data: bytes) -> None:
         """Take bytes, however they are cut; nothing is read once the call is done."""
         if self.state is State.DONE:
             return
         if self.state is State.HEAD:
-            self._seen += len(data)
+            self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             pass  # answered as the plain call that it also is
         except httptools.HttpParserError:
             self._fail(400)
-        if self.state is State.HEAD and self._seen > HEAD_BYTES:
+        if self.state is State.HEAD and self._head_bytes > MAX_HEAD_BYTES:
             self._fail(431)
 
     def _fail(self, status: int) -> None:
         if self.state is not State.DONE:
-            self.state, self.error = State.DONE, status
+            self.state = State.DONE
+            self.error = status
 
-    # ---- httptools
+    # ---- callbacks of httptools
 
     def on_url(self, url: bytes) -> None:
+        """A piece of the call's target."""
         if self.state is not State.DONE:
             self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A field of the head; later ones (trailers) are skipped."""
         if self.state is not State.HEAD:
             return
         key = name.lower()
         if key == b"host":
             self._hosts += 1
-        elif key == b"content-length" and value.isdigit() and (len(value) > 9 or int(value) > BODY_BYTES):
+        elif key == b"content-length" and _is_too_long(value):
             self._fail(413)
         elif key == b"expect":
             self.expects = value.lower() == b"100-continue"
 
     def on_headers_complete(self) -> None:
+        """The head is complete."""
         if self.state is State.DONE:
             return
         if self._hosts > 1:
@@ -106,24 +114,38 @@
         self.state = State.BODY
 
     def on_body(self, data: bytes) -> None:
+        """A piece of the body."""
         if self.state is not State.BODY:
             return
         self._body += data
-        if len(self._body) > BODY_BYTES:
+        if len(self._body) > MAX_BODY_BYTES:
             self._fail(413)
 
     def on_message_complete(self) -> None:
+        """The last byte of the call has been read."""
         if self.state is not State.BODY:
             return
         self.state = State.DONE
-        path = self._url.decode("latin-1").partition("?")[0]
-        if path.startswith("http://"):  # absolute form (RFC 9112, 3.2.2)
-            path = "/" + path[7:].partition("/")[2]
-        self.call = OneCall(self._parser.get_method().decode("latin-1"), path, self._body)
+        self.call = OneCall(self._parser.get_method().decode("latin-1"), _path_of(self._url), self._body)
+
+
+def _is_too_long(content_length: bytes) -> bool:
+    """Whether a field states a body over the bound; what is no number is left to the parser."""
+    if not content_length.isdigit():
+        return False
+    return len(content_length) > MAX_LENGTH_DIGITS or int(content_length) > MAX_BODY_BYTES
+
+
+def _path_of(target: bytes) -> str:
+    """The path of a target in origin form or in absolute form (RFC 9112, 3.2), without its query."""
+    path = target.decode("latin-1").partition("?")[0]
+    if path.startswith(ABSOLUTE_FORM):
+        path = "/" + path.removeprefix(ABSOLUTE_FORM).partition("/")[2]
+    return path
 
 
 def answer(status: int, body: str = "", head_only: bool = False) -> bytes:
-    """The whole answer; its connection ends with it."""
+    """The complete response; its connection ends with it. head_only: to a HEAD, without the body."""
     data = body.encode()
     head = (
         f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,7 +13,7 @@
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
 from quartzford.node import Node
-from quartzford.protocols.onecall import BODY_BYTES, HEAD_BYTES, OneCall, Reader
+from quartzford.protocols.onecall import MAX_BODY_BYTES, MAX_HEAD_BYTES, OneCall, Reader
 
 PUT = b"PUT /maintenance/enter HTTP/1.1\r\nHost: a\r\n"
 
@@ -37,10 +37,10 @@
         (PUT + b"Host: b\r\nContent-Length: 2\r\n\r\ns1", 400),
         (PUT + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
         (PUT + b"Content-Length: -1\r\n\r\n", 400),
-        (PUT + b"Content-Length: %d\r\n\r\n" % (BODY_BYTES + 1), 413),
+        (PUT + b"Content-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), 413),
         (PUT + b"Content-Length: 99999999999999999999\r\n\r\n", (413, 400)),
         (PUT + b"Transfer-Encoding: chunked\r\n\r\n" + b"100\r\n%b\r\n" % (b"x" * 256) * 20, 413),
-        (PUT + b"X: " + b"y" * (HEAD_BYTES + 100), 431),
+        (PUT + b"X: " + b"y" * (MAX_HEAD_BYTES + 100), 431),
         (b"\x16\x03\x01\x02\x00\x01\x00", 400),
         (PUT + b"Content-Length: 20\r\n\r\ns1", None),
     ],
