--- a/bench/capacity_mechanisms.py
+++ b/bench/capacity_mechanisms.py
@@ -90,7 +90,10 @@
         "a source and relays by region; what other regions said last stays in use while they are parted",
     ),
     Mechanism(
-        REQUESTS, "`fronts/http1.py`, `engine/`, `backends/http1.py`", (), "only if its rows have no room"
+        REQUESTS,
+        "`fronts/client_connection.py`, `engine/`, `backends/http_attempt.py`",
+        (),
+        "only if its rows have no room",
     ),
 )
 
--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -539,7 +539,7 @@
             "requests to a balancer",
             given(model.requests_each(), "peak / balancers"),
             "1/s",
-            today="`fronts/http1.py`",
+            today="`fronts/client_connection.py`",
         ),
         row(
             "messages",
@@ -557,6 +557,6 @@
             UNKNOWN,
             "number",
             Bound(None, "half of `limits.sockets`"),
-            "`fronts/http1.py`",
+            "`fronts/client_connection.py`",
         ),
     )
