--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -205,9 +205,13 @@
             if time.monotonic() > end:
                 raise RuntimeError("the list was not taken in")
         beat.pause()
-        ready = [s for s in told.values() if s.slot >= 0]
-        if len(ready) != count or not any(s.entry.started_ms == born for s in ready):
+        # Where traffic is thin a part of the list is in use; ready in the list has to be all of it.
+        ready = [server for server in told.values() if server.entry.state == "ready"]
+        in_use = [server for server in told.values() if server.slot >= 0]
+        if len(ready) != count or not any(server.entry.started_ms == born for server in ready):
             raise RuntimeError(f"{len(ready)} servers of {count}")
+        if not in_use or any(server.entry.state != "ready" for server in in_use):
+            raise RuntimeError(f"{len(in_use)} servers in use, not all of them ready")
 
     beat = Beat(loop)
     await settled(servers, 0.0, 1)
