--- a/quartzford/load/driver.py
+++ b/quartzford/load/driver.py
@@ -31,6 +31,7 @@
     next_try,
     patience_s,
 )
+from quartzford.load.connecting import connect_within
 from quartzford.load.connection_end import ended_by_peer, unacknowledged_bytes
 from quartzford.load.record import Record
 
@@ -311,14 +312,22 @@
         link = Link(self)
         link.fresh = fresh
         try:
-            async with asyncio.timeout(max(0.001, attempt.give_up - monotonic())):
-                await self.loop.create_connection(lambda: link, self.target.host, self.target.port)
+            limit_s = max(0.001, attempt.give_up - monotonic())
+            await connect_within(self.loop, link, self.target.host, self.target.port, limit_s)
         except (OSError, TimeoutError) as error:
             self.open -= 1
             if isinstance(error, OSError) and error.errno in STARVED:
                 self.starved = self.starved or f"out of descriptors or ports: {error.strerror}"
             return self.ended(attempt, UNREACHABLE, 0.0)
-        self._send(attempt, link)
+        self.connected(attempt, link)
+
+    def connected(self, attempt: Try, link: Link) -> None:
+        """A connection for the attempt is up; the attempt is given up unsent if its time is over."""
+        if monotonic() < attempt.give_up:
+            self._send(attempt, link)
+        else:
+            link.transport.abort()
+            self._given_up(attempt, None)
 
     def _limit(self, attempt: Try, link: Link | None) -> None:
         self.record.counts["limits"] += 1
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -23,6 +23,7 @@
 import uvloop
 
 from quartzford.load.clients import BRIEF, SERVED, UNREACHABLE, Manners, patience_s
+from quartzford.load.connecting import connect_within
 from quartzford.load.driver import Driver, Due, Job, Link, Target, Try
 from quartzford.load.record import Record, figures
 
@@ -185,15 +186,15 @@
             if where < 0:
                 raise ConnectionRefusedError
             target = self.front.targets[where]
-            async with asyncio.timeout(max(0.001, attempt.give_up - monotonic())):
-                await self.loop.create_connection(lambda: link, target.host, target.port)
+            limit_s = max(0.001, attempt.give_up - monotonic())
+            await connect_within(self.loop, link, target.host, target.port, limit_s)
         except (OSError, TimeoutError):
             self.open -= 1
             if where >= 0:
                 self.front.failed(where)
             return self.ended(attempt, UNREACHABLE, 0.0)
         self.front.reached(where)
-        self._send(attempt, link)
+        self.connected(attempt, link)
 
 
 def plan_of(rate: float, seconds: float, seed: int) -> Iterator[Due]:
--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import errno
 import json
 import os
 import resource
 import signal
+import socket
 import subprocess
 import sys
 import threading
@@ -22,7 +24,7 @@
 import uvloop
 
 from quartzford.load.clients import SINGLE, Kind, Manners
-from quartzford.load.driver import Driver, Target
+from quartzford.load.driver import Driver, Target, Try
 from quartzford.load.live import Sums
 from quartzford.load.record import Record, figures
 from quartzford.load.run import Load, plan, play, rows_of
@@ -104,6 +106,51 @@
     assert record.goodput()["whole"] == 0.0
 
 
+class HeldUp(Driver):
+    """A driver whose process is held up while its first connection comes up."""
+
+    def connect(self, attempt: Try, fresh: bool = False) -> None:
+        super().connect(attempt, fresh)
+        if attempt.job.number == 1 and attempt.job.tries == 1:
+            self.loop.call_soon(self.loop.call_soon, time.sleep, 0.5)
+
+
+def test_a_hold_up_of_the_generator_is_no_fault_of_the_server() -> None:
+    """The connection comes up while the generator is held up beyond the attempt's time limit."""
+
+    async def main() -> Record:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await reader.read()
+
+        listening = await asyncio.start_server(serve, "127.0.0.1", 0)
+        kinds = (Kind("cobro", deadline_s=0.4, effect="unsafe"),)
+        target = Target("127.0.0.1", listening.sockets[0].getsockname()[1])
+        load = Load(target, "constant:4", 0.2, "fixed", kinds=kinds, manners=Manners())
+        record = Record(kinds)
+        await HeldUp(target, load.manners, plan(load, 0), time.monotonic(), 1, "t", record).run()
+        listening.close()
+        return record
+
+    record = uvloop.run(main())
+    assert record.ends == {"cobro no answer": 1} and record.tries == {"no answer": 1}
+    assert figures(record.late)["max"] > 400  # its own delay: the generator says that it was late
+
+
+def test_a_server_that_never_takes_the_connection_is_unreachable() -> None:
+    """Its queue of connections is full, so that nothing answers the handshake."""
+    kinds = (Kind("cobro", deadline_s=0.4, effect="unsafe"),)
+    with socket.socket() as full, contextlib.ExitStack() as queue:
+        full.bind(("127.0.0.1", 0))
+        full.listen(0)
+        for _ in range(4):
+            waiting = queue.enter_context(socket.socket())
+            waiting.setblocking(False)
+            waiting.connect_ex(full.getsockname())
+        target = Target("127.0.0.1", full.getsockname()[1])
+        record = driven(Load(target, "constant:4", 0.2, "fixed", kinds=kinds, manners=Manners(tries=2)))
+    assert record.ends == {"cobro unreachable": 1} and record.tries == {"unreachable": 2}
+
+
 def test_nobody_there_is_tried_again_and_counted() -> None:
     with server("none") as (target, process):
         process.kill()
