--- a/bench/growth.py
+++ b/bench/growth.py
@@ -23,7 +23,7 @@
 from bench.common import report
 from bench.growth_site import CHURNS, LAYOUTS, Day, RunningSite, site
 from bench.slopes_process import processor_s, resident_mb
-from bench.slopes_requests import balancer
+from bench.slopes_requests import balancer_process
 from quartzford.load.clients import BRIEF, SERVED, SINGLE
 from quartzford.load.driver import Target
 from quartzford.load.run import Load, play
@@ -140,7 +140,7 @@
 
 def needs(day: Day) -> Needs:
     """Play a day, and tell what the balancer needed."""
-    with site(day) as running, balancer(running.port, running.known) as (port, pid):
+    with site(day) as running, balancer_process(running.port, running.known) as (port, pid):
         return _needs(day, running, port, pid)
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -22,7 +22,7 @@
 from bench import slopes_configuration, slopes_list, slopes_requests, slopes_services
 from bench.common import report
 from bench.slopes_page import digits, page, remarks
-from bench.slopes_process import MeasureError
+from bench.slopes_process import MeasurementError
 
 ROW_BYTES = 165  # of a row in the lists that are made here
 Group = Callable[[bool], list[dict[str, Any]]]
@@ -101,7 +101,7 @@
         since = time.monotonic()
         try:
             found = group(quick)
-        except (MeasureError, RuntimeError, OSError, ValueError) as error:
+        except (MeasurementError, RuntimeError, OSError, ValueError) as error:
             result["failed"].append({"group": name, "error": str(error).strip().splitlines()[-1]})
             print(f"{name}: FAILED: {error}", flush=True)
             continue
--- a/bench/slopes_process.py
+++ b/bench/slopes_process.py
@@ -21,7 +21,7 @@
 PROCESS_CLOCK = 2  # with the pid's complement above it: the clock of a process, as clock_getcpuclockid has it
 
 
-class MeasureError(RuntimeError):
+class MeasurementError(RuntimeError):
     """A measuring process failed; the text is its traceback."""
 
 
@@ -39,7 +39,7 @@
     try:
         function(pipe, *arguments)
     except Exception:
-        pipe.send(MeasureError(traceback.format_exc()))
+        pipe.send(MeasurementError(traceback.format_exc()))
 
 
 @contextmanager
@@ -64,12 +64,12 @@
 def receive(pipe: Connection, seconds: float = 120.0) -> Any:
     """What a process tells next; MeasureError if it failed, or said nothing for so long."""
     if not pipe.poll(seconds):
-        raise MeasureError(f"no word for {seconds:g} s")
+        raise MeasurementError(f"no word for {seconds:g} s")
     try:
         told = pipe.recv()
     except EOFError:
-        raise MeasureError("a measuring process ended without a word") from None
-    if isinstance(told, MeasureError):
+        raise MeasurementError("a measuring process ended without a word") from None
+    if isinstance(told, MeasurementError):
         raise told
     return told
 
@@ -86,7 +86,7 @@
     for row in Path(f"/proc/{pid}/status").read_text().splitlines():
         if row.startswith(wanted):
             return int(row.split()[1]) * 1024 / MB
-    raise MeasureError(f"{wanted} of {pid} can't be read")
+    raise MeasurementError(f"{wanted} of {pid} can't be read")
 
 
 def processor_s(pid: int) -> float:
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -30,7 +30,7 @@
 from bench.common import ROOT
 from bench.decisions import MOST_OUT, Site
 from bench.fit import figure
-from bench.slopes_process import MeasureError, measured, processor_s, receive, spawned
+from bench.slopes_process import MeasurementError, measured, processor_s, receive, spawned
 from bench.slopes_source import rows, source
 from quartzford.decision.columns import load_arrays
 from quartzford.decision.logic import Balancer
@@ -113,7 +113,7 @@
 
 
 @contextmanager
-def balancer(discovery: int, known: Any) -> Iterator[tuple[int, int]]:
+def balancer_process(discovery: int, known: Any) -> Iterator[tuple[int, int]]:
     """The platform's run: its port for clients and its process id, once it is ready."""
     admin, port = free_port(), free_port()
     table = config(port, discovery, known) | {"admin_addr": f"127.0.0.1:{admin}"}
@@ -165,7 +165,7 @@
     end = time.monotonic() + READY_S
     while time.monotonic() < end:
         if running.poll() is not None:
-            raise MeasureError(f"the balancer ended with {running.returncode}")
+            raise MeasurementError(f"the balancer ended with {running.returncode}")
         try:
             with urllib.request.urlopen(f"http://127.0.0.1:{admin}/status", timeout=1) as answer:
                 if answer.status == 200:
@@ -173,7 +173,7 @@
         except OSError:
             pass
         time.sleep(0.05)
-    raise MeasureError(f"the balancer was not ready in {READY_S:g} s")
+    raise MeasurementError(f"the balancer was not ready in {READY_S:g} s")
 
 
 def _played(port: int, rate: float, seconds: float, seed: int) -> dict[str, Any]:
@@ -193,7 +193,7 @@
         raise KeyboardInterrupt
     served = sum(count for name, count in result["ends"].items() if name.endswith(" served"))
     if served != result["ended"] or not served:
-        raise MeasureError(f"not all requests were served: {result['ends']}")
+        raise MeasurementError(f"not all requests were served: {result['ends']}")
     return result
 
 
@@ -234,7 +234,7 @@
     out = {}
     with upstreams(SERVICE_UPSTREAMS) as (discovery, known):
         straight = int(known["hosts"][0]["dial"].rpartition(":")[2])
-        with balancer(discovery, known) as (port, pid):
+        with balancer_process(discovery, known) as (port, pid):
             rest = _at_rest(pid)
             for rate, seconds in zip(sizes.rates, sizes.seconds, strict=True):
                 sides = [
@@ -268,7 +268,7 @@
         dials = [row["dial"] for row in fleet["hosts"]]
         for count in sizes.path_upstreams:
             known = {"seq": 1, "whole": True, "hosts": rows(count, dials)}
-            with source(count, dials) as (discovery, _, _), balancer(discovery, known) as (port, pid):
+            with source(count, dials) as (discovery, _, _), balancer_process(discovery, known) as (port, pid):
                 rest = _at_rest(pid)
                 side = _side(port, pid, sizes.path_rate, sizes.path_seconds, 1)
                 cost = _request_us(side, rest)
--- a/bench/slopes_services.py
+++ b/bench/slopes_services.py
@@ -29,7 +29,7 @@
 
 from bench.common import ROOT
 from bench.fit import figure
-from bench.slopes_process import MeasureError, processor_s, receive, resident_mb, spawned
+from bench.slopes_process import MeasurementError, processor_s, receive, resident_mb, spawned
 from bench.slopes_source import Row, rows
 
 TARGET_BALANCERS, TARGET_UPSTREAMS = 4_600, 63_000
@@ -146,7 +146,7 @@
         if found := re.search(rb"listening on \S*:(\d+)", row):
             Thread(target=lambda: list(iter(lambda: stderr.read(65_536), b"")), daemon=True).start()
             return int(found[1])
-    raise MeasureError(f"the relay ended before it listened: {''.join(said)[-500:]}")
+    raise MeasurementError(f"the relay ended before it listened: {''.join(said)[-500:]}")
 
 
 def has_relay() -> bool:
@@ -239,7 +239,7 @@
             answers = await asyncio.gather(*(call.ended for call in calls))
             last = answers[-1]
             if not all(answer.startswith(b"HTTP/1.1 200") for answer in answers):
-                raise MeasureError(f"a call was answered {last[:100]!r}")
+                raise MeasurementError(f"a call was answered {last[:100]!r}")
         head, _, body = last.partition(b"\r\n\r\n")
         found = re.search(rb'"seq":\s*(\d+)', body[:200])
         return int(found[1]) if found else 0, len(head) + 4 + len(body)
@@ -295,7 +295,7 @@
         if size >= least:
             return int(size)
         time.sleep(0.05)
-    raise MeasureError("the list did not come through")
+    raise MeasurementError("the list did not come through")
 
 
 def _started_over(hosts: list[Row], attempts: list[int]) -> list[Row]:
@@ -327,7 +327,7 @@
         _wait_for_rows(pipe, hosts)
         begun, refused = _order(pipe, "watch", count)
         if begun != count:
-            raise MeasureError(f"{begun} watches of {count} were taken, {refused} refused")
+            raise MeasurementError(f"{begun} watches of {count} were taken, {refused} refused")
         before, since = processor_s(running.pid), time.monotonic()
         time.sleep(sizes.rest_s)
         at_rest = (processor_s(running.pid) - before) / (time.monotonic() - since)
@@ -339,7 +339,7 @@
             told = _order(pipe, "told", count)
             spans.append(time.monotonic() - since)
             if told != count:
-                raise MeasureError(f"a change was told to {told} of {count}")
+                raise MeasurementError(f"a change was told to {told} of {count}")
             time.sleep(0.05)
             costs.append(processor_s(running.pid) - before)
         return {
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -13,7 +13,7 @@
 from bench import slopes, slopes_list, slopes_services
 from bench.fit import CONSTANT, LINE, N_LOG_N, POWER, describe, figure, line
 from bench.slopes_page import page, remarks
-from bench.slopes_process import MeasureError, measured, receive, spawned
+from bench.slopes_process import MeasurementError, measured, receive, spawned
 
 SIZES = (1_000.0, 4_000.0, 16_000.0, 32_000.0, 63_000.0)
 
@@ -95,7 +95,7 @@
 
 
 def test_a_measuring_process_that_fails_is_told_with_its_cause() -> None:
-    with pytest.raises(MeasureError, match="by intent"):
+    with pytest.raises(MeasurementError, match="by intent"):
         measured(fails)
 
 
@@ -127,7 +127,7 @@
         ]
 
     def broken(quick: bool) -> list[dict[str, object]]:
-        raise MeasureError("by intent")
+        raise MeasurementError("by intent")
 
     monkeypatch.setattr(slopes, "groups", lambda: {"one": group, "two": broken})
     result = slopes.measure(True, [])
