--- a/bench/callmodel.py
+++ b/bench/callmodel.py
@@ -37,7 +37,7 @@
     backoff,
 )
 
-PER_S, ASK_S, START_S, TURN_S = 50.0, 10.0, 0.5, 1.0
+CALLS_PER_S, ASK_S, START_S, TURN_S = 50.0, 10.0, 0.5, 1.0
 GRACE_S = 2.5  # so that what asks alone waits up to a second, as it did
 BEAT_S = 2.0  # a watch has last said something so long ago at most
 LONGEST_S = 600.0
@@ -45,29 +45,29 @@
 SIZES = (12, 16, 60, 150, 200, 1_000, 10_000)
 
 
-class Trouble(NamedTuple):
+class ServiceBehaviour(NamedTuple):
     """A service. downs: spans in seconds from the release."""
 
     name: str
-    turns: bool = False
+    rejects: bool = False
     rate: float = 1.0  # of what the balancers take for granted
-    downs: tuple[tuple[float, float], ...] = ()
+    outages: tuple[tuple[float, float], ...] = ()
     trickle: float = 0.0
     restarts: tuple[float, ...] = ()  # when all balancers are killed and start again
-    looping: float = 0.0  # share of the balancers that dies a second after each start, for LOOPS_S
-
-
-TROUBLES = (
-    Trouble("queues"),
-    Trouble("turns away", turns=True),
-    Trouble("down 8 s", turns=True, downs=((0.0, 8.0),)),
-    Trouble("down 30 s", downs=((0.0, 30.0),)),
-    Trouble("dies", downs=((1.5, 4.5),)),
-    Trouble("slow, queues", rate=0.2),
-    Trouble("slow, turns away", turns=True, rate=0.2),
-    Trouble("trickles", trickle=2.0),
-    Trouble("killed again", restarts=(2.0,)),
-    Trouble("a quarter loops", looping=0.25),
+    crash_loop_share: float = 0.0  # share of the balancers that dies a second after each start, for LOOPS_S
+
+
+SERVICE_BEHAVIOURS = (
+    ServiceBehaviour("queues"),
+    ServiceBehaviour("turns away", rejects=True),
+    ServiceBehaviour("down 8 s", rejects=True, outages=((0.0, 8.0),)),
+    ServiceBehaviour("down 30 s", outages=((0.0, 30.0),)),
+    ServiceBehaviour("dies", outages=((1.5, 4.5),)),
+    ServiceBehaviour("slow, queues", rate=0.2),
+    ServiceBehaviour("slow, turns away", rejects=True, rate=0.2),
+    ServiceBehaviour("trickles", trickle=2.0),
+    ServiceBehaviour("killed again", restarts=(2.0,)),
+    ServiceBehaviour("a quarter loops", crash_loop_share=0.25),
 )
 
 
@@ -104,7 +104,7 @@
 
     def __init__(self, rng: random.Random, balancers: int) -> None:
         super().__init__(rng, GRACE_S)
-        self.interval = balancers / PER_S
+        self.interval = balancers / CALLS_PER_S
 
     def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
         return 0.0 if end is CallOutcome.DONE else max(self.interval, backoff(self.failed_calls, self.rng))
@@ -135,8 +135,8 @@
     "full jitter": lambda rng, n, now: Jitter(rng, GRACE_S),
     "decorrelated": lambda rng, n, now: Decorrelated(rng, GRACE_S),
     "bucket": lambda rng, n, now: Bucket(rng, n),
-    "spread, full jitter": lambda rng, n, now: FullJitterSpread(n, PER_S, ASK_S, rng, now),
-    "spread": lambda rng, n, now: SharedServiceCallPolicy(n, PER_S, ASK_S, rng, now),
+    "spread, full jitter": lambda rng, n, now: FullJitterSpread(n, CALLS_PER_S, ASK_S, rng, now),
+    "spread": lambda rng, n, now: SharedServiceCallPolicy(n, CALLS_PER_S, ASK_S, rng, now),
 }
 # The recorded figures were drawn with these names in the seed: the same seed plays the same run as then.
 SEED_NAMES = {"spread, full jitter": "lap, full jitter", "spread": "lap"}
@@ -161,7 +161,7 @@
     """One release."""
 
     policy: str
-    trouble: Trouble
+    service: ServiceBehaviour
     balancers: int
     seed: int = 1
     until: float = LONGEST_S
@@ -173,12 +173,12 @@
 
     def __post_init__(self) -> None:
         seed_name = SEED_NAMES.get(self.policy, self.policy)
-        self.rng = random.Random(f"{self.seed} {seed_name} {self.trouble.name}")
+        self.rng = random.Random(f"{self.seed} {seed_name} {self.service.name}")
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.order = count()
         self.life = 0  # of the service
         self.askers = [Asker(self.make()) for _ in range(self.balancers)]
-        self.loops = int(self.trouble.looping * self.balancers)
+        self.loops = int(self.service.crash_loop_share * self.balancers)
 
     def make(self) -> CallPolicy:
         rng = random.Random(self.rng.random())
@@ -188,20 +188,20 @@
         heapq.heappush(self.heap, (self.now + wait, next(self.order), what))
 
     def down(self) -> bool:
-        return any(begin <= self.now < end for begin, end in self.trouble.downs)
+        return any(begin <= self.now < end for begin, end in self.service.outages)
 
     def run(self) -> dict[str, Any]:
         for one in self.askers:
             self.later(self.rng.random() * START_S, lambda one=one: self.start(one))  # type: ignore[misc]
-        for begin, _ in self.trouble.downs:
+        for begin, _ in self.service.outages:
             self.later(begin, self.die)
-        for at in self.trouble.restarts:
+        for at in self.service.restarts:
             for one in self.askers:
                 self.later(at, lambda one=one: self.restart(one))  # type: ignore[misc]
         for one in self.askers[: self.loops]:
             self.later(self.rng.random() * LOOP_S, lambda one=one: self.loop(one))  # type: ignore[misc]
-        waiting, ends = self.balancers, max((end for _, end in self.trouble.downs), default=0.0)
-        ends = max((ends, *self.trouble.restarts, LOOPS_S if self.loops else 0.0))
+        waiting, ends = self.balancers, max((end for _, end in self.service.outages), default=0.0)
+        ends = max((ends, *self.service.restarts, LOOPS_S if self.loops else 0.0))
         while self.heap and self.now < self.until and (waiting or self.now < ends + 1.0):
             self.now, _, what = heapq.heappop(self.heap)
             what()
@@ -237,8 +237,8 @@
         self.calls.append(self.now)
         if self.down():
             return self.end(one, number, CallOutcome.UNREACHED)
-        rate = PER_S * self.trouble.rate
-        if self.trouble.turns and len(self.queue) / rate > TURN_S:
+        rate = CALLS_PER_S * self.service.rate
+        if self.service.rejects and len(self.queue) / rate > TURN_S:
             return self.end(one, number, CallOutcome.REJECTED)
         self.queue.append((one, number))
         self.later(one.calls.first_line_timeout(), lambda: self.end(one, number, CallOutcome.SILENT))
@@ -271,7 +271,7 @@
             return
         self.busy = True
         life = self.life
-        self.later(1.0 / (PER_S * self.trouble.rate), lambda: self.answer(life))
+        self.later(1.0 / (CALLS_PER_S * self.service.rate), lambda: self.answer(life))
 
     def answer(self, life: int) -> None:
         if life != self.life:
@@ -279,7 +279,7 @@
         self.busy = False
         self.answers += 1
         one, number = self.queue.popleft()
-        self.later(self.trouble.trickle, lambda: self.told(one, number))
+        self.later(self.service.trickle, lambda: self.told(one, number))
         self.work()
 
     def told(self, one: Asker, number: int) -> None:
@@ -298,11 +298,11 @@
 
     def figures(self) -> dict[str, Any]:
         served = [one.served for one in self.askers[self.loops :] if one.served >= 0]
-        down = max((end for begin, end in self.trouble.downs if begin <= 0), default=0.0)
-        down = max((down, *self.trouble.restarts))
+        down = max((end for begin, end in self.service.outages if begin <= 0), default=0.0)
+        down = max((down, *self.service.restarts))
         return {
             "policy": self.policy,
-            "service": self.trouble.name,
+            "service": self.service.name,
             "balancers": self.balancers,
             "served": len(served),
             "all_after_s": round(max(served, default=0.0) - down, 2),
@@ -314,10 +314,10 @@
         }
 
 
-def bound_s(balancers: int, trouble: Trouble) -> float:
+def bound_s(balancers: int, service: ServiceBehaviour) -> float:
     """By when all are to have the list: 1.25 times one call each in turn, two seconds, and a death's span."""
-    lost = sum(end - max(0.0, begin) for begin, end in trouble.downs if begin > 0)
-    return 1.25 * balancers / (PER_S * trouble.rate) + 2.0 + trouble.trickle + 2 * lost
+    lost = sum(end - max(0.0, begin) for begin, end in service.outages if begin > 0)
+    return 1.25 * balancers / (CALLS_PER_S * service.rate) + 2.0 + service.trickle + 2 * lost
 
 
 def main() -> int:
@@ -329,12 +329,12 @@
     rows = []
     names = ("served", "all_after_s", "calls", "calls_down", "most_1s", "most_100ms")
     print(f"{'service':18} {'N':>6} {'policy':19}", *(f"{name:>11}" for name in names))
-    for trouble in TROUBLES:
+    for service in SERVICE_BEHAVIOURS:
         for size in sizes:
             for policy in POLICIES if size <= 1_000 else ("before", "spread"):
-                row = Model(policy, trouble, size, until=max(45.0, 6 * size / PER_S) + 40).run()
+                row = Model(policy, service, size, until=max(45.0, 6 * size / CALLS_PER_S) + 40).run()
                 rows.append(row)
-                print(f"{trouble.name:18} {size:6} {policy:19}", *(f"{row[name]:11}" for name in names))
+                print(f"{service.name:18} {size:6} {policy:19}", *(f"{row[name]:11}" for name in names))
     report({"rows": rows}, options.json)
     return 0
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -17,7 +17,7 @@
 from typing import Any, TypeVar
 
 from bench import capacity_page as page
-from bench.callmodel import PER_S, TROUBLES, Model
+from bench.callmodel import CALLS_PER_S, SERVICE_BEHAVIOURS, Model
 from bench.capacity_inputs import (
     Figures,
     InputError,
@@ -83,11 +83,11 @@
 def play_calls(balancers: int) -> dict[str, Any]:
     """The policy in force with each balancer asking the list service itself, at one size."""
     rows = [
-        Model("spread", trouble, balancers, until=6 * balancers / PER_S + 40).run()
-        for trouble in TROUBLES
-        if trouble.name in CALL_SERVICES
+        Model("spread", service, balancers, until=6 * balancers / CALLS_PER_S + 40).run()
+        for service in SERVICE_BEHAVIOURS
+        if service.name in CALL_SERVICES
     ]
-    return {"command": COMMAND, "calls_per_s": PER_S, "rows": rows}
+    return {"command": COMMAND, "calls_per_s": CALLS_PER_S, "rows": rows}
 
 
 def run(root: Path, write: bool) -> int:
--- a/bench/coldstart.py
+++ b/bench/coldstart.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from bench.callmodel import TROUBLES, Model
+from bench.callmodel import SERVICE_BEHAVIOURS, Model
 from bench.common import checkout, report
 from rig.processes import ROOT
 from rig.scenario import Scenario, TooManyError, play
@@ -52,7 +52,7 @@
 
 def modelled(case: Case, balancers: int, policy: str) -> dict[str, Any]:
     """The same release in bench.callmodel, where it knows such a service."""
-    trouble = next((one for one in TROUBLES if one.name == case.name), None)
+    trouble = next((one for one in SERVICE_BEHAVIOURS if one.name == case.name), None)
     if trouble is None:
         return {}
     told = Model(policy, trouble, balancers, until=case.down_s + 45.0).run()
@@ -66,12 +66,12 @@
     rate = min(400.0, 3.0 * balancers)
     third = f"nodes[:{max(1, balancers // 3)}]"
     events = f"0 stop {third}\n{case.down_s:g} cont {third}" if case.stopped else ""
-    nodos = {"nodos": NODOS, "capacity": 150.0, "connect_s": 0.001}
+    upstream_plan = {"nodos": NODOS, "capacity": 150.0, "connect_s": 0.001}
     result = play(
         Scenario(
             balancers=balancers,
             service={"per_s": PER_S} | case.service,
-            nodos=nodos,
+            upstream_plan=upstream_plan,
             rate=rate,
             seconds=seconds,
             cold=case.cold,
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -33,7 +33,7 @@
     rate = PER_BALANCER * balancers
     bad = range(0, upstreams, EVERY) if hang else ()
     trouble = " ".join(f"hang@{HANG_S}:{n}" for n in bad)
-    nodos = {
+    upstream_plan = {
         "nodos": upstreams,
         "capacity": rate / upstreams / LOAD,
         "cores": 2,
@@ -43,7 +43,7 @@
     return Scenario(
         balancers=balancers,
         service={"per_s": 200.0},
-        nodos=nodos,
+        upstream_plan=upstream_plan,
         rate=rate,
         seconds=seconds,
         automatic=True,
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -52,7 +52,7 @@
 
     balancers: int
     service: dict[str, Any] = field(default_factory=dict)
-    nodos: dict[str, Any] = field(default_factory=dict)
+    upstream_plan: dict[str, Any] = field(default_factory=dict)
     rate: float = 0.0
     seconds: float = 8.0
     seed: int = 1
@@ -158,7 +158,7 @@
 
     def _stand_ins(self) -> None:
         scenario = self.scenario
-        plan = dict(scenario.nodos)
+        plan = dict(scenario.upstream_plan)
         if scenario.cold:
             plan["fresh"] = plan.get("nodos", 12)
         self.upstreams = self._helper("standins.fleet", json.dumps(plan))
@@ -251,7 +251,9 @@
 
     def _release(self) -> None:
         begin = time.monotonic() + SETTLE_S
-        if self.scenario.nodos.get("trouble"):  # its times count from here, a moment before the release
+        if self.scenario.upstream_plan.get(
+            "trouble"
+        ):  # its times count from here, a moment before the release
             self.upstreams.stdin.write(b"go\n")
             self.upstreams.stdin.flush()
         if self.scenario.cold:
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -15,7 +15,7 @@
 from helpers import ask, finals, outcome, sends, serve, started
 from peers import Lag, Message, Peer, World, read_message, reply, request, run, says, until
 
-from bench.callmodel import PER_S, Model, Trouble, bound_s
+from bench.callmodel import CALLS_PER_S, Model, ServiceBehaviour, bound_s
 from quartzford.settings.configuration import read_config
 
 HOUR_MS = 3_600_000.0
@@ -231,10 +231,10 @@
 def test_after_ten_minutes_without_discovery_all_have_the_list_as_soon_as_after_a_short_time(
     balancers: int,
 ) -> None:
-    outage = Trouble("down 600 s", downs=((0.0, 600.0),))
+    outage = ServiceBehaviour("down 600 s", outages=((0.0, 600.0),))
     row = Model("spread", outage, balancers, until=660.0).run()
     assert row["served"] == balancers and row["all_after_s"] <= bound_s(balancers, outage)
-    assert row["most_1s"] <= 2 * PER_S
+    assert row["most_1s"] <= 2 * CALLS_PER_S
 
 
 # ---- trouble after a long quiet time
--- a/tests/test_call_policy.py
+++ b/tests/test_call_policy.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.callmodel import PER_S, TROUBLES, Model, Trouble, bound_s
+from bench.callmodel import CALLS_PER_S, SERVICE_BEHAVIOURS, Model, ServiceBehaviour, bound_s
 from quartzford.membership.call_policy import (
     CONNECT_S,
     LINE_TIMEOUT_S,
@@ -23,7 +23,7 @@
     seeded_random,
 )
 
-TROUBLE = {trouble.name: trouble for trouble in TROUBLES}
+SERVICE = {service.name: service for service in SERVICE_BEHAVIOURS}
 
 
 def shared(
@@ -33,41 +33,41 @@
     return SharedServiceCallPolicy(balancers, per_s, 10.0, random.Random(seed), lambda: clock[0])
 
 
-@pytest.mark.parametrize("name", TROUBLE)
+@pytest.mark.parametrize("name", SERVICE)
 @pytest.mark.parametrize("seed", range(3))
 def test_two_hundred_balancers_all_get_the_list_and_ask_no_more_than_it_bears(name: str, seed: int) -> None:
-    trouble = TROUBLE[name]
-    row = Model("spread", trouble, 200, seed=seed).run()
-    wanted = 200 - int(200 * trouble.looping)
+    service = SERVICE[name]
+    row = Model("spread", service, 200, seed=seed).run()
+    wanted = 200 - int(200 * service.crash_loop_share)
     assert row["served"] == wanted
-    if trouble.rate == 1.0 and not trouble.looping:
-        assert row["all_after_s"] <= bound_s(200, trouble)
+    if service.rate == 1.0 and not service.crash_loop_share:
+        assert row["all_after_s"] <= bound_s(200, service)
     # Of what it is taken for: a slower service shows itself only once it has been asked.
-    assert row["most_1s"] <= 2 * PER_S
-    downs = sum(end - begin for begin, end in trouble.downs)
-    if not downs and trouble.rate == 1.0 and not trouble.looping and not trouble.restarts:
+    assert row["most_1s"] <= 2 * CALLS_PER_S
+    outages = sum(end - begin for begin, end in service.outages)
+    if not outages and service.rate == 1.0 and not service.crash_loop_share and not service.restarts:
         assert row["calls"] <= 1.3
-    assert row["calls_down"] <= max(2.0, 12.0 * downs / 30.0)
+    assert row["calls_down"] <= max(2.0, 12.0 * outages / 30.0)
 
 
 def test_the_policy_of_before_collapses_in_the_same_model() -> None:
     """Else the model could not tell: its services are no gentler than what was seen with real processes."""
-    row = Model("before", TROUBLE["queues"], 200, until=60.0).run()
+    row = Model("before", SERVICE["queues"], 200, until=60.0).run()
     assert row["served"] < 150 and row["calls"] > 10
-    assert Model("before", TROUBLE["down 8 s"], 200).run()["most_1s"] > 4 * PER_S
+    assert Model("before", SERVICE["down 8 s"], 200).run()["most_1s"] > 4 * CALLS_PER_S
 
 
 @pytest.mark.parametrize("name", ["queues", "down 8 s", "dies"])
 def test_twelve_balancers_are_no_later_than_before(name: str) -> None:
     def after(policy: str) -> float:
-        return sum(Model(policy, TROUBLE[name], 12, seed=seed).run()["all_after_s"] for seed in range(60))
+        return sum(Model(policy, SERVICE[name], 12, seed=seed).run()["all_after_s"] for seed in range(60))
 
     assert after("spread") <= 1.1 * after("before")
 
 
 def test_well_balancers_are_not_slowed_by_those_that_loop() -> None:
     def latest(name: str) -> float:
-        return max(Model("spread", TROUBLE[name], 200, seed=seed).run()["all_after_s"] for seed in range(5))
+        return max(Model("spread", SERVICE[name], 200, seed=seed).run()["all_after_s"] for seed in range(5))
 
     assert latest("a quarter loops") <= latest("queues") + 1.0
 
@@ -212,6 +212,6 @@
 
 def test_the_model_counts_what_it_is_told_to() -> None:
     """One balancer, one service: each figure is known."""
-    row = Model("spread", Trouble("one", downs=((0.0, 2.0),)), 1).run()
+    row = Model("spread", ServiceBehaviour("one", outages=((0.0, 2.0),)), 1).run()
     assert row["served"] == 1 and row["answers"] == 1 and 0.0 < row["all_after_s"] < 1.1
     assert row["calls"] - row["calls_down"] == 1
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -21,7 +21,9 @@
 
 
 def played(**what: Any) -> dict[str, Any]:
-    result = play(Scenario(**({"balancers": 10, "nodos": NODOS, "rate": 30.0, "seconds": 5.0} | what)))
+    result = play(
+        Scenario(**({"balancers": 10, "upstream_plan": NODOS, "rate": 30.0, "seconds": 5.0} | what))
+    )
     broken = {name: count for name, count in result["rules"].items() if count}
     assert result["kept"], (broken, result["crashes"])
     return result
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -299,7 +299,7 @@
         "from rig.scenario import Scenario, play\n"
         "import signal, sys\n"
         "signal.signal(signal.SIGINT, signal.default_int_handler)\n"  # it may be ignored where tests run
-        "play(Scenario(balancers=3, nodos={'nodos': 2}, rate=5, seconds=60), sys.stdout)\n"
+        "play(Scenario(balancers=3, upstream_plan={'nodos': 2}, rate=5, seconds=60), sys.stdout)\n"
     )
     rig = subprocess.Popen(
         [sys.executable, "-c", code], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -22,7 +22,11 @@
             automatic=True,
             known="before",
             service={"per_s": 200.0},
-            nodos={"nodos": UPSTREAMS, "capacity": 20.0, "trouble": " ".join(f"hang@1:{n}" for n in bad)},
+            upstream_plan={
+                "nodos": UPSTREAMS,
+                "capacity": 20.0,
+                "trouble": " ".join(f"hang@1:{n}" for n in bad),
+            },
         )
     )
     assert result["kept"], (result["rules"], result["crashes"])
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -23,7 +23,7 @@
     """Ten of twelve are killed as they start, and start again with the list they had."""
     scenario = Scenario(
         balancers=12,
-        nodos={"nodos": 6, "capacity": 200.0},
+        upstream_plan={"nodos": 6, "capacity": 200.0},
         rate=30.0,
         seconds=3.5,
         known="before",
@@ -41,7 +41,7 @@
 def test_with_no_list_known_they_are_ready_once_the_service_is_back() -> None:
     scenario = Scenario(
         balancers=12,
-        nodos={"nodos": 6, "capacity": 200.0},
+        upstream_plan={"nodos": 6, "capacity": 200.0},
         rate=30.0,
         seconds=11.5,
         known="nothing",
