--- a/bench/common.py
+++ b/bench/common.py
@@ -69,7 +69,7 @@
 
 
 @contextmanager
-def sound_fleet(nodos: int) -> Iterator[tuple[int, Any]]:
+def healthy_fleet(nodos: int) -> Iterator[tuple[int, Any]]:
     """So many nodos without trouble, in a process of their own: their padron's port, and its list."""
     context = mp.get_context("spawn")
     ours, theirs = context.Pipe()
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -42,7 +42,7 @@
 SIZES = (10, 24, 97, 500, 2_000, 10_000)
 SEED = 5
 STALL_MS = 20.0
-MOST_OUT = 60
+MAX_IN_FLIGHT = 60
 CLASSES = (
     io.ServiceClass("consulta", 500.0, 2_000.0, priority_weight=1.0, effect="free"),
     io.ServiceClass(
@@ -94,7 +94,7 @@
         self.now += 0.4
         self.number += 1
         spent = self.feed(io.Request(self.number, self.rng.choice(MIX), 2_000.0, "", f"k{self.number}"))
-        if len(self.out) > min(MOST_OUT, max(1, self.servers // 2)):
+        if len(self.out) > min(MAX_IN_FLIGHT, max(1, self.servers // 2)):
             send = self.out.popleft()
             took = 5.0 + self.rng.expovariate(0.1)
             said = (self.rng.random() * 3,)
--- a/bench/fit.py
+++ b/bench/fit.py
@@ -46,7 +46,7 @@
 
     size: float
     value: float
-    foretold: float
+    predicted: float
     error: float
     line_error: float
 
@@ -100,14 +100,14 @@
 CURVES: tuple[Callable[[Sequence[float], Sequence[float]], Fit | None], ...] = (power, n_log_n, constant)
 
 
-def relative_error(foretold: float, value: float) -> float:
+def relative_error(predicted: float, value: float) -> float:
     """How far off a forecast was, by the value; of a value of 0 by the forecast."""
-    if foretold == value:
+    if predicted == value:
         return 0.0
-    return abs(foretold - value) / abs(value or foretold)
+    return abs(predicted - value) / abs(value or predicted)
 
 
-def describe(points: Mapping[float, float], kept: float) -> tuple[Fit, KeptOut]:
+def best_fit(points: Mapping[float, float], kept: float) -> tuple[Fit, KeptOut]:
     """The fit of all points but the one of size `kept`, and how well it foretells that one."""
     sizes = [size for size in sorted(points) if size != kept]
     values = [points[size] for size in sizes]
@@ -130,7 +130,7 @@
     role: str, name: str, unit: str, by: str, points: Mapping[float, float], kept: float, target: float
 ) -> dict[str, Any]:
     """One figure of a result: what was measured, its fit, and its value at the target's size."""
-    fit, out = describe(points, kept)
+    fit, out = best_fit(points, kept)
     sizes = sorted(points)
     told: dict[str, Any] = {"kind": fit.kind} | {
         key: _rounded(value)
@@ -149,7 +149,7 @@
         "kept_out": {
             "size": out.size,
             "value": _rounded(out.value),
-            "foretold": _rounded(out.foretold),
+            "foretold": _rounded(out.predicted),
             "error": round(out.error, 4),
             "line_error": round(out.line_error, 4),
         },
--- a/bench/http_path.py
+++ b/bench/http_path.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import Any
 
-from bench.common import ROOT, cpu_seconds, platform_run, report, saturate, sound_fleet
+from bench.common import ROOT, cpu_seconds, healthy_fleet, platform_run, report, saturate
 from quartzford.load.driver import Target
 
 CLIENTS = 32
@@ -38,7 +38,7 @@
     options = parser.parse_args()
     pairs, seconds = (4, 2.0) if options.quick else (8, 5.0)
     rows: list[tuple[dict[str, float], dict[str, float]]] = []
-    with sound_fleet(options.nodos) as (discovery, known):
+    with healthy_fleet(options.nodos) as (discovery, known):
         for _ in range(pairs):
             here = play(ROOT, discovery, known, seconds)
             there = play(options.against.resolve(), discovery, known, seconds)
--- a/bench/loadgen.py
+++ b/bench/loadgen.py
@@ -16,7 +16,7 @@
 from dataclasses import replace
 from typing import Any
 
-from bench.common import ROOT, cpu_seconds, platform_run, report, saturate, sound_fleet
+from bench.common import ROOT, cpu_seconds, healthy_fleet, platform_run, report, saturate
 from quartzford.load.clients import SINGLE, Kind
 from quartzford.load.driver import Target
 from quartzford.load.run import Load, play, rows_of
@@ -150,7 +150,7 @@
 
 @contextmanager
 def balancer(nodos: int) -> Iterator[tuple[Target, int]]:
-    with sound_fleet(nodos) as known, platform_run(ROOT, *known) as (port, pid):
+    with healthy_fleet(nodos) as known, platform_run(ROOT, *known) as (port, pid):
         yield Target("127.0.0.1", port), pid
 
 
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -28,7 +28,7 @@
 import uvloop
 
 from bench.common import ROOT
-from bench.decisions import MOST_OUT, Site
+from bench.decisions import MAX_IN_FLIGHT, Site
 from bench.fit import figure
 from bench.slopes_process import MeasurementError, measured, processor_s, receive, spawned
 from bench.slopes_source import rows, source
@@ -102,7 +102,7 @@
     """Microseconds of the decision module for a request and its answer."""
     load_arrays()
     site = Site(Balancer, upstreams)
-    for _ in range(2 * MOST_OUT):
+    for _ in range(2 * MAX_IN_FLIGHT):
         site.request()
     gc.collect()
     gc.freeze()
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bench import slopes, slopes_list, slopes_services
-from bench.fit import CONSTANT, LINE, N_LOG_N, POWER, describe, figure, line
+from bench.fit import CONSTANT, LINE, N_LOG_N, POWER, best_fit, figure, line
 from bench.slopes_page import page, remarks
 from bench.slopes_process import MeasurementError, measured, receive, spawned
 
@@ -21,7 +21,7 @@
 def test_a_line_is_found_and_foretells_the_size_that_was_kept_out() -> None:
     rng = random.Random(1)
     points = {n: 40.0 + 0.002 * n + rng.uniform(-0.5, 0.5) for n in SIZES}
-    fit, kept = describe(points, 32_000.0)
+    fit, kept = best_fit(points, 32_000.0)
     assert fit.kind == LINE
     assert fit.slope == pytest.approx(0.002, rel=0.05) and fit.intercept == pytest.approx(40.0, abs=1.5)
     assert kept.value == points[32_000.0]
@@ -31,16 +31,16 @@
 
 def test_the_size_that_is_kept_out_has_no_part_in_the_fit() -> None:
     points = {n: 3.0 + 2.0 * n for n in SIZES} | {16_000.0: 36_000.0}
-    fit, kept = describe(points, 16_000.0)
+    fit, kept = best_fit(points, 16_000.0)
     assert fit.at(16_000.0) == pytest.approx(32_003.0)
-    assert kept.foretold == pytest.approx(32_003.0) and kept.error == pytest.approx(3_997.0 / 36_000.0)
+    assert kept.predicted == pytest.approx(32_003.0) and kept.error == pytest.approx(3_997.0 / 36_000.0)
     others = [n for n in SIZES if n != 16_000.0]
     assert line(others, [points[n] for n in others]).slope == pytest.approx(fit.slope)
 
 
 @pytest.mark.parametrize(("exponent", "out"), ((0.5, 1_000.0), (2.0, 4_000.0), (3.0, 16_000.0)))
 def test_a_power_is_no_line_and_is_named_with_its_exponent(exponent: float, out: float) -> None:
-    fit, kept = describe({n: 1e-4 * n**exponent for n in SIZES}, out)
+    fit, kept = best_fit({n: 1e-4 * n**exponent for n in SIZES}, out)
     assert fit.kind == POWER and fit.exponent == pytest.approx(exponent)
     assert kept.line_error > 0.2 and kept.error < 1e-6
     assert fit.at(8_000.0) == pytest.approx(1e-4 * 8_000.0**exponent)
@@ -48,27 +48,27 @@
 
 def test_n_log_n_over_a_level_is_named() -> None:
     points = {n: 1.0 + n * math.log2(n) for n in (10.0, 100.0, 1_000.0, 10_000.0, 100_000.0)}
-    fit, kept = describe(points, 100.0)
+    fit, kept = best_fit(points, 100.0)
     assert fit.kind == N_LOG_N and fit.slope == pytest.approx(1.0)
     assert kept.line_error > 0.2 and kept.error < 1e-6
 
 
 def test_a_constant_stays_one_where_one_size_was_disturbed() -> None:
     points = {1.0: 5.0, 10.0: 5.2, 100.0: 60.0, 1_000.0: 5.1, 10_000.0: 5.1}
-    fit, kept = describe(points, 1_000.0)
+    fit, kept = best_fit(points, 1_000.0)
     assert fit.kind == CONSTANT and fit.intercept == pytest.approx(5.15, abs=0.1)
     assert kept.line_error > 0.2 and kept.error < 0.05
 
 
 def test_values_of_nothing_are_a_line_without_an_error() -> None:
-    fit, kept = describe(dict.fromkeys(SIZES, 0.0), 4_000.0)
+    fit, kept = best_fit(dict.fromkeys(SIZES, 0.0), 4_000.0)
     assert (fit.kind, fit.slope, kept.error) == (LINE, 0.0, 0.0)
 
 
 @pytest.mark.parametrize("kept", (5.0, 2.0))
 def test_too_few_sizes_and_a_size_that_was_not_measured_are_refused(kept: float) -> None:
     with pytest.raises(ValueError, match="four sizes"):
-        describe({1.0: 1.0, 2.0: 2.0, 3.0: 3.0} | ({4.0: 4.0} if kept == 5.0 else {}), kept)
+        best_fit({1.0: 1.0, 2.0: 2.0, 3.0: 3.0} | ({4.0: 4.0} if kept == 5.0 else {}), kept)
 
 
 def test_a_figure_says_whether_its_target_was_measured_or_reckoned() -> None:
