--- a/bench/common.py
+++ b/bench/common.py
@@ -20,9 +20,9 @@
 
 import uvloop
 
-from quartzford.load.clients import SINGLE, Kind
+from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
 from quartzford.load.driver import Target
-from quartzford.load.run import Load, play
+from quartzford.load.run import LoadOptions, play
 from standins.nodo import Books, Nodo, fleet
 from standins.site import config, free_port
 
@@ -114,14 +114,14 @@
 
     rate: answers 200 a second; others: requests that ended otherwise; p99_ms.
     """
-    load = Load(
+    load = LoadOptions(
         target,
         seconds=seconds,
         workers=workers,
-        kinds=(Kind("consulta"),),
-        manners=SINGLE,
-        closed=clients,
-        late_ms=math.inf,
+        request_classes=(RequestClass("consulta"),),
+        behaviour=SINGLE_ATTEMPT,
+        closed_clients=clients,
+        max_lateness_ms=math.inf,
     )
     result = play(load)
     good = result["ends"].get("consulta served", 0)
--- a/bench/extproc.py
+++ b/bench/extproc.py
@@ -29,7 +29,7 @@
 import uvloop
 
 from bench.common import ROOT, children, cpu_seconds, quantile, report
-from quartzford.load.judge import cold_breaches, late_sends
+from quartzford.load.reconciliation import sends_after_drain, slow_start_breaches
 from standins.caller import STAGES, CallerProxy, Exchange, Policy, request_rows
 from standins.fleet import Fleet
 from standins.fleet import Plan as FleetPlan
@@ -246,10 +246,10 @@
     drains = [(address, since, until) for _, address, since, until in books["drains"]]
     # A drain counts to a send's first byte: a connection that never came up is none.
     sent = [attempt for attempt in attempts_all if attempt[0] >= 0]
-    drained, latest = late_sends(drains, ((a[1], a[0]) for a in sent))
-    drained_here, _ = late_sends(drains, ((a[1], a[4]) for a in sent))
-    _, latest_told = late_sends(drains, ((a[1], a[4]) for a in attempts_all))
-    cold = cold_breaches(books["births"], books["arrivals"], FALL_S, TIP)
+    drained, latest = sends_after_drain(drains, ((a[1], a[0]) for a in sent))
+    drained_here, _ = sends_after_drain(drains, ((a[1], a[4]) for a in sent))
+    _, latest_told = sends_after_drain(drains, ((a[1], a[4]) for a in attempts_all))
+    cold = slow_start_breaches(books["births"], books["arrivals"], FALL_S, TIP)
     ran = {identity for _, identity, *_ in books["runs"]}
     refused_ran = sum(
         row[1] != "consulta" and row[2] in ([503], [429]) and row[9] in ran and not row[6] for row in rows
--- a/bench/growth.py
+++ b/bench/growth.py
@@ -24,9 +24,9 @@
 from bench.growth_site import CHURNS, LAYOUTS, Day, RunningSite, site
 from bench.slopes_process import processor_s, resident_mb
 from bench.slopes_requests import balancer_process
-from quartzford.load.clients import BRIEF, SERVED, SINGLE
+from quartzford.load.clients import DEFAULT_CLASSES, SERVED, SINGLE_ATTEMPT
 from quartzford.load.driver import Target
-from quartzford.load.run import Load, play
+from quartzford.load.run import LoadOptions, play
 
 RATE = 40.0  # requests a second
 REPLACED = 12  # one upstream in so many
@@ -120,14 +120,14 @@
 
 def traffic(port: int, day: Day, begun: Callable[[], None]) -> float:
     """Play the day's requests; the share that was served."""
-    load = Load(
-        Target("127.0.0.1", port, opened=CLIENTS),
+    load = LoadOptions(
+        Target("127.0.0.1", port, initial_connections=CLIENTS),
         shape=f"constant:{day.rate:g}",
         seconds=day.seconds,
         seed=day.seed,
-        kinds=BRIEF,
-        manners=SINGLE,
-        late_ms=inf,
+        request_classes=DEFAULT_CLASSES,
+        behaviour=SINGLE_ATTEMPT,
+        max_lateness_ms=inf,
     )
     result = play(load, begun)
     if result["interrupted"]:
--- a/bench/loadgen.py
+++ b/bench/loadgen.py
@@ -17,11 +17,11 @@
 from typing import Any
 
 from bench.common import ROOT, cpu_seconds, healthy_fleet, platform_run, report, saturate
-from quartzford.load.clients import SINGLE, Kind
+from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
 from quartzford.load.driver import Target
-from quartzford.load.run import Load, play, rows_of
+from quartzford.load.run import LoadOptions, make_trace, play
 
-KINDS = (Kind("consulta", deadline_s=4.0, aim_s=1.0),)
+KINDS = (RequestClass("consulta", deadline_s=4.0, latency_objective_s=1.0),)
 MARGIN, MARGIN_MS = 0.01, 0.5
 LATE_MS = 5.0
 RUNS, WARM_S = 3, 0.5
@@ -51,13 +51,13 @@
     book: list[float] = []
     # Connections stand beforehand: what a client spends on opening one is no delay of the server's.
     with responder(spec, book) as target:
-        load = Load(
-            replace(target, opened=200),
+        load = LoadOptions(
+            replace(target, initial_connections=200),
             "constant:1500",
             seconds + WARM_S,
-            kinds=KINDS,
-            manners=SINGLE,
-            warm_s=WARM_S,
+            request_classes=KINDS,
+            behaviour=SINGLE_ATTEMPT,
+            warm_up_s=WARM_S,
         )
         result = play(load)
     delays = sorted(book[result["warm_up"] :])
@@ -104,7 +104,14 @@
     with responder("none") as target:
         for step in steps:
             rate = step * workers
-            load = Load(target, f"constant:{rate}", seconds, workers=workers, kinds=KINDS, manners=SINGLE)
+            load = LoadOptions(
+                target,
+                f"constant:{rate}",
+                seconds,
+                workers=workers,
+                request_classes=KINDS,
+                behaviour=SINGLE_ATTEMPT,
+            )
             result = play(load)
             late = result["lateness_ms"]["p99"]
             if late > LATE_MS or result["ended"] < 0.97 * result["sent"]:
@@ -123,9 +130,16 @@
     rows = []
     for rate, workers in ((2600, 1), (13_000, 4)):
         with responder("constant:5") as target:
-            load = Load(target, "constant:2600", seconds, workers=workers, kinds=KINDS, manners=SINGLE)
+            load = LoadOptions(
+                target,
+                "constant:2600",
+                seconds,
+                workers=workers,
+                request_classes=KINDS,
+                behaviour=SINGLE_ATTEMPT,
+            )
             if rate > 2600:
-                trace = rows_of(replace(load, seconds=seconds * rate / 2600))
+                trace = make_trace(replace(load, seconds=seconds * rate / 2600))
                 load = replace(load, rows=tuple(trace), speed=rate / 2600)
             result = play(load)
         late = result["lateness_ms"]
@@ -172,8 +186,13 @@
                 "cores": round(cpu, 2),
             }
             for share in (0.5, 0.8):
-                load = Load(
-                    target, f"constant:{share * most:.0f}", seconds, workers=2, kinds=KINDS, manners=SINGLE
+                load = LoadOptions(
+                    target,
+                    f"constant:{share * most:.0f}",
+                    seconds,
+                    workers=2,
+                    request_classes=KINDS,
+                    behaviour=SINGLE_ATTEMPT,
                 )
                 result = play(load)
                 served = result["ends"].get("consulta served", 0)
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -34,9 +34,9 @@
 from bench.slopes_source import rows, source
 from quartzford.decision.columns import load_arrays
 from quartzford.decision.logic import Balancer
-from quartzford.load.clients import SINGLE, Kind
+from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
 from quartzford.load.driver import Target
-from quartzford.load.run import Load, play
+from quartzford.load.run import LoadOptions, play
 from standins.nodo import Books, Nodo, fleet
 from standins.site import config, free_port
 
@@ -48,7 +48,7 @@
 READY_S = 20.0
 END_S = 20.0
 SETTLE_S, REST_S, WARM_S = 0.5, 1.0, 0.7
-KIND = (Kind("consulta"),)
+KIND = (RequestClass("consulta"),)
 
 
 class Sizes(NamedTuple):
@@ -178,15 +178,15 @@
 
 def _played(port: int, rate: float, seconds: float, seed: int) -> dict[str, Any]:
     """Open-loop arrivals at a rate, the first moments not measured."""
-    load = Load(
-        Target("127.0.0.1", port, opened=8),
+    load = LoadOptions(
+        Target("127.0.0.1", port, initial_connections=8),
         shape=f"constant:{rate:g}",
         seconds=WARM_S + seconds,
-        warm_s=WARM_S,
+        warm_up_s=WARM_S,
         seed=seed,
-        kinds=KIND,
-        manners=SINGLE,
-        late_ms=math.inf,
+        request_classes=KIND,
+        behaviour=SINGLE_ATTEMPT,
+        max_lateness_ms=math.inf,
     )
     result = play(load)
     if result["interrupted"]:
--- a/quartzford/demo.py
+++ b/quartzford/demo.py
@@ -19,9 +19,9 @@
 from typing import Any
 
 from quartzford.load.cli import AskError, fetch, keep, reconcile, status_of
-from quartzford.load.clients import BRIEF, Manners
+from quartzford.load.clients import DEFAULT_CLASSES, ClientBehaviour
 from quartzford.load.driver import Target
-from quartzford.load.run import Load, play, show
+from quartzford.load.run import LoadOptions, play, show
 
 NODOS, CAPACITY = 12, 90.0
 SHAPE = "constant:300+surge:650@{at:g}+{span:g}"
@@ -82,15 +82,15 @@
         environment = {**os.environ, "EDGE_CONFIG": str(path)}
         with running("-m", "quartzford", env=environment, stderr=subprocess.DEVNULL) as balancer:
             wait_up(port, balancer)
-            load = Load(
+            load = LoadOptions(
                 Target("127.0.0.1", port),
                 SHAPE.format(at=seconds / 4, span=seconds * 0.6),
                 seconds,
-                kinds=BRIEF,
-                manners=Manners(),
+                request_classes=DEFAULT_CLASSES,
+                behaviour=ClientBehaviour(),
                 tenants=(("lima", 0.5), ("callao", 0.3), ("ate", 0.2)),
-                book=True,
-                watched=live,
+                attempt_log=True,
+                report_progress=live,
             )
 
             def started() -> None:
@@ -102,7 +102,7 @@
     return result
 
 
-def watch(load: Load, started: Any, books: str) -> dict[str, Any]:
+def watch(load: LoadOptions, started: Any, books: str) -> dict[str, Any]:
     """Play it with the live view, which tells what happens to the fleet too."""
     from quartzford.load.live import View
 
--- a/quartzford/load/cli.py
+++ b/quartzford/load/cli.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 from typing import Any
 
-from quartzford.load.clients import BRIEF, Kind, Manners
+from quartzford.load.clients import DEFAULT_CLASSES, ClientBehaviour, RequestClass
 from quartzford.load.driver import Target
-from quartzford.load.judge import judge
 from quartzford.load.page import page
-from quartzford.load.run import Load, play, rows_of, show
+from quartzford.load.reconciliation import check_rules
+from quartzford.load.run import LoadOptions, make_trace, play, show
 from quartzford.load.shapes import ShapeError, read_shape
 from quartzford.load.trace import TraceError, read_trace, write_trace
 
@@ -45,12 +45,14 @@
     return tuple(out)
 
 
-def _kinds(text: str) -> tuple[Kind, ...]:
-    known = {kind.name: kind for kind in BRIEF}
-    return tuple(replace(known.get(name, Kind(name)), share=share) for name, share in _pairs(text, "--mix"))
+def _kinds(text: str) -> tuple[RequestClass, ...]:
+    known = {kind.name: kind for kind in DEFAULT_CLASSES}
+    return tuple(
+        replace(known.get(name, RequestClass(name)), share=share) for name, share in _pairs(text, "--mix")
+    )
 
 
-def _manners(options: argparse.Namespace) -> Manners:
+def _manners(options: argparse.Namespace) -> ClientBehaviour:
     least, _, most = options.patience.partition("-")
     try:
         patience = (float(least), float(most or least))
@@ -58,17 +60,17 @@
         raise AskError(f"--patience: {options.patience!r} is not LEAST-MOST") from None
     if not 0 < patience[0] <= patience[1] <= 1 or options.tries < 1:
         raise AskError("--patience: shares of the deadline, above 0 and at most 1; --tries: 1 or more")
-    return Manners(options.tries, options.wait_ms / 1000.0, patience, options.heeds, options.fresh)
+    return ClientBehaviour(options.tries, options.wait_ms / 1000.0, patience, options.heeds, options.fresh)
 
 
 def _target(options: argparse.Namespace) -> Target:
     host, _, port = options.target.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise AskError(f"--target: {options.target!r} is not host:port")
-    return Target(host, int(port), options.path, options.connections, opened=options.open)
+    return Target(host, int(port), options.path, options.connections, initial_connections=options.open)
 
 
-def _load(options: argparse.Namespace) -> Load:
+def _load(options: argparse.Namespace) -> LoadOptions:
     rows: tuple[Any, ...] = ()
     if options.trace:
         try:
@@ -86,7 +88,7 @@
         raise AskError("--closed: 0 or more clients, and no --trace")
     if not 0.1 <= options.speed <= 100 or options.workers < 1 or options.seconds <= 0:
         raise AskError("--speed: 0.1 to 100; --workers: 1 or more; --seconds: above 0")
-    return Load(
+    return LoadOptions(
         _target(options),
         options.shape,
         options.seconds,
@@ -182,7 +184,7 @@
     return 0
 
 
-def run(load: Load, live: bool) -> dict[str, Any]:
+def run(load: LoadOptions, live: bool) -> dict[str, Any]:
     """Play it, shown while it goes on if that is wanted."""
 
     def begun() -> None:
@@ -210,11 +212,11 @@
     return account
 
 
-def reconcile(result: dict[str, Any], account: dict[str, Any], load: Load) -> None:
+def reconcile(result: dict[str, Any], account: dict[str, Any], load: LoadOptions) -> None:
     """Lay the clients' books beside the nodos', and put the verdict into the result."""
     record = result["record"]
     twice = record["counts"].get("answered twice", 0)
-    result["rules"] = judge(account, record.pop("book"), load.kinds, twice)
+    result["rules"] = check_rules(account, record.pop("book"), load.request_classes, twice)
 
 
 def keep(result: dict[str, Any], as_json: str | None, as_html: str | None) -> None:
@@ -240,7 +242,7 @@
         load = _load(options)
         if options.make_trace:
             with open(options.make_trace, "w", encoding="utf-8") as file:
-                file.writelines(write_trace(rows_of(load)))
+                file.writelines(write_trace(make_trace(load)))
             return 0
         result = run(load, options.live)
         if options.books:
--- a/quartzford/load/clients.py
+++ b/quartzford/load/clients.py
@@ -12,12 +12,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestClass:
     """A class of requests, as clients know it. Times in seconds."""
 
     name: str
     share: float = 1.0
-    aim_s: float = 0.5
+    latency_objective_s: float = 0.5
     deadline_s: float = 2.0
     priority_weight: float = 1.0
     late_weight: float = 0.0
@@ -25,15 +25,15 @@
     group: str = "all"  # of a keyed one: where its repeats are dropped
 
 
-BRIEF = (
-    Kind("consulta", 0.6, 0.5, 2.0, 1.0),
-    Kind("reserva", 0.3, 0.6, 2.0, 10.0, effect="keyed", group="cell"),
-    Kind("cobro", 0.1, 0.6, 2.0, 8.0, effect="unsafe"),
+DEFAULT_CLASSES = (
+    RequestClass("consulta", 0.6, 0.5, 2.0, 1.0),
+    RequestClass("reserva", 0.3, 0.6, 2.0, 10.0, effect="keyed", group="cell"),
+    RequestClass("cobro", 0.1, 0.6, 2.0, 8.0, effect="unsafe"),
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Manners:
+class ClientBehaviour:
     """How clients behave.
 
     tries: at most, the first included; wait_s: before a further one (0: at once); patience: a try is given up
@@ -48,41 +48,41 @@
     fresh: float = 0.0
 
 
-SINGLE = Manners(tries=1, patience=(1.0, 1.0))
+SINGLE_ATTEMPT = ClientBehaviour(tries=1, patience=(1.0, 1.0))
 
 
-class Next(NamedTuple):
+class Retry(NamedTuple):
     """A further try, so many seconds from now."""
 
     wait_s: float
 
 
-def patience_s(kind: Kind, manners: Manners, rng: random.Random) -> float:
+def attempt_timeout_s(kind: RequestClass, behaviour: ClientBehaviour, rng: random.Random) -> float:
     """How long a try is waited for."""
-    least, most = manners.patience
+    least, most = behaviour.patience
     return kind.deadline_s * (least + (most - least) * rng.random())
 
 
-def next_try(
-    kind: Kind,
-    manners: Manners,
+def plan_retry(
+    kind: RequestClass,
+    behaviour: ClientBehaviour,
     end: str,
     tries: int,
     left_s: float,
     retry_after_s: float,
     rng: random.Random,
-) -> Next | None:
+) -> Retry | None:
     """Whether a client goes again after a try ended so, with so much of its time left.
 
     What is free, or keyed with repeats dropped anywhere, goes again after any failure; all else only where
     trying again is harmless: refused, or nobody reached.
     """
-    if end == SERVED or tries >= manners.tries:
+    if end == SERVED or tries >= behaviour.tries:
         return None
     anyway = kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all")
     if not anyway and end not in (REFUSED, UNREACHABLE):
         return None
-    wait = manners.wait_s
-    if retry_after_s > 0 and rng.random() < manners.heeds:
+    wait = behaviour.wait_s
+    if retry_after_s > 0 and rng.random() < behaviour.heeds:
         wait = max(wait, retry_after_s)
-    return Next(wait) if wait < left_s else None
+    return Retry(wait) if wait < left_s else None
--- a/quartzford/load/record.py
+++ b/quartzford/load/record.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from quartzford.load.clients import SERVED, Kind
+from quartzford.load.clients import SERVED, RequestClass
 
 LEAST_US, MOST_US, DIGITS = 1, 120_000_000, 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 99.99)
@@ -29,18 +29,18 @@
     end; late: from the intended send to the bytes. By class, in microseconds.
     """
 
-    def __init__(self, kinds: Iterable[Kind]) -> None:
-        self.kinds = {kind.name: kind for kind in kinds}
+    def __init__(self, request_classes: Iterable[RequestClass]) -> None:
+        self.request_classes = {kind.name: kind for kind in request_classes}
         self.latency: dict[str, Any] = {}
         self.service: dict[str, Any] = {}
         self.late = histogram()
-        self.ends: Counter[str] = Counter()  # "class end"
+        self.outcomes: Counter[str] = Counter()  # "class end"
         self.tries: Counter[str] = Counter()  # "end" of each try
         self.counts: Counter[str] = Counter()
         self.asked: dict[int, float] = {}  # second of the intended send: worth asked, worth within the aim
         self.got: dict[int, float] = {}
         self.by_second: dict[int, Counter[int]] = {}  # second: latencies' steps, of what was served
-        self.book: list[tuple[str, str, str]] | None = None  # where kept: id of the try, class, end
+        self.attempt_log: list[tuple[str, str, str]] | None = None  # where kept: id of the try, class, end
         self.by_class: dict[str, list[float]] = {}
         self.by_tenant: dict[str, list[float]] = {}
 
@@ -49,20 +49,20 @@
 
     def tried(self, name: str, end: str, service_s: float, identity: str = "") -> None:
         self.tries[end] += 1
-        if self.book is not None:
-            self.book.append((identity, name, end))
+        if self.attempt_log is not None:
+            self.attempt_log.append((identity, name, end))
         if end == SERVED:
             self._into(self.service, name, service_s)
 
     def ended(self, name: str, tenant: str, end: str, second: int, latency_s: float) -> None:
         """A request has come to its end, whatever it is: each is counted once."""
-        self.ends[f"{name} {end}"] += 1
-        kind = self.kinds.get(name) or Kind(name)
+        self.outcomes[f"{name} {end}"] += 1
+        kind = self.request_classes.get(name) or RequestClass(name)
         priority_weight = 0.0
         if end == SERVED:
             self._into(self.latency, name, latency_s)
             self.by_second.setdefault(second, Counter())[step_of(latency_s)] += 1
-            if latency_s <= kind.aim_s:
+            if latency_s <= kind.latency_objective_s:
                 priority_weight = kind.priority_weight
             elif latency_s <= kind.deadline_s:
                 priority_weight = kind.priority_weight * kind.late_weight
@@ -87,14 +87,14 @@
             "latency": {name: h.encode().decode() for name, h in self.latency.items()},
             "service": {name: h.encode().decode() for name, h in self.service.items()},
             "late": self.late.encode().decode(),
-            "ends": dict(self.ends),
+            "ends": dict(self.outcomes),
             "tries": dict(self.tries),
             "counts": dict(self.counts),
             "asked": {str(s): v for s, v in self.asked.items()},
             "got": {str(s): v for s, v in self.got.items()},
             "by_class": self.by_class,
             "by_tenant": self.by_tenant,
-            "book": self.book or [],
+            "book": self.attempt_log or [],
             "by_second": {str(s): {str(k): n for k, n in c.items()} for s, c in self.by_second.items()},
         }
 
@@ -104,7 +104,7 @@
             for name, text in theirs.items():
                 mine.setdefault(name, histogram()).decode_and_add(text)
         self.late.decode_and_add(dumped["late"])
-        for counter, name in ((self.ends, "ends"), (self.tries, "tries"), (self.counts, "counts")):
+        for counter, name in ((self.outcomes, "ends"), (self.tries, "tries"), (self.counts, "counts")):
             counter.update(dumped[name])
         for seconds, name in ((self.asked, "asked"), (self.got, "got")):
             for second, value in dumped[name].items():
@@ -112,7 +112,7 @@
         for text, counts in dumped.get("by_second", {}).items():
             self.by_second.setdefault(int(text), Counter()).update({int(k): n for k, n in counts.items()})
         if dumped.get("book"):
-            self.book = [*(self.book or []), *(tuple(row) for row in dumped["book"])]
+            self.attempt_log = [*(self.attempt_log or []), *(tuple(row) for row in dumped["book"])]
         for table, name in ((self.by_class, "by_class"), (self.by_tenant, "by_tenant")):
             for key, pair in dumped[name].items():
                 have = table.setdefault(key, [0.0, 0.0])
@@ -199,7 +199,7 @@
     return [(p, one.get_value_at_percentile(p) / 1000.0) for p in CURVE]
 
 
-def figures(one: Any) -> dict[str, float]:
+def histogram_summary(one: Any) -> dict[str, float]:
     """A histogram's percentiles, mean and largest, in milliseconds."""
     if not one.get_total_count():
         return {}
--- a/quartzford/load/run.py
+++ b/quartzford/load/run.py
@@ -19,11 +19,11 @@
 
 import uvloop
 
-from quartzford.load.clients import BRIEF, Kind, Manners
-from quartzford.load.driver import Driver, Due, Target
-from quartzford.load.record import Record, curve, figures
+from quartzford.load.clients import DEFAULT_CLASSES, ClientBehaviour, RequestClass
+from quartzford.load.driver import Driver, PlannedRequest, Target
+from quartzford.load.record import Record, curve, histogram_summary
 from quartzford.load.shapes import fixed, poisson, read_shape
-from quartzford.load.trace import Row
+from quartzford.load.trace import TraceRow
 
 LEAD_S = 0.5  # from the workers' readiness to the first arrival
 LATE_MS = 5.0  # a generator whose p99 is over this was late, and says so
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class LoadOptions:
     """What is to be played. Either a shape or rows of a trace; speed: a trace's offsets are divided by it."""
 
     target: Target
@@ -43,36 +43,44 @@
     spacing: str = "poisson"  # or fixed
     seed: int = 1
     workers: int = 1
-    kinds: tuple[Kind, ...] = BRIEF
+    request_classes: tuple[RequestClass, ...] = DEFAULT_CLASSES
     tenants: tuple[tuple[str, float], ...] = ()
     keys: int = 0  # so many keys, drawn evenly; 0: none
     size: int = 0
-    manners: Manners = field(default_factory=Manners)
-    rows: tuple[Row, ...] = ()
+    behaviour: ClientBehaviour = field(default_factory=ClientBehaviour)
+    rows: tuple[TraceRow, ...] = ()
     speed: float = 1.0
-    late_ms: float = LATE_MS
-    warm_s: float = 0.0  # what is due before this is played and not measured
-    think: bool = False  # a trace's requests of one tenant and key follow each other, their gaps kept
-    closed: int = 0  # so many clients of each worker that wait for their answers, instead of arrivals
-    book: bool = False  # keep how each try ended, by its id
-    watched: bool = False  # workers tell how far they are
-
-
-def _due(load: Load, row: Row, kinds: dict[str, Kind], offset: float, session: str = "") -> Due:
-    kind = kinds.get(row.service_class) or Kind(row.service_class)
+    max_lateness_ms: float = LATE_MS
+    warm_up_s: float = 0.0  # what is due before this is played and not measured
+    keep_think_times: bool = (
+        False  # a trace's requests of one tenant and key follow each other, their gaps kept
+    )
+    closed_clients: int = 0  # so many clients of each worker that wait for their answers, instead of arrivals
+    attempt_log: bool = False  # keep how each try ended, by its id
+    report_progress: bool = False  # workers tell how far they are
+
+
+def _due(
+    load: LoadOptions,
+    row: TraceRow,
+    request_classes: dict[str, RequestClass],
+    offset: float,
+    session: str = "",
+) -> PlannedRequest:
+    kind = request_classes.get(row.service_class) or RequestClass(row.service_class)
     left = row.left_ms / 1000.0 if row.left_ms else kind.deadline_s
-    return Due(offset, kind, row.tenant, row.key, row.size, left, session)
+    return PlannedRequest(offset, kind, row.tenant, row.key, row.size, left, session)
 
 
-def sessions(load: Load, worker: int) -> tuple[list[Due], dict[str, deque[Due]]]:
+def sessions(load: LoadOptions, worker: int) -> tuple[list[PlannedRequest], dict[str, deque[PlannedRequest]]]:
     """A trace with think times kept: the first request of each session, and what follows in each.
 
     A session is what one tenant's key asked. Its first request comes at its offset over the speed; each
     further one so long after the end of the one before as lay between the two in the trace, at any speed.
     """
-    kinds = {kind.name: kind for kind in load.kinds}
-    firsts: list[Due] = []
-    following: dict[str, deque[Due]] = {}
+    request_classes = {kind.name: kind for kind in load.request_classes}
+    firsts: list[PlannedRequest] = []
+    following: dict[str, deque[PlannedRequest]] = {}
     last: dict[str, float] = {}
     for number, row in enumerate(load.rows):
         session = f"{row.tenant}/{row.key}" if row.key else f"#{number}"
@@ -80,44 +88,46 @@
             continue
         if session in last:
             gap = row.offset - last[session]
-            following.setdefault(session, deque()).append(_due(load, row, kinds, gap, session))
+            following.setdefault(session, deque()).append(_due(load, row, request_classes, gap, session))
         else:
-            firsts.append(_due(load, row, kinds, row.offset / load.speed, session))
+            firsts.append(_due(load, row, request_classes, row.offset / load.speed, session))
         last[session] = row.offset
     return firsts, following
 
 
-def plan(load: Load, worker: int) -> Iterator[Due]:
+def plan(load: LoadOptions, worker: int) -> Iterator[PlannedRequest]:
     """A worker's part. Poisson parts add up to a Poisson whole; all else is dealt out in turn."""
     if load.rows:
-        kinds = {kind.name: kind for kind in load.kinds}
+        request_classes = {kind.name: kind for kind in load.request_classes}
         for row in load.rows[worker :: load.workers]:
-            yield _due(load, row, kinds, row.offset / load.speed)
+            yield _due(load, row, request_classes, row.offset / load.speed)
         return
     rng = random.Random(f"{load.seed}/{worker}")
     shape = read_shape(load.shape)
-    if load.closed:
+    if load.closed_clients:
         moments: Iterator[float] = repeat(0.0)
     elif load.spacing == "fixed":
         moments = (at for n, at in enumerate(fixed(shape, load.seconds)) if n % load.workers == worker)
     else:
         moments = poisson(shape.part(load.workers), load.seconds, rng)
-    names, shares = load.kinds, [kind.share for kind in load.kinds]
+    names, shares = load.request_classes, [kind.share for kind in load.request_classes]
     tenants, weights = [t for t, _ in load.tenants], [w for _, w in load.tenants]
     for at in moments:
         kind = rng.choices(names, shares)[0]
         tenant = rng.choices(tenants, weights)[0] if tenants else ""
         key = f"k{rng.randrange(load.keys)}" if load.keys else ""
-        yield Due(at, kind, tenant, key, load.size, kind.deadline_s)
+        yield PlannedRequest(at, kind, tenant, key, load.size, kind.deadline_s)
 
 
-def rows_of(load: Load) -> list[Row]:
+def make_trace(load: LoadOptions) -> list[TraceRow]:
     """The trace that a shape makes."""
     dues = sorted(due for n in range(load.workers) for due in _plain(load, n))
-    return [Row(at, name, tenant, key, size, left * 1000.0) for at, name, tenant, key, size, left in dues]
+    return [
+        TraceRow(at, name, tenant, key, size, left * 1000.0) for at, name, tenant, key, size, left in dues
+    ]
 
 
-def _plain(load: Load, worker: int) -> Iterator[tuple[float, str, str, str, int, float]]:
+def _plain(load: LoadOptions, worker: int) -> Iterator[tuple[float, str, str, str, int, float]]:
     for due in plan(load, worker):
         yield due.offset, due.kind.name, due.tenant, due.key, due.size, due.left_s
 
@@ -132,13 +142,13 @@
                 "progress": True,
                 "sent": driver.count,
                 "live": driver.live,
-                "ends": dict(record.ends),
+                "ends": dict(record.outcomes),
                 "recent": record.recent(SHOWN),
             }
         )
 
 
-def work(load: Load, worker: int, pipe: Connection) -> None:
+def work(load: LoadOptions, worker: int, pipe: Connection) -> None:
     """A worker process: says that it is ready, hears when to start, sends its record."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent hears it, and says what follows
 
@@ -146,28 +156,28 @@
         loop = asyncio.get_running_loop()
         pipe.send("ready")
         start = await loop.run_in_executor(None, pipe.recv)
-        record = Record(load.kinds)
+        record = Record(load.request_classes)
         name, seed = f"{load.seed:x}.{worker:x}.", load.seed * 1000 + worker
-        record.book = [] if load.book else None
+        record.attempt_log = [] if load.attempt_log else None
         due, following = plan(load, worker), None
-        if load.think:
+        if load.keep_think_times:
             firsts, following = sessions(load, worker)
             due = iter(firsts)
         driver = Driver(
             load.target,
-            load.manners,
+            load.behaviour,
             due,
             start,
             seed,
             name,
             record,
-            load.warm_s,
+            load.warm_up_s,
             following,
-            load.closed,
+            load.closed_clients,
             start + load.seconds,
         )
         loop.add_reader(pipe.fileno(), driver.stop)
-        telling = loop.create_task(tell(driver, pipe)) if load.watched else None
+        telling = loop.create_task(tell(driver, pipe)) if load.report_progress else None
         # A full collection stops the generator for a millisecond; what a run makes is freed by counts anyway.
         gc.collect()
         gc.freeze()
@@ -191,7 +201,7 @@
 
 
 def play(
-    load: Load, started: Callable[[], None] = lambda: None, progress: Progress = lambda told: None
+    load: LoadOptions, started: Callable[[], None] = lambda: None, progress: Progress = lambda told: None
 ) -> dict[str, Any]:
     """Play it, and give the result; on SIGINT what was measured.
 
@@ -259,19 +269,21 @@
 
 
 def summary(
-    load: Load, parts: list[dict[str, Any]], spent_s: float, interrupted: bool, silent: int
+    load: LoadOptions, parts: list[dict[str, Any]], spent_s: float, interrupted: bool, silent: int
 ) -> dict[str, Any]:
     """One result out of the workers' records."""
-    record = Record(load.kinds)
+    record = Record(load.request_classes)
     for part in parts:
         record.merge(part["record"])
-    late = figures(record.late)
+    late = histogram_summary(record.late)
     starved = next((part["starved"] for part in parts if part["starved"]), "")
-    was_late = bool(late) and late["p99"] > load.late_ms
-    ended, twice = sum(record.ends.values()), record.counts["answered twice"]
+    was_late = bool(late) and late["p99"] > load.max_lateness_ms
+    ended, twice = sum(record.outcomes.values()), record.counts["answered twice"]
     trouble = [starved] if starved else []
     if was_late:
-        trouble.append(f"the generator was late: p99 {late['p99']:.1f} ms, {load.late_ms:g} are allowed")
+        trouble.append(
+            f"the generator was late: p99 {late['p99']:.1f} ms, {load.max_lateness_ms:g} are allowed"
+        )
     if silent:
         trouble.append(f"{silent} workers gave no result")
     if twice:
@@ -282,17 +294,17 @@
         "sent": sum(part["sent"] for part in parts),
         "warm_up": record.counts["warm-up"],
         "ended": ended,
-        "rate": round(ended / max(spent_s - load.warm_s, 1e-9), 1),
+        "rate": round(ended / max(spent_s - load.warm_up_s, 1e-9), 1),
         "interrupted": interrupted,
         "starved": starved,
         "late": was_late,
         "trouble": trouble,
         "lateness_ms": late,
-        "latency_ms": {"all": figures(record.complete(record.latency))}
-        | {name: figures(one) for name, one in sorted(record.latency.items())},
-        "service_ms": {"all": figures(record.complete(record.service))}
-        | {name: figures(one) for name, one in sorted(record.service.items())},
-        "ends": dict(sorted(record.ends.items())),
+        "latency_ms": {"all": histogram_summary(record.complete(record.latency))}
+        | {name: histogram_summary(one) for name, one in sorted(record.latency.items())},
+        "service_ms": {"all": histogram_summary(record.complete(record.service))}
+        | {name: histogram_summary(one) for name, one in sorted(record.service.items())},
+        "ends": dict(sorted(record.outcomes.items())),
         "tries": dict(sorted(record.tries.items())),
         "goodput": {name: round(value, 4) for name, value in record.goodput().items()},
         "cpu_s": [round(part["cpu_s"], 2) for part in parts],
--- a/quartzford/load/shapes.py
+++ b/quartzford/load/shapes.py
@@ -98,11 +98,11 @@
     """The shape that a text describes; ShapeError where it describes none."""
     parts = []
     for piece in re.split(r"\+(?=[a-z])", text.strip()):
-        name, _, figures = piece.partition(":")
+        name, _, histogram_summary = piece.partition(":")
         if name not in KINDS:
             raise ShapeError(f"{piece!r}: no such shape; there are {', '.join(KINDS)}")
         form, make = KINDS[name]
-        found = re.fullmatch(form, figures)
+        found = re.fullmatch(form, histogram_summary)
         if found is None:
             raise ShapeError(f"{piece!r}: not of the form that {name} has")
         values = [float(value) for value in found.groups()]
--- a/quartzford/load/trace.py
+++ b/quartzford/load/trace.py
@@ -16,9 +16,9 @@
 from typing import NamedTuple
 from urllib.parse import quote, unquote
 
-HEAD = "#quartzford-trace "
+HEADER_PREFIX = "#quartzford-trace "
 VERSION = "1"
-END = "#end "
+END_PREFIX = "#end "
 MOST_SIZE, MOST_LEFT_MS = 32 * 1024 * 1024, 1e9
 
 
@@ -26,7 +26,7 @@
     """A trace that can't be used; the text names the line and the reason."""
 
 
-class Row(NamedTuple):
+class TraceRow(NamedTuple):
     """One request. offset: seconds."""
 
     offset: float
@@ -43,23 +43,23 @@
     return quote(text, safe="/:=@,;+*!$&'()[]~ ") or "-"
 
 
-def line_of(row: Row) -> str:
+def format_row(row: TraceRow) -> str:
     """A row as its line, with the line break."""
     words = (_word(row.service_class), _word(row.tenant), _word(row.key))
     return f"{round(row.offset * 1e6)}\t{words[0]}\t{words[1]}\t{words[2]}\t{row.size}\t{row.left_ms:g}\n"
 
 
-def write_trace(rows: Iterable[Row]) -> Iterator[str]:
+def write_trace(rows: Iterable[TraceRow]) -> Iterator[str]:
     """The lines of a trace, each with its line break."""
-    yield f"{HEAD}{VERSION}\n"
+    yield f"{HEADER_PREFIX}{VERSION}\n"
     count = 0
     for row in rows:
-        yield line_of(row)
+        yield format_row(row)
         count += 1
-    yield f"{END}{count}\n"
+    yield f"{END_PREFIX}{count}\n"
 
 
-def _row(text: str, number: int) -> Row:
+def _row(text: str, number: int) -> TraceRow:
     fields = text.split("\t")
     if len(fields) != 6:
         raise TraceError(f"line {number}: {len(fields)} fields, 6 wanted")
@@ -72,25 +72,27 @@
         raise TraceError(f"line {number}: offset, size or time left is not a number") from None
     if offset < 0 or not 0 <= size <= MOST_SIZE or not 0 <= left <= MOST_LEFT_MS:
         raise TraceError(f"line {number}: offset, size or time left is out of bounds")
-    return Row(offset / 1e6, words[0], words[1], words[2], size, left)
+    return TraceRow(offset / 1e6, words[0], words[1], words[2], size, left)
 
 
-def read_trace(lines: Iterable[str]) -> Iterator[Row]:
+def read_trace(lines: Iterable[str]) -> Iterator[TraceRow]:
     """The rows of a trace; TraceError at the first line that breaks it."""
     count, last, ended, number = 0, 0.0, False, 0
     for number, line in enumerate(lines, 1):
         text = line.rstrip("\n")
         if number == 1:
-            if not text.startswith(HEAD):
+            if not text.startswith(HEADER_PREFIX):
                 raise TraceError("line 1: not a trace")
-            if text[len(HEAD) :] != VERSION:
-                raise TraceError(f"line 1: version {text[len(HEAD) :]!r}, {VERSION} is what can be read")
+            if text[len(HEADER_PREFIX) :] != VERSION:
+                raise TraceError(
+                    f"line 1: version {text[len(HEADER_PREFIX) :]!r}, {VERSION} is what can be read"
+                )
             continue
         if ended:
             raise TraceError(f"line {number}: more follows the end")
-        if text.startswith(END):
-            if text[len(END) :] != str(count):
-                raise TraceError(f"line {number}: {count} requests, {text[len(END) :]} are said")
+        if text.startswith(END_PREFIX):
+            if text[len(END_PREFIX) :] != str(count):
+                raise TraceError(f"line {number}: {count} requests, {text[len(END_PREFIX) :]} are said")
             ended = True
             continue
         row = _row(text, number)
--- a/quartzford/recording.py
+++ b/quartzford/recording.py
@@ -17,7 +17,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.engine import Clock, Log
-from quartzford.load.trace import END, HEAD, VERSION, Row, line_of
+from quartzford.load.trace import END_PREFIX, HEADER_PREFIX, VERSION, TraceRow, format_row
 
 MAX_QUEUED_LINES = 65_536  # lines that may wait for the disk
 WRITER_CHECK_S = 0.5
@@ -49,7 +49,7 @@
         self._clock = clock
         self._log = log
         self._file = Path(path).open("w", encoding="ascii", newline="\n")  # noqa: SIM115
-        self._file.write(f"{HEAD}{VERSION}\n")
+        self._file.write(f"{HEADER_PREFIX}{VERSION}\n")
         self._secret = os.urandom(SECRET_BYTES)
         self._started_at = clock.now()
         self._recorded_requests = 0
@@ -77,7 +77,7 @@
         self._lines.put(line)
 
     def _line(self, request: io.Request, size: int) -> str:
-        row = Row(
+        row = TraceRow(
             self._clock.now() - self._started_at,
             request.service_class or NO_CLASS,
             request.tenant,
@@ -85,7 +85,7 @@
             size,
             request.budget_ms,
         )
-        return line_of(row)
+        return format_row(row)
 
     def _recorded_key(self, key: str) -> str:
         if not key or self._key_mode is KeyMode.NONE:
@@ -99,7 +99,7 @@
         if self.stopped:
             return
         self.stopped = True
-        self._lines.put(f"{END}{self._recorded_requests}\n")
+        self._lines.put(f"{END_PREFIX}{self._recorded_requests}\n")
         self._lines.put(None)
         if reason:
             self._log.line("trace", f"{reason}; recording has ended with {self._recorded_requests} requests")
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -22,10 +22,17 @@
 
 import uvloop
 
-from quartzford.load.clients import BRIEF, SERVED, UNREACHABLE, Manners, patience_s
+from quartzford.load.clients import DEFAULT_CLASSES, SERVED, UNREACHABLE, ClientBehaviour, attempt_timeout_s
 from quartzford.load.connecting import connect_within
-from quartzford.load.driver import Driver, Due, Job, Link, Target, Try
-from quartzford.load.record import Record, figures
+from quartzford.load.driver import (
+    ClientAttempt,
+    ClientRequest,
+    Driver,
+    PlannedRequest,
+    Target,
+    TargetConnection,
+)
+from quartzford.load.record import Record, histogram_summary
 
 POLL_S = 0.25
 NOTICE_S = 2.0  # from the first refused connection on a front goes on sending there for so long
@@ -109,7 +116,7 @@
         return False
 
 
-class Member(Link):
+class Member(TargetConnection):
     """A connection to one balancer."""
 
     driver: Crowd
@@ -132,7 +139,7 @@
     """A record that also counts, by the second, requests that were not served."""
 
     def __init__(self) -> None:
-        super().__init__(BRIEF)
+        super().__init__(DEFAULT_CLASSES)
         self.unserved: dict[int, Counter[str]] = {}
 
     def ended(self, name: str, tenant: str, end: str, second: int, latency_s: float) -> None:
@@ -145,51 +152,62 @@
 class Crowd(Driver):
     """A driver whose requests go where the front says."""
 
-    def __init__(self, front: Front, manners: Manners, plan: Iterator[Due], start: float, seed: int) -> None:
+    def __init__(
+        self,
+        front: Front,
+        behaviour: ClientBehaviour,
+        plan: Iterator[PlannedRequest],
+        start: float,
+        seed: int,
+    ) -> None:
         self.front = front
         self.timed = record = Timed()
-        record.book = []
-        super().__init__(Target("fleet", 80), manners, plan, start, seed, "c", record)
+        record.attempt_log = []
+        super().__init__(Target("fleet", 80), behaviour, plan, start, seed, "c", record)
         self.rest = Rest(len(front.targets))
         self.idle = self.rest  # type: ignore[assignment]
         self.at: dict[str, tuple[int, float, float]] = {}  # of what was lost: where, since when, until when
 
-    def _begin(self, job: Job, planned: float) -> None:
-        job.tries += 1
-        attempt = Try(job, planned, min(job.end, planned + patience_s(job.due.kind, self.manners, self.rng)))
+    def _begin_attempt(self, request: ClientRequest, intended: float) -> None:
+        request.tries += 1
+        attempt = ClientAttempt(
+            request,
+            intended,
+            min(request.end, intended + attempt_timeout_s(request.due.kind, self.behaviour, self.rng)),
+        )
         where = self.front.pick()
         links = self.rest.by[where] if where >= 0 else []
         while links:
             link = links.pop()
-            if link.stands():
-                return self._send(attempt, link)
+            if link.is_usable():
+                return self._send_attempt(attempt, link)
         self._dial(attempt, where)
 
-    def lost(self, attempt: Try, link: Member) -> None:
+    def lost(self, attempt: ClientAttempt, link: Member) -> None:
         """Note where an attempt was lost, and from when to when its connection stood."""
-        self.at[self._identity(attempt.job)] = link.where, link.made, monotonic()
+        self.at[self.attempt_id(attempt.request)] = link.where, link.made, monotonic()
 
-    def connect(self, attempt: Try, fresh: bool = False) -> None:
+    def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
         """Open a connection to a balancer of the front's choice for an attempt."""
         self._dial(attempt, self.front.pick())
 
-    def _dial(self, attempt: Try, where: int) -> None:
-        self.open += 1
+    def _dial(self, attempt: ClientAttempt, where: int) -> None:
+        self.open_connections += 1
         task = self.loop.create_task(self._connect_to(attempt, where))
         self.connecting.add(task)
         task.add_done_callback(self.connecting.discard)
 
-    async def _connect_to(self, attempt: Try, where: int) -> None:
+    async def _connect_to(self, attempt: ClientAttempt, where: int) -> None:
         link = Member(self)
         link.where = where
         try:
             if where < 0:
                 raise ConnectionRefusedError
             target = self.front.targets[where]
-            limit_s = max(0.001, attempt.give_up - monotonic())
+            limit_s = max(0.001, attempt.timeout_at - monotonic())
             await connect_within(self.loop, link, target.host, target.port, limit_s)
         except (OSError, TimeoutError):
-            self.open -= 1
+            self.open_connections -= 1
             if where >= 0:
                 self.front.failed(where)
             return self.ended(attempt, UNREACHABLE, 0.0)
@@ -197,13 +215,13 @@
         self.connected(attempt, link)
 
 
-def plan_of(rate: float, seconds: float, seed: int) -> Iterator[Due]:
+def plan_of(rate: float, seconds: float, seed: int) -> Iterator[PlannedRequest]:
     """A Poisson stream of the brief's classes."""
     rng, at = random.Random(seed), 0.0
-    weights = [kind.share for kind in BRIEF]
+    weights = [kind.share for kind in DEFAULT_CLASSES]
     while rate > 0 and (at := at + rng.expovariate(rate)) < seconds:
-        kind = rng.choices(BRIEF, weights)[0]
-        yield Due(at, kind, "", "", 40, kind.deadline_s)
+        kind = rng.choices(DEFAULT_CLASSES, weights)[0]
+        yield PlannedRequest(at, kind, "", "", 40, kind.deadline_s)
 
 
 async def run() -> None:
@@ -218,7 +236,7 @@
     begin = json.loads(await reader.readline())["begin"]
     watches = [asyncio.ensure_future(front.watch(n)) for n in range(len(front.targets))]
     plan = plan_of(settings["rate"], settings["seconds"], settings["seed"])
-    driver = Crowd(front, Manners(**settings.get("manners", {})), plan, begin, settings["seed"])
+    driver = Crowd(front, ClientBehaviour(**settings.get("manners", {})), plan, begin, settings["seed"])
     playing = asyncio.ensure_future(driver.run())
     await asyncio.sleep(max(0.0, begin + settings["seconds"] - monotonic()))
     await asyncio.wait((playing,), timeout=5.0)
@@ -231,12 +249,12 @@
     taken_in = [round(front.first[n] - begin, 3) if n in front.first else None for n in range(len(watches))]
     result: dict[str, Any] = {
         "taken_in_s": taken_in,
-        "book": record.book,
+        "book": record.attempt_log,
         "twice": record.counts["answered twice"],
         "lost": [[identity, *row] for identity, row in driver.at.items()],
-        "ends": dict(record.ends),
-        "latency_ms": figures(record.complete(record.latency)),
-        "late_ms": figures(record.late),
+        "ends": dict(record.outcomes),
+        "latency_ms": histogram_summary(record.complete(record.latency)),
+        "late_ms": histogram_summary(record.late),
         "goodput": record.goodput(),
         "seconds": record.seconds(),
         "steps": record.by_second,
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -23,8 +23,8 @@
 from pathlib import Path
 from typing import IO, Any, NamedTuple
 
-from quartzford.load.clients import BRIEF, LOST
-from quartzford.load.judge import judge
+from quartzford.load.clients import DEFAULT_CLASSES, LOST
+from quartzford.load.reconciliation import check_rules
 from rig import capacity
 from rig.faults import Link, Script, ScriptError, members, read_script
 from rig.processes import ROOT, Process, Processes, address, helper
@@ -391,7 +391,7 @@
         tries = [
             (i, name, "killed" if end == LOST and i in killed else end) for i, name, end in report["book"]
         ]
-        verdict = judge(books, tries, BRIEF, report["twice"])
+        verdict = check_rules(books, tries, DEFAULT_CLASSES, report["twice"])
         # Calls that found nobody are in the proxy's book alone, those past the proxy in the service's.
         direct = [row for row in service.get("calls", ()) if row[1] == "127.0.0.1"]
         calls = sorted(row[0] - self.began for row in [*self.taken, *direct])
--- a/standins/nodo.py
+++ b/standins/nodo.py
@@ -398,7 +398,7 @@
                 self.drains.append([nodo.name, entry["dial"], now, None])
 
     def account(self) -> dict[str, Any]:
-        """All that the fleet saw, as quartzford/load/judge.py reads it; GET /books gives it too."""
+        """All that the fleet saw, as quartzford/load/reconciliation.py reads it; GET /books gives it too."""
         books = self.books
         return {
             "version": 1,
--- a/tests/test_load_connection_end.py
+++ b/tests/test_load_connection_end.py
@@ -10,13 +10,13 @@
 import pytest
 import uvloop
 
-from quartzford.load.clients import Kind, Manners
+from quartzford.load.clients import ClientBehaviour, RequestClass
 from quartzford.load.connection_end import ended_by_peer, unacknowledged_bytes
-from quartzford.load.driver import Driver, Link, Target, Try
+from quartzford.load.driver import ClientAttempt, Driver, Target, TargetConnection
 from quartzford.load.record import Record
-from quartzford.load.run import Load, plan
+from quartzford.load.run import LoadOptions, plan
 
-KEYED = (Kind("reserva", deadline_s=4.0, aim_s=1.0, effect="keyed", group="cell"),)
+KEYED = (RequestClass("reserva", deadline_s=4.0, latency_objective_s=1.0, effect="keyed", group="cell"),)
 WHOLE_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 CUT_ANSWER = WHOLE_ANSWER[:-1]
 
@@ -78,20 +78,26 @@
 
     before_second: Callable[[], None] | None = None
 
-    def _send(self, attempt: Try, link: Link) -> None:
-        if attempt.job.number == 2 and not attempt.resent and self.before_second is not None:
+    def _send_attempt(self, attempt: ClientAttempt, link: TargetConnection) -> None:
+        if attempt.request.number == 2 and not attempt.resent and self.before_second is not None:
             self.before_second()
-        super()._send(attempt, link)
+        super()._send_attempt(attempt, link)
 
 
 async def two_requests(closes: str) -> tuple[Record, Server]:
     record, server = Record(KEYED), Server(closes)
     serving = asyncio.ensure_future(server.run())
     target = Target("127.0.0.1", server.listening.getsockname()[1], connections=1)
-    load = Load(
-        target, "constant:10", 0.2, "fixed", kinds=KEYED, manners=Manners(patience=(1.0, 1.0)), size=200
+    load = LoadOptions(
+        target,
+        "constant:10",
+        0.2,
+        "fixed",
+        request_classes=KEYED,
+        behaviour=ClientBehaviour(patience=(1.0, 1.0)),
+        size=200,
     )
-    driver = CrossingDriver(target, load.manners, plan(load, 0), time.monotonic(), 1, "t", record)
+    driver = CrossingDriver(target, load.behaviour, plan(load, 0), time.monotonic(), 1, "t", record)
     if closes == "as it is sent":
         driver.before_second = lambda: server.accepted[0].close()
     await driver.run()
@@ -115,7 +121,7 @@
 ) -> None:
     """A keyed request that was read may have had its effect where nobody else drops its repeat."""
     record, server = uvloop.run(two_requests(closes))
-    assert record.ends == {"reserva served": served} | ({"reserva lost": lost} if lost else {})
+    assert record.outcomes == {"reserva served": served} | ({"reserva lost": lost} if lost else {})
     assert server.read == read
 
 
--- a/tests/test_load_judge.py
+++ b/tests/test_load_judge.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from quartzford.load.clients import BRIEF
-from quartzford.load.judge import cold_breaches, judge, late_sends
+from quartzford.load.clients import DEFAULT_CLASSES
+from quartzford.load.reconciliation import check_rules, sends_after_drain, slow_start_breaches
 
 ACCOUNT: dict[str, Any] = {
     "version": 1,
@@ -35,7 +35,7 @@
 
 
 def test_books_that_agree() -> None:
-    verdict = judge(ACCOUNT, TRIES, BRIEF)
+    verdict = check_rules(ACCOUNT, TRIES, DEFAULT_CLASSES)
     assert verdict["kept"] and verdict["runs"] == 4 and verdict["drains"] == 1
     assert verdict["latest_send_after_drain_ms"] == 200.0 and verdict["cold"]["lives"] == 1
 
@@ -63,26 +63,26 @@
 def test_each_rule_that_breaks_is_named(rule: str, spoil: Any) -> None:
     account, tries = copy.deepcopy(ACCOUNT), list(TRIES)
     spoil(account, tries)
-    verdict = judge(account, tries, BRIEF)
+    verdict = check_rules(account, tries, DEFAULT_CLASSES)
     assert verdict["rules"][rule] == 1 and not verdict["kept"]
     assert sum(bool(count) for count in verdict["rules"].values()) == 1
 
 
 def test_a_refused_consulta_that_ran_is_no_breach() -> None:
-    assert judge(ACCOUNT, [*TRIES, ("1.0.1-1", "consulta", "refused")], BRIEF)["kept"]
+    assert check_rules(ACCOUNT, [*TRIES, ("1.0.1-1", "consulta", "refused")], DEFAULT_CLASSES)["kept"]
 
 
 def test_an_answer_too_many_is_a_breach() -> None:
-    assert judge(ACCOUNT, TRIES, BRIEF, 1)["rules"]["answered twice"] == 1
-    assert not judge(ACCOUNT, TRIES, BRIEF, 1)["kept"]
+    assert check_rules(ACCOUNT, TRIES, DEFAULT_CLASSES, 1)["rules"]["answered twice"] == 1
+    assert not check_rules(ACCOUNT, TRIES, DEFAULT_CLASSES, 1)["kept"]
 
 
 def test_a_drain_that_ended_counts_no_more() -> None:
-    assert late_sends([("a", 1.0, 2.0)], [("a", 2.5), ("a", 0.5), ("b", 1.9)]) == (0, 0.0)
-    assert late_sends([("a", 1.0, 2.0)], [("a", 1.9)], 0.3) == (1, pytest.approx(0.9))
+    assert sends_after_drain([("a", 1.0, 2.0)], [("a", 2.5), ("a", 0.5), ("b", 1.9)]) == (0, 0.0)
+    assert sends_after_drain([("a", 1.0, 2.0)], [("a", 1.9)], 0.3) == (1, pytest.approx(0.9))
 
 
 def test_a_warm_life_is_not_cold() -> None:
     rows = {"s": [[100.0, 1]] * 500}
-    assert cold_breaches([["s", 1, 1.0, 100.0, 0.13, 24.0]], rows)["over"] == 0
-    assert cold_breaches([["s", 1, 99.9, 100.0, 0.13, 24.0]], rows)["over"] == 1
+    assert slow_start_breaches([["s", 1, 1.0, 100.0, 0.13, 24.0]], rows)["over"] == 0
+    assert slow_start_breaches([["s", 1, 99.9, 100.0, 0.13, 24.0]], rows)["over"] == 1
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -17,24 +17,24 @@
 
 from quartzford.load.cli import compare
 from quartzford.load.clients import (
-    BRIEF,
+    DEFAULT_CLASSES,
     FAILED,
     NO_ANSWER,
     REFUSED,
     SERVED,
     UNREACHABLE,
-    Kind,
-    Manners,
-    next_try,
-    patience_s,
+    ClientBehaviour,
+    RequestClass,
+    attempt_timeout_s,
+    plan_retry,
 )
 from quartzford.load.driver import Target
 from quartzford.load.live import View, bars
 from quartzford.load.page import page
-from quartzford.load.record import Record, figures, histogram
-from quartzford.load.run import Load, plan, rows_of, sessions, show, summary
+from quartzford.load.record import Record, histogram, histogram_summary
+from quartzford.load.run import LoadOptions, make_trace, plan, sessions, show, summary
 from quartzford.load.shapes import ShapeError, fixed, poisson, read_shape
-from quartzford.load.trace import Row, TraceError, read_trace, write_trace
+from quartzford.load.trace import TraceError, TraceRow, read_trace, write_trace
 
 
 @pytest.mark.parametrize(
@@ -99,13 +99,13 @@
 
 @pytest.mark.parametrize("spacing", ["poisson", "fixed"])
 def test_workers_together_play_the_whole(spacing: str) -> None:
-    load = Load(
+    load = LoadOptions(
         Target("h", 1), "constant:400", 5.0, spacing, 7, workers=4, keys=10, tenants=(("a", 1), ("b", 3))
     )
     dues = [due for n in range(4) for due in plan(load, n)]
     assert abs(len(dues) - 2000) < 250 and [list(plan(load, 1))] == [list(plan(load, 1))]
-    shares = {k.name: sum(d.kind.name == k.name for d in dues) / len(dues) for k in BRIEF}
-    assert all(abs(shares[k.name] - k.share) < 0.05 for k in BRIEF)
+    shares = {k.name: sum(d.kind.name == k.name for d in dues) / len(dues) for k in DEFAULT_CLASSES}
+    assert all(abs(shares[k.name] - k.share) < 0.05 for k in DEFAULT_CLASSES)
     assert {d.tenant for d in dues} == {"a", "b"} and len({d.key for d in dues}) == 10
 
 
@@ -114,7 +114,13 @@
 TEXT = st.text(max_size=12)
 ROWS = st.lists(
     st.builds(
-        Row, st.floats(0, 1e6), TEXT.filter(bool), TEXT, TEXT, st.integers(0, 10**6), st.integers(0, 10**6)
+        TraceRow,
+        st.floats(0, 1e6),
+        TEXT.filter(bool),
+        TEXT,
+        TEXT,
+        st.integers(0, 10**6),
+        st.integers(0, 10**6),
     ),
     max_size=12,
 )
@@ -122,14 +128,16 @@
 
 @given(ROWS)
 @budget(max_examples=200, deadline=None, derandomize=True, database=None)
-def test_a_trace_comes_back_as_it_was_written(rows: list[Row]) -> None:
+def test_a_trace_comes_back_as_it_was_written(rows: list[TraceRow]) -> None:
     rows = sorted(r._replace(offset=round(r.offset, 6), left_ms=float(f"{r.left_ms:g}")) for r in rows)
     back = list(read_trace(write_trace(rows)))
     assert [r._replace(offset=0.0) for r in back] == [r._replace(offset=0.0) for r in rows]
     assert all(abs(a.offset - b.offset) < 1e-5 for a, b in zip(rows, back, strict=True))
 
 
-GOOD = list(write_trace([Row(0.0, "read", "t", "k", 5, 100), Row(0.5, "pay"), Row(0.5, "a b\tc")]))
+GOOD = list(
+    write_trace([TraceRow(0.0, "read", "t", "k", 5, 100), TraceRow(0.5, "pay"), TraceRow(0.5, "a b\tc")])
+)
 
 
 @pytest.mark.parametrize(
@@ -157,9 +165,9 @@
 
 
 def test_a_shape_made_into_a_trace_and_replayed_faster_is_the_same_load() -> None:
-    load = Load(Target("h", 1), "constant:200", 5.0, seed=3, workers=2)
-    rows = rows_of(load)
-    fast = Load(Target("h", 1), rows=tuple(rows), speed=5.0, workers=3)
+    load = LoadOptions(Target("h", 1), "constant:200", 5.0, seed=3, workers=2)
+    rows = make_trace(load)
+    fast = LoadOptions(Target("h", 1), rows=tuple(rows), speed=5.0, workers=3)
     dues = sorted((due.offset, due.kind.name) for n in range(3) for due in plan(fast, n))
     assert [name for _, name in dues] == [r.service_class for r in rows]
     assert max(abs(at - r.offset / 5.0) for (at, _), r in zip(dues, rows, strict=True)) < 1e-9
@@ -167,25 +175,25 @@
 
 # ---- clients
 
-FREE, CELL, UNSAFE = BRIEF
-WIDE = Kind("note", effect="keyed", group="all")
+FREE, CELL, UNSAFE = DEFAULT_CLASSES
+WIDE = RequestClass("note", effect="keyed", group="all")
 
 
 @pytest.mark.parametrize("kind", [FREE, CELL, UNSAFE, WIDE])
 @pytest.mark.parametrize("end", [REFUSED, FAILED, NO_ANSWER, UNREACHABLE])
-def test_who_goes_again_after_what(kind: Kind, end: str) -> None:
-    again = next_try(kind, Manners(), end, 1, 1.0, 0.0, random.Random(1))
+def test_who_goes_again_after_what(kind: RequestClass, end: str) -> None:
+    again = plan_retry(kind, ClientBehaviour(), end, 1, 1.0, 0.0, random.Random(1))
     assert (again is not None) == (kind in (FREE, WIDE) or end in (REFUSED, UNREACHABLE))
 
 
 def test_tries_time_and_advice_bound_what_a_client_does() -> None:
     rng = random.Random(1)
-    assert next_try(FREE, Manners(), SERVED, 1, 1.0, 0.0, rng) is None
-    assert next_try(FREE, Manners(tries=4), FAILED, 4, 1.0, 0.0, rng) is None
-    assert next_try(FREE, Manners(wait_s=0.1), FAILED, 1, 0.1, 0.0, rng) is None
-    assert next_try(FREE, Manners(heeds=1.0), REFUSED, 1, 1.0, 0.4, rng) == (0.4,)
-    assert next_try(FREE, Manners(heeds=0.0), REFUSED, 1, 1.0, 0.4, rng) == (0.0,)
-    spans = [patience_s(FREE, Manners(), rng) for _ in range(500)]
+    assert plan_retry(FREE, ClientBehaviour(), SERVED, 1, 1.0, 0.0, rng) is None
+    assert plan_retry(FREE, ClientBehaviour(tries=4), FAILED, 4, 1.0, 0.0, rng) is None
+    assert plan_retry(FREE, ClientBehaviour(wait_s=0.1), FAILED, 1, 0.1, 0.0, rng) is None
+    assert plan_retry(FREE, ClientBehaviour(heeds=1.0), REFUSED, 1, 1.0, 0.4, rng) == (0.4,)
+    assert plan_retry(FREE, ClientBehaviour(heeds=0.0), REFUSED, 1, 1.0, 0.4, rng) == (0.0,)
+    spans = [attempt_timeout_s(FREE, ClientBehaviour(), rng) for _ in range(500)]
     assert 0.6 <= min(spans) < 0.65 and 1.05 < max(spans) <= 1.1
 
 
@@ -193,9 +201,9 @@
 
 
 def recorded(seed: int) -> Record:
-    record, rng = Record(BRIEF), random.Random(seed)
+    record, rng = Record(DEFAULT_CLASSES), random.Random(seed)
     for n in range(500):
-        kind = rng.choice(BRIEF)
+        kind = rng.choice(DEFAULT_CLASSES)
         record.sent(rng.random() / 1000)
         record.tried(kind.name, SERVED, rng.random() / 100)
         record.ended(kind.name, "t", SERVED if n % 5 else FAILED, n // 25, rng.random())
@@ -203,10 +211,10 @@
 
 
 def test_records_merge_into_what_one_would_have_been() -> None:
-    one, other, both = recorded(1), recorded(2), Record(BRIEF)
+    one, other, both = recorded(1), recorded(2), Record(DEFAULT_CLASSES)
     both.merge(one.dump())
     both.merge(other.dump())
-    assert sum(both.ends.values()) == 1000 and both.ends == one.ends + other.ends
+    assert sum(both.outcomes.values()) == 1000 and both.outcomes == one.outcomes + other.outcomes
     complete = both.complete(both.latency)
     assert complete.get_total_count() == 800
     assert complete.get_max_value() >= one.complete(one.latency).get_max_value()
@@ -220,7 +228,7 @@
     one = histogram()
     for value in range(1, 100_001):
         one.record_value(value)
-    got = figures(one)
+    got = histogram_summary(one)
     for p, wanted in (("p50", 50.0), ("p99", 99.0), ("p99.9", 99.9), ("max", 100.0)):
         assert got[p] == pytest.approx(wanted, rel=0.002)
 
@@ -228,8 +236,8 @@
 def test_goodput_names_the_worst_window_class_and_tenant() -> None:
     record = Record(
         (
-            Kind("a", aim_s=0.1, priority_weight=2.0),
-            Kind("b", aim_s=0.1, priority_weight=1.0, late_weight=0.5),
+            RequestClass("a", latency_objective_s=0.1, priority_weight=2.0),
+            RequestClass("b", latency_objective_s=0.1, priority_weight=1.0, late_weight=0.5),
         )
     )
     for second in range(30):
@@ -243,7 +251,7 @@
 
 
 def test_a_result_says_what_was_wrong_with_its_instrument() -> None:
-    load = Load(Target("h", 1), late_ms=5.0)
+    load = LoadOptions(Target("h", 1), max_lateness_ms=5.0)
     good = recorded(1)
     part: dict[str, Any] = {"record": good.dump(), "starved": "", "sent": 500, "live": 0, "cpu_s": 1.0}
     fine = summary(load, [part], 10.0, False, 0)
@@ -260,7 +268,7 @@
 
 
 def test_latencies_by_the_second_are_merged_and_close() -> None:
-    record, other = Record(BRIEF), Record(BRIEF)
+    record, other = Record(DEFAULT_CLASSES), Record(DEFAULT_CLASSES)
     for n in range(1, 1001):
         (record if n % 2 else other).ended("consulta", "", SERVED, n % 2, n / 1000)
     record.merge(other.dump())
@@ -276,7 +284,7 @@
 
 def result_of(record: Record) -> dict[str, Any]:
     part: dict[str, Any] = {"record": record.dump(), "starved": "", "sent": 500, "live": 0, "cpu_s": 1.0}
-    return summary(Load(Target("h", 1)), [part], 10.0, False, 0)
+    return summary(LoadOptions(Target("h", 1)), [part], 10.0, False, 0)
 
 
 def test_the_page_stands_alone_and_says_what_the_result_says() -> None:
@@ -297,12 +305,12 @@
 
 
 def test_a_page_of_nothing_is_a_page() -> None:
-    assert "nothing was measured" in page(result_of(Record(BRIEF)))
+    assert "nothing was measured" in page(result_of(Record(DEFAULT_CLASSES)))
 
 
 def test_the_live_view_adds_up_its_workers() -> None:
     first, second = recorded(1), recorded(2)
-    told = [{"sent": 10, "live": 1, "ends": dict(r.ends), "recent": r.recent(4)} for r in (first, second)]
+    told = [{"sent": 10, "live": 1, "ends": dict(r.outcomes), "recent": r.recent(4)} for r in (first, second)]
     out = io.StringIO()
     view = View(Console(file=out, width=100, force_terminal=False))
     view.notes.append("drain: s0001")
@@ -324,8 +332,8 @@
 
 
 def test_sessions_are_whole_on_one_worker_and_keep_their_gaps() -> None:
-    rows = tuple(Row(n * 0.1, "consulta", "t", f"k{n % 7}" if n % 10 else "") for n in range(200))
-    load = Load(Target("h", 1), rows=rows, speed=5.0, workers=3, think=True)
+    rows = tuple(TraceRow(n * 0.1, "consulta", "t", f"k{n % 7}" if n % 10 else "") for n in range(200))
+    load = LoadOptions(Target("h", 1), rows=rows, speed=5.0, workers=3, keep_think_times=True)
     firsts, gaps = 0, []
     for worker in range(3):
         mine, following = sessions(load, worker)
--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -23,15 +23,15 @@
 import pytest
 import uvloop
 
-from quartzford.load.clients import SINGLE, Kind, Manners
-from quartzford.load.driver import Driver, Target, Try
+from quartzford.load.clients import SINGLE_ATTEMPT, ClientBehaviour, RequestClass
+from quartzford.load.driver import ClientAttempt, Driver, Target
 from quartzford.load.live import Sums
-from quartzford.load.record import Record, figures
-from quartzford.load.run import Load, plan, play, rows_of
-from quartzford.load.trace import Row
+from quartzford.load.record import Record, histogram_summary
+from quartzford.load.run import LoadOptions, make_trace, plan, play
+from quartzford.load.trace import TraceRow
 
 ROOT = Path(__file__).resolve().parent.parent
-ONE = (Kind("consulta", deadline_s=4.0, aim_s=1.0),)
+ONE = (RequestClass("consulta", deadline_s=4.0, latency_objective_s=1.0),)
 
 
 @contextmanager
@@ -47,13 +47,13 @@
         process.wait()
 
 
-def driven(load: Load) -> Record:
+def driven(load: LoadOptions) -> Record:
     """One worker, in this process."""
 
     async def main() -> Record:
-        record = Record(load.kinds)
+        record = Record(load.request_classes)
         start = time.monotonic() + 0.05
-        await Driver(load.target, load.manners, plan(load, 0), start, load.seed, "t", record).run()
+        await Driver(load.target, load.behaviour, plan(load, 0), start, load.seed, "t", record).run()
         return record
 
     return uvloop.run(main())
@@ -63,9 +63,11 @@
 def test_a_server_of_known_delay_is_measured_as_it_is(spec: str, p50: float, p99: float) -> None:
     """Bounds wide enough for any machine; bench.loadgen holds the narrow ones."""
     with server(spec) as (target, _):
-        record = driven(Load(target, "constant:200", 3.0, kinds=ONE, manners=SINGLE))
-    got = figures(record.complete(record.latency))
-    assert got["count"] > 450 and record.ends == {"consulta served": got["count"]}
+        record = driven(
+            LoadOptions(target, "constant:200", 3.0, request_classes=ONE, behaviour=SINGLE_ATTEMPT)
+        )
+    got = histogram_summary(record.complete(record.latency))
+    assert got["count"] > 450 and record.outcomes == {"consulta served": got["count"]}
     assert p50 <= got["p50"] <= p50 * 1.5 + 5 and p99 <= got["p99"]
 
 
@@ -78,9 +80,11 @@
         ]
         for timer in timers:
             timer.start()
-        record = driven(Load(target, "constant:300", 4.0, "fixed", kinds=ONE, manners=SINGLE))
+        record = driven(
+            LoadOptions(target, "constant:300", 4.0, "fixed", request_classes=ONE, behaviour=SINGLE_ATTEMPT)
+        )
     complete = record.complete(record.latency)
-    assert sum(record.ends.values()) == 1200
+    assert sum(record.outcomes.values()) == 1200
     half = sum(
         item.count_added_in_this_iter_step
         for item in complete.get_recorded_iterator()
@@ -92,26 +96,42 @@
 def test_latency_counts_the_wait_for_a_connection_and_service_does_not() -> None:
     with server("constant:20") as (target, _):
         bounded = Target(target.host, target.port, connections=1)
-        record = driven(Load(bounded, "burst:100@0+0.3", 1.0, "fixed", kinds=ONE, manners=SINGLE))
-    latency, service = figures(record.complete(record.latency)), figures(record.complete(record.service))
+        record = driven(
+            LoadOptions(
+                bounded, "burst:100@0+0.3", 1.0, "fixed", request_classes=ONE, behaviour=SINGLE_ATTEMPT
+            )
+        )
+    latency, service = (
+        histogram_summary(record.complete(record.latency)),
+        histogram_summary(record.complete(record.service)),
+    )
     assert latency["count"] >= 29 and latency["max"] > 250 > service["p50"] >= 20
-    assert figures(record.late)["max"] > 200  # its own bound: the generator says that it was late
+    assert histogram_summary(record.late)["max"] > 200  # its own bound: the generator says that it was late
 
 
 def test_a_server_that_never_answers_loses_no_request() -> None:
-    kinds = (Kind("cobro", deadline_s=0.4, effect="unsafe"),)
+    request_classes = (RequestClass("cobro", deadline_s=0.4, effect="unsafe"),)
     with server("never") as (target, _):
-        record = driven(Load(target, "constant:100", 1.0, "fixed", kinds=kinds, manners=Manners()))
-    assert record.ends == {"cobro no answer": 100} and record.tries == {"no answer": 100}
+        record = driven(
+            LoadOptions(
+                target,
+                "constant:100",
+                1.0,
+                "fixed",
+                request_classes=request_classes,
+                behaviour=ClientBehaviour(),
+            )
+        )
+    assert record.outcomes == {"cobro no answer": 100} and record.tries == {"no answer": 100}
     assert record.goodput()["whole"] == 0.0
 
 
 class HeldUp(Driver):
     """A driver whose process is held up while its first connection comes up."""
 
-    def connect(self, attempt: Try, fresh: bool = False) -> None:
+    def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
         super().connect(attempt, fresh)
-        if attempt.job.number == 1 and attempt.job.tries == 1:
+        if attempt.request.number == 1 and attempt.request.tries == 1:
             self.loop.call_soon(self.loop.call_soon, time.sleep, 0.5)
 
 
@@ -123,22 +143,24 @@
             await reader.read()
 
         listening = await asyncio.start_server(serve, "127.0.0.1", 0)
-        kinds = (Kind("cobro", deadline_s=0.4, effect="unsafe"),)
+        request_classes = (RequestClass("cobro", deadline_s=0.4, effect="unsafe"),)
         target = Target("127.0.0.1", listening.sockets[0].getsockname()[1])
-        load = Load(target, "constant:4", 0.2, "fixed", kinds=kinds, manners=Manners())
-        record = Record(kinds)
-        await HeldUp(target, load.manners, plan(load, 0), time.monotonic(), 1, "t", record).run()
+        load = LoadOptions(
+            target, "constant:4", 0.2, "fixed", request_classes=request_classes, behaviour=ClientBehaviour()
+        )
+        record = Record(request_classes)
+        await HeldUp(target, load.behaviour, plan(load, 0), time.monotonic(), 1, "t", record).run()
         listening.close()
         return record
 
     record = uvloop.run(main())
-    assert record.ends == {"cobro no answer": 1} and record.tries == {"no answer": 1}
-    assert figures(record.late)["max"] > 400  # its own delay: the generator says that it was late
+    assert record.outcomes == {"cobro no answer": 1} and record.tries == {"no answer": 1}
+    assert histogram_summary(record.late)["max"] > 400  # its own delay: the generator says that it was late
 
 
 def test_a_server_that_never_takes_the_connection_is_unreachable() -> None:
     """Its queue of connections is full, so that nothing answers the handshake."""
-    kinds = (Kind("cobro", deadline_s=0.4, effect="unsafe"),)
+    request_classes = (RequestClass("cobro", deadline_s=0.4, effect="unsafe"),)
     with socket.socket() as full, contextlib.ExitStack() as queue:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -147,17 +169,28 @@
             waiting.setblocking(False)
             waiting.connect_ex(full.getsockname())
         target = Target("127.0.0.1", full.getsockname()[1])
-        record = driven(Load(target, "constant:4", 0.2, "fixed", kinds=kinds, manners=Manners(tries=2)))
-    assert record.ends == {"cobro unreachable": 1} and record.tries == {"unreachable": 2}
+        record = driven(
+            LoadOptions(
+                target,
+                "constant:4",
+                0.2,
+                "fixed",
+                request_classes=request_classes,
+                behaviour=ClientBehaviour(tries=2),
+            )
+        )
+    assert record.outcomes == {"cobro unreachable": 1} and record.tries == {"unreachable": 2}
 
 
 def test_nobody_there_is_tried_again_and_counted() -> None:
     with server("none") as (target, process):
         process.kill()
         process.wait()
-        manners = Manners(tries=3, wait_s=0.01)
-        record = driven(Load(target, "constant:50", 0.5, "fixed", kinds=ONE, manners=manners))
-    assert record.ends == {"consulta unreachable": 25} and record.tries == {"unreachable": 75}
+        behaviour = ClientBehaviour(tries=3, wait_s=0.01)
+        record = driven(
+            LoadOptions(target, "constant:50", 0.5, "fixed", request_classes=ONE, behaviour=behaviour)
+        )
+    assert record.outcomes == {"consulta unreachable": 25} and record.tries == {"unreachable": 75}
 
 
 def test_refused_clients_follow_the_time_to_come_back() -> None:
@@ -174,16 +207,18 @@
 
         listening = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
-        load = Load(Target("127.0.0.1", port), "constant:4", 0.2, "fixed", kinds=ONE)
+        load = LoadOptions(Target("127.0.0.1", port), "constant:4", 0.2, "fixed", request_classes=ONE)
         record = Record(ONE)
-        await Driver(load.target, Manners(), plan(load, 0), time.monotonic(), 1, "t", record).run()
+        await Driver(load.target, ClientBehaviour(), plan(load, 0), time.monotonic(), 1, "t", record).run()
         listening.close()
         return record
 
     record = uvloop.run(main())
-    assert record.ends == {"consulta served": 1} and record.tries == {"refused": 1, "served": 1}
+    assert record.outcomes == {"consulta served": 1} and record.tries == {"refused": 1, "served": 1}
     assert 0.28 <= moments[1] - moments[0] < 2.0
-    assert figures(record.complete(record.latency))["max"] >= 300  # from the first try's intended send
+    assert (
+        histogram_summary(record.complete(record.latency))["max"] >= 300
+    )  # from the first try's intended send
 
 
 def test_an_answer_to_nothing_is_counted() -> None:
@@ -197,9 +232,11 @@
 
         listening = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
-        load = Load(Target("127.0.0.1", port), "step:10@0.2+constant:1", 0.4, "fixed", kinds=ONE)
+        load = LoadOptions(
+            Target("127.0.0.1", port), "step:10@0.2+constant:1", 0.4, "fixed", request_classes=ONE
+        )
         record = Record(ONE)
-        await Driver(load.target, SINGLE, plan(load, 0), time.monotonic(), 1, "t", record).run()
+        await Driver(load.target, SINGLE_ATTEMPT, plan(load, 0), time.monotonic(), 1, "t", record).run()
         listening.close()
         return record
 
@@ -208,14 +245,33 @@
 
 def test_workers_merge_into_one_result() -> None:
     with server("constant:1") as (target, _):
-        result = play(Load(target, "constant:400", 1.5, workers=2, kinds=ONE, manners=SINGLE, late_ms=1e6))
+        result = play(
+            LoadOptions(
+                target,
+                "constant:400",
+                1.5,
+                workers=2,
+                request_classes=ONE,
+                behaviour=SINGLE_ATTEMPT,
+                max_lateness_ms=1e6,
+            )
+        )
     assert result["ended"] == result["sent"] > 400 and len(result["cpu_s"]) == 2 and not result["trouble"]
     assert result["latency_ms"]["all"]["count"] == result["ends"]["consulta served"]
 
 
 def test_what_is_due_in_the_warm_up_is_played_and_not_measured() -> None:
     with server("none") as (target, _):
-        load = Load(target, "constant:100", 1.0, "fixed", kinds=ONE, manners=SINGLE, warm_s=0.5, late_ms=1e6)
+        load = LoadOptions(
+            target,
+            "constant:100",
+            1.0,
+            "fixed",
+            request_classes=ONE,
+            behaviour=SINGLE_ATTEMPT,
+            warm_up_s=0.5,
+            max_lateness_ms=1e6,
+        )
         result = play(load)
     assert (result["sent"], result["warm_up"], result["ended"]) == (100, 50, 50)
     assert result["latency_ms"]["all"]["count"] == result["lateness_ms"]["count"] == 50
@@ -224,14 +280,23 @@
 def test_a_worker_that_dies_is_said_to_have_given_no_result() -> None:
     """Its plan breaks on the way: the others' records stand, and the run is not sound."""
     with server("none") as (target, _):
-        broken = Load(target, "constant:100", 0.5, workers=1, kinds=(), manners=SINGLE)
+        broken = LoadOptions(
+            target, "constant:100", 0.5, workers=1, request_classes=(), behaviour=SINGLE_ATTEMPT
+        )
         result = play(broken)
     assert result["trouble"] == ["1 workers gave no result"] and result["ended"] == 0
 
 
 def test_a_closed_loop_waits_for_its_answers() -> None:
     with server("constant:50") as (target, _):
-        load = Load(target, seconds=2.0, kinds=ONE, manners=SINGLE, closed=4, late_ms=1e6)
+        load = LoadOptions(
+            target,
+            seconds=2.0,
+            request_classes=ONE,
+            behaviour=SINGLE_ATTEMPT,
+            closed_clients=4,
+            max_lateness_ms=1e6,
+        )
         result = play(load)
     # Four clients, 50 ms each: 160 at most, whatever the machine.
     assert 20 < result["ended"] == result["sent"] <= 164
@@ -240,11 +305,23 @@
 
 def test_think_times_are_kept_whatever_the_speed() -> None:
     """One key's second request waits for the first's answer and 300 ms more; another key's does not."""
-    rows = (Row(0.0, "consulta", "t", "a"), Row(0.1, "consulta", "t", "b"), Row(0.3, "consulta", "t", "a"))
+    rows = (
+        TraceRow(0.0, "consulta", "t", "a"),
+        TraceRow(0.1, "consulta", "t", "b"),
+        TraceRow(0.3, "consulta", "t", "a"),
+    )
     with server("constant:200") as (target, _):
-        load = Load(target, kinds=ONE, manners=SINGLE, rows=rows, speed=10.0, think=True, late_ms=1e6)
+        load = LoadOptions(
+            target,
+            request_classes=ONE,
+            behaviour=SINGLE_ATTEMPT,
+            rows=rows,
+            speed=10.0,
+            keep_think_times=True,
+            max_lateness_ms=1e6,
+        )
         thinking = play(load)
-        plain = play(replace(load, think=False))
+        plain = play(replace(load, keep_think_times=False))
     assert thinking["ended"] == plain["ended"] == 3
     assert thinking["seconds"] >= 0.7  # 200 ms, 300 ms, 200 ms
     assert plain["seconds"] < thinking["seconds"]
@@ -254,7 +331,15 @@
 def test_who_watches_is_told_how_far_the_workers_are() -> None:
     seen: list[Any] = []
     with server("none") as (target, _):
-        load = Load(target, "constant:200", 2.0, kinds=ONE, manners=SINGLE, late_ms=1e6, watched=True)
+        load = LoadOptions(
+            target,
+            "constant:200",
+            2.0,
+            request_classes=ONE,
+            behaviour=SINGLE_ATTEMPT,
+            max_lateness_ms=1e6,
+            report_progress=True,
+        )
         result = play(load, progress=seen.append)
     told = [one for parts in seen for one in parts]
     assert told and result["ended"] == result["sent"]
@@ -267,8 +352,10 @@
 
 def test_a_trace_at_five_times_2600_is_in_time_or_said_to_be_late() -> None:
     with server("none") as (target, _):
-        load = Load(target, "constant:2600", 5.0, workers=3, kinds=ONE, manners=SINGLE)
-        rows = tuple(rows_of(load))
+        load = LoadOptions(
+            target, "constant:2600", 5.0, workers=3, request_classes=ONE, behaviour=SINGLE_ATTEMPT
+        )
+        rows = tuple(make_trace(load))
         result = play(replace(load, rows=rows, speed=5.0))
     assert result["ended"] == result["sent"] == len(rows) > 12_000
     late = result["lateness_ms"]["p99"] > 5.0
@@ -279,8 +366,10 @@
 def test_ports_that_run_out_are_told_from_nobody_there(number: int, said: bool) -> None:
     async def main() -> str:
         loop, record = asyncio.get_running_loop(), Record(ONE)
-        load = Load(Target("127.0.0.1", 9), "constant:100", 0.2, kinds=ONE, manners=SINGLE)
-        driver = Driver(load.target, load.manners, plan(load, 0), time.monotonic(), 1, "t", record)
+        load = LoadOptions(
+            Target("127.0.0.1", 9), "constant:100", 0.2, request_classes=ONE, behaviour=SINGLE_ATTEMPT
+        )
+        driver = Driver(load.target, load.behaviour, plan(load, 0), time.monotonic(), 1, "t", record)
 
         class Loop:
             def __getattr__(self, name: str) -> Any:
@@ -291,7 +380,7 @@
 
         driver.loop = Loop()  # type: ignore[assignment]
         await driver.run()
-        assert set(record.ends) == {"consulta unreachable"}
+        assert set(record.outcomes) == {"consulta unreachable"}
         return driver.starved
 
     assert ("out of descriptors or ports" in uvloop.run(main())) == said
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -19,8 +19,8 @@
 from quartzford.decision import interface as io
 from quartzford.engine import LoopClock
 from quartzford.load.driver import Target
-from quartzford.load.run import Load, plan
-from quartzford.load.trace import Row, read_trace
+from quartzford.load.run import LoadOptions, plan
+from quartzford.load.trace import TraceRow, read_trace
 from quartzford.recording import Recorder
 from standins.nodo import Nodo, fleet
 from standins.site import free_port
@@ -48,7 +48,7 @@
     return io.Request(number, "consulta", 2000.0, "lima", key)
 
 
-def rows_in(path: Path) -> list[Row]:
+def rows_in(path: Path) -> list[TraceRow]:
     with path.open(encoding="utf-8") as file:
         return list(read_trace(file))
 
@@ -158,7 +158,7 @@
         ("pay", "lima", n, 1500.0) for n in range(10)
     ]
     assert len({row.key for row in rows}) == 2 and not any("u0" in row.key for row in rows)
-    dues = list(plan(Load(Target("h", 1), rows=tuple(rows), speed=2.0), 0))
+    dues = list(plan(LoadOptions(Target("h", 1), rows=tuple(rows), speed=2.0), 0))
     assert [due.size for due in dues] == list(range(10))
 
 
