--- a/bench/common.py
+++ b/bench/common.py
@@ -23,8 +23,8 @@
 from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
 from quartzford.load.driver import Target
 from quartzford.load.run import LoadOptions, play
-from standins.nodo import Books, Nodo, fleet
 from standins.site import config, free_port
+from standins.upstream import ExecutionJournal, StandInUpstream, start_upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -56,10 +56,12 @@
 
 
 async def _fleet(nodos: int, pipe: Connection) -> None:
-    def make(number: int, books: Books) -> Nodo:
-        return Nodo(f"s{number}", books, capacity=1e6, latency_s=0.0005, rng=random.Random(number))
+    def make(number: int, journal: ExecutionJournal) -> StandInUpstream:
+        return StandInUpstream(
+            f"s{number}", journal, capacity=1e6, latency_s=0.0005, rng=random.Random(number)
+        )
 
-    _, _, registry = await fleet(nodos, make)
+    _, _, registry = await start_upstreams(nodos, make)
     pipe.send((registry.port, registry.complete()))
     await asyncio.get_running_loop().run_in_executor(None, pipe.recv)
 
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -33,8 +33,8 @@
 from quartzford.decision.logic import Balancer
 from quartzford.node import Node
 from quartzford.settings.configuration import read_config
-from standins.nodo import Books, Nodo, Registry
 from standins.site import config, free_port
+from standins.upstream import ExecutionJournal, Registry, StandInUpstream
 
 BEFORE = "7c461993f9af943d4dd20f34cddc62e4819d15a2"
 MOST_OVER_BEFORE = 1.05
@@ -149,22 +149,22 @@
 
 async def _discovery(servers: int, pipe: Connection) -> None:
     """A padron of so many nodos that do not exist; says what it is told to say, and when."""
-    books, registry = Books(), None
-    nodos = [Nodo(f"s{n}", books, block=n // 4) for n in range(servers)]
-    for nodo in nodos:
-        nodo.port = 9
-    registry = Registry(nodos, books)
+    journal, registry = ExecutionJournal(), None
+    upstreams = [StandInUpstream(f"s{n}", journal, block=n // 4) for n in range(servers)]
+    for upstream in upstreams:
+        upstream.port = 9
+    registry = Registry(upstreams, journal)
     await registry.start()
     pipe.send(registry.port)
     loop = asyncio.get_running_loop()
     while (order := await loop.run_in_executor(None, pipe.recv)) is not None:
         complete, first, last, changes = order
         registry.version += 1
-        hosts = [nodo.entry(**changes) for nodo in nodos[first:last]]
+        hosts = [upstream.entry(**changes) for upstream in upstreams[first:last]]
         line = {"seq": registry.version, "whole": complete, "hosts": hosts}
         data = json.dumps(line).encode() + b"\n"
         pipe.send((len(data), registry.version))
-        registry._write(data)
+        registry.broadcast(data)
 
 
 class Beat:
--- a/bench/extproc.py
+++ b/bench/extproc.py
@@ -30,7 +30,7 @@
 
 from bench.common import ROOT, children, cpu_seconds, quantile, report
 from quartzford.load.reconciliation import sends_after_drain, slow_start_breaches
-from standins.caller import STAGES, CallerProxy, Exchange, Policy, request_rows
+from standins.caller import STAGES, CallerPolicy, CallerProxy, Exchange, request_rows
 from standins.fleet import Fleet
 from standins.fleet import Plan as FleetPlan
 from standins.site import FALL_S, MIX, START_SHARE, TIP, WARM_S, config, free_port
@@ -79,12 +79,12 @@
     one.begin()
     await loop.run_in_executor(None, pipe.recv)  # stop
     one.stop()
-    books = one.books
+    journal = one.journal
     pipe.send(
         one.account()
         | {
-            "twice": {c: len(books.twice(c)) for c, _ in MIX},
-            "effects_twice": len(books.effects_twice("reserva", books.window_s)),
+            "twice": {c: len(journal.duplicate_executions(c)) for c, _ in MIX},
+            "effects_twice": len(journal.duplicate_effects("reserva", journal.window_s)),
         }
     )
 
@@ -97,7 +97,9 @@
     proxies = [
         CallerProxy(
             target,
-            Policy(opener=plan.opener, route_timeout_s=2.0, message_timeout_s=2.5, honours=plan.honours),
+            CallerPolicy(
+                opener=plan.opener, route_timeout_s=2.0, message_timeout_s=2.5, honours=plan.honours
+            ),
             rng,
         )
         for _ in range(CONNECTIONS)
@@ -135,8 +137,8 @@
             e.decision_s,
             e.report_s,
             e.dropped,
-            e.why,
-            [(a.at, a.address, a.ended, a.asked, a.told, a.outcome) for a in e.attempts],
+            e.reason,
+            [(a.at, a.address, a.ended, a.requested_at, a.decided_at, a.outcome) for a in e.attempts],
             e.identity,
         )
         for e in done
@@ -209,7 +211,7 @@
             for hog in hogs:
                 hog.send("stop")
             pipe.send("stop")
-            books = pipe.recv()
+            journal = pipe.recv()
             balancer.send_signal(signal.SIGTERM)
             ended = balancer.wait(20)
         finally:
@@ -221,11 +223,11 @@
                     process.terminate()
         said = (Path(folder) / "log").read_text()
     cores = {"decider": spent[family[0]] / span, "workers": [spent[p] / span for p in family[1:]]}
-    return judge(plan, start + WARM_UP_S, results, books, cores, ended, said)
+    return judge(plan, start + WARM_UP_S, results, journal, cores, ended, said)
 
 
 def judge(
-    plan: Plan, since: float, results: list[Any], books: Any, cores: Any, ended: int, said: str
+    plan: Plan, since: float, results: list[Any], journal: Any, cores: Any, ended: int, said: str
 ) -> dict[str, Any]:
     """The books of all peers laid side by side."""
     rows = [row for result in results for row in result["rows"]]
@@ -234,8 +236,8 @@
     added = [(row[4] + row[5]) * 1000 for row in measured if row[4] >= 0 and not row[6]]
     decided = [row[4] * 1000 for row in measured if row[4] >= 0]
     attempts = [a for row in measured for a in row[8]]
-    answer = [(told - asked) * 1000 for _, _, _, asked, told, _ in attempts]
-    caller = [(at - told) * 1000 for at, _, _, _, told, _ in attempts if at >= 0]
+    answer = [(decided_at - requested_at) * 1000 for _, _, _, requested_at, decided_at, _ in attempts]
+    caller = [(at - decided_at) * 1000 for at, _, _, _, decided_at, _ in attempts if at >= 0]
     classes = {}
     for name, _ in MIX:
         mine = [row for row in measured if row[1] == name and not row[6]]
@@ -243,24 +245,24 @@
         classes[name] = {"asked": len(mine), "answers": counts}
     attempts_all = [attempt for row in rows for attempt in row[8]]
     expired = sum(attempt[5] == "expired" for attempt in attempts_all)
-    drains = [(address, since, until) for _, address, since, until in books["drains"]]
+    drains = [(address, since, until) for _, address, since, until in journal["drains"]]
     # A drain counts to a send's first byte: a connection that never came up is none.
     sent = [attempt for attempt in attempts_all if attempt[0] >= 0]
     drained, latest = sends_after_drain(drains, ((a[1], a[0]) for a in sent))
     drained_here, _ = sends_after_drain(drains, ((a[1], a[4]) for a in sent))
     _, latest_told = sends_after_drain(drains, ((a[1], a[4]) for a in attempts_all))
-    cold = slow_start_breaches(books["births"], books["arrivals"], FALL_S, TIP)
-    ran = {identity for _, identity, *_ in books["runs"]}
+    cold = slow_start_breaches(journal["births"], journal["arrivals"], FALL_S, TIP)
+    ran = {identity for _, identity, *_ in journal["runs"]}
     refused_ran = sum(
         row[1] != "consulta" and row[2] in ([503], [429]) and row[9] in ran and not row[6] for row in rows
     )
     last = max((row[0] for row in measured), default=since)
     rules = {
         "not answered exactly once": sum(len(row[2]) != 1 for row in stayed),
-        "cobros run twice": books["twice"]["cobro"],
-        "reservas with two effects": books["effects_twice"],
+        "cobros run twice": journal["twice"]["cobro"],
+        "reservas with two effects": journal["effects_twice"],
         "refused though it ran (cobro, reserva)": refused_ran,
-        "attempts of one request at once": books["overlapping"]
+        "attempts of one request at once": journal["overlapping"]
         + sum(later[4] < sooner[2] for row in rows for sooner, later in pairwise(row[8])),
         "drain breaches": drained,
         "cold breaches": cold["over"],
@@ -284,7 +286,7 @@
         "classes": classes,
         "reasons": Counter(f"{row[2]} {row[7]}" for row in stayed if row[2] != [200]).most_common(6),
         "dropped": sum(bool(row[6]) for row in rows),
-        "faults": sum(what != "cold" for _, what, _ in books["events"]),
+        "faults": sum(what != "cold" for _, what, _ in journal["events"]),
         "cold": cold,
         "latest_send_after_drain_ms": round(latest * 1000, 1),
         "latest_decision_read_after_drain_ms": round(latest_told * 1000, 1),
--- a/bench/growth_site.py
+++ b/bench/growth_site.py
@@ -19,9 +19,9 @@
 from bench.slopes_process import receive, spawned
 from standins.listservice import Plan as ServicePlan
 from standins.listservice import Service
-from standins.nodo import Books, Nodo
-from standins.nodo import Connection as NodoConnection
 from standins.site import START_SHARE, WARM_S
+from standins.upstream import Connection as UpstreamConnection
+from standins.upstream import ExecutionJournal, StandInUpstream
 
 # Thousands of listeners at 127.0.0.1 would take ports that other programs choose, and be called by mistake.
 ADDRESS = "127.77.0.1"
@@ -68,14 +68,16 @@
     list_bytes: int  # of lists and changes told since the churn began
 
 
-class CountingNodo(Nodo):
+class CountingUpstream(StandInUpstream):
     """An upstream at ADDRESS that counts the connections made to it: each costs the work of a handshake."""
 
     connections_made = 0
 
     async def start(self) -> None:
         """Listen at a port that the kernel gives."""
-        self.server = await asyncio.get_running_loop().create_server(lambda: NodoConnection(self), ADDRESS, 0)
+        self.server = await asyncio.get_running_loop().create_server(
+            lambda: UpstreamConnection(self), ADDRESS, 0
+        )
         self.port = self.server.sockets[0].getsockname()[1]
 
     def entry(self, **changes: Any) -> dict[str, Any]:
@@ -93,23 +95,23 @@
 
     def __init__(self, day: Day) -> None:
         self.day = day
-        self.books = Books()
+        self.journal = ExecutionJournal()
         self.service = Service(ServicePlan(per_s=1_000.0))
-        self.nodos: list[CountingNodo] = []
+        self.upstreams: list[CountingUpstream] = []
         self.bytes_before = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
         """Start all upstreams, then the list service."""
         for number in range(self.day.upstreams):
-            await self._start_nodo(f"s{number:05}", self.day.cell(number))
-        self.service.replace_list([nodo.entry() for nodo in self.nodos])
+            await self._start_upstream(f"s{number:05}", self.day.cell(number))
+        self.service.replace_list([upstream.entry() for upstream in self.upstreams])
         await self.service.start()
 
-    async def _start_nodo(self, name: str, cell: int) -> CountingNodo:
-        nodo = CountingNodo(
+    async def _start_upstream(self, name: str, cell: int) -> CountingUpstream:
+        upstream = CountingUpstream(
             name,
-            self.books,
+            self.journal,
             site=f"z{cell % 3}",
             block=cell,
             capacity=CAPACITY,
@@ -122,9 +124,9 @@
             warm_s=WARM_S,
             rng=random.Random(name),
         )
-        await nodo.start()
-        self.nodos.append(nodo)
-        return nodo
+        await upstream.start()
+        self.upstreams.append(upstream)
+        return upstream
 
     def known(self) -> dict[str, Any]:
         """The whole list, as a balancer's configuration holds it."""
@@ -132,7 +134,7 @@
 
     def counts(self) -> Counts:
         """Connections so far, and bytes of lists since the churn began."""
-        made = sum(nodo.connections_made for nodo in self.nodos)
+        made = sum(upstream.connections_made for upstream in self.upstreams)
         return Counts(made, self.service.bytes - self.bytes_before)
 
     # ---- churn
@@ -143,7 +145,7 @@
 
     def _begin_churn(self) -> None:
         self.bytes_before = self.service.bytes
-        leaving = random.Random(self.day.seed).sample(self.nodos, self.day.replaced)
+        leaving = random.Random(self.day.seed).sample(self.upstreams, self.day.replaced)
         if self.day.churn == "roll":
             batches = [leaving[first::STEPS] for first in range(STEPS)]
             self._spread(batches, self.day.churn_s / STEPS, self._roll)
@@ -163,33 +165,33 @@
         self.tasks.discard(task)
         task.result()
 
-    async def _roll(self, batch: Sequence[CountingNodo]) -> None:
+    async def _roll(self, batch: Sequence[CountingUpstream]) -> None:
         """A batch drains, is gone, and its successors join, cold."""
         await self._drain(batch)
-        self._tell([await self._newcomer(nodo.name, nodo.block) for nodo in batch])
+        self._tell([await self._newcomer(upstream.name, upstream.block) for upstream in batch])
 
-    async def _join(self, numbered: tuple[int, CountingNodo]) -> None:
+    async def _join(self, numbered: tuple[int, CountingUpstream]) -> None:
         """A newcomer joins, cold, while another upstream drains."""
-        number, nodo = numbered
-        self._tell([await self._newcomer(nodo.name, self.day.cell(self.day.upstreams + number))])
-        await self._drain([nodo])
-
-    async def _newcomer(self, predecessor: str, cell: int) -> CountingNodo:
-        nodo = await self._start_nodo(f"{predecessor}-2", cell)
-        nodo.born, nodo.born_ms = asyncio.get_running_loop().time(), int(time() * 1000)
-        return nodo
-
-    async def _drain(self, batch: Sequence[Nodo]) -> None:
-        for nodo in batch:
-            nodo.health = "draining"
+        number, upstream = numbered
+        self._tell([await self._newcomer(upstream.name, self.day.cell(self.day.upstreams + number))])
+        await self._drain([upstream])
+
+    async def _newcomer(self, predecessor: str, cell: int) -> CountingUpstream:
+        upstream = await self._start_upstream(f"{predecessor}-2", cell)
+        upstream.started_at, upstream.started_at_ms = asyncio.get_running_loop().time(), int(time() * 1000)
+        return upstream
+
+    async def _drain(self, batch: Sequence[StandInUpstream]) -> None:
+        for upstream in batch:
+            upstream.health = "draining"
         self._tell(batch)
         await asyncio.sleep(DRAIN_S)
-        for nodo in batch:
-            await nodo.stop()
+        for upstream in batch:
+            await upstream.stop()
         self._tell(batch, health="gone")
 
-    def _tell(self, nodos: Sequence[Nodo], **changes: Any) -> None:
-        self.service.change_rows([nodo.entry(**changes) for nodo in nodos])
+    def _tell(self, upstreams: Sequence[StandInUpstream], **changes: Any) -> None:
+        self.service.change_rows([upstream.entry(**changes) for upstream in upstreams])
 
 
 def _serve(pipe: Connection, day: Day) -> None:
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -37,8 +37,8 @@
 from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
 from quartzford.load.driver import Target
 from quartzford.load.run import LoadOptions, play
-from standins.nodo import Books, Nodo, fleet
 from standins.site import config, free_port
+from standins.upstream import ExecutionJournal, StandInUpstream, start_upstreams
 
 ROLE = "balancer"
 TARGET_UPSTREAMS = 63_000
@@ -141,10 +141,10 @@
 
 
 async def _upstreams(pipe: Connection, count: int) -> None:
-    def make(number: int, books: Books) -> Nodo:
-        return Nodo(f"s{number}", books, capacity=1e6, latency_s=0.0, rng=random.Random(number))
+    def make(number: int, journal: ExecutionJournal) -> StandInUpstream:
+        return StandInUpstream(f"s{number}", journal, capacity=1e6, latency_s=0.0, rng=random.Random(number))
 
-    _, _, registry = await fleet(count, make)
+    _, _, registry = await start_upstreams(count, make)
     pipe.send((registry.port, registry.complete()))
     await asyncio.get_running_loop().create_future()
 
@@ -264,8 +264,8 @@
     The upstreams share the addresses of a few stand-ins; a balancer knows them by name.
     """
     out: dict[float, dict[str, float]] = {}
-    with upstreams(FLEET) as (_, fleet):
-        dials = [row["dial"] for row in fleet["hosts"]]
+    with upstreams(FLEET) as (_, start_upstreams):
+        dials = [row["dial"] for row in start_upstreams["hosts"]]
         for count in sizes.path_upstreams:
             known = {"seq": 1, "whole": True, "hosts": rows(count, dials)}
             with source(count, dials) as (discovery, _, _), balancer_process(discovery, known) as (port, pid):
--- a/quartzford/load/reconciliation.py
+++ b/quartzford/load/reconciliation.py
@@ -1,6 +1,6 @@
 """The four rules, read from the books of clients and nodos. No I/O.
 
-A fleet's account (standins/nodo.py, Registry.account): version; runs [when, id, class, key, block, dropped];
+A fleet account (standins.upstream, Registry.account): version; runs [when, id, class, key, block, dropped];
 arrivals {nodo: [[when, life], ...]}; drains [nodo, address, told from, until or null]; births [nodo, life,
 when, capacity, start_share, warm_s]; turned_away; overlapping; window_s. Times in seconds on the machine's
 monotonic clock. A client's book: [id of the try, class, end] for every try.
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -35,7 +35,7 @@
 
 
 @dataclass
-class Policy:
+class CallerPolicy:
     """The caller's own configuration. Times in seconds."""
 
     destination: str = "x-quartzford-destination"
@@ -52,17 +52,17 @@
     honours: bool = False  # sends nothing on a decision that has expired
     within: str = "x-quartzford-within"
     stall_s: float = 0.0  # between the first decision and its send, as in a proxy whose loop is overloaded
-    hostile: bool = False  # retries on its own on a reset, against what the operators' page asks
+    retries_resets: bool = False  # retries on its own on a reset, against what the operators' page asks
 
 
 @dataclass
-class Sent:
+class Attempt:
     """One attempt that the caller made."""
 
     at: float  # its first byte goes out; -1: none did
     address: str
-    asked: float = 0.0  # the question that it follows was written
-    told: float = 0.0  # the decision was read
+    requested_at: float = 0.0  # the question that it follows was written
+    decided_at: float = 0.0  # the decision was read
     outcome: str = ""
     ended: float = 0.0  # its connection is free again or closed
 
@@ -74,23 +74,23 @@
     identity: str
     service_class: str
     intended: float
-    attempts: list[Sent] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     statuses: list[int] = field(default_factory=list)  # every answer that the client got: one, if all is well
     ended: float = 0.0
     decision_s: float = -1.0  # from the intended send to the first decision
     report_s: float = 0.0  # spent in response phases
     retry_after: str = ""
     dropped: str = ""  # the stage at which the client left
-    why: str = ""
+    reason: str = ""
 
 
 class Pool:
     """Connections to nodos, one request at a time on each."""
 
     def __init__(self) -> None:
-        self.idle: dict[str, list[Link]] = {}
+        self.idle: dict[str, list[UpstreamConnection]] = {}
 
-    async def take(self, address: str, time_out_s: float) -> Link:
+    async def take(self, address: str, time_out_s: float) -> UpstreamConnection:
         links = self.idle.get(address)
         while links:
             link = links.pop()
@@ -98,10 +98,10 @@
                 return link
         host, _, port = address.rpartition(":")
         async with asyncio.timeout(time_out_s):
-            _, made = await asyncio.get_running_loop().create_connection(Link, host, int(port))
+            _, made = await asyncio.get_running_loop().create_connection(UpstreamConnection, host, int(port))
         return made
 
-    def put(self, address: str, link: Link) -> None:
+    def put(self, address: str, link: UpstreamConnection) -> None:
         if not link.closed:
             self.idle.setdefault(address, []).append(link)
 
@@ -111,7 +111,7 @@
                 link.transport.abort()
 
 
-class Link(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """A connection to a nodo."""
 
     transport: asyncio.Transport
@@ -203,15 +203,15 @@
 class AnsweredError(Exception):
     """The caller answers its client itself."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class CallerProxy:
     """One calling proxy with one channel. Its book is `exchanges`."""
 
-    def __init__(self, target: str, policy: Policy, rng: random.Random) -> None:
+    def __init__(self, target: str, policy: CallerPolicy, rng: random.Random) -> None:
         self.policy, self.rng = policy, rng
         options = (("grpc.use_local_subchannel_pool", 1), ("grpc.enable_http_proxy", 0))
         self.channel = grpc.aio.insecure_channel(target, options=options)
@@ -235,9 +235,9 @@
             async with asyncio.timeout(time_left_s):
                 status = await self._route(exchange, headers, time_left_s, drop)
         except AnsweredError as trouble:
-            status, exchange.why = trouble.status, str(trouble)
+            status, exchange.reason = trouble.status, str(trouble)
         except TimeoutError:
-            status, exchange.why = 504, "request_overall_timeout"
+            status, exchange.reason = 504, "request_overall_timeout"
         except _LeftError:
             exchange.dropped = drop
             status = 0
@@ -280,11 +280,11 @@
             if drop == STAGES[0]:
                 await call.write(message)
                 raise _LeftError
-            asked = monotonic()
+            requested_at = monotonic()
             reply = await self._exchange(call, message)
-            told = monotonic()
+            decided_at = monotonic()
             if exchange.decision_s < 0:
-                exchange.decision_s = told - exchange.intended
+                exchange.decision_s = decided_at - exchange.intended
             self._immediate(reply, exchange)
             headers.mutate(reply.request_headers.response.header_mutation, policy.allow_envoy)
             address = headers.get(policy.destination)
@@ -293,7 +293,7 @@
             if drop == STAGES[1]:
                 raise _LeftError
             try:
-                exchange.attempts.append(Sent(-1.0, address, asked, told))
+                exchange.attempts.append(Attempt(-1.0, address, requested_at, decided_at))
                 if policy.stall_s and len(exchange.attempts) == 1:
                     await asyncio.sleep(policy.stall_s)
                 status, answer, details = await self._send(exchange.attempts[-1], headers, drop)
@@ -303,7 +303,7 @@
             message = proto.ProcessingRequest(response_headers=answer.message(policy.raw_values, True))
             fields = message.attributes["envoy.filters.http.ext_proc"].fields
             fields["response.code_details"].string_value = details
-            if policy.hostile and details == DETAILS["reset"]:
+            if policy.retries_resets and details == DETAILS["reset"]:
                 return status, True
             reply = await self._exchange(call, message)
             exchange.report_s += monotonic() - begun
@@ -311,7 +311,7 @@
             answer.mutate(reply.response_headers.response.header_mutation, policy.allow_envoy)
             await call.done_writing()
             if answer.get("x-backend-load"):
-                exchange.why = "a load report reached the client"
+                exchange.reason = "a load report reached the client"
             return int(answer.get(":status")), bool(answer.get(policy.retriable))
         except grpc.aio.AioRpcError as error:
             raise AnsweredError(500, f"ext_proc stream: {error.code().name}") from None
@@ -340,13 +340,13 @@
             exchange.retry_after = answer.get("retry-after")
             raise AnsweredError(reply.immediate_response.status.code, "immediate")
 
-    async def _send(self, sent: Sent, headers: Headers, drop: str) -> tuple[int, Headers, str]:
+    async def _send(self, sent: Attempt, headers: Headers, drop: str) -> tuple[int, Headers, str]:
         """The attempt itself: its status, its headers, and what response.code_details says."""
         policy, address = self.policy, sent.address
         time_out = policy.route_timeout_s
-        asked = headers.get("x-envoy-upstream-rq-timeout-ms")
-        if asked:
-            time_out = min(time_out, int(asked) / 1000.0)
+        requested_at = headers.get("x-envoy-upstream-rq-timeout-ms")
+        if requested_at:
+            time_out = min(time_out, int(requested_at) / 1000.0)
         try:
             link = await self.pool.take(address, policy.connect_timeout_s)
         except (OSError, TimeoutError):
@@ -358,7 +358,7 @@
         head = f"{method} {path} HTTP/1.1\r\nHost: {headers.get(':authority')}\r\n{head}"
         data = f"{head}Content-Length: 0\r\n\r\n"
         now, within = monotonic(), headers.get(policy.within)
-        if policy.honours and within and now - sent.asked > int(within) / 1000.0:
+        if policy.honours and within and now - sent.requested_at > int(within) / 1000.0:
             self.pool.put(address, link)
             sent.outcome = "expired"
             return 503, Headers([(":status", "503")]), DETAILS["expired"]
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from standins.nodo import MODES, Books, Nodo, fleet
+from standins.upstream import MODES, ExecutionJournal, StandInUpstream, start_upstreams
 
 HAPPENS = ("die", "drain", "hang", *(mode for mode in MODES if mode != "ok"))
 
@@ -55,11 +55,11 @@
         self.busy: set[str] = set()
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def _make(self, number: int, books: Books) -> Nodo:
+    def _make(self, number: int, journal: ExecutionJournal) -> StandInUpstream:
         p = self.plan
-        return Nodo(
+        return StandInUpstream(
             f"s{number:04}",
-            books,
+            journal,
             block=number // 4,
             capacity=p.capacity,
             latency_s=p.latency_s * (4 if number < p.slow else 1),
@@ -74,7 +74,7 @@
         )
 
     async def start(self) -> None:
-        self.nodos, self.books, self.registry = await fleet(self.plan.nodos, self._make)
+        self.nodos, self.journal, self.registry = await start_upstreams(self.plan.nodos, self._make)
 
     def begin(self) -> None:
         """The trouble starts now."""
@@ -90,9 +90,9 @@
                 raise ValueError(f"{word!r}: no such trouble; there are {', '.join(HAPPENS)}")
             self._task(self._at(float(at), self.nodos[int(number)], what))
 
-    async def _renew(self, nodo: Nodo) -> None:
+    async def _renew(self, nodo: StandInUpstream) -> None:
         await nodo.restart()
-        self.registry.tell(nodo)
+        self.registry.notify(nodo)
 
     def stop(self) -> None:
         for task in list(self.tasks):
@@ -103,11 +103,11 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _at(self, at: float, nodo: Nodo, what: str) -> None:
+    async def _at(self, at: float, nodo: StandInUpstream, what: str) -> None:
         await asyncio.sleep(at)
         await self.suffer(nodo, what)
 
-    async def suffer(self, nodo: Nodo, what: str) -> None:
+    async def suffer(self, nodo: StandInUpstream, what: str) -> None:
         """One nodo's trouble from its beginning to its cold successor, some 8 s."""
         rng = self.rng
         self.busy.add(nodo.name)
@@ -117,23 +117,23 @@
             return
         if what == "drain":
             nodo.health = "draining"
-            self.registry.tell(nodo)
+            self.registry.notify(nodo)
             await asyncio.sleep(1.0)
             await nodo.stop()
-            self.registry.tell(nodo, health="gone")
+            self.registry.notify(nodo, health="gone")
         elif what == "die":
             await nodo.stop()
             await asyncio.sleep(rng.uniform(0.3, 1.0))  # the padrón is late
-            self.registry.tell(nodo, health="gone")
+            self.registry.notify(nodo, health="gone")
         else:
             nodo.mode = what
             nodo.slowness = 8.0 if what == "slow" else 1.0
             await asyncio.sleep(rng.uniform(1.0, 2.0))
             await nodo.stop()
-            self.registry.tell(nodo, health="gone")
+            self.registry.notify(nodo, health="gone")
         await asyncio.sleep(rng.uniform(0.5, 1.5))
         await nodo.restart()
-        self.registry.tell(nodo)
+        self.registry.notify(nodo)
         self.log.append((time.monotonic(), "cold", nodo.name))
         await asyncio.sleep(4.0)
         self.busy.discard(nodo.name)
--- a/standins/nodo.py
+++ b/standins/upstream.py
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Run:
+class Execution:
     """One request that a nodo began: when, which, and on which of its lives."""
 
     at: float
@@ -41,11 +41,11 @@
 
 
 @dataclass
-class Books:
+class ExecutionJournal:
     """What a fleet's nodos saw, on one clock."""
 
     window_s: float = 2.0  # for how long a block drops repeats of a key
-    runs: list[Run] = field(default_factory=list)
+    runs: list[Execution] = field(default_factory=list)
     effects: dict[tuple[int, str], float] = field(default_factory=dict)  # by block and key: when
     turned_away: int = 0
     births: list[tuple[str, int, float]] = field(default_factory=list)  # nodo, life, when: cold ones
@@ -53,7 +53,7 @@
     overlapping: int = 0  # attempts of one request at once
     open: dict[str, list[Connection]] = field(default_factory=dict)  # by id: where its client still waits
 
-    def repeat(self, run: Run) -> bool:
+    def repeat(self, run: Execution) -> bool:
         """Whether its block drops this keyed run, as a repeat; else it has its effect now."""
         first = self.effects.get((run.block, run.key))
         if first is not None and run.at - first <= self.window_s:
@@ -61,14 +61,14 @@
         self.effects[run.block, run.key] = run.at
         return False
 
-    def twice(self, service_class: str) -> list[str]:
+    def duplicate_executions(self, service_class: str) -> list[str]:
         """Ids of a class that began more than once."""
         counts = Counter(run.identity for run in self.runs if run.service_class == service_class)
         return [identity for identity, count in counts.items() if count > 1]
 
-    def effects_twice(self, service_class: str, window_s: float) -> list[str]:
+    def duplicate_effects(self, service_class: str, window_s: float) -> list[str]:
         """Keys of a keyed class that took effect twice: the nodos of one block drop repeats for a while."""
-        effects: dict[str, list[Run]] = {}
+        effects: dict[str, list[Execution]] = {}
         for run in self.runs:
             if run.service_class == service_class:
                 done = effects.setdefault(run.key, [])
@@ -77,13 +77,13 @@
         return [key for key, done in effects.items() if len(done) > 1]
 
 
-class Nodo:
+class StandInUpstream:
     """One nodo at one address; restart() gives it a new, cold life at the same address."""
 
     def __init__(
         self,
         name: str,
-        books: Books,
+        journal: ExecutionJournal,
         *,
         site: str = "north",
         block: int = 0,
@@ -98,7 +98,7 @@
         idle_s: float = 0.0,
         rng: random.Random | None = None,
     ) -> None:
-        self.name, self.books, self.site, self.block = name, books, site, block
+        self.name, self.journal, self.site, self.block = name, journal, site, block
         self.capacity, self.latency_s, self.queue = capacity, latency_s, queue
         self.start_share, self.warm_s = start_share, warm_s
         self.cores, self.most_connections = cores, most_connections  # 0: no bound
@@ -108,8 +108,8 @@
         self.slowness = 1.0
         self.health = "ready"
         self.life = 0
-        self.born: float | None = None  # None: long ago
-        self.born_ms = 0
+        self.started_at: float | None = None  # None: long ago
+        self.started_at_ms = 0
         self.backlog: deque[Work] = deque()
         self.free = [0.0] * cores  # when each core is free, a heap
         self.feeding: asyncio.TimerHandle | None = None
@@ -141,18 +141,18 @@
         """A cold successor at the same address."""
         await self.stop()
         self.life += 1
-        self.born, self.born_ms = monotonic(), int(time() * 1000)
-        self.books.births.append((self.name, self.life, self.born))
+        self.started_at, self.started_at_ms = monotonic(), int(time() * 1000)
+        self.journal.births.append((self.name, self.life, self.started_at))
         self.mode, self.slowness, self.health = "ok", 1.0, "ready"
-        self.free = [self.born] * self.cores
+        self.free = [self.started_at] * self.cores
         await self.start()
 
     def able(self, now: float) -> float:
         """Requests a second at this moment."""
-        if self.born is None or self.warm_s <= 0:
+        if self.started_at is None or self.warm_s <= 0:
             warm = 1.0
         else:
-            warm = min(1.0, self.start_share + (1 - self.start_share) * (now - self.born) / self.warm_s)
+            warm = min(1.0, self.start_share + (1 - self.start_share) * (now - self.started_at) / self.warm_s)
         return self.capacity * warm / self.slowness
 
     def waiting(self) -> int:
@@ -172,13 +172,13 @@
             "block": self.block,
             "health": self.health,
             "share": 1.0,
-            "born_ms": self.born_ms,
+            "born_ms": self.started_at_ms,
         } | changes
 
     def take(self, connection: Connection, fields: dict[str, str]) -> None:
         """A whole request has come."""
         now = monotonic()
-        self.books.arrivals.setdefault(self.name, []).append((now, self.life))
+        self.journal.arrivals.setdefault(self.name, []).append((now, self.life))
         identity = fields.get("x-correlation-id", "")
         if not identity:
             return connection.answer(404, b"", False)
@@ -186,14 +186,14 @@
             return None
         crowded = self.most_connections and len(self.connections) > self.most_connections
         if self.mode == "full" or self.health == "draining" or self.waiting() >= self.queue or crowded:
-            self.books.turned_away += 1
+            self.journal.turned_away += 1
             return connection.answer(503, b"", True)
         name, key = fields.get("x-service-class", ""), fields.get("idempotency-key", "")
-        run = Run(now, identity, name, key, self.block, self.life)
-        run.dropped = bool(key) and self.books.repeat(run)
-        self.books.runs.append(run)
-        earlier = self.books.open.setdefault(identity, [])
-        self.books.overlapping += any(one.still_open() for one in earlier)
+        run = Execution(now, identity, name, key, self.block, self.life)
+        run.dropped = bool(key) and self.journal.repeat(run)
+        self.journal.runs.append(run)
+        earlier = self.journal.open.setdefault(identity, [])
+        self.journal.overlapping += any(one.still_open() for one in earlier)
         earlier.append(connection)
         connection.running = identity
         length = fields.get("x-answer-bytes", "")
@@ -253,8 +253,8 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, nodo: Nodo) -> None:
-        self.nodo = nodo
+    def __init__(self, upstream: StandInUpstream) -> None:
+        self.upstream = upstream
         self.parser: Any = None
         self.pad = 0  # bytes beyond the id in its answer
         self.running = ""  # a request that this connection's client still waits for
@@ -264,19 +264,19 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.nodo.connections.add(self)
-        if self.nodo.connect_s:
-            self.nodo.spend(monotonic(), self.nodo.connect_s)
+        self.upstream.connections.add(self)
+        if self.upstream.connect_s:
+            self.upstream.spend(monotonic(), self.upstream.connect_s)
         self._idle()
 
     def _idle(self) -> None:
-        if self.nodo.idle_s:
-            self.idling = asyncio.get_running_loop().call_later(self.nodo.idle_s, self.transport.close)
+        if self.upstream.idle_s:
+            self.idling = asyncio.get_running_loop().call_later(self.upstream.idle_s, self.transport.close)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.closed = True
-        self.nodo.connections.discard(self)
-        self.nodo.left(self)
+        self.upstream.connections.discard(self)
+        self.upstream.left(self)
         if self.idling is not None:
             self.idling.cancel()
         self._ended()
@@ -284,10 +284,10 @@
     def _ended(self) -> None:
         identity, self.running = self.running, ""
         if identity:
-            there = self.nodo.books.open[identity]
+            there = self.upstream.journal.open[identity]
             there.remove(self)
             if not there:
-                del self.nodo.books.open[identity]
+                del self.upstream.journal.open[identity]
 
     def still_open(self) -> bool:
         """Its client holds it open: no end of it waits to be read behind what the loop looked at first."""
@@ -320,10 +320,10 @@
 
     def on_message_complete(self) -> None:
         self.parser = None
-        self.nodo.take(self, self.fields)
+        self.upstream.take(self, self.fields)
 
     def finish(self, identity: str, mode: str) -> None:
-        gate = self.nodo.gate
+        gate = self.upstream.gate
         if gate is not None and not gate.is_set():
             task = asyncio.ensure_future(gate.wait())
             task.add_done_callback(lambda _: self.finish(identity, mode))
@@ -339,8 +339,8 @@
     def answer(self, status: int, body: bytes, unprocessed: bool) -> None:
         if self.closed:
             return
-        nodo = self.nodo
-        load = {"queue": nodo.waiting(), "util": round(nodo.busy(monotonic()) / nodo.cores, 2)}
+        upstream = self.upstream
+        load = {"queue": upstream.waiting(), "util": round(upstream.busy(monotonic()) / upstream.cores, 2)}
         head = f"HTTP/1.1 {status} X\r\nX-Backend-Load: {json.dumps(load)}\r\n"
         head += "X-Unprocessed: 1\r\n" if unprocessed else ""
         self.transport.write(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
@@ -350,8 +350,8 @@
 class Registry:
     """The padrón: tells each watcher of every change, with the moment at which each was told."""
 
-    def __init__(self, nodos: list[Nodo], books: Books | None = None) -> None:
-        self.nodos, self.books = nodos, books or Books()
+    def __init__(self, upstreams: list[StandInUpstream], journal: ExecutionJournal | None = None) -> None:
+        self.upstreams, self.journal = upstreams, journal or ExecutionJournal()
         self.version = 1
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -375,48 +375,48 @@
     def _beat(self) -> None:
         """While nothing changes, an empty line every 2 s."""
         if self.server is not None and self.server.is_serving():
-            self._write(b"\n")
+            self.broadcast(b"\n")
             asyncio.get_running_loop().call_later(2.0, self._beat)
 
     def complete(self) -> dict[str, Any]:
-        return {"seq": self.version, "whole": True, "hosts": [n.entry() for n in self.nodos]}
+        return {"seq": self.version, "whole": True, "hosts": [n.entry() for n in self.upstreams]}
 
-    def tell(self, nodo: Nodo, **changes: Any) -> None:
+    def notify(self, upstream: StandInUpstream, **changes: Any) -> None:
         """A change, told to all watchers now."""
         self.version += 1
-        entry = nodo.entry(**changes)
+        entry = upstream.entry(**changes)
         line = {"seq": self.version, "whole": False, "hosts": [entry]}
-        self._write(json.dumps(line).encode() + b"\n")
-        now, open_ones = monotonic(), [d for d in self.drains if d[0] == nodo.name and d[3] is None]
+        self.broadcast(json.dumps(line).encode() + b"\n")
+        now, open_ones = monotonic(), [d for d in self.drains if d[0] == upstream.name and d[3] is None]
         if entry["health"] == "ready":
-            self.told.pop(nodo.name, None)
+            self.told.pop(upstream.name, None)
             for drain in open_ones:
                 drain[3] = now
         else:
-            self.told[nodo.name] = now
+            self.told[upstream.name] = now
             if not open_ones:
-                self.drains.append([nodo.name, entry["dial"], now, None])
+                self.drains.append([upstream.name, entry["dial"], now, None])
 
     def account(self) -> dict[str, Any]:
         """All that the fleet saw, as quartzford/load/reconciliation.py reads it; GET /books gives it too."""
-        books = self.books
+        journal = self.journal
         return {
             "version": 1,
-            "runs": [[r.at, r.identity, r.service_class, r.key, r.block, r.dropped] for r in books.runs],
-            "arrivals": books.arrivals,
+            "runs": [[r.at, r.identity, r.service_class, r.key, r.block, r.dropped] for r in journal.runs],
+            "arrivals": journal.arrivals,
             "drains": self.drains,
             "births": [
-                [name, life, born, nodo.capacity, nodo.start_share, nodo.warm_s]
-                for name, life, born in books.births
-                for nodo in self.nodos
-                if nodo.name == name
+                [name, life, started_at, upstream.capacity, upstream.start_share, upstream.warm_s]
+                for name, life, started_at in journal.births
+                for upstream in self.upstreams
+                if upstream.name == name
             ],
-            "turned_away": books.turned_away,
-            "overlapping": books.overlapping,
-            "window_s": books.window_s,
+            "turned_away": journal.turned_away,
+            "overlapping": journal.overlapping,
+            "window_s": journal.window_s,
         }
 
-    def _write(self, line: bytes) -> None:
+    def broadcast(self, line: bytes) -> None:
         for transport in list(self.watchers):
             transport.write(b"%x\r\n%b\r\n" % (len(line), line))
 
@@ -454,12 +454,14 @@
         self.transport.write(b"%x\r\n%b\n\r\n" % (len(complete) + 1, complete))
 
 
-async def fleet(count: int, make: Callable[[int, Books], Nodo]) -> tuple[list[Nodo], Books, Registry]:
+async def start_upstreams(
+    count: int, make: Callable[[int, ExecutionJournal], StandInUpstream]
+) -> tuple[list[StandInUpstream], ExecutionJournal, Registry]:
     """So many nodos, started, with their books and their padrón."""
-    books = Books()
-    nodos = [make(number, books) for number in range(count)]
-    for nodo in nodos:
-        await nodo.start()
-    registry = Registry(nodos, books)
+    journal = ExecutionJournal()
+    upstreams = [make(number, journal) for number in range(count)]
+    for upstream in upstreams:
+        await upstream.start()
+    registry = Registry(upstreams, journal)
     await registry.start()
-    return nodos, books, registry
+    return upstreams, journal, registry
--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -15,8 +15,8 @@
 from quartzford.node import Node
 from quartzford.settings.configuration import read_config
 from quartzford.settings.operator_settings import ExtprocSettings
-from standins.caller import CallerProxy, Exchange, Headers, Policy, request_rows
-from standins.nodo import Nodo, fleet
+from standins.caller import CallerPolicy, CallerProxy, Exchange, Headers, request_rows
+from standins.upstream import StandInUpstream, start_upstreams
 
 EFFECT = {"read": "free", "book": "guarded", "pay": "single_shot"}
 
@@ -24,17 +24,17 @@
 class Site:
     """Nodos with books, one balancer with the processor on, and callers made at will."""
 
-    def __init__(self, nodos: int = 3, workers: int = 0, settings: Any = None, **extproc: Any) -> None:
-        self.count, self.settings = nodos, SETTINGS | (settings or {})
+    def __init__(self, upstreams: int = 3, workers: int = 0, settings: Any = None, **extproc: Any) -> None:
+        self.count, self.settings = upstreams, SETTINGS | (settings or {})
         self.extproc = ExtprocSettings(listen="127.0.0.1:0", workers=workers, **extproc)
         self.callers: list[CallerProxy] = []
         self.number = 0
 
     async def __aenter__(self) -> Site:
-        def make(number: int, books: Any) -> Nodo:
-            return Nodo(f"s{number}", books, block=number // 2)
+        def make(number: int, journal: Any) -> StandInUpstream:
+            return StandInUpstream(f"s{number}", journal, block=number // 2)
 
-        self.nodos, self.books, self.registry = await fleet(self.count, make)
+        self.upstreams, self.journal, self.registry = await start_upstreams(self.count, make)
         config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -67,11 +67,11 @@
         self.node.watch.stop()
         self.node.front.stop_listening()
         await self.registry.stop()
-        for nodo in self.nodos:
-            await nodo.stop()
+        for upstream in self.upstreams:
+            await upstream.stop()
 
     def caller(self, **policy: Any) -> CallerProxy:
-        caller = CallerProxy(f"127.0.0.1:{self.front.port}", Policy(**policy), random.Random(7))
+        caller = CallerProxy(f"127.0.0.1:{self.front.port}", CallerPolicy(**policy), random.Random(7))
         self.callers.append(caller)
         return caller
 
@@ -79,7 +79,7 @@
         self.number += 1
         return Exchange(identity or f"c{self.number}", name, self.node.clock.now())
 
-    async def ask(
+    async def submit(
         self,
         caller: CallerProxy,
         name: str = "read",
@@ -96,13 +96,13 @@
         return await caller.handle(exchange, rows, left_s + 0.5, drop)
 
     def runs(self, identity: str) -> int:
-        return sum(run.identity == identity for run in self.books.runs)
+        return sum(run.identity == identity for run in self.journal.runs)
 
     def open_requests(self) -> int:
         return len(self.front.service.requests)
 
 
-class Raw:
+class RawStream:
     """One stream of a caller that the test drives message by message."""
 
     def __init__(self, caller: CallerProxy, opens: bool = False) -> None:
@@ -110,7 +110,7 @@
         self.call = caller.process(metadata=metadata)
         self.headers = Headers([])
 
-    async def ask(self, rows: list[tuple[str, str]], raw: bool = True) -> Any:
+    async def submit(self, rows: list[tuple[str, str]], raw: bool = True) -> Any:
         self.headers = Headers(list(rows))
         message = proto.ProcessingRequest(request_headers=self.headers.message(raw, True))
         reply = await self.say(message)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -85,7 +85,7 @@
     return [a for a in actions if isinstance(a, io.Shed | io.Fail)]
 
 
-def ask(balancer: Balancer, now: float, number: int, name: str = "read", budget: float = 400.0) -> Actions:
+def submit(balancer: Balancer, now: float, number: int, name: str = "read", budget: float = 400.0) -> Actions:
     return balancer.handle(now, io.Request(number, name, budget))
 
 
@@ -95,6 +95,6 @@
 
 def serve(balancer: Balancer, now: float, number: int, latency: float = 10.0, name: str = "read") -> str:
     """One request answered well; the server it went to."""
-    send = sends(ask(balancer, now, number, name))[0]
+    send = sends(submit(balancer, now, number, name))[0]
     balancer.handle(now + latency, outcome(send, 0, "ok", latency))
     return send.server
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -165,7 +165,7 @@
 
     def __init__(self, script: Script) -> None:
         self.script = script
-        self.came: list[Message] = []
+        self.received: list[Message] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.left = 0  # connections that have ended
         self.server: asyncio.Server | None = None
@@ -188,7 +188,7 @@
         try:
             while True:
                 message = await read_message(reader)
-                self.came.append(message)
+                self.received.append(message)
                 await self.script(message, writer)
         except (asyncio.IncompleteReadError, OSError):
             pass
@@ -203,7 +203,7 @@
     def __init__(
         self, upstreams: int = 1, memory_mb: float = 192, sockets: int = 1024, **settings: Any
     ) -> None:
-        self.ups = [Peer(says(reply())) for _ in range(upstreams)]
+        self.upstreams = [Peer(says(reply())) for _ in range(upstreams)]
         self.discovery = Peer(self._discover)
         self.version = 1
         self.watches: list[asyncio.StreamWriter] = []
@@ -218,7 +218,7 @@
     def host(self, number: int, health: str = "ready", born: float = 0, **changes: Any) -> dict[str, Any]:
         return {
             "host": f"s{number}",
-            "dial": f"127.0.0.1:{self.ups[number].port}",
+            "dial": f"127.0.0.1:{self.upstreams[number].port}",
             "site": "north",
             "class": "std",
             "block": 0,
@@ -232,34 +232,36 @@
 
     async def _discover(self, message: Message, writer: asyncio.StreamWriter) -> None:
         complete = json.dumps(
-            self.list(*(self.host(n) for n in range(len(self.ups)))) if not self.current else self.current
+            self.list(*(self.host(n) for n in range(len(self.upstreams))))
+            if not self.current
+            else self.current
         )
         if "stream=1" not in message.line:
             writer.write(reply(complete.encode()))
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches.append(writer)
-        self.tell(complete, writer)
+        self.send_line(complete, writer)
 
     current: dict[str, Any] | None = None
 
     admin = ""  # where operators call
 
-    def tell(self, line: str | dict[str, Any], writer: asyncio.StreamWriter | None = None) -> None:
+    def send_line(self, line: str | dict[str, Any], writer: asyncio.StreamWriter | None = None) -> None:
         """A line on the watch."""
         text = (line if isinstance(line, str) else json.dumps(line)) + "\n"
-        self.raw(text.encode(), writer)
+        self.send_chunk(text.encode(), writer)
 
-    def raw(self, data: bytes, writer: asyncio.StreamWriter | None = None) -> None:
+    def send_chunk(self, data: bytes, writer: asyncio.StreamWriter | None = None) -> None:
         (writer or self.watches[-1]).write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def news(self, *hosts: dict[str, Any], complete: bool = False) -> None:
+    def update(self, *hosts: dict[str, Any], complete: bool = False) -> None:
         """Changes, or a whole list, told on the watch."""
         self.version += 1
-        self.tell(self.list(*hosts, complete=complete))
+        self.send_line(self.list(*hosts, complete=complete))
 
     async def __aenter__(self) -> World:
-        for peer in (*self.ups, self.discovery):
+        for peer in (*self.upstreams, self.discovery):
             await peer.start()
         await self.enter()
         return self
@@ -268,7 +270,7 @@
         """Start the balancer, its peers being up; heard: and wait until it has heard of the list.
 
         listener: that of a process before it."""
-        known = self.known or self.list(*(self.host(n) for n in range(len(self.ups))))
+        known = self.known or self.list(*(self.host(n) for n in range(len(self.upstreams))))
         config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -301,7 +303,7 @@
             writer.transport.abort()
         self.node.watch.stop()
         self.node.front.stop_listening()
-        for peer in (*self.ups, self.discovery):
+        for peer in (*self.upstreams, self.discovery):
             await peer.stop()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -309,7 +311,7 @@
         self.clients.append(writer)
         return reader, writer
 
-    async def ask(self, data: bytes) -> Message:
+    async def submit(self, data: bytes) -> Message:
         """One request on a connection of its own."""
         reader, writer = await self.connect()
         writer.write(data)
--- a/tests/relay_site.py
+++ b/tests/relay_site.py
@@ -57,7 +57,7 @@
         self.refusing = False
         self.delay = 0.0
         self.allowed: int | None = None
-        self.came = 0  # connections
+        self.received = 0  # connections
         self.down = 0  # bytes of answers that passed
         self.waiting = 0  # answers that came from the service and do not pass
         self.writers: set[asyncio.StreamWriter] = set()
@@ -91,7 +91,7 @@
         return task
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.came += 1
+        self.received += 1
         self.writers.add(writer)
         task = asyncio.current_task()
         assert task is not None
--- a/tests/test_automaton.py
+++ b/tests/test_automaton.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from helpers import ask, entry, listed, outcome, sends, started
+from helpers import entry, listed, outcome, sends, started, submit
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
     balancer = started(4)
     for now, (number, what) in enumerate(steps, 1):
         if what in ("ok", "reset"):
-            for send in sends(ask(balancer, float(now), now)):
+            for send in sends(submit(balancer, float(now), now)):
                 balancer.handle(now + 0.5, outcome(send, 0, what, float(number + 1), final=True))
         else:
             state, begun = ("ready", float(now)) if what == "restart" else (what, 0.0)
@@ -53,7 +53,7 @@
     def play(seed: int) -> list[io.Action]:
         balancer, out = started(4, seed), []
         for n in range(200):
-            out += ask(balancer, float(n), n)
+            out += submit(balancer, float(n), n)
         return out
 
     assert play(1) == play(1) != play(2)
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -12,7 +12,7 @@
 
 import pytest
 import uvloop
-from helpers import ask, finals, outcome, sends, serve, started
+from helpers import finals, outcome, sends, serve, started, submit
 from peers import Lag, Message, Peer, World, read_message, reply, request, run, says, until
 
 from bench.callmodel import CALLS_PER_S, Model, ServiceBehaviour, bound_s
@@ -56,7 +56,7 @@
     async def test() -> None:
         async with World() as world, Lag() as lag:
             reader, writer = await rest(world)
-            resting, up = world.ups[0].writers[-1], world.ups[0]
+            resting, up = world.upstreams[0].writers[-1], world.upstreams[0]
             ran: list[str] = []
 
             async def script(message: Message, answers: asyncio.StreamWriter) -> None:
@@ -86,12 +86,14 @@
 
     async def test() -> None:
         async with World(count) as world:
-            for up in world.ups:
+            for up in world.upstreams:
                 up.script = drop
             for name in ("read", "book", "pay"):
-                answer = await asyncio.wait_for(world.ask(request(name, None if name == "read" else b"")), 8)
+                answer = await asyncio.wait_for(
+                    world.submit(request(name, None if name == "read" else b"")), 8
+                )
                 assert answer.status in (502, 503)
-            runs = [m for up in world.ups for m in up.came if m.fields["x-service-class"] == "pay"]
+            runs = [m for up in world.upstreams for m in up.received if m.fields["x-service-class"] == "pay"]
             assert len(runs) == 1 and not world.node.engine.pending_requests
 
     uvloop.run(test())
@@ -107,20 +109,20 @@
     async def test() -> None:
         async with World(3) as world:
             world.node.engine.balancer.latency.typical["read"] = 20.0
-            came = 0
+            received = 0
 
             async def script(message: Message, writer: asyncio.StreamWriter) -> None:
-                nonlocal came
-                came += 1
-                if came == 2:
+                nonlocal received
+                received += 1
+                if received == 2:
                     resets(writer)
-                elif came > 2:
+                elif received > 2:
                     writer.write(reply(b"served"))
 
-            for up in world.ups:
+            for up in world.upstreams:
                 up.script = script
-            answer = await asyncio.wait_for(world.ask(request()), 8)
-            assert answer.body == b"served" and came == 3
+            answer = await asyncio.wait_for(world.submit(request()), 8)
+            assert answer.body == b"served" and received == 3
 
     uvloop.run(test())
 
@@ -147,9 +149,9 @@
             (closes if complete else resets)(writer)
 
         async with World() as world:
-            world.ups[0].script = script
+            world.upstreams[0].script = script
             for number, (complete, body) in enumerate(plans):
-                answer = await world.ask(request("pay", b"", fields=f"X-Number: {number}\r\n"))
+                answer = await world.submit(request("pay", b"", fields=f"X-Number: {number}\r\n"))
                 assert answer.status == (200 if complete else 502)
                 assert not complete or answer.body == body
 
@@ -162,7 +164,7 @@
 async def slow_discovery(number: int, delay_s: float) -> tuple[World, Peer]:
     """A list service of its own, with one upstream of the name sNUMBER that says its number."""
     site = World(number + 1)
-    up = site.ups[number]
+    up = site.upstreams[number]
     up.script = says(reply(b"%d" % number))
     await up.start()
     site.current = site.list(site.host(number))
@@ -211,9 +213,9 @@
         for number, (site, _) in enumerate(sites):
             world.node.reconfigure(config_of(world, site))
             if number % 2:  # else the next one follows in the same turn
-                await until(lambda site=site: site.discovery.came)  # type: ignore[misc]
+                await until(lambda site=site: site.discovery.received)  # type: ignore[misc]
         last = sites[-1][1]
-        await until(lambda: len(last.came) > 20)
+        await until(lambda: len(last.received) > 20)
         stop.set()
         await asyncio.gather(*clients)
         assert {answer.status for answer in answers} == {200}
@@ -248,7 +250,7 @@
     begin = 8_000.0 + quiet_ms
     for number in range(200):
         now, attempt = begin + number * 20.0, 0
-        actions = ask(balancer, now, 1_000 + number)
+        actions = submit(balancer, now, 1_000 + number)
         while sends(actions):
             send = sends(actions)[0]
             bad = send.server == "s0"
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -47,7 +47,7 @@
             else:
                 writer.write(reply())
 
-        world.ups[0].script = world.ups[1].script = script
+        world.upstreams[0].script = world.upstreams[1].script = script
         world.actions = world.events = deque(maxlen=10)  # type: ignore[assignment]
 
         async def client(number: int) -> None:
@@ -67,7 +67,7 @@
                 lives = [
                     world.host(n, host=f"s{life}-{n}", site=f"zone{n}", born=life + 1.0) for n in range(2)
                 ]
-                world.news(*lives, complete=True)
+                world.update(*lives, complete=True)
                 await until(lambda life=life: f"s{life}-0" in world.node.engine.balancer.servers)  # type: ignore[misc]
 
         await asyncio.gather(discovery(), *(client(number) for number in range(8)))
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -25,19 +25,23 @@
     async def test() -> None:
         async with World(2) as world:
             if how == "empties":
-                world.news(complete=True)
+                world.update(complete=True)
             else:
                 health = "draining" if how == "none ready" else "gone"
-                world.news(*(world.host(n, health) for n in range(2)))
+                world.update(*(world.host(n, health) for n in range(2)))
             await until(lambda: not ready(world))
             began = time.monotonic()
-            asked = [world.ask(request(name, b"", left="300m")) for name in ("read", "book", "pay") * 3]
+            asked = [world.submit(request(name, b"", left="300m")) for name in ("read", "book", "pay") * 3]
             answers = await asyncio.gather(*asked)
             assert {a.status for a in answers} == {503} and time.monotonic() - began > 0.2
-            assert not world.ups[0].came and not world.ups[1].came and not world.node.engine.pending_requests
-            world.news(world.host(1, born=5.0), complete=True)
+            assert (
+                not world.upstreams[0].received
+                and not world.upstreams[1].received
+                and not world.node.engine.pending_requests
+            )
+            world.update(world.host(1, born=5.0), complete=True)
             await until(lambda: ready(world) == {"s1"})
-            assert (await world.ask(request("pay", b""))).status == 200
+            assert (await world.submit(request("pay", b""))).status == 200
 
     uvloop.run(asyncio.wait_for(test(), 60))
 
@@ -46,16 +50,16 @@
 async def test_a_new_id_at_the_same_address_is_another_server() -> None:
     """Nothing learnt of the old one and no connection to it goes on."""
     async with World(1) as world:
-        world.ups[0].script = says(reply(b"", "500 Bad"))
-        assert (await world.ask(request("pay", b""))).status == 502
+        world.upstreams[0].script = says(reply(b"", "500 Bad"))
+        assert (await world.submit(request("pay", b""))).status == 502
         assert world.node.engine.balancer.servers["s0"].failing > 0
-        world.news(world.host(0, host="s9"), complete=True)
+        world.update(world.host(0, host="s9"), complete=True)
         await until(lambda: ready(world) == {"s9"})
-        await until(lambda: world.ups[0].left == len(world.ups[0].writers))
+        await until(lambda: world.upstreams[0].left == len(world.upstreams[0].writers))
         assert world.node.engine.balancer.servers["s9"].failing == 0.0
-        world.ups[0].script = says(reply())
-        assert (await world.ask(request("pay", b""))).status == 200
-        assert len(world.ups[0].writers) == 2
+        world.upstreams[0].script = says(reply())
+        assert (await world.submit(request("pay", b""))).status == 200
+        assert len(world.upstreams[0].writers) == 2
 
 
 @pytest.mark.parametrize("status", ["429 Too Many Requests", "503 Service Unavailable"])
@@ -67,7 +71,7 @@
             await until(lambda: world.node.watch.counts[f"ended {status[:3]}"] >= 4)
             # 50 ms, doubling, each with jitter of a half: the fifth call comes no sooner than this.
             assert world.node.watch.policy.failed_calls >= 4 and ready(world) == {"s0", "s1"}
-            assert (await world.ask(request("pay", b""))).status == 200
+            assert (await world.submit(request("pay", b""))).status == 200
             world.discovery.script = world._discover
             watches = len(world.watches)
             await until(lambda: len(world.watches) > watches)
@@ -86,12 +90,12 @@
     async def test() -> None:
         async with World(2) as world:
             open_: set[bytes] = set()
-            came: list[bytes] = []
+            received: list[bytes] = []
 
             def script(size: int) -> Any:
                 async def broken(message: Message, writer: asyncio.StreamWriter) -> None:
                     assert message.body not in open_, "two attempts at once"
-                    came.append(message.body)
+                    received.append(message.body)
                     open_.add(message.body)
                     writer.write(WHOLE[:size])
                     await writer.drain()
@@ -102,11 +106,11 @@
                 return broken
 
             for size in range(len(WHOLE) + 1):
-                world.ups[0].script = world.ups[1].script = script(size)
-                came.clear()
+                world.upstreams[0].script = world.upstreams[1].script = script(size)
+                received.clear()
                 body = b"number %d" % size
-                answer = await world.ask(request(name, body, left="1500m"))
-                assert set(came) == {body} and len(came) <= (1 if name == "pay" else 4)
+                answer = await world.submit(request(name, body, left="1500m"))
+                assert set(received) == {body} and len(received) <= (1 if name == "pay" else 4)
                 if size == len(WHOLE):
                     assert answer.status == 200 and answer.body == b"made once"
                 else:
@@ -119,12 +123,12 @@
 @run
 async def test_a_loop_frozen_past_the_time_of_its_requests_ends_each_once_and_sends_nothing_after() -> None:
     async with World(2) as world:
-        world.ups[0].script = world.ups[1].script = silent
+        world.upstreams[0].script = world.upstreams[1].script = silent
         clients = [await world.connect() for _ in range(24)]
         for number, (_, writer) in enumerate(clients):
             writer.write(request(("read", "book", "pay")[number % 3], b"", left="2000m"))
-        await until(lambda: sum(len(up.came) for up in world.ups) == 24)
-        sent = [len(up.came) for up in world.ups]
+        await until(lambda: sum(len(up.received) for up in world.upstreams) == 24)
+        sent = [len(up.received) for up in world.upstreams]
         time.sleep(2.1)  # noqa: ASYNC251 - a long turn: a list taken in, a collection, a stopped machine
         answers = [await read_message(reader) for reader, _ in clients]
         assert all(answer.status in (502, 503) for answer in answers)
@@ -134,8 +138,8 @@
             not world.node.engine.balancer.pending_requests
             and world.node.engine.balancer.endpoints.shares.out == 0
         )
-        assert not world.node.engine.pending_requests and [len(up.came) for up in world.ups] == sent
-        for up in world.ups:
+        assert not world.node.engine.pending_requests and [len(up.received) for up in world.upstreams] == sent
+        for up in world.upstreams:
             up.script = says(reply())
         for _, writer in clients:
             writer.write(request())
@@ -145,15 +149,15 @@
 @run
 async def test_clients_that_give_up_early_and_come_again_at_once_leave_nothing_behind() -> None:
     async with World(2) as world:
-        world.ups[0].script = world.ups[1].script = silent
+        world.upstreams[0].script = world.upstreams[1].script = silent
         for round_ in range(30):
             _, writer = await world.connect()
             writer.write(request(("read", "book", "pay")[round_ % 3], b""))
             await until(lambda: world.node.engine.pending_requests)
             writer.transport.abort()
             await until(lambda: not world.node.engine.pending_requests)
-        came = sum(len(up.writers) for up in world.ups)
-        await until(lambda: sum(up.left for up in world.ups) == came)
+        received = sum(len(up.writers) for up in world.upstreams)
+        await until(lambda: sum(up.left for up in world.upstreams) == received)
         await until(lambda: not world.node.pool.connections)  # a peer sees it a turn before
         assert not world.node.engine.balancer.pending_requests
         gone = [e for e in world.events if isinstance(e, io.ClientDisconnected)]
@@ -176,8 +180,8 @@
                 writer.write(reply(b"kept"))
 
             it.up.script = wait
-            held = asyncio.ensure_future(it.ask(request("pay", b"")))
-            await until(lambda: it.up.came)
+            held = asyncio.ensure_future(it.submit(request("pay", b"")))
+            await until(lambda: it.up.received)
             it.process.send_signal(signal.SIGSTOP)
             for number in order:
                 it.process.send_signal(number)
@@ -185,6 +189,6 @@
             gate.set()
             assert (await held).body == b"kept"
             assert await asyncio.wait_for(it.process.wait(), 20) == 0
-            assert len(it.up.came) == 1
+            assert len(it.up.received) == 1
 
     uvloop.run(asyncio.wait_for(test(), 60))
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -62,7 +62,7 @@
 
 
 def sent(world: World) -> int:
-    return sum(len(up.came) for up in world.ups)
+    return sum(len(up.received) for up in world.upstreams)
 
 
 @pytest.mark.parametrize("how", LEAVES)
@@ -77,18 +77,18 @@
             before = 0 if where in ("connecting", "wait") else 1
             departure = Departure(monkeypatch, before, LEAVES[how])
             if where == "kept connection":
-                assert (await world.ask(request())).status == 200
+                assert (await world.submit(request())).status == 200
             elif where == "retry":
-                for up in world.ups:
+                for up in world.upstreams:
                     up.script = says(reply(b"", "500 Sorry"))
             elif where == "wait":
-                world.news(world.host(0, "draining"), world.host(1, "draining"))
+                world.update(world.host(0, "draining"), world.host(1, "draining"))
                 await until(lambda: not world.node.engine.balancer.ready)
             sock = departure.client = await raw(world)
             sock.send(request() * {"pipelined": 2, "unread": 40}.get(where, 1))
             if where == "wait":
                 await until(lambda: world.node.engine.pending_requests)
-                world.news(world.host(0), world.host(1), complete=True)
+                world.update(world.host(0), world.host(1), complete=True)
             await until(lambda: departure.heads > before and not world.node.front.unread)
             await until(lambda: not world.node.engine.pending_requests)
             assert departure.heads == before + 1 and departure.unread == (where == "unread")
@@ -100,9 +100,9 @@
                 and world.node.budget.used == 0
             )
             sock.close()
-            for up in world.ups:
+            for up in world.upstreams:
                 up.script = says(reply())
-            assert (await world.ask(request())).status == 200 and sent(world) == before + 1
+            assert (await world.submit(request())).status == 200 and sent(world) == before + 1
 
     uvloop.run(test())
 
@@ -119,6 +119,6 @@
             return len(asked) > 1 and may_begin(attempt)
 
         engine.may_begin = not_at_first  # type: ignore[method-assign]
-        assert (await world.ask(request())).status == 503  # there is nobody else
-        assert (await world.ask(request())).status == 200
-        assert world.outcomes() == ["moot", "ok"] and len(world.ups[0].writers) == 1
+        assert (await world.submit(request())).status == 503  # there is nobody else
+        assert (await world.submit(request())).status == 200
+        assert world.outcomes() == ["moot", "ok"] and len(world.upstreams[0].writers) == 1
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -101,11 +101,11 @@
     async def test() -> None:
         async with World() as world:
             gate = asyncio.Event()
-            world.ups[0].script = gated(gate, reply())
+            world.upstreams[0].script = gated(gate, reply())
             follow = {"whole ones": request() * 4, "a half one": half_a_request(), "none": b"NONE \r\n\r\n"}
             reader, writer = await world.connect()
             writer.write(request() + follow[behind])
-            await until(lambda: world.ups[0].came and world.node.front.clients)
+            await until(lambda: world.upstreams[0].received and world.node.front.clients)
             (client,) = world.node.front.clients
             await until(lambda: len(client.waiting) == 4 or client.in_message or client.error)
             world.node.front.draining = True
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -11,8 +11,8 @@
 
 import pytest
 import uvloop
-from extproc_site import Raw, Site, rows_of, status_of
-from helpers import UNSAFE, ask, met_often, outcome, sends, started
+from extproc_site import RawStream, Site, rows_of, status_of
+from helpers import UNSAFE, met_often, outcome, sends, started, submit
 from peers import SETTINGS, Message, World, read_message, reply, request, run, silent, until
 
 from quartzford.backends.http_attempt import Attempt
@@ -92,9 +92,9 @@
     server.bind(("127.0.0.1", 0))
     server.listen(backlog)
     server.setblocking(False)
-    world.ups[0].port = server.getsockname()[1]
-    world.news(world.host(0))
-    await until(lambda: world.node.pool.upstreams["s0"].address[1] == world.ups[0].port)
+    world.upstreams[0].port = server.getsockname()[1]
+    world.update(world.host(0))
+    await until(lambda: world.node.pool.upstreams["s0"].address[1] == world.upstreams[0].port)
     return server
 
 
@@ -115,7 +115,7 @@
         server = await listening(world, backlog=0)
         queued = socket.create_connection(server.getsockname())
         asked = time.monotonic()
-        answer = asyncio.ensure_future(world.ask(request("pay", b"", left="2900m")))
+        answer = asyncio.ensure_future(world.submit(request("pay", b"", left="2900m")))
         await until(lambda: world.node.pool.pending_connects)
         (await loop.sock_accept(server))[0].close()
         reader, writer = await asyncio.open_connection(sock=(await loop.sock_accept(server))[0])
@@ -138,13 +138,13 @@
         async with World() as world:
             server = await listening(world, backlog=8, window=2048)
             asked = time.monotonic()
-            answer = asyncio.ensure_future(world.ask(request("pay", b"b" * size, left="1500m")))
+            answer = asyncio.ensure_future(world.submit(request("pay", b"b" * size, left="1500m")))
             sock, _ = await asyncio.get_running_loop().sock_accept(server)
             await asyncio.sleep(0.9)  # unread for longer than what may be told late
             head, _, body = (await read_all(sock)).partition(b"\r\n\r\n")
-            came = time.monotonic()
+            received = time.monotonic()
             left = int(head.partition(b"X-Time-Left: ")[2].partition(b"u")[0]) / 1e6
-            assert len(body) < size or 0 < left <= asked + 1.5 - came + TRANSIT_S
+            assert len(body) < size or 0 < left <= asked + 1.5 - received + TRANSIT_S
             assert (await answer).status == 503 and world.outcomes()[0] == "connect_failed"
             sock.close()
             server.close()
@@ -160,13 +160,13 @@
     async def test() -> None:
         async with World(3) as world:
             told: list[Told] = []
-            for up in world.ups[:2]:
+            for up in world.upstreams[:2]:
                 up.script = noting(told, breaks)
-            world.ups[2].script = noting(told, serves)
+            world.upstreams[2].script = noting(told, serves)
             for left in (0.9, 0.4):
                 told.clear()
                 asked = time.monotonic()
-                await world.ask(request(left=f"{int(left * 1000)}m"))
+                await world.submit(request(left=f"{int(left * 1000)}m"))
                 assert told
                 assert_kept(told, asked, left, SLACK_S if held else TRANSIT_S)
 
@@ -182,17 +182,17 @@
 async def test_with_very_little_time_left_nothing_odd_follows() -> None:
     """An upstream may drop such a request unanswered: it isn't blamed, and an unsafe one goes nowhere."""
     async with World(2) as world:
-        assert (await world.ask(request())).status == 200
-        for up in world.ups:
-            up.came.clear()
+        assert (await world.submit(request())).status == 200
+        for up in world.upstreams:
+            up.received.clear()
             up.script = silent
         for left in ("0m", "0u", "1u", "900u", "1m", "2m", "5m", "20m", "0.5m"):
-            before = sum(len(up.came) for up in world.ups)
-            answer = await world.ask(request("pay", b"", left=left))
+            before = sum(len(up.received) for up in world.upstreams)
+            answer = await world.submit(request("pay", b"", left=left))
             assert answer.status in (502, 503)
-            assert sum(len(up.came) for up in world.ups) <= before + 1
-        for up in world.ups:
-            assert all(0 < seconds(message) <= 0.02 for message in up.came)
+            assert sum(len(up.received) for up in world.upstreams) <= before + 1
+        for up in world.upstreams:
+            assert all(0 < seconds(message) <= 0.02 for message in up.received)
         assert not any(server.failing for server in world.node.engine.balancer.ready)
 
 
@@ -206,7 +206,7 @@
             await gate.wait()
             writer.write(reply())
 
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = waits
         reader, writer = await world.connect()
         writer.write(request("pay", b"") + request("pay", b"", left="50m"))
@@ -217,7 +217,7 @@
         gate.set()
         assert (await read_message(reader)).status == 200
         assert (await read_message(reader)).status == 503
-        assert sum(len(up.came) for up in world.ups) == 1
+        assert sum(len(up.received) for up in world.upstreams) == 1
         assert world.outcomes() == ["ok"]
 
 
@@ -235,9 +235,9 @@
 
     async def test() -> None:
         async with World(2) as world:
-            assert (await world.ask(request("pay", b"", left="100m"))).status == 503
+            assert (await world.submit(request("pay", b"", left="100m"))).status == 503
             assert set(world.outcomes()) == {"moot"}
-            assert not any(up.came for up in world.ups)
+            assert not any(up.received for up in world.upstreams)
 
     monkeypatch.setattr(owner, name, late)
     uvloop.run(test())
@@ -247,7 +247,7 @@
 def test_an_attempt_shorter_than_an_answer_takes_blames_nobody(code: str) -> None:
     balancer = met_often(started(2))
     for number, budget in enumerate((10.0, 400.0)):
-        (send,) = sends(ask(balancer, 0.0, number, UNSAFE.name, budget))
+        (send,) = sends(submit(balancer, 0.0, number, UNSAFE.name, budget))
         spent = budget if code != "reset" else 1.0
         balancer.handle(budget, outcome(send, 0, code, spent))
         blamed = balancer.servers[send.server].failing > 0
@@ -257,7 +257,7 @@
 # ---- the external processor
 
 
-def told_by(raw: Raw) -> tuple[float, float]:
+def told_by(raw: RawStream) -> tuple[float, float]:
     """Seconds that the server is told, and that the caller is to wait."""
     left = raw.headers.get("x-time-left")
     assert left.endswith("m")
@@ -283,14 +283,14 @@
         async with Site(2) as site:
             caller, rows = site.caller(), rows_of("c1", "read", left_s=1.5)
             asked = time.monotonic()
-            raw = Raw(caller)
+            raw = RawStream(caller)
             if again:
-                await raw.ask(rows)
+                await raw.submit(rows)
                 await raw.report(503, ("x-unprocessed", "1"))
-                rows, raw = [*rows, raw.token()], Raw(caller)
+                rows, raw = [*rows, raw.token()], RawStream(caller)
             monkeypatch.setattr(server.ExtprocStream, "_replied", later)
             monkeypatch.setattr(ReplyWriter, "write", held)
-            await raw.ask(rows)
+            await raw.submit(rows)
             left, time_out = told_by(raw)
             assert 0 < left <= time_out
             assert left <= asked + 1.5 - time.monotonic() + SLACK_S
@@ -303,9 +303,9 @@
     async with Site(2) as site:
         caller = site.caller()
         for number, left in enumerate(("0m", "1u", "900u", "1m", "2m", "4m")):
-            raw = Raw(caller)
+            raw = RawStream(caller)
             rows = [row for row in rows_of(f"c{number}", "pay") if row[0] != "x-time-left"]
-            reply = await raw.ask([*rows, ("x-time-left", left)])
+            reply = await raw.submit([*rows, ("x-time-left", left)])
             if status_of(reply):
                 assert status_of(reply) == 503
             else:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -81,13 +81,13 @@
 
     async def test() -> None:
         async with World(6, **told) as world:
-            for up in world.ups:
+            for up in world.upstreams:
                 up.script = breaks
             for one in told["classes"]:
-                before = sum(len(up.came) for up in world.ups)
+                before = sum(len(up.received) for up in world.upstreams)
                 rich(world)
-                answer = await world.ask(asked(one["name"], one["effect"] == "guarded", "2500m"))
-                sends = sum(len(up.came) for up in world.ups) - before
+                answer = await world.submit(asked(one["name"], one["effect"] == "guarded", "2500m"))
+                sends = sum(len(up.received) for up in world.upstreams) - before
                 if one["effect"] == "single_shot":
                     assert sends == 1 and answer.status == 502
                 else:
@@ -116,13 +116,13 @@
             await gate.wait()
             writer.transport.abort()
 
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = held
 
         def sends(name: str) -> int:
-            return sum(m.fields["x-service-class"] == name for up in world.ups for m in up.came)
+            return sum(m.fields["x-service-class"] == name for up in world.upstreams for m in up.received)
 
-        old = [asyncio.ensure_future(world.ask(asked(name))) for name in ("left", "right")]
+        old = [asyncio.ensure_future(world.submit(asked(name))) for name in ("left", "right")]
         await until(lambda: sends("left") == sends("right") == 1)
         reload(world, classes=after, limits=limits)
         rich(world)
@@ -132,15 +132,15 @@
         new = []
         for name in ("left", "right", "new"):
             rich(world)
-            new.append(await world.ask(asked(name)))
+            new.append(await world.submit(asked(name)))
         assert [answer.status for answer in new] == [503, 502, 503]
         assert (sends("left"), sends("right"), sends("new")) == (4, 4, 3)
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = silent
         loop = asyncio.get_running_loop()
         begun = loop.time()
         async with Lag() as lag:
-            await world.ask(asked("left", left="2900m"))
+            await world.submit(asked("left", left="2900m"))
         assert loop.time() - begun < 1.2 + 2 * lag.worst  # the new limit of the same name
 
 
@@ -156,31 +156,31 @@
         assert quota == {"norte": 0.5, "norte-alto": 0.005, "norte-alto-2": 0.05}
         for _ in range(40):
             text = request("pay", b"").replace(b"acme", b"norte-alto")
-            assert (await world.ask(text)).status == 200
+            assert (await world.submit(text)).status == 200
         admission = world.node.engine.balancer.admission
         now = world.node.clock.unix_ms()
         assert admission.within_quota(now, "norte-alto") < 1.0 and set(admission.rates) == {"norte-alto"}
         text = request("pay", b"").replace(b"acme", b"norte")
-        assert (await world.ask(text)).status == 200 and admission.within_quota(now, "norte") == 1.0
+        assert (await world.submit(text)).status == 200 and admission.within_quota(now, "norte") == 1.0
         reload(world, customers=[])
-        assert admission.quota == {} and (await world.ask(request("pay", b""))).status == 200
+        assert admission.quota == {} and (await world.submit(request("pay", b""))).status == 200
         assert admission.within_quota(now, "norte-alto") == 1.0
 
 
 @run
 async def test_a_name_that_another_deployment_has_is_unknown_here_and_unsafe() -> None:
     async with World(3, classes=[kind("only", "free")], customers=[]) as world:
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = breaks
         for name in ("read", "consulta", "view-schedule", "Only", "on", "only-more"):
-            before = sum(len(up.came) for up in world.ups)
+            before = sum(len(up.received) for up in world.upstreams)
             rich(world)
-            assert (await world.ask(asked(name, keyed=True))).status in (502, 503)
-            sends = sum(len(up.came) for up in world.ups) - before
+            assert (await world.submit(asked(name, keyed=True))).status in (502, 503)
+            sends = sum(len(up.received) for up in world.upstreams) - before
             assert sends == 1, name
         rich(world)
-        await world.ask(asked("only"))
-        assert sum(len(up.came) for up in world.ups) > 6
+        await world.submit(asked("only"))
+        assert sum(len(up.received) for up in world.upstreams) > 6
 
 
 @pytest.mark.parametrize("left", ["abc", "", "-5m", "1e400m", "nanm", "infm", "999999999m", "12q", "5"])
@@ -190,7 +190,7 @@
 
     async def test() -> None:
         async with World(classes=classes) as world:
-            world.ups[0].script = silent
+            world.upstreams[0].script = silent
             loop = asyncio.get_running_loop()
             begun = loop.time()
             reader, writer = await world.connect()
@@ -198,6 +198,6 @@
             async with Lag() as lag:
                 answer = await asyncio.wait_for(read_message(reader), 3)
             assert answer.status >= 400 and loop.time() - begun < 1.2 + 2 * lag.worst
-            assert not world.node.engine.pending_requests and len(world.ups[0].came) <= 1
+            assert not world.node.engine.pending_requests and len(world.upstreams[0].received) <= 1
 
     uvloop.run(test())
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -548,7 +548,7 @@
     async def test() -> None:
         async with test_process.program(tmp_path) as balancer:
             balancer.process.send_signal(signal.SIGHUP)
-            assert (await balancer.ask(request())).status == 200
+            assert (await balancer.submit(request())).status == 200
             balancer.process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(balancer.process.wait(), 20) == 0
         bad = await test_process.spawn("{", tmp_path / "bad.json")
@@ -606,7 +606,7 @@
     async def test() -> None:
         async with test_process.program(tmp_path) as balancer:
             for _ in range(300):
-                assert (await balancer.ask(request())).status == 200
+                assert (await balancer.submit(request())).status == 200
             balancer.process.send_signal(signal.SIGTERM)
             _, errors = await asyncio.wait_for(balancer.process.communicate(), 20)
         assert balancer.process.returncode == 0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -63,11 +63,11 @@
     """The balancer closed over bytes that nobody had read: a reset took what the client had not read yet."""
     async with World() as world:
         gate, body = asyncio.Event(), b"w" * 300_000
-        world.ups[0].script = gated(gate, reply(body))
+        world.upstreams[0].script = gated(gate, reply(body))
         world.node.front.draining = True  # every answer is its connection's last
         sock = await raw(world, receive=4096)
         sock.send(request())
-        await until(lambda: world.ups[0].came)
+        await until(lambda: world.upstreams[0].received)
         gate.set()
         client = next(iter(world.node.front.clients))
         await until(lambda: client.closing)
@@ -78,7 +78,7 @@
         assert data.endswith(body) and len(data) < len(body) + 200
         sock.close()
         await until(lambda: not world.node.front.clients)
-        assert len(world.ups[0].came) == 1
+        assert len(world.upstreams[0].received) == 1
 
 
 @run
@@ -100,7 +100,7 @@
                 break
             await asyncio.sleep(0.05)
         await until(lambda: not world.node.front.clients, 2)
-        assert len(world.ups[0].came) == 1
+        assert len(world.upstreams[0].received) == 1
         sock.close()
 
 
@@ -139,12 +139,12 @@
             text = request("pay", b"b" * 30)
             sock = await raw(world)
             sock.send(request())
-            await until(lambda: len(world.ups[0].came) == 1)
+            await until(lambda: len(world.upstreams[0].received) == 1)
             assert (await asyncio.get_running_loop().sock_recv(sock, 65536)).startswith(b"HTTP/1.1 200")
             client = next(iter(world.node.front.clients))
             if cut:
                 sock.send(text[:cut])
-                await until(lambda: client.in_message or len(world.ups[0].came) == 2)
+                await until(lambda: client.in_message or len(world.upstreams[0].received) == 2)
             world.node.terminate()
             world.node.front.close_idle()
             sock.send(text[cut:])
@@ -153,7 +153,7 @@
             except ConnectionResetError:
                 data = b""
             assert data.startswith(b"HTTP/1.1 200") if cut else not data
-            assert len(world.ups[0].came) == (2 if cut else 1)
+            assert len(world.upstreams[0].received) == (2 if cut else 1)
             sock.close()
 
     uvloop.run(test())
@@ -177,10 +177,10 @@
     async def test() -> None:
         async with World() as world:
             gate = asyncio.Event()
-            world.ups[0].script = gated(gate, reply())
+            world.upstreams[0].script = gated(gate, reply())
             sock = await raw(world)
             sock.send(request())
-            await until(lambda: world.ups[0].came)
+            await until(lambda: world.upstreams[0].received)
             if why == "pipelined":
                 sock.send(request("pay", b"") * 40)
             else:
@@ -194,8 +194,8 @@
             assert asyncio.get_running_loop().time() - left < 0.1 + 2 * lag.worst
             gate.set()
             world.node.budget.limit = 1_000_000
-            assert (await world.ask(request())).status == 200
-            assert len(world.ups[0].came) == 2 and not world.node.engine.pending_requests
+            assert (await world.submit(request())).status == 200
+            assert len(world.upstreams[0].received) == 2 and not world.node.engine.pending_requests
             assert world.node.budget.used == 0 and not world.node.front.unread
 
     uvloop.run(test())
@@ -207,20 +207,20 @@
         async with World(2, limits={**SETTINGS["limits"], "connectTimeoutMs": 3000.0}) as world:
             gate, hang = asyncio.Event(), socket.create_server(("127.0.0.1", 0), backlog=0)
             held = [socket.socket() for _ in range(8)]
-            for up in world.ups:
+            for up in world.upstreams:
                 up.script = gated(gate, reply())
             if where == "held":
-                world.news(world.host(0, "draining"), world.host(1, "draining"))
+                world.update(world.host(0, "draining"), world.host(1, "draining"))
                 await until(lambda: not world.node.engine.balancer.ready)
             elif where == "connecting":
                 for one in held:
                     one.setblocking(False)
                     one.connect_ex(hang.getsockname())
                 address = f"127.0.0.1:{hang.getsockname()[1]}"
-                world.news(world.host(0, dial=address), world.host(1, dial=address), complete=True)
+                world.update(world.host(0, dial=address), world.host(1, dial=address), complete=True)
                 await until(lambda: len(world.node.pool.upstreams) == 2)
             elif where == "between attempts":
-                for up in world.ups:
+                for up in world.upstreams:
                     up.script = gated(gate, reply(b"", "500 Sorry"))
             sock = await raw(world)
             sock.send(request())
@@ -230,7 +230,7 @@
             else:
                 await until(sends)
             if where == "between attempts":  # the first one fails, and there is nobody for a second
-                world.news(world.host(0, "draining"), world.host(1, "draining"))
+                world.update(world.host(0, "draining"), world.host(1, "draining"))
                 await until(lambda: not world.node.engine.balancer.ready)
                 gate.set()
                 await until(lambda: world.outcomes() == ["error"])
@@ -239,11 +239,11 @@
             await until(lambda: not world.node.front.clients, 2)
             before = len(sends())
             assert not world.node.engine.pending_requests and not world.node.pool.pending_connects
-            world.news(world.host(0), world.host(1), complete=True)
-            for up in world.ups:
+            world.update(world.host(0), world.host(1), complete=True)
+            for up in world.upstreams:
                 up.script = gated(gate, reply())
             gate.set()
-            other = await world.ask(request("pay", b""))
+            other = await world.submit(request("pay", b""))
             assert other.status == 200 and len(sends()) == before + 1
             assert world.node.engine.balancer.pending_requests == {} and world.node.budget.used == 0
             for one in (hang, *held):
@@ -256,13 +256,13 @@
 async def test_three_hundred_clients_that_leave_in_one_instant_of_a_busy_loop_leave_nothing_behind() -> None:
     async with World(2) as world:
         gate = asyncio.Event()
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = gated(gate, reply())
         socks = [await raw(world) for _ in range(300)]
         for sock in socks:
             sock.send(request("pay", b"b" * 2000))
         await until(lambda: len(world.node.engine.pending_requests) == 300)
-        world.news(world.host(0, "draining"), world.host(1, "draining"))
+        world.update(world.host(0, "draining"), world.host(1, "draining"))
         await until(lambda: not world.node.engine.balancer.ready)
         for sock in socks:
             sock.close()  # in one turn of this loop: the balancer hears of all of them in its next one
@@ -306,8 +306,8 @@
                 await until(lambda: not world.node.pool.pending_connects)
                 sock.close()
         assert not world.node.pool.connections and not world.node.engine.pending_requests
-        assert (await world.ask(request("pay", b""))).status == 200
-        assert len(world.ups[0].came) == 1
+        assert (await world.submit(request("pay", b""))).status == 200
+        assert len(world.upstreams[0].received) == 1
 
 
 @pytest.mark.parametrize("late", [b"", reply(b"first"), b"noise", b"HTTP/1.1 200 OK\r\n"])
@@ -325,21 +325,21 @@
                 if not first:
                     first.append(writer)
                     return writer.write(reply(b"first"))
-                if len(world.ups[0].came) == 2:
+                if len(world.upstreams[0].received) == 2:
                     first[0].write(late)
                     await first[0].drain()
                     await asyncio.sleep(0.01)
                 writer.write(reply(b"second"))
 
-            world.ups[0].script = twice
-            assert (await world.ask(request("pay", b""))).body == b"first"
-            assert (await world.ask(request("pay", b""))).body == b"second"
+            world.upstreams[0].script = twice
+            assert (await world.submit(request("pay", b""))).body == b"first"
+            assert (await world.submit(request("pay", b""))).body == b"second"
             upstream = world.node.pool.upstreams["s0"]
             await until(lambda: len(world.node.pool.connections) == 1 + (not late))
             for connection in upstream.idle:
                 connection.idle_since -= 3.0  # rested: the newest one is used again
-            assert (await world.ask(request("pay", b""))).body == b"second"
-            assert len(world.ups[0].writers) == 2
+            assert (await world.submit(request("pay", b""))).body == b"second"
+            assert len(world.upstreams[0].writers) == 2
 
     uvloop.run(test())
 
@@ -360,7 +360,7 @@
                     await writer.drain()
                     await asyncio.sleep(0.02)
 
-            world.ups[0].script = endless
+            world.upstreams[0].script = endless
             loop = asyncio.get_running_loop()
             before = loop.time()
             sock = await raw(world)
@@ -384,14 +384,14 @@
 async def test_a_flood_that_is_turned_away_opens_no_connection_for_each_request() -> None:
     """What carried no good answer is lent again at once."""
     async with World(5) as world:
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = gated(set_event(), reply(b"", "400 Bad Request"))
         reader, writer = await world.connect()
         for _ in range(200):
             writer.write(request("pay", b""))
             assert (await read_message(reader)).status == 502
-        assert sum(len(up.came) for up in world.ups) == 200
-        assert sum(len(up.writers) for up in world.ups) <= 5
+        assert sum(len(up.received) for up in world.upstreams) == 200
+        assert sum(len(up.writers) for up in world.upstreams) <= 5
 
 
 @run
@@ -417,7 +417,7 @@
             client.close()
         assert loop.time() - before < 1.0 and set(world.outcomes()) == {"moot"}
         assert not any(server.failing for server in world.node.engine.balancer.ready)
-        assert (await world.ask(request("pay", b""))).status == 200
+        assert (await world.submit(request("pay", b""))).status == 200
 
 
 # ---- the process
@@ -436,10 +436,10 @@
         classes = [dict(kind, deadlineMs=deadline, sloMs=deadline) for kind in SETTINGS["classes"]]
         async with World(classes=classes) as world, Lag() as lag:
             gate = asyncio.Event()
-            world.ups[0].script = gated(gate, reply())
+            world.upstreams[0].script = gated(gate, reply())
             loop = asyncio.get_running_loop()
-            hanging = asyncio.ensure_future(world.ask(request(name, left="60000m")))
-            await until(lambda: world.ups[0].came)
+            hanging = asyncio.ensure_future(world.submit(request(name, left="60000m")))
+            await until(lambda: world.upstreams[0].received)
             half = await raw(world)
             text = request("pay", b"h" * 100, left="60000m")
             half.send(text[:-100])
@@ -461,7 +461,7 @@
             assert b" 503 " in await asyncio.wait_for(read_all(half), 2)
             half.close()
             await asyncio.wait_for(world.node.finished, 2)
-            assert loop.time() < killed + 2 * lag.worst and len(world.ups[0].came) == 1
+            assert loop.time() < killed + 2 * lag.worst and len(world.upstreams[0].received) == 1
 
     uvloop.run(test())
 
@@ -473,7 +473,7 @@
         async def half(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"h" * 150_000)
 
-        world.ups[0].script = half
+        world.upstreams[0].script = half
         sock = await raw(world)
         sock.send(request(left="60000m"))
         await until(
@@ -500,7 +500,7 @@
     server.bind(("127.0.0.1", 0))
     server.listen()
     server.setblocking(False)
-    world.ups[number].port = server.getsockname()[1]
+    world.upstreams[number].port = server.getsockname()[1]
 
     async def serve() -> None:
         sock, _ = await loop.sock_accept(server)
@@ -523,7 +523,7 @@
         broken = asyncio.Event()
 
         async def breaks(message: Message, writer: asyncio.StreamWriter) -> None:
-            world.news(world.host(0, "draining"), world.host(1))
+            world.update(world.host(0, "draining"), world.host(1))
             await until(lambda: world.node.pool.upstreams["s1"].ready)
             broken.set()
             writer.transport.abort()
@@ -536,16 +536,16 @@
                 got += len(piece)
 
         server = await narrow(world, 1, reads)
-        world.ups[0].script = breaks
-        world.news(world.host(0), world.host(1, "draining"))
+        world.upstreams[0].script = breaks
+        world.update(world.host(0), world.host(1, "draining"))
         await until(lambda: not world.node.pool.upstreams["s1"].ready)
         size = 20_000_000
-        answer = await world.ask(request("book", b"k" * size, left="2900m"))
+        answer = await world.submit(request("book", b"k" * size, left="2900m"))
         outcomes = world.outcomes()
         assert answer.status == 502 and outcomes[:2] == ["reset", "connect_failed"]
         assert set(outcomes[2:]) <= {"moot"}  # nothing else was written
         await until(lambda: all(task.done() for task in world.tasks))
-        assert len(world.ups[0].came[0].body) == size and 0 < got < size
+        assert len(world.upstreams[0].received[0].body) == size and 0 < got < size
         server.close()
 
 
@@ -563,20 +563,20 @@
 
             async def answers(sock: socket.socket) -> None:
                 await loop.sock_recv(sock, 1000)
-                world.news(world.host(0, "draining"), world.host(1))
+                world.update(world.host(0, "draining"), world.host(1))
                 await until(lambda: world.node.pool.upstreams["s1"].ready)
                 await loop.sock_sendall(sock, early)
                 await asyncio.sleep(0.1)
 
             server = await narrow(world, 0, answers)
-            world.news(world.host(0), world.host(1, "draining"))
+            world.update(world.host(0), world.host(1, "draining"))
             await until(lambda: not world.node.pool.upstreams["s1"].ready)
             body = b"b" * 12_000_000
-            answer = await world.ask(request(name, body, method="POST"))
+            answer = await world.submit(request(name, body, method="POST"))
             if name == "pay" and world.outcomes()[0] == "reset":
-                assert answer.status == 502 and not world.ups[1].came
+                assert answer.status == 502 and not world.upstreams[1].received
             else:
-                assert answer.body == b"done" and world.ups[1].came[0].body == body
+                assert answer.body == b"done" and world.upstreams[1].received[0].body == body
             assert world.outcomes()[0] in ("reset", "connect_failed")
             server.close()
 
--- a/tests/test_extproc_decisions.py
+++ b/tests/test_extproc_decisions.py
@@ -138,9 +138,9 @@
         replies = [r for r in self.received if not isinstance(r, DeadlineExceeded)]
         assert len(replies) <= self.requested + self.reported, "a reply that nobody waits for"
 
-    def ask(self, ask: DecisionRequest) -> Peer:
+    def submit(self, request: DecisionRequest) -> Peer:
         self.requested += 1
-        self.world.service.request_decision(self.stream, ask)
+        self.world.service.request_decision(self.stream, request)
         return self
 
     def report(self, code: str) -> None:
@@ -178,12 +178,12 @@
         self.final: list[str] = []
         self.token = ""
         self.peer = Peer(world, slow)
-        self.peer.ask(DecisionRequest(self.identity, name, left_ms, keyed=name != "pay", opens=opens))
+        self.peer.submit(DecisionRequest(self.identity, name, left_ms, keyed=name != "pay", opens=opens))
         self.opens, self.spare = opens, 0
         self.look()
 
     def next(self) -> None:
-        self.peer = Peer(self.world).ask(DecisionRequest(self.identity, self.name, token=self.token))
+        self.peer = Peer(self.world).submit(DecisionRequest(self.identity, self.name, token=self.token))
         self.look()
 
     def look(self) -> None:
@@ -309,12 +309,12 @@
         else:
             customer.final.append("left")
     elif what == "overlap" and peer.out():
-        other = Peer(world).ask(DecisionRequest(customer.identity, customer.name, token=customer.token))
+        other = Peer(world).submit(DecisionRequest(customer.identity, customer.name, token=customer.token))
         world.clock.pass_time(0.02)
         assert not other.decision(), "a second attempt beside one that is out"
         other.drop()
     elif what == "copy" and peer.out():
-        other = Peer(world).ask(DecisionRequest(customer.identity, customer.name, 100.0))
+        other = Peer(world).submit(DecisionRequest(customer.identity, customer.name, 100.0))
         assert other.received == [Failed(409)]
         other.drop()
 
@@ -365,7 +365,7 @@
 
 
 def peer_with_decision(world: World, name: str = "pay", identity: str = "c1") -> Peer:
-    peer = Peer(world).ask(DecisionRequest(identity, name, 500.0, keyed=name != "pay"))
+    peer = Peer(world).submit(DecisionRequest(identity, name, 500.0, keyed=name != "pay"))
     assert peer.decision()
     return peer
 
@@ -376,7 +376,7 @@
     peer = peer_with_decision(world)
     peer.report(code)
     assert peer.received[1:] == [Failed(502)]
-    assert Peer(world).ask(DecisionRequest("c1", "pay")).received == [Failed(409)]
+    assert Peer(world).submit(DecisionRequest("c1", "pay")).received == [Failed(409)]
 
 
 @pytest.mark.parametrize("code", NEVER_RAN_CODES)
@@ -386,18 +386,18 @@
     first = peer.decision()
     peer.report(code)
     assert peer.received[1:] == [RetryOffered(True)] and first is not None
-    following = Peer(world).ask(DecisionRequest("c1", "pay", token=first.token))
+    following = Peer(world).submit(DecisionRequest("c1", "pay", token=first.token))
     assert following.decision() and following.decision().address != first.address  # type: ignore[union-attr]
 
 
 def test_decided_and_never_claimed_counts_as_never_sent() -> None:
     world = World()
-    opener = Peer(world).ask(DecisionRequest("c1", "pay", 500.0, opens=True))
+    opener = Peer(world).submit(DecisionRequest("c1", "pay", 500.0, opens=True))
     assert isinstance(opener.received[0], RequestOpened)
     world.clock.pass_time(0.25)  # nobody comes for it
     assert not world.service.requests and not world.engine.counts["overdue"]
     assert world.service.completed["c1"].never_ran
-    again = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
+    again = Peer(world).submit(DecisionRequest("c1", "pay", 500.0))
     assert again.decision()
 
 
@@ -435,7 +435,7 @@
     world = World()
     world.service.max_requests = 1
     peer_with_decision(world)
-    assert Peer(world).ask(DecisionRequest("c2", "pay")).received == [Rejected(0.0, False)]
+    assert Peer(world).submit(DecisionRequest("c2", "pay")).received == [Rejected(0.0, False)]
     assert len(world.engine.pending_requests) == 1
 
 
@@ -519,7 +519,7 @@
 
 def test_a_decision_not_written_in_time_is_made_anew_and_nothing_ran() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", 500.0))
+    peer = Peer(world, slow=True).submit(DecisionRequest("c1", "pay", 500.0))
     first = peer.held
     assert first is not None and abs(first.valid_for_ms - 100.0) < 1e-6
     world.move(int(first.address.rpartition(":")[2]), "draining")
@@ -541,19 +541,19 @@
 
 def test_a_stream_that_ends_before_its_decision_is_written_ran_nothing() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", 500.0))
+    peer = Peer(world, slow=True).submit(DecisionRequest("c1", "pay", 500.0))
     assert peer.held is not None
     peer.drop()
     assert not world.service.requests and world.engine.counts["client gone"] == 1
-    again = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
+    again = Peer(world).submit(DecisionRequest("c1", "pay", 500.0))
     assert isinstance(again.received[0], Decision)
     again.drop()  # this one was written: it may run
-    assert Peer(world).ask(DecisionRequest("c1", "pay", 500.0)).received == [Failed(409)]
+    assert Peer(world).submit(DecisionRequest("c1", "pay", 500.0)).received == [Failed(409)]
 
 
 def test_an_expired_decision_after_the_clients_deadline_changes_nothing() -> None:
     world = World()
-    peer = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", 80.0))
+    peer = Peer(world, slow=True).submit(DecisionRequest("c1", "pay", 80.0))
     world.clock.pass_time(0.5)
     assert peer.received == [DeadlineExceeded()] and not world.service.requests
     assert world.engine.counts["written too late"] == 0 and world.engine.counts["timeout"] == 1
@@ -562,12 +562,12 @@
 def test_after_a_proven_failure_an_expired_decision_is_still_safe_to_retry() -> None:
     """What was known before the decision is known again once it is taken back: here, that nothing ran."""
     world = World()
-    first = Peer(world).ask(DecisionRequest("c1", "pay", 500.0))
+    first = Peer(world).submit(DecisionRequest("c1", "pay", 500.0))
     decision = first.decision()
     assert decision is not None
     first.report("full")
     assert first.received[-1] == RetryOffered(True)
-    second = Peer(world, slow=True).ask(DecisionRequest("c1", "pay", token=decision.token))
+    second = Peer(world, slow=True).submit(DecisionRequest("c1", "pay", token=decision.token))
     assert second.held is not None
     world.clock.pass_time(0.102)
     assert second.decision() is not None
--- a/tests/test_extproc_example.py
+++ b/tests/test_extproc_example.py
@@ -104,9 +104,9 @@
 
 
 def test_the_destination_is_the_header_that_we_set(parts: dict[str, Any]) -> None:
-    nodos = parts["nodos"]
-    assert nodos.original_dst_lb_config.http_header_name == DEFAULT_HEADERS["destination"]
-    assert nodos.lb_policy == nodos.CLUSTER_PROVIDED
+    upstreams = parts["nodos"]
+    assert upstreams.original_dst_lb_config.http_header_name == DEFAULT_HEADERS["destination"]
+    assert upstreams.lb_policy == upstreams.CLUSTER_PROVIDED
 
 
 def test_the_time_outs_fit_together(parts: dict[str, Any]) -> None:
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -15,15 +15,15 @@
 import grpc
 import pytest
 import uvloop
-from extproc_site import Raw, Site, rows_of, status_of
+from extproc_site import RawStream, Site, rows_of, status_of
 from peers import SETTINGS, run, until
 
 from quartzford.serve import config_path
 from quartzford.settings.operator_checks import OperatorError
 from quartzford.settings.operator_file import read_operator_settings
 from quartzford.settings.operator_settings import ExtprocSettings, RelaySettings, first_restart_only_change
-from standins.caller import CallerProxy, Policy
-from standins.nodo import Nodo, fleet
+from standins.caller import CallerPolicy, CallerProxy
+from standins.upstream import StandInUpstream, start_upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -32,11 +32,11 @@
 async def test_workers_share_one_port_and_one_view_of_a_request() -> None:
     async with Site(3, workers=2) as site:
         callers = [site.caller() for _ in range(8)]
-        done = await asyncio.gather(*(site.ask(c, "pay") for c in callers for _ in range(10)))
+        done = await asyncio.gather(*(site.submit(c, "pay") for c in callers for _ in range(10)))
         assert [d.statuses for d in done] == [[200]] * 80
         assert {site.runs(d.identity) for d in done} == {1}
-        raws = [Raw(caller) for caller in callers]
-        replies = [await raw.ask(rows_of("same")) for raw in raws]
+        raws = [RawStream(caller) for caller in callers]
+        replies = [await raw.submit(rows_of("same")) for raw in raws]
         # Whichever workers these reached: one was told where to, all others that it is out.
         assert sorted(map(status_of, replies)) == [0] + [409] * 7
 
@@ -46,9 +46,9 @@
     """What its callers had been told of may run: a cobro is not sent again, and service goes on."""
     async with Site(3, workers=2, return_ms=100.0) as site:
         callers = [site.caller() for _ in range(12)]
-        raws = [Raw(caller) for caller in callers]
+        raws = [RawStream(caller) for caller in callers]
         for number, raw in enumerate(raws):
-            await raw.ask(rows_of(f"w{number}"))
+            await raw.submit(rows_of(f"w{number}"))
         assert site.open_requests() == 12
         victim = site.front.workers[0]
         victim.kill()
@@ -57,25 +57,27 @@
         lost = [n for n in range(12) if f"w{n}" not in site.front.service.requests_by_identity]
         fresh = site.caller()
         for number in lost:
-            assert status_of(await Raw(fresh).ask(rows_of(f"w{number}"))) == 409
+            assert status_of(await RawStream(fresh).submit(rows_of(f"w{number}"))) == 409
             token = raws[number].token()
-            assert status_of(await Raw(fresh).ask(rows_of(f"w{number}", "pay", token))) == 502
+            assert status_of(await RawStream(fresh).submit(rows_of(f"w{number}", "pay", token))) == 502
         for number in set(range(12)) - set(lost):
             assert status_of(await raws[number].report(200)) == 0
-        assert (await site.ask(site.caller(), "pay")).statuses == [200]
+        assert (await site.submit(site.caller(), "pay")).statuses == [200]
 
 
-async def decision_while_the_worker_is_stopped(site: Site, name: str) -> tuple[Raw, asyncio.Task[Any], str]:
+async def decision_while_the_worker_is_stopped(
+    site: Site, name: str
+) -> tuple[RawStream, asyncio.Task[Any], str]:
     """A request held until its worker stands still, then decided: who asked, its question, the nodo."""
-    for nodo in site.nodos:
-        site.registry.tell(nodo, health="draining")
+    for upstream in site.upstreams:
+        site.registry.notify(upstream, health="draining")
     await until(lambda: not site.backend.hosts)
-    raw = Raw(site.caller())
-    asking = asyncio.create_task(raw.ask(rows_of("c1", name)))
+    raw = RawStream(site.caller())
+    asking = asyncio.create_task(raw.submit(rows_of("c1", name)))
     await until(lambda: site.open_requests() == 1)
     site.front.workers[0].send_signal(signal.SIGSTOP)
-    for nodo in site.nodos:
-        site.registry.tell(nodo)
+    for upstream in site.upstreams:
+        site.registry.notify(upstream)
     (request,) = site.front.service.requests.values()
     await until(lambda: request.attempt_stream is not None)
     assert request.attempt is not None and not asking.done()
@@ -87,13 +89,13 @@
     """The nodo drained meanwhile: the request goes elsewhere, and runs once."""
     async with Site(3, workers=1) as site:
         raw, asking, chosen = await decision_while_the_worker_is_stopped(site, "pay")
-        nodo = site.nodos[int(chosen[1:])]
-        site.registry.tell(nodo, health="draining")
+        upstream = site.upstreams[int(chosen[1:])]
+        site.registry.notify(upstream, health="draining")
         await until(lambda: chosen not in site.backend.hosts)
         await asyncio.sleep(site.extproc.decision_valid_ms / 1000.0)
         site.front.workers[0].send_signal(signal.SIGCONT)
         assert status_of(await asking) == 0
-        assert raw.address() != f"127.0.0.1:{nodo.port}"
+        assert raw.address() != f"127.0.0.1:{upstream.port}"
         assert site.node.engine.counts["written too late"] == site.node.engine.counts["moot"] == 1
         await raw.report(200)
         assert site.node.engine.counts["ok"] == 1 and not site.open_requests()
@@ -109,7 +111,7 @@
         with pytest.raises((asyncio.CancelledError, asyncio.InvalidStateError, grpc.aio.AioRpcError)):
             await asking
         await until(lambda: not site.open_requests())
-        done = await site.ask(site.caller(), "pay", identity="c1")
+        done = await site.submit(site.caller(), "pay", identity="c1")
         assert done.statuses == [200] and site.runs("c1") == 1
 
 
@@ -121,7 +123,9 @@
         self.operator = folder / "operator.toml"
 
     async def __aenter__(self) -> Program:
-        self.nodos, self.books, self.registry = await fleet(2, lambda n, books: Nodo(f"s{n}", books))
+        self.upstreams, self.journal, self.registry = await start_upstreams(
+            2, lambda n, journal: StandInUpstream(f"s{n}", journal)
+        )
         config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -167,13 +171,13 @@
             self.process.kill()
         await self.process.wait()
         await self.registry.stop()
-        for nodo in self.nodos:
-            await nodo.stop()
+        for upstream in self.upstreams:
+            await upstream.stop()
 
     def caller(self) -> CallerProxy:
         import random
 
-        return CallerProxy(f"127.0.0.1:{self.port}", Policy(), random.Random(1))
+        return CallerProxy(f"127.0.0.1:{self.port}", CallerPolicy(), random.Random(1))
 
 
 @pytest.mark.parametrize("workers", [0, 2])
@@ -181,14 +185,14 @@
     async def test() -> None:
         async with Program(tmp_path, workers) as it:
             caller = it.caller()
-            raws = [Raw(caller) for _ in range(5)]
+            raws = [RawStream(caller) for _ in range(5)]
             for number, raw in enumerate(raws):
-                assert status_of(await raw.ask(rows_of(f"c{number}", left_s=2.9))) == 0
+                assert status_of(await raw.submit(rows_of(f"c{number}", left_s=2.9))) == 0
             it.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.3)
-            late = Raw(caller)  # nothing new is taken: the caller is to ask another balancer
+            late = RawStream(caller)  # nothing new is taken: the caller is to ask another balancer
             with pytest.raises((grpc.aio.AioRpcError, asyncio.InvalidStateError)):
-                reply = await late.ask(rows_of("late"))
+                reply = await late.submit(rows_of("late"))
                 raise AssertionError(f"taken after GOAWAY: {reply}")
             for raw in raws:  # GOAWAY has come: what is open finishes on its connection
                 assert status_of(await raw.report(200)) == 0
@@ -211,15 +215,15 @@
                 it.write(extra)
                 it.process.send_signal(signal.SIGHUP)
                 assert key in await it.said("reload")
-            held = Raw(caller)
-            await held.ask(rows_of("held"))
+            held = RawStream(caller)
+            await held.submit(rows_of("held"))
             it.write('[extproc.headers]\ndestination = "x-goes-to"\n')
             it.process.send_signal(signal.SIGHUP)
             assert "in force" in await it.said("reload")
             assert status_of(await held.report(200)) == 0
             for _ in range(200):
-                raw = Raw(caller)
-                reply = await raw.ask(rows_of(f"n{_}"))
+                raw = RawStream(caller)
+                reply = await raw.submit(rows_of(f"n{_}"))
                 await raw.report(200)
                 names = {o.header.key for o in reply.request_headers.response.header_mutation.set_headers}
                 if "x-goes-to" in names:
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 from envoy.service.ext_proc.v3 import external_processor_pb2 as proto
-from extproc_site import Raw, Site, rows_of, status_of
+from extproc_site import RawStream, Site, rows_of, status_of
 from peers import SETTINGS, run, until
 
 from quartzford.decision import interface as io
@@ -31,11 +31,11 @@
             return handle(now, event)
 
         site.node.engine.balancer.handle = watched  # type: ignore[method-assign]
-        for nodo in site.nodos:
-            nodo.busy = lambda now: 1  # type: ignore[method-assign]
+        for upstream in site.upstreams:
+            upstream.busy = lambda now: 1  # type: ignore[method-assign]
         for name in ("read", "book", "pay"):
-            done = await site.ask(caller, name)
-            assert done.statuses == [200] and len(done.attempts) == 1 and not done.why
+            done = await site.submit(caller, name)
+            assert done.statuses == [200] and len(done.attempts) == 1 and not done.reason
             assert site.runs(done.identity) == 1
         assert site.node.engine.counts["ok"] == 3 and not site.node.engine.pending_requests
         # The nodos say queue 0 and util 1.0; the module is told, in the order of the settings.
@@ -46,11 +46,11 @@
 def test_a_rejected_attempt_goes_elsewhere_by_a_new_decision(opener: bool) -> None:
     async def test() -> None:
         async with Site(2) as site:
-            site.nodos[0].mode = "full"
+            site.upstreams[0].mode = "full"
             caller = site.caller(opener=opener)
             several = 0
             for _ in range(20):
-                done = await site.ask(caller, "pay")
+                done = await site.submit(caller, "pay")
                 assert done.statuses == [200] and site.runs(done.identity) == 1
                 several += len(done.attempts) > 1
                 assert len({a.address for a in done.attempts}) == len(done.attempts)
@@ -62,29 +62,29 @@
 @run
 async def test_an_unsafe_request_that_may_have_run_fails_and_is_not_rejected() -> None:
     async with Site(2) as site:
-        for nodo in site.nodos:
-            nodo.mode = "error"
+        for upstream in site.upstreams:
+            upstream.mode = "error"
         caller = site.caller()
-        done = await site.ask(caller, "pay")
+        done = await site.submit(caller, "pay")
         assert done.statuses == [502] and len(done.attempts) == 1 and not done.retry_after
-        again = await site.ask(caller, "pay", identity=done.identity)
+        again = await site.submit(caller, "pay", identity=done.identity)
         assert again.statuses == [409] and site.runs(done.identity) == 1
-        read = await site.ask(caller, "read")
+        read = await site.submit(caller, "read")
         assert len(read.attempts) > 1 and read.statuses in ([502], [503])
 
 
 @run
 async def test_what_never_ran_is_rejected_with_retry_after() -> None:
     async with Site(2) as site:
-        for nodo in site.nodos:
-            nodo.mode = "full"
-        done = await site.ask(site.caller(), "pay", left_s=0.6)
+        for upstream in site.upstreams:
+            upstream.mode = "full"
+        done = await site.submit(site.caller(), "pay", left_s=0.6)
         assert done.statuses == [503] and float(done.retry_after) > 0
-        for nodo in site.nodos:
-            nodo.mode = "ok"
+        for upstream in site.upstreams:
+            upstream.mode = "ok"
         # It surely did not run: the same request may come again.
         await until(lambda: not site.open_requests())
-        again = await site.ask(site.caller(), "pay", identity=done.identity)
+        again = await site.submit(site.caller(), "pay", identity=done.identity)
         assert again.statuses == [200] and site.runs(done.identity) == 1
 
 
@@ -94,9 +94,9 @@
 
     async def test() -> None:
         async with Site(4) as site:
-            for nodo in site.nodos:
-                nodo.mode = mode
-            done = await site.ask(site.caller(retries=0), name)
+            for upstream in site.upstreams:
+                upstream.mode = mode
+            done = await site.submit(site.caller(retries=0), name)
             assert done.statuses == [status] and len(done.attempts) == 1
 
     uvloop.run(test())
@@ -109,7 +109,7 @@
         admission = site.node.engine.balancer.admission
         admission.shed, admission.refused, admission.shed_ms = 0.95, 1e4, site.node.clock.unix_ms()
         caller = site.caller()
-        answers = [await site.ask(caller, "read") for _ in range(40)]
+        answers = [await site.submit(caller, "read") for _ in range(40)]
         statuses = [done.statuses[0] for done in answers]
         assert 429 in statuses and set(statuses) <= {200, 429, 503}
         assert all(float(done.retry_after) > 0 for done in answers if done.statuses == [429])
@@ -121,18 +121,18 @@
 @run
 async def test_a_stream_dropped_before_its_decision_surely_did_not_run() -> None:
     async with Site(1) as site:
-        site.registry.tell(site.nodos[0], health="draining")
+        site.registry.notify(site.upstreams[0], health="draining")
         await until(lambda: not site.backend.hosts)
         caller = site.caller()
-        raw = Raw(caller)
+        raw = RawStream(caller)
         message = proto.ProcessingRequest(request_headers=_message(rows_of("x1")))
         await raw.call.write(message)
         await until(site.open_requests)
         raw.drop()
         await until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
-        site.registry.tell(site.nodos[0])
+        site.registry.notify(site.upstreams[0])
         await until(lambda: site.backend.hosts)
-        done = await site.ask(caller, "pay", identity="x1")
+        done = await site.submit(caller, "pay", identity="x1")
         assert done.statuses == [200] and site.runs("x1") == 1
 
 
@@ -143,12 +143,12 @@
         async with Site(2, return_ms=50.0) as site:
             caller = site.caller()
             if stage == STAGES[2]:
-                for nodo in site.nodos:
-                    nodo.gate = asyncio.Event()
-            done = await site.ask(caller, name, drop=stage)
+                for upstream in site.upstreams:
+                    upstream.gate = asyncio.Event()
+            done = await site.submit(caller, name, drop=stage)
             assert done.dropped == stage and not done.statuses
             await until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
-            again = await site.ask(caller, name, identity=done.identity)
+            again = await site.submit(caller, name, identity=done.identity)
             assert again.statuses == [409]
             assert site.runs(done.identity) == (1 if stage == STAGES[2] else 0)
 
@@ -161,13 +161,13 @@
     async with Site(2, return_ms=50.0) as site:
         processor, caller = site.front.processor, site.caller()
         assert processor is not None
-        raw = Raw(caller)
+        raw = RawStream(caller)
         raw.headers = Headers(rows_of("c1"))
         await raw.call.write(proto.ProcessingRequest(request_headers=raw.headers.message(True, True)))
         await until(lambda: any(w.decided for c in processor.callers for w in c.extproc_streams.values()))
         raw.drop()
         await until(lambda: site.node.engine.counts["client gone"] == 1)
-        again = await site.ask(caller, "pay", identity="c1")
+        again = await site.submit(caller, "pay", identity="c1")
         assert again.statuses == [409] and site.runs("c1") == 0
 
 
@@ -186,11 +186,11 @@
 
         link.request_decision = late  # type: ignore[method-assign]
         caller = site.caller(message_timeout_s=0.1)
-        done = await site.ask(caller, "pay")
+        done = await site.submit(caller, "pay")
         assert done.statuses == [504] and not done.attempts
         await until(lambda: site.node.engine.counts["client gone"] == 1)
         link.request_decision = request_decision  # type: ignore[method-assign]
-        again = await site.ask(site.caller(), "pay", identity=done.identity)
+        again = await site.submit(site.caller(), "pay", identity=done.identity)
         assert again.statuses == [200] and site.runs(done.identity) == 1
 
 
@@ -198,8 +198,8 @@
 async def test_a_request_whose_time_is_over_while_its_attempt_is_out_is_cut() -> None:
     """A caller that holds to no time-out of its own: its stream is ended, so that its client hears."""
     async with Site(1) as site:
-        raw = Raw(site.caller())
-        assert status_of(await raw.ask(rows_of("c9", left_s=0.3))) == 0
+        raw = RawStream(site.caller())
+        assert status_of(await raw.submit(rows_of("c9", left_s=0.3))) == 0
         with pytest.raises(grpc.aio.AioRpcError) as error:
             await raw.call.read()
             await raw.report(200)
@@ -215,9 +215,9 @@
     async def test() -> None:
         async with Site(3, overlap_ms=30.0) as site:
             caller = site.caller()
-            one, two = Raw(caller), Raw(caller)
-            await one.ask(rows_of("c1", name))
-            assert status_of(await two.ask(rows_of("c1", name, one.token()))) == status
+            one, two = RawStream(caller), RawStream(caller)
+            await one.submit(rows_of("c1", name))
+            assert status_of(await two.submit(rows_of("c1", name, one.token()))) == status
             assert status_of(await one.report(200)) == 0 and not site.open_requests()
 
     uvloop.run(test())
@@ -230,9 +230,9 @@
     async def test() -> None:
         async with Site(4, overlap_ms=5000.0) as site:
             caller = site.caller()
-            one, two = Raw(caller), Raw(caller)
-            await one.ask(rows_of("c1", name))
-            asking = asyncio.ensure_future(two.ask(rows_of("c1", name, one.token())))
+            one, two = RawStream(caller), RawStream(caller)
+            await one.submit(rows_of("c1", name))
+            asking = asyncio.ensure_future(two.submit(rows_of("c1", name, one.token())))
             await until(lambda: any(f.next_stream for f in site.front.service.requests.values()))
             one.drop()
             reply = await asking
@@ -240,7 +240,7 @@
                 return _check(status_of(reply) == 502)
             assert status_of(reply) == 0 and two.address()
             if name == "book":  # only in its block are its repeats dropped
-                block = {f"127.0.0.1:{n.port}": n.block for n in site.nodos}
+                block = {f"127.0.0.1:{n.port}": n.block for n in site.upstreams}
                 assert block[two.address()] == block[one.address()]
             await two.report(200)
             assert not site.open_requests()
@@ -254,13 +254,13 @@
 
     async def test() -> None:
         async with Site(3) as site:
-            for nodo in site.nodos:
-                nodo.mode = "garble"
-            caller = site.caller(hostile=True, retries=1)
-            done = await site.ask(caller, name)
+            for upstream in site.upstreams:
+                upstream.mode = "garble"
+            caller = site.caller(retries_resets=True, retries=1)
+            done = await site.submit(caller, name)
             assert site.runs(done.identity) == len(done.attempts) == runs and len(done.statuses) == 1
             assert done.statuses == [502] if name == "pay" else done.statuses[0] >= 500
-            assert not site.books.overlapping
+            assert not site.journal.overlapping
 
     uvloop.run(test())
 
@@ -270,11 +270,11 @@
     async def test() -> None:
         async with Site() as site:
             callers = [site.caller() for _ in range(connections)]
-            one, two = Raw(callers[0]), Raw(callers[-1])
-            await one.ask(rows_of("c1"))
-            assert status_of(await two.ask(rows_of("c1"))) == 409
+            one, two = RawStream(callers[0]), RawStream(callers[-1])
+            await one.submit(rows_of("c1"))
+            assert status_of(await two.submit(rows_of("c1"))) == 409
             await one.report(200)
-            assert status_of(await Raw(callers[-1]).ask(rows_of("c1"))) == 409
+            assert status_of(await RawStream(callers[-1]).submit(rows_of("c1"))) == 409
 
     uvloop.run(test())
 
@@ -287,19 +287,25 @@
     async with Site() as site:
         caller = site.caller()
         for text in ("x", "AAAA" * 20, "é", "=" * 9):
-            assert status_of(await Raw(caller).ask(rows_of("c1", "pay", ("x-quartzford-token", text)))) == 400
-        one = Raw(caller)
-        await one.ask(rows_of("c1"))
-        assert status_of(await Raw(caller).ask(rows_of("other", "pay", one.token()))) == 400
+            assert (
+                status_of(await RawStream(caller).submit(rows_of("c1", "pay", ("x-quartzford-token", text))))
+                == 400
+            )
+        one = RawStream(caller)
+        await one.submit(rows_of("c1"))
+        assert status_of(await RawStream(caller).submit(rows_of("other", "pay", one.token()))) == 400
         await one.report(200)
         # Of a request that has ended: whatever it was, it is not sent again.
-        assert status_of(await Raw(caller).ask(rows_of("c1", "pay", one.token()))) == 502
+        assert status_of(await RawStream(caller).submit(rows_of("c1", "pay", one.token()))) == 502
         # Of an earlier life, with a key that lasts.
         tokens = site.front.service.tokens
         tokens.key = Tokens(b"k" * 16, b"l" * 8).key
         old = Tokens(b"k" * 16, os.urandom(8)).make(3, "c7", site.node.clock.unix_ms() + 1e6)
-        assert status_of(await Raw(caller).ask(rows_of("c7", "pay", ("x-quartzford-token", old)))) == 502
-        assert not site.books.runs and site.node.engine.counts["token stale"] == 1
+        assert (
+            status_of(await RawStream(caller).submit(rows_of("c7", "pay", ("x-quartzford-token", old))))
+            == 502
+        )
+        assert not site.journal.runs and site.node.engine.counts["token stale"] == 1
 
 
 @run
@@ -310,12 +316,12 @@
             ("x-quartzford-retry", "1"),
             ("x-envoy-upstream-rq-timeout-ms", "1"),
         )
-        done = await site.ask(site.caller(), "pay", extra=forged)
+        done = await site.submit(site.caller(), "pay", extra=forged)
         assert done.statuses == [200] and done.attempts[0].address != "127.0.0.1:9"
-        brought = Raw(site.caller(), opens=True)  # whoever opens a request has no token yet
-        assert status_of(await brought.ask(rows_of("c7", "pay", ("x-quartzford-token", "x")))) == 400
-        raw = Raw(site.caller(), opens=True)
-        await raw.ask(rows_of("c8", "pay", *forged))
+        brought = RawStream(site.caller(), opens=True)  # whoever opens a request has no token yet
+        assert status_of(await brought.submit(rows_of("c7", "pay", ("x-quartzford-token", "x")))) == 400
+        raw = RawStream(site.caller(), opens=True)
+        await raw.submit(rows_of("c8", "pay", *forged))
         assert raw.address() == "" and raw.token()[1]
 
 
@@ -331,8 +337,8 @@
 def test_header_values_come_in_either_field(raw_values: bool) -> None:
     async def test() -> None:
         async with Site() as site:
-            done = await site.ask(site.caller(raw_values=raw_values), "book")
-            assert done.statuses == [200] and site.books.runs[0].key == f"k-{done.identity}"
+            done = await site.submit(site.caller(raw_values=raw_values), "book")
+            assert done.statuses == [200] and site.journal.runs[0].key == f"k-{done.identity}"
 
     uvloop.run(test())
 
@@ -342,16 +348,20 @@
     async with Site() as site:
         caller = site.caller()
         no_id = [row for row in rows_of("c1") if row[0] != "x-correlation-id"]
-        assert status_of(await Raw(caller).ask(no_id)) == 400
-        assert status_of(await Raw(caller).ask(rows_of("c1", "pay", ("x-correlation-id", "c2")))) == 400
+        assert status_of(await RawStream(caller).submit(no_id)) == 400
+        assert (
+            status_of(await RawStream(caller).submit(rows_of("c1", "pay", ("x-correlation-id", "c2")))) == 400
+        )
         many = [(f"x-{n}", "v") for n in range(300)]
-        assert status_of(await Raw(caller).ask(rows_of("c1", "pay", *many))) == 431
-        assert status_of(await Raw(caller).ask(rows_of("c1", "pay", ("x-long", "v" * 70_000)))) == 431
+        assert status_of(await RawStream(caller).submit(rows_of("c1", "pay", *many))) == 431
+        assert (
+            status_of(await RawStream(caller).submit(rows_of("c1", "pay", ("x-long", "v" * 70_000)))) == 431
+        )
         odd = [row for row in rows_of("c3") if row[0] not in ("x-service-class", "x-time-left")]
-        raw = Raw(caller)
-        assert status_of(await raw.ask([*odd, ("x-time-left", "soon")])) == 0 and raw.address()
+        raw = RawStream(caller)
+        assert status_of(await raw.submit([*odd, ("x-time-left", "soon")])) == 0 and raw.address()
         assert site.node.engine.pending_requests and (await raw.report(200)) and not site.open_requests()
-        assert not site.books.runs
+        assert not site.journal.runs
 
 
 @run
@@ -365,16 +375,16 @@
             with pytest.raises(grpc.aio.AioRpcError):
                 assert await asyncio.wait_for(call.read(), 20) is not grpc.aio.EOF
                 raise AssertionError("it was answered")
-        assert (await site.ask(caller, "pay")).statuses == [200] and not site.open_requests()
+        assert (await site.submit(caller, "pay")).statuses == [200] and not site.open_requests()
 
 
 @run
 async def test_phases_that_were_not_requested_get_the_neutral_reply() -> None:
     async with Site() as site:
-        raw = Raw(site.caller())
+        raw = RawStream(site.caller())
         reply = await raw.say(proto.ProcessingRequest(response_headers=_message([(":status", "200")])))
         assert reply.WhichOneof("response") == "response_headers"
-        reply = await raw.ask(rows_of("c1"))
+        reply = await raw.submit(rows_of("c1"))
         override = reply.mode_override
         assert (override.request_body_mode, override.response_body_mode) == (0, 0)
         assert override.response_header_mode == override.SEND
@@ -394,17 +404,17 @@
 async def test_a_nodo_that_drains_between_decision_and_send_gets_nothing() -> None:
     async with Site(4, decision_valid_ms=5000.0) as site:
         caller = site.caller()
-        opener = Raw(caller, opens=True)
-        await opener.ask(rows_of("c1"))
+        opener = RawStream(caller, opens=True)
+        await opener.submit(rows_of("c1"))
         (call,) = site.node.engine.pending_requests.values()
         assert call.attempt is not None
         chosen = call.attempt.server
-        nodo = site.nodos[int(chosen[1:])]
-        site.registry.tell(nodo, health="draining")
+        upstream = site.upstreams[int(chosen[1:])]
+        site.registry.notify(upstream, health="draining")
         await until(lambda: chosen not in site.backend.hosts)
-        raw = Raw(caller)
-        await raw.ask(rows_of("c1", "pay", opener.token()))
-        assert raw.address() != f"127.0.0.1:{nodo.port}" and site.node.engine.counts["moot"] == 1
+        raw = RawStream(caller)
+        await raw.submit(rows_of("c1", "pay", opener.token()))
+        assert raw.address() != f"127.0.0.1:{upstream.port}" and site.node.engine.counts["moot"] == 1
         await raw.report(200)
 
 
@@ -412,11 +422,11 @@
 async def test_a_decision_that_waited_too_long_is_made_anew() -> None:
     async with Site(4, decision_valid_ms=1.0, return_ms=2000.0) as site:
         caller = site.caller()
-        opener = Raw(caller, opens=True)
-        await opener.ask(rows_of("c1"))
+        opener = RawStream(caller, opens=True)
+        await opener.submit(rows_of("c1"))
         await asyncio.sleep(0.02)
-        raw = Raw(caller)
-        await raw.ask(rows_of("c1", "pay", opener.token()))
+        raw = RawStream(caller)
+        await raw.submit(rows_of("c1", "pay", opener.token()))
         assert raw.address() and site.node.engine.counts["moot"] == 1
         await raw.report(200)
         assert site.node.engine.counts["ok"] == 1
@@ -425,7 +435,7 @@
 @run
 async def test_a_caller_that_stalls_and_keeps_to_the_end_of_validity_sends_nothing_old() -> None:
     async with Site(4, decision_valid_ms=60.0) as site:
-        done = await site.ask(site.caller(honours=True, stall_s=0.1), "pay")
+        done = await site.submit(site.caller(honours=True, stall_s=0.1), "pay")
         assert done.statuses == [200] and [a.outcome for a in done.attempts] == ["expired", "200"]
         assert site.runs(done.identity) == 1 and site.node.engine.counts["moot"] == 1
 
@@ -434,7 +444,7 @@
 async def test_what_a_client_says_of_the_validity_is_overwritten() -> None:
     async with Site(4, decision_valid_ms=60.0) as site:
         claim = (("x-quartzford-within", "60000"),)
-        done = await site.ask(site.caller(honours=True, stall_s=0.1), "pay", extra=claim)
+        done = await site.submit(site.caller(honours=True, stall_s=0.1), "pay", extra=claim)
         assert done.statuses == [200] and [a.outcome for a in done.attempts] == ["expired", "200"]
 
 
@@ -442,11 +452,11 @@
 async def test_an_opened_request_that_nobody_follows_up_is_given_up() -> None:
     async with Site(return_ms=50.0) as site:
         caller = site.caller()
-        opener = Raw(caller, opens=True)
-        await opener.ask(rows_of("c1"))
+        opener = RawStream(caller, opens=True)
+        await opener.submit(rows_of("c1"))
         await until(lambda: not site.open_requests())
         assert site.node.engine.counts["client gone"] == 1
-        assert status_of(await Raw(caller).ask(rows_of("c1", "pay", opener.token()))) == 502
+        assert status_of(await RawStream(caller).submit(rows_of("c1", "pay", opener.token()))) == 502
 
 
 # ---- many streams, and a caller that does not read
@@ -455,13 +465,13 @@
 @run
 async def test_a_thousand_streams_on_one_connection() -> None:
     async with Site(4, settings={"tickMs": 1.0}) as site:
-        for nodo in site.nodos:
-            nodo.gate, nodo.queue = asyncio.Event(), 2000
+        for upstream in site.upstreams:
+            upstream.gate, upstream.queue = asyncio.Event(), 2000
         caller = site.caller()
-        asking = [asyncio.ensure_future(site.ask(caller, "pay", left_s=20.0)) for _ in range(1000)]
-        await until(lambda: len(site.books.runs) + sum(bool(t.done()) for t in asking) == 1000, 40)
-        for nodo in site.nodos:
-            nodo.gate.set()
+        asking = [asyncio.ensure_future(site.submit(caller, "pay", left_s=20.0)) for _ in range(1000)]
+        await until(lambda: len(site.journal.runs) + sum(bool(t.done()) for t in asking) == 1000, 40)
+        for upstream in site.upstreams:
+            upstream.gate.set()
         answers = await asyncio.gather(*asking)
         assert all(len(done.statuses) == 1 for done in answers)
         assert not any(site.runs(done.identity) > 1 for done in answers)
@@ -495,7 +505,7 @@
         assert site.front.processor is not None
         callers = site.front.processor.callers
         (connection,) = (c for c in callers if len(c.connection.streams) > 100)
-        assert (await site.ask(site.caller(), "pay", left_s=0.5)).statuses == [200]
+        assert (await site.submit(site.caller(), "pay", left_s=0.5)).statuses == [200]
         await until(lambda: not site.open_requests() and not connection.extproc_streams, 20)
         assert connection.transport.get_write_buffer_size() + connection.connection.out_bytes < 300_000
         writer.transport.abort()
@@ -507,13 +517,13 @@
     """The bound is told in SETTINGS; a caller that has heard of it lets a further stream wait."""
     async with Site(most_streams=4) as site:
         caller = site.caller()
-        first = Raw(caller)
-        await first.ask(rows_of("c0"))
-        streams = [Raw(caller) for _ in range(3)]
+        first = RawStream(caller)
+        await first.submit(rows_of("c0"))
+        streams = [RawStream(caller) for _ in range(3)]
         for number, raw in enumerate(streams):
-            await raw.ask(rows_of(f"c{number + 1}"))
-        fifth = asyncio.ensure_future(Raw(caller).ask(rows_of("c4")))
-        other = await site.ask(site.caller(), "pay", identity="other")  # another connection has its own
+            await raw.submit(rows_of(f"c{number + 1}"))
+        fifth = asyncio.ensure_future(RawStream(caller).submit(rows_of("c4")))
+        other = await site.submit(site.caller(), "pay", identity="other")  # another connection has its own
         assert other.statuses == [200] and site.front.processor is not None
         # Where the caller waits for a stream to end, or opens a further connection, is its own affair.
         held = [len(c.connection.streams) for c in site.front.processor.callers]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import FREE, RULES, ask, entry, finals, outcome, reported, sends, serve, settings, started
+from helpers import FREE, RULES, entry, finals, outcome, reported, sends, serve, settings, started, submit
 from pytest import approx
 
 from quartzford.decision import interface as io
@@ -18,12 +18,12 @@
     balancer = started(8)
     for n in range(100):
         serve(balancer, n * 20.0, n)
-    first = sends(ask(balancer, 5_000.0, 500))[0]
+    first = sends(submit(balancer, 5_000.0, 500))[0]
     assert first.time_out_ms < FREE.latency_objective_ms / 2
     for n in range(40):  # spend the budget
-        send = sends(ask(balancer, 5_001.0 + n, 600 + n))[0]
+        send = sends(submit(balancer, 5_001.0 + n, 600 + n))[0]
         balancer.handle(5_001.5 + n, outcome(send, 0, "error", 0.5))
-    last = sends(ask(balancer, 5_100.0, 700))[0]
+    last = sends(submit(balancer, 5_100.0, 700))[0]
     assert last.time_out_ms > FREE.latency_objective_ms / 2
 
 
@@ -31,7 +31,7 @@
     """A server above its share of what is out waits while others are below theirs."""
     for seed in range(20):
         balancer = started(8, seed)
-        taken = [sends(ask(balancer, 0.0, n))[0].server for n in range(8)]
+        taken = [sends(submit(balancer, 0.0, n))[0].server for n in range(8)]
         assert len(set(taken[:4])) == 4
         assert max(map(taken.count, taken)) == 2 or len(set(taken)) == 8
 
@@ -64,7 +64,7 @@
 
 def test_a_response_that_has_started_needs_no_final_answer() -> None:
     balancer = started(2)
-    send = sends(ask(balancer, 0.0, 1, "feed"))[0]
+    send = sends(submit(balancer, 0.0, 1, "feed"))[0]
     assert balancer.handle(5.0, io.ResponseStarted(1, 0, send.server, 5.0)) == []
     assert balancer.handle(9_000.0, outcome(send, 0, "reset", 9_000.0, final=True)) == []
     assert not balancer.pending_requests
@@ -74,7 +74,7 @@
     """Two servers; the class is known to take 10 ms, so the first answer costs one usual latency."""
     balancer = started(2)
     balancer.latency.typical["read"], balancer.latency.answer_counts["read"] = 10.0, 100
-    send = sends(ask(balancer, 0.0, 1))[0]
+    send = sends(submit(balancer, 0.0, 1))[0]
     balancer.handle(10.0, outcome(send, 0, "ok", 10.0))
     one, two = sorted(balancer.ready, key=lambda s: s.entry.server != send.server)
     # z = 0.5 * 1 for both, prev_cost = z, low = 0.6 * 0.5 = 0.3, high = 0.5, beta = 1 for both:
@@ -86,7 +86,7 @@
     assert one.p + two.p == approx(1.0)
     # A second answer at three usual latencies: usual = 10 + 0.05 * 20 = 11, y = 30 / 11, alpha = 0.5.
     p1 = one.p
-    other = sends(ask(balancer, 20.0, 2))[0]
+    other = sends(submit(balancer, 20.0, 2))[0]
     balancer.handle(50.0, outcome(other, 0, "ok", 30.0))
     slow, quick = (one, two) if other.server == one.entry.server else (two, one)
     cost = 0.5 * (0.5 * 30 / 11) + 0.5 * 0.5
@@ -101,7 +101,7 @@
 def test_a_new_incarnation_does_not_answer_for_attempts_of_the_one_before() -> None:
     """Attempts lost with the old process made the new one late, failing and loaded from the start."""
     balancer = started(2, report_fields=("depth",))
-    send = sends(ask(balancer, 0.0, 1, "pay"))[0]
+    send = sends(submit(balancer, 0.0, 1, "pay"))[0]
     number = int(send.server[1:])
     balancer.handle(10.0, io.EndpointListUpdate("changes", (entry(number, started=5.0),)))
     server = balancer.servers[send.server]
@@ -111,7 +111,7 @@
     late = outcome(send, 0, "reset", 2_000.0)._replace(report=(90.0,))
     assert finals(balancer.handle(2_000.0, late)) == [io.Fail(1)]  # the request still gets its answer
     assert (server.failing, reported(server), server.ejections) == (0.0, 0.0, 0)
-    now = sends(ask(balancer, 2_010.0, 2))[0]
+    now = sends(submit(balancer, 2_010.0, 2))[0]
     balancer.handle(2_020.0, outcome(now, 0, "ok", 10.0)._replace(report=(4.0,)))
     assert reported(balancer.servers[now.server]) == 4.0
 
@@ -136,7 +136,7 @@
     counts = [0] * 12
     for step in range(1_200):
         now = 5_000.0 + 10.0 * step
-        for send in sends(ask(balancer, now, 10_000 + step)):
+        for send in sends(submit(balancer, now, 10_000 + step)):
             slow = send.server == "s2" and step >= 900
             balancer.handle(now + 5.0, outcome(send, 0, "ok", 100.0 if slow else 5.0))
             counts[step // 100] += send.server == "s2"
@@ -156,13 +156,13 @@
     """Forty balancers that begin with it time out good servers by the hundred in their first second."""
     balancer, rng = started(60, seed), random.Random(seed)
     for n in range(12):
-        ask(balancer, 0.0, n)
+        submit(balancer, 0.0, n)
     coming = sorted((rng.expovariate(1 / 40.0) + 2.0, n) for n in range(12))
     patience = []
     for spent, n in coming:
         server = next(s for s in balancer.ready if (n, 0) in s.in_flight)
         balancer.handle(spent, io.AttemptEnded(n, 0, server.entry.server, "ok", spent, True))
-        again = sends(ask(balancer, spent, 100 + n))
+        again = sends(submit(balancer, spent, 100 + n))
         patience += [s.time_out_ms for s in again]
         for send in again:  # its client leaves
             balancer.handle(spent, outcome(send, 0, "cancelled", 1.0, final=True))
--- a/tests/test_frozen_replacement.py
+++ b/tests/test_frozen_replacement.py
@@ -73,7 +73,7 @@
         kept = await self.balancer.connect()
         data = request("pay", b"x") if number % 2 else request()
         while not self.stopped:
-            answer = await kept.ask(data)
+            answer = await kept.submit(data)
             assert answer.status == 200 and answer.fields.get("connection") != "close"
             self.served[number] += 1
             await asyncio.sleep(0.001 * (number % 5))
@@ -105,8 +105,12 @@
             await clients.all_served(5)
             assert (await balancer.figures())["edge.upstreams_excluded"] == 1
         await clients.stop()
-        came = [message.fields.get("x-service-class") for up in balancer.world.ups for message in up.came]
-        assert came.count("pay") == sum(clients.served[1::2])  # unsafe: each was run once
+        received = [
+            message.fields.get("x-service-class")
+            for up in balancer.world.upstreams
+            for message in up.received
+        ]
+        assert received.count("pay") == sum(clients.served[1::2])  # unsafe: each was run once
 
 
 def test_old_and_new_code_replace_one_another_and_lose_nothing(frozen_root: Path, tmp_path: Path) -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from helpers import ask, outcome, sends, settings
+from helpers import outcome, sends, settings, submit
 
 from bench.growth import BOUNDS, Needs, compared, needs
 from bench.growth_site import ADDRESS, Day, site
@@ -49,7 +49,7 @@
             rows.append(entry(upstreams + newcomer, cell, now))
         if rows:
             balancer.handle(now, io.EndpointListUpdate("changes", tuple(rows)))
-        for send in sends(ask(balancer, now, number)):
+        for send in sends(submit(balancer, now, number)):
             met.add(send.server)
             balancer.handle(now + LATENCY_MS, outcome(send, 0, "ok", LATENCY_MS, final=True))
     return len(met)
@@ -113,7 +113,7 @@
     balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n, n % CELLS) for n in range(400))))
     for number in range(40):
         now, balancer.retry_budget = 1_000.0 * number, 5.0
-        (send,) = sends(ask(balancer, now, number, "book"))
+        (send,) = sends(submit(balancer, now, number, "book"))
         (again,) = sends(balancer.handle(now + 5.0, outcome(send, 0, "reset", 5.0)))
         assert again.server != send.server
         assert int(again.server[1:]) % CELLS == int(send.server[1:]) % CELLS
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -12,7 +12,7 @@
 
 import pytest
 import uvloop
-from extproc_site import Raw, rows_of
+from extproc_site import RawStream, rows_of
 from extproc_site import Site as ExtprocSite
 from helpers import ZONED, settings
 from peers import SETTINGS, Message, World, reply, request, silent, until
@@ -55,11 +55,11 @@
     async def test() -> None:
         classes = [dict(kind, memorySpanMs=window_s * 1000.0) for kind in SETTINGS["classes"]]
         async with World(2, classes=classes) as world:
-            came: list[float] = []
+            received: list[float] = []
 
             async def breaks(message: Message, writer: asyncio.StreamWriter) -> None:
-                came.append(time.monotonic())
-                if len(came) > 1:
+                received.append(time.monotonic())
+                if len(received) > 1:
                     return writer.write(reply())
                 hold_next_send(monkeypatch)
                 pending = world.node.engine.balancer.pending_requests.values()
@@ -67,11 +67,11 @@
                 await asyncio.sleep((ends_ms - world.node.clock.unix_ms()) / 1000.0 - remains_s)
                 writer.transport.abort()
 
-            for up in world.ups:
+            for up in world.upstreams:
                 up.script = breaks
-            answer = await world.ask(request("book", b"k"))
-            assert answer.status == (200 if again else 502) and len(came) == 1 + again
-            assert came[-1] - came[0] <= window_s
+            answer = await world.submit(request("book", b"k"))
+            assert answer.status == (200 if again else 502) and len(received) == 1 + again
+            assert received[-1] - received[0] <= window_s
 
     uvloop.run(test())
 
@@ -98,8 +98,8 @@
 
             monkeypatch.setattr(server.ExtprocStream, "_replied", later)
             monkeypatch.setattr(ReplyWriter, "write", held)
-            raw = Raw(site.caller())
-            await raw.ask(rows_of("c1"))
+            raw = RawStream(site.caller())
+            await raw.submit(rows_of("c1"))
             assert raw.address() and time.monotonic() <= decided[0] + GRACE_S
 
     uvloop.run(test())
@@ -109,13 +109,13 @@
     """What stands for longer as a decision ends with its request's window, less what a hold-up may take."""
     world = ServiceWorld()
     world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
-    first = Peer(world).ask(DecisionRequest("c1", "hold", 700.0, keyed=True))
+    first = Peer(world).submit(DecisionRequest("c1", "hold", 700.0, keyed=True))
     begun = world.clock.at
     told = first.decision()
     assert told is not None and told.valid_until == pytest.approx(begun + 0.1)
     world.clock.pass_time(0.12)
     first.report("reset")
-    second = Peer(world).ask(DecisionRequest("c1", "hold", 700.0, keyed=True, token=told.token))
+    second = Peer(world).submit(DecisionRequest("c1", "hold", 700.0, keyed=True, token=told.token))
     again = second.decision()
     assert again is not None and again.valid_until <= begun + ZONED.window_ms / 1000.0 - HELD_S
 
@@ -132,24 +132,24 @@
             began: list[float] = []
 
             def drain() -> None:
-                world.news(world.host(0, "draining"), world.host(1))
+                world.update(world.host(0, "draining"), world.host(1))
                 told.append(time.monotonic())
 
             async def notes(message: Message, writer: asyncio.StreamWriter) -> None:
                 began.append(time.monotonic())
                 writer.write(reply())
 
-            world.news(world.host(1, "draining"))
+            world.update(world.host(1, "draining"))
             await until(lambda: not world.node.pool.upstreams["s1"].ready)
             if reused:
-                assert (await world.ask(request())).status == 200
+                assert (await world.submit(request())).status == 200
                 await asyncio.sleep(2 * MIN_IDLE_S)
-            world.ups[0].script = notes
+            world.upstreams[0].script = notes
             hold_next_send(monkeypatch, drain)
-            answers = await asyncio.gather(*(world.ask(request()) for _ in range(3)))
+            answers = await asyncio.gather(*(world.submit(request()) for _ in range(3)))
             assert {answer.status for answer in answers} == {200}
             assert began and all(at <= told[0] + GRACE_S for at in began)
-            assert (await world.ask(request())).status == 200 and world.ups[1].came
+            assert (await world.submit(request())).status == 200 and world.upstreams[1].received
 
     uvloop.run(test())
 
@@ -240,7 +240,7 @@
         classes = [dict(kind, deadlineMs=1000.0 * DEADLINE_S, sloMs=150.0) for kind in SETTINGS["classes"]]
         async with World(2, classes=classes) as world:
             if hangs:
-                for up in world.ups:
+                for up in world.upstreams:
                     up.script = silent
             node, names = world.node, ("read", "pay", "book")
             ends = note_ends(monkeypatch)
--- a/tests/test_list_chunks.py
+++ b/tests/test_list_chunks.py
@@ -113,19 +113,19 @@
 async def test_a_list_of_thousands_is_taken_in_beside_the_service() -> None:
     async with World(1) as world:
         pool, servers = world.node.pool, met_often(world.node.engine.balancer).servers
-        world.news(*hosts(3000), complete=True)
+        world.update(*hosts(3000), complete=True)
         await until(lambda: len(servers) == 3000, 30)
         left = pool.upstreams.get("s0")  # swept out already, where this took long
         assert "s0" not in servers and (left is None or not left.ready)
         updates = [e for e in world.events if isinstance(e, io.EndpointListUpdate)]
         assert max(len(u.entries) for u in updates) <= 256 and updates[-1].how == "changes"
         # A rolling deploy, and right behind it a drain of one that it brings back.
-        world.news(*hosts(2550, born_ms=7))
-        world.news(hosts(2)[1] | {"health": "draining", "born_ms": 7})
+        world.update(*hosts(2550, born_ms=7))
+        world.update(hosts(2)[1] | {"health": "draining", "born_ms": 7})
         await until(lambda: servers["h2549"].entry.started_ms == 7.0, 30)
         await until(lambda: servers["h1"].entry.state == "draining", 30)
         assert sum(s.slot >= 0 for s in servers.values()) == 2999
-        world.news(*hosts(2200, health="gone"))
+        world.update(*hosts(2200, health="gone"))
         await until(lambda: len(servers) == 800, 30)
 
 
@@ -134,7 +134,7 @@
     async with World(1) as world:
         broken = json.dumps({"seq": 9, "whole": True, "hosts": hosts(2000)})[:-2]
         before = len(world.events)
-        world.tell(broken)
+        world.send_line(broken)
         await until(lambda: world.node.watch.call is not None and len(world.events) > before, 30)
         assert "s0" in world.node.engine.balancer.servers  # what discovery really has
 
@@ -149,8 +149,8 @@
         async with World(1) as world:
             rng, servers = random.Random(seed), world.node.engine.balancer.servers
             for number in range(30):
-                world.news(*hosts(rng.choice((1, 1, 5, 60)), born_ms=number + 1))
-            world.news(*hosts(1, born_ms=99))
+                world.update(*hosts(rng.choice((1, 1, 5, 60)), born_ms=number + 1))
+            world.update(*hosts(1, born_ms=99))
             await until(lambda: "h0" in servers and servers["h0"].entry.started_ms == 99.0, 30)
             seen = [
                 e.entries[0].started_ms
--- a/tests/test_list_notifications.py
+++ b/tests/test_list_notifications.py
@@ -94,17 +94,17 @@
 async def after_a_call(bad: Bad, asked: bool) -> float:
     """The watch ends; the call that follows is the bad one, and the change comes just after it was made."""
     async with site(asked) as world:
-        came = asyncio.Event()
+        received = asyncio.Event()
 
         async def first(message: Message, writer: asyncio.StreamWriter) -> None:
             world.discovery.script = world._discover
-            came.set()
+            received.set()
             await asyncio.sleep(0)  # the change is there from now on
             await bad(world, writer)
 
         world.discovery.script = first
         world.watches[-1].transport.abort()
-        await came.wait()
+        await received.wait()
         return await drained(world)
 
 
@@ -140,14 +140,14 @@
 
 async def after_a_move_while_a_call_is_out(asked: bool) -> float:
     async with site(asked) as world:
-        came = asyncio.Event()
+        received = asyncio.Event()
 
         async def mute(message: Message, writer: asyncio.StreamWriter) -> None:
-            came.set()
+            received.set()
 
         world.discovery.script = mute
         world.watches[-1].transport.abort()
-        await came.wait()
+        await received.wait()
         moved = Peer(world._discover)
         await moved.start()
         world.node.watch.address = lambda: ("127.0.0.1", moved.port)
@@ -179,12 +179,12 @@
     async with World(2) as world:
         odd = world.host(1) | {"class": 'a"}{'}
         text = json.dumps(world.list(world.host(0, "draining"), odd), indent=1)
-        world.raw(text.encode() + b"\n\n")
+        world.send_chunk(text.encode() + b"\n\n")
         await until(lambda: not world.node.pool.upstreams["s0"].ready, 2)
         assert len(world.watches) == 1
         world.version += 1
         world.current = world.list(world.host(0), world.host(1))
-        world.tell("{nonsense")
+        world.send_line("{nonsense")
         await until(lambda: world.node.pool.upstreams["s0"].ready, 2)
 
 
@@ -198,15 +198,15 @@
         writers.append(writer)
 
     world.discovery.script = queue
-    for peer in (*world.ups, world.discovery):
+    for peer in (*world.upstreams, world.discovery):
         await peer.start()
     await world.enter(heard=False)
     await until(lambda: len(writers) == 2)  # the first one is not answered in its time
     assert world.discovery.left == 0 and not world.node.watch.ever_answered
-    await world._discover(world.discovery.came[0], writers[0])
+    await world._discover(world.discovery.received[0], writers[0])
     await until(lambda: world.node.watch.ever_answered and world.discovery.left == 1)  # the second one
     world.version = 7
-    world.tell(world.list(world.host(0)), writers[0])
+    world.send_line(world.list(world.host(0)), writers[0])
     await until(lambda: world.node.watch.version == 7)
     assert world.node.watch.is_current() and world.node.watch.late_call is None
     await world.__aexit__()
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from helpers import ask, finals, outcome, sends, settings, started
+from helpers import finals, outcome, sends, settings, started, submit
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import Admission
@@ -22,7 +22,7 @@
         while ends and ends[0][0] <= now:
             at, _, send, well = heapq.heappop(ends)
             balancer.handle(at, outcome(send, 0, "ok" if well else "timeout", 100.0 if well else 190.0, True))
-        actions, room = ask(balancer, now, n, name), min(5.0, room + 1 / 3)
+        actions, room = submit(balancer, now, n, name), min(5.0, room + 1 / 3)
         refused[name] += bool(finals(actions))
         for send in sends(actions):
             well, room = room >= 1.0, room - (room >= 1.0)
@@ -38,7 +38,7 @@
     let_in = []
     for number in range(600):
         now = 1_000.0 + 50.0 * number
-        found = sends(ask(balancer, now, number))
+        found = sends(submit(balancer, now, number))
         for send in found:
             balancer.handle(now + 20.0, outcome(send, 0, "ok", 20.0))
         let_in.append(bool(found))
@@ -48,12 +48,12 @@
 def test_the_late_ends_of_one_jam_do_not_shed_what_comes_after_it() -> None:
     """Sent before anything was shed, they came back late for seconds, and drove the share to its bound."""
     balancer = started(4)
-    out = [send for number in range(300) for send in sends(ask(balancer, float(number), number))]
+    out = [send for number in range(300) for send in sends(submit(balancer, float(number), number))]
     for step, send in enumerate(out):
         balancer.handle(1_000.0 + 5.0 * step, outcome(send, 0, "ok", 390.0))
     now, let_in = 1_000.0 + 5.0 * len(out), []
     for step in range(800):  # the jam is over: 10 ms apart, each in time
-        found = sends(ask(balancer, now + 10.0 * step, 1_000 + step))
+        found = sends(submit(balancer, now + 10.0 * step, 1_000 + step))
         for send in found:
             balancer.handle(now + 10.0 * step + 5.0, outcome(send, 0, "ok", 5.0))
         let_in.append(bool(found))
@@ -70,7 +70,7 @@
         name = ("read", "pay")[n % 2]
         balancer.latency.typical["read"] = balancer.latency.typical["pay"] = 20.0 + 0.1 * n
         balancer.admission.shed, balancer.admission.shed_ms = 0.75, float(n)
-        let_in[name] += not finals(ask(balancer, float(n), n, name))
+        let_in[name] += not finals(submit(balancer, float(n), n, name))
     assert let_in["read"] == 0 and 350 < let_in["pay"] < 650
 
 
@@ -87,7 +87,7 @@
             balancer.handle(at, outcome(send, 0, "ok" if well else "timeout", 30.0 if well else 200.0, True))
         half = 10 <= now / 1_000 < 20
         room = min(max(1.0, 0.2 * per_s), room + (0.5 if half else 1.2))  # a fifth of a second waits at most
-        for send in sends(ask(balancer, now, n)):
+        for send in sends(submit(balancer, now, n)):
             well, room = room >= 1.0, room - (room >= 1.0)
             heapq.heappush(ends, (now + (30.0 if well else 200.0), n, send, well))
             sent[int(now // 1_000)] += 1
@@ -108,10 +108,10 @@
         now = 25.0 * step
         for _ in range(30 if step >= 100 else 0):
             number += 1
-            for send in sends(ask(balancer, now, number, "made-up")):
+            for send in sends(submit(balancer, now, number, "made-up")):
                 balancer.handle(now, outcome(send, 0, "error", 0.5, final=True))
         number += 1
-        found = sends(ask(balancer, now, number, "pay"))
+        found = sends(submit(balancer, now, number, "pay"))
         let_in.append(bool(found))
         late = 100 <= step < 140  # for a second, then all is well again
         for send in found:
@@ -128,7 +128,7 @@
         while ends and ends[0][0] <= now:
             at, _, send = heapq.heappop(ends)
             balancer.handle(at, outcome(send, 0, "ok", 150.0 if send.request < 100 else 50.0))
-        actions = ask(balancer, now, n)
+        actions = submit(balancer, now, n)
         refused += bool(finals(actions))
         for send in sends(actions):
             heapq.heappush(ends, (now + (150.0 if n < 100 else 50.0), n, send))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -33,19 +33,23 @@
             reporter = MetricsReporter(world.node, 0.05)
 
             async def away_once(message: Message, writer: asyncio.StreamWriter) -> None:
-                world.ups[0].script = world.ups[1].script = says(reply())
+                world.upstreams[0].script = world.upstreams[1].script = says(reply())
                 writer.write(reply(b"", "503 Full", "X-Unprocessed: 1\r\n"))
 
-            world.ups[0].script = world.ups[1].script = away_once
-            assert (await world.ask(request())).status == 200
+            world.upstreams[0].script = world.upstreams[1].script = away_once
+            assert (await world.submit(request())).status == 200
             await until(lambda: reporter.previous.get("ends", {}).get("ok"))  # a line, and a connection rests
-            world.ups[0].script = world.ups[1].script = silent
+            world.upstreams[0].script = world.upstreams[1].script = silent
             reader, writer = await world.connect()
             writer.write(request("pay", b""))
-            await until(lambda: any(up.came[-1:] and up.came[-1].line.startswith("POST") for up in world.ups))
+            await until(
+                lambda: any(
+                    up.received[-1:] and up.received[-1].line.startswith("POST") for up in world.upstreams
+                )
+            )
             writer.close()
             await until(lambda: not world.node.engine.pending_requests)
-            world.news(world.host(0, "draining"))
+            world.update(world.host(0, "draining"))
             await until(lambda: not world.node.pool.upstreams["s0"].ready)
             said = len(world.node.engine.counts)
             await until(lambda: len(reporter.previous["ends"]) == said)
@@ -59,8 +63,8 @@
     times = [at for row in served["tries"] for at in row[1:4]]
     assert times == sorted(times) and served["at"] >= times[-1] - 0.1 and served["left"] > served["at"]
     assert gone["how"] == "client gone" and gone["class"] == "pay" and len(gone["tries"][0]) == 2
-    (news,) = written(text, "news")
-    assert [row[:1] + row[4:5] for row in news["rows"]] == [["s0", "draining"]] and not news["whole"]
+    (update,) = written(text, "news")
+    assert [row[:1] + row[4:5] for row in update["rows"]] == [["s0", "draining"]] and not update["whole"]
     counts = written(text, "counts")
     assert sum(row["classes"].get("served read", 0) for row in counts) == 1
     assert all(row["memory_kb"] > 1_000 for row in counts)
@@ -113,14 +117,14 @@
     """Ten balancers, each two sends while it is cold; those from before its start don't count."""
     for number in range(10):
         born = ["s1", "a", "std", 0, "ready", 1.0, 10_000.0]
-        news = {"at": 10_000.0, "rows": [born, ["s2", "a", "std", 0, "ready", 1.0, 0.0]], "missing": []}
+        update = {"at": 10_000.0, "rows": [born, ["s2", "a", "std", 0, "ready", 1.0, 0.0]], "missing": []}
         sends = [11_000.0 + 100.0 * number, 12_450.0 + 1_000.0 * number, 9_000.0]
         traces = [
             {"at": at, "id": "c", "tries": [["s1", at, at, at, "ok"], ["s2", at, at, at, "ok"]]}
             for at in sends
         ]
         text = "".join(f"1.0 way: {json.dumps(way)}\n" for way in traces)
-        (tmp_path / f"n{number}.log").write_text(f"1.0 news: {json.dumps(news)}\n{text}")
+        (tmp_path / f"n{number}.log").write_text(f"1.0 news: {json.dumps(update)}\n{text}")
     times = sorted([11_000.0 + 100.0 * n for n in range(10)] + [12_450.0 + 1_000.0 * n for n in range(10)])
     want = max(sum(at <= other < at + 2_000.0 for other in times) for at in times)
     assert fleetlog.cold(tmp_path, 2.0, 24_000.0) == {"s1": (want, 1_000.0)}
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from helpers import FREE, KEYED, ask, entry, finals, listed, outcome, sends, started
+from helpers import FREE, KEYED, entry, finals, listed, outcome, sends, started, submit
 from peers import Message, World, read_message, reply, request, run, until
 
 from quartzford.decision import interface as io
@@ -62,7 +62,7 @@
     """Where so many requests go, each served at once."""
     found = []
     for number in numbers:
-        (send,) = sends(ask(balancer, now, number))
+        (send,) = sends(submit(balancer, now, number))
         found.append(send.server)
         balancer.handle(now + 1, outcome(send, 0, "ok", 1.0))
     return found
@@ -101,7 +101,7 @@
 def test_the_last_ready_server_out_by_hand_leaves_requests_to_their_end() -> None:
     balancer = started(1)
     balancer.handle(0.0, io.MaintenanceChange("s0", True))
-    assert not sends(ask(balancer, 1.0, 1)) and not balancer.ready
+    assert not sends(submit(balancer, 1.0, 1)) and not balancer.ready
     assert finals(balancer.handle(900.0, io.Timer(2)))
     balancer.handle(950.0, io.MaintenanceChange("s0", False))
     balancer.handle(951.0, io.EndpointListUpdate("changes", (entry(0, "draining"),)))
@@ -110,7 +110,7 @@
 
 def test_a_keyed_request_whose_group_is_out_is_not_sent_elsewhere() -> None:
     balancer = started(4, classes=(FREE, KEYED))
-    (send,) = sends(ask(balancer, 0.0, 1, "book"))
+    (send,) = sends(submit(balancer, 0.0, 1, "book"))
     home = balancer.servers[send.server].entry.cell
     for server in list(balancer.servers.values()):
         if server.entry.cell == home:
@@ -182,25 +182,25 @@
 @run
 async def test_an_upstream_out_by_hand_gets_nothing_and_comes_back() -> None:
     async with Watched(2) as world:
-        for up in world.ups:
+        for up in world.upstreams:
             assert await ask_until(world, up)
         assert [await put(world, "enter", "s0"), await put(world, "enter", "s0")] == [200, 200]
-        before = len(world.ups[0].came)
-        await until(lambda: world.ups[0].left == len(world.ups[0].writers))  # nothing rests there
-        world.news(world.host(0), world.host(1), complete=True)
+        before = len(world.upstreams[0].received)
+        await until(lambda: world.upstreams[0].left == len(world.upstreams[0].writers))  # nothing rests there
+        world.update(world.host(0), world.host(1), complete=True)
         await until(lambda: world.node.watch.version == world.version)
         for _ in range(40):
-            assert (await world.ask(request())).status == 200
-        assert len(world.ups[0].came) == before
+            assert (await world.submit(request())).status == 200
+        assert len(world.upstreams[0].received) == before
         assert (await figures(world))["edge.upstreams_excluded"] == 1
         assert await put(world, "exit", "s0") == 200
-        assert await ask_until(world, world.ups[0], before)
+        assert await ask_until(world, world.upstreams[0], before)
 
 
 async def ask_until(world: World, up: Any, before: int = 0) -> bool:
     for _ in range(2_000):
-        assert (await world.ask(request())).status == 200
-        if len(up.came) > before:
+        assert (await world.submit(request())).status == 200
+        if len(up.received) > before:
             return True
     return False
 
@@ -213,7 +213,7 @@
 
         async def seen(data: bytes) -> None:
             try:
-                status = (await world.ask(data)).status
+                status = (await world.submit(data)).status
             except asyncio.IncompleteReadError:
                 status = 0
             saw["served" if status == 200 else "refused" if status in (429, 503) else "failed"] += 1
@@ -227,7 +227,7 @@
             if data == long[:150_000] or not data:
                 writer.close()
 
-        world.ups[0].script = script
+        world.upstreams[0].script = script
         await seen(request())  # tried again
         await seen(request())  # streamed
         await seen(request())  # broken while it was streamed
@@ -243,18 +243,18 @@
         async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
 
-        world.ups[0].script = wait
-        came = len(world.ups[0].came)
+        world.upstreams[0].script = wait
+        received = len(world.upstreams[0].received)
         _, leaves = await world.connect()
         leaves.write(request("pay", b"p"))
-        await until(lambda: len(world.ups[0].came) > came)
+        await until(lambda: len(world.upstreams[0].received) > received)
         assert (await figures(world))["edge.in_flight"] == 1
         leaves.transport.abort()
         await until(lambda: not world.node.engine.pending_requests)
         told = await figures(world)
         for how, count in saw.items():
             assert sum(told[f"edge.{how}.{name}"] for name in ("read", "book", "pay")) == count, how
-        assert told["edge.attempts"] == len(world.ups[0].came)
+        assert told["edge.attempts"] == len(world.upstreams[0].received)
         assert [told[f"edge.rejected.{s}"] for s in (400, 408, 413, 431)] == [1] * 4
         assert told["edge.in_flight"] == 0
         assert told["edge.upstreams_known"] == 1
@@ -278,10 +278,10 @@
             await gate.wait()
             writer.write(reply())
 
-        world.ups[0].script = wait
+        world.upstreams[0].script = wait
         asking = []
         for _ in range(world.node.front.max_clients + 5):
-            asking.append(asyncio.ensure_future(world.ask(request("pay", b"p"))))
+            asking.append(asyncio.ensure_future(world.submit(request("pay", b"p"))))
         await until(lambda: len(world.node.front.clients) >= world.node.front.max_clients)
         world.node.budget.used += world.node.budget.limit  # all the memory that there is for bodies
         began = asyncio.get_running_loop().time()
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from helpers import ask, finals, outcome, sends, serve, started
+from helpers import finals, outcome, sends, serve, started, submit
 from pytest import approx
 
 from quartzford.decision import interface as io
@@ -19,7 +19,7 @@
     balancer = started(4)
     for n in range(200):
         serve(balancer, n * 20.0, n)
-    now, hung = 5_000.0, sends(ask(balancer, 5_000.0, 1_000, "pay"))[0].server
+    now, hung = 5_000.0, sends(submit(balancer, 5_000.0, 1_000, "pay"))[0].server
     later = [serve(balancer, now + 100.0 + n, 2_000 + n, latency=0.5) for n in range(60)]
     assert hung not in later
 
@@ -30,7 +30,7 @@
         serve(balancer, n * 20.0, n)
     while True:
         n += 1
-        send = sends(ask(balancer, 5_000.0 + n, n))[0]
+        send = sends(submit(balancer, 5_000.0 + n, n))[0]
         bad = send.server == "s2"
         balancer.handle(5_000.0 + n + 0.5, outcome(send, 0, "error" if bad else "ok", 0.5, final=True))
         if bad:
@@ -43,7 +43,7 @@
 def test_ejection_never_empties_the_fleet() -> None:
     balancer = started(3)
     for n in range(60):
-        actions = ask(balancer, float(n), n, "pay")
+        actions = submit(balancer, float(n), n, "pay")
         assert sends(actions), "nothing was sent though servers are listed"
         balancer.handle(n + 0.5, outcome(sends(actions)[0], 0, "reset", 0.5))
 
@@ -53,7 +53,7 @@
     balancer, refused = started(10), 0
     for n in range(3_000):
         now = n * 10.0
-        actions = ask(balancer, now, n, "pay")
+        actions = submit(balancer, now, n, "pay")
         refused += len(finals(actions))
         for send in sends(actions):
             if send.server == "s3":
@@ -65,7 +65,7 @@
 
 def failed(balancer: Balancer, now: float, number: int, code: str = "error") -> str:
     """One request to whichever server is drawn, which fails it; the server."""
-    send = sends(ask(balancer, now, number))[0]
+    send = sends(submit(balancer, now, number))[0]
     balancer.handle(now + 0.5, outcome(send, 0, code, 0.5, final=True))
     return send.server
 
@@ -82,7 +82,7 @@
     # The ejection is over: a trial comes, and while it is out there is no second one.
     now, trials = until + 10.0, []
     for n in range(200):
-        send = sends(ask(balancer, now + n, 1_000 + n))[0]
+        send = sends(submit(balancer, now + n, 1_000 + n))[0]
         if send.server == bad:
             trials.append(send)
         else:
@@ -98,7 +98,7 @@
     balancer, sent = started(6), {"read": 0, "book": 0}
     for n in range(600):
         now, name = 20.0 * n, ("read", "book")[n % 2]
-        send = sends(ask(balancer, now, n, name))[0]
+        send = sends(submit(balancer, now, n, name))[0]
         bad = send.server in ("s0", "s1", "s2", "s3")
         sent[name] += bad
         code = "full" if bad and name == "book" else "ok"
@@ -107,9 +107,9 @@
     assert 4 <= sent["book"] <= 4 * 13 and sent["read"] > 100
     # Where all turn a class away, it is still sent: they may have room again.
     for n in range(600, 620):
-        send = sends(ask(balancer, 12_000.0 + n, n, "book"))[0]
+        send = sends(submit(balancer, 12_000.0 + n, n, "book"))[0]
         balancer.handle(12_000.5 + n, outcome(send, 0, "full", 0.5, final=True))
-    assert sends(ask(balancer, 12_700.0, 700, "book"))
+    assert sends(submit(balancer, 12_700.0, 700, "book"))
 
 
 def test_one_that_fails_fast_is_ejected_though_most_attempts_are_its_own() -> None:
@@ -117,7 +117,7 @@
     balancer = started(6)
     bad, ejected = balancer.servers["s0"], 0
     for step in range(800):
-        for send in sends(ask(balancer, 5.0 * step, step)):
+        for send in sends(submit(balancer, 5.0 * step, step)):
             code = "error" if send.server == "s0" else "ok"
             balancer.handle(5.0 * step + 1.0, outcome(send, 0, code, 1.0, True))
         for _ in range(3):  # three in four attempts are its own
@@ -133,16 +133,16 @@
     out: dict[str, list[io.Send]] = {"s0": [], "s1": []}
     now = 5_000.0
     for number in range(1_000, 1_016):
-        (send,) = sends(ask(balancer, now, number))
+        (send,) = sends(submit(balancer, now, number))
         out[send.server].append(send)
     silent, other = ("s0", "s1") if len(out["s0"]) >= len(out["s1"]) else ("s1", "s0")
     balancer.handle(now + 1.0, outcome(out[silent][0], 0, "ok", 1.0))
     later = now + 3.0 * balancer.latency.typical["read"]  # what is out is due after four
     for send in out[other]:
         balancer.handle(later - 1.0, outcome(send, 0, "ok", 40.0))
-    assert {s.server for n in range(2_000, 2_040) for s in sends(ask(balancer, later, n))} == {other}
+    assert {s.server for n in range(2_000, 2_040) for s in sends(submit(balancer, later, n))} == {other}
     balancer.handle(later + 1.0, outcome(out[silent][1], 0, "ok", 40.0))
-    assert silent in {s.server for n in range(3_000, 3_200) for s in sends(ask(balancer, later + 1.0, n))}
+    assert silent in {s.server for n in range(3_000, 3_200) for s in sends(submit(balancer, later + 1.0, n))}
 
 
 @pytest.mark.parametrize(("spent", "ejected"), [(5.0, True), (149.0, False), (150.0, False)])
@@ -151,7 +151,7 @@
     balancer = started(10)
     for server in balancer.ready:  # the others fail as much
         balancer.endpoints.ejection.set_failing(server, 0.4)
-    (send,) = sends(ask(balancer, 0.0, 1, "pay", 150.0))
+    (send,) = sends(submit(balancer, 0.0, 1, "pay", 150.0))
     assert send.time_out_ms == approx(150.0, abs=1.0)
     balancer.handle(spent, outcome(send, 0, "connect_failed", spent))
     assert (balancer.servers[send.server].ejected_until > spent) == ejected
@@ -163,7 +163,7 @@
     lost = {f"s{n}" for n in range(60) if n % 6 in (0, 1)}
     for n in range(300):
         now = n * 40.0
-        todo = [(0, send) for send in sends(ask(balancer, now, n))]
+        todo = [(0, send) for send in sends(submit(balancer, now, n))]
         while todo:
             number, send = todo.pop()
             gone = send.server in lost
@@ -193,7 +193,7 @@
             bad = send.server in ("s0", "s1", "s2")
             spent = send.time_out_ms if bad else 10.0
             balancer.handle(at, outcome(send, 0, "timeout" if bad else "ok", spent, final=True))
-        for send in sends(ask(balancer, now, number, "pay")):
+        for send in sends(submit(balancer, now, number, "pay")):
             bad = send.server in ("s0", "s1", "s2")
             heapq.heappush(ends, (now + (send.time_out_ms if bad else 10.0), number, send))
             hung, total = hung + bad, total + 1
@@ -216,7 +216,7 @@
         balancer, rng = started(servers, seed), random.Random(seed)
         for number in range(int(20 * per_s)):
             now = 1_000.0 * number / per_s
-            for send in sends(ask(balancer, now, number, "pay")):
+            for send in sends(submit(balancer, now, number, "pay")):
                 late = rng.random() < 0.3
                 balancer.handle(now + 5.0, outcome(send, 0, "timeout" if late else "ok", 5.0, final=True))
             if now > 5_000.0:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -51,7 +51,7 @@
     def __init__(self, path: Path) -> None:
         self.path = path
         self.world = World()
-        self.up = self.world.ups[0]
+        self.up = self.world.upstreams[0]
 
     async def start(self) -> None:
         for peer in (self.up, self.world.discovery):
@@ -70,7 +70,7 @@
         self.process = await spawn(self.config, self.path, self.sockets)
         for _ in range(1000):
             try:
-                if (await self.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200:
+                if (await self.submit(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200:
                     return
             except OSError:
                 pass
@@ -80,7 +80,7 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port, limit=2**22)
 
-    async def ask(self, data: bytes) -> Message:
+    async def submit(self, data: bytes) -> Message:
         reader, writer = await self.connect()
         writer.write(data)
         try:
@@ -117,15 +117,15 @@
             kept[1].write(request())
             assert (await read_message(kept[0])).status == 200
             it.up.script = wait
-            held = asyncio.ensure_future(it.ask(request("pay", b"")))
+            held = asyncio.ensure_future(it.submit(request("pay", b"")))
             half[1].write(request("pay", b"body")[:-2])
-            await until(lambda: len(it.up.came) == 2)
+            await until(lambda: len(it.up.received) == 2)
             it.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
-            new = asyncio.ensure_future(it.ask(request("pay", b"")))
+            new = asyncio.ensure_future(it.submit(request("pay", b"")))
             kept[1].write(request("pay", b""))  # unsafe: it is sent once, however long it takes
             half[1].write(b"dy")
-            await until(lambda: len(it.up.came) == 5)
+            await until(lambda: len(it.up.received) == 5)
             gate.set()
             answers = [await held, await new, await read_message(kept[0]), await read_message(half[0])]
             assert [a.status for a in answers] == [200] * 4
@@ -167,17 +167,17 @@
                 writer.write(reply(b"kept"))
 
             it.up.script = wait
-            held = asyncio.ensure_future(it.ask(request("pay", b"")))
-            await until(lambda: it.up.came)
+            held = asyncio.ensure_future(it.submit(request("pay", b"")))
+            await until(lambda: it.up.received)
             it.path.write_text("{")
             it.process.send_signal(signal.SIGHUP)
             line = await asyncio.wait_for(it.process.stderr.readline(), 20)
             assert line.startswith(b"reload: not JSON") and it.process.returncode is None
             await until(lambda: it.world.watches and not it.world.discovery.left)
             elsewhere = World(2)  # knows of another upstream, and counts its versions anew
-            for peer in (*elsewhere.ups, elsewhere.discovery):
+            for peer in (*elsewhere.upstreams, elsewhere.discovery):
                 await peer.start()
-            elsewhere.version, elsewhere.ups[1].script = 0, says(reply(b"new"))
+            elsewhere.version, elsewhere.upstreams[1].script = 0, says(reply(b"new"))
             elsewhere.current = elsewhere.list(elsewhere.host(1))
             it.path.write_text(
                 json.dumps({**it.config, "discovery": f"127.0.0.1:{elsewhere.discovery.port}"})
@@ -186,9 +186,9 @@
             await until(lambda: elsewhere.watches and it.world.discovery.left)
             gate.set()
             assert (await held).body == b"kept"
-            assert (await it.ask(request("pay", b""))).body == b"new"
+            assert (await it.submit(request("pay", b""))).body == b"new"
             assert it.process.returncode is None
-            for peer in (*elsewhere.ups, elsewhere.discovery):
+            for peer in (*elsewhere.upstreams, elsewhere.discovery):
                 await peer.stop()
 
     uvloop.run(test())
@@ -208,7 +208,7 @@
                 idle[-1].connect_ex(("127.0.0.1", it.port))
 
         async def serves() -> None:
-            answers = await asyncio.gather(*(it.ask(request("pay", b"")) for _ in range(20)))
+            answers = await asyncio.gather(*(it.submit(request("pay", b"")) for _ in range(20)))
             assert {answer.status for answer in answers} == {200}
 
         async with program(tmp_path, sockets) as it:
@@ -250,7 +250,7 @@
             it.process.kill()
             await it.process.wait()
             await it.start()
-            assert (await it.ask(request())).status == 200
+            assert (await it.submit(request())).status == 200
 
     uvloop.run(test())
 
@@ -328,6 +328,6 @@
     async def test() -> None:
         async with program(tmp_path) as it:
             it.up.script = says(reply(b"from afar"))
-            assert (await it.ask(request())).body == b"from afar"
+            assert (await it.submit(request())).body == b"from afar"
 
     uvloop.run(test())
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -22,8 +22,8 @@
 from quartzford.load.run import LoadOptions, plan
 from quartzford.load.trace import TraceRow, read_trace
 from quartzford.recording import Recorder
-from standins.nodo import Nodo, fleet
 from standins.site import free_port
+from standins.upstream import StandInUpstream, start_upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -101,7 +101,9 @@
 
 def test_a_balancer_records_its_requests_and_the_trace_can_be_played(tmp_path: Path) -> None:
     async def test() -> None:
-        nodos, _, registry = await fleet(2, lambda n, books: Nodo(f"s{n}", books))
+        upstreams, _, registry = await start_upstreams(
+            2, lambda n, journal: StandInUpstream(f"s{n}", journal)
+        )
         config: dict[str, Any] = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -149,7 +151,7 @@
         finally:
             if process.returncode is None:
                 process.kill()
-        for peer in (registry, *nodos):
+        for peer in (registry, *upstreams):
             await peer.stop()
 
     uvloop.run(test())
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -37,7 +37,7 @@
             await at.settled()
             assert balancer.at(at.relays[1].gate)
             assert balancer.complete_lists() == 1 and len(balancer.received) == 1
-            assert at.next_call_direct.came == 0
+            assert at.next_call_direct.received == 0
 
     async def change() -> None:
         async with site(2, rows(8_000)) as at:
@@ -81,7 +81,7 @@
         at.change("host-00000005", health="draining")
         await at.settled()
         assert all(never_falls(balancer) and balancer.complete_lists() == 1 for balancer in balancers)
-        assert at.next_call_direct.came == 0
+        assert at.next_call_direct.received == 0
 
 
 async def cut_on_one_side() -> None:
@@ -105,7 +105,7 @@
         one.to_source.held = two.gate.held = False
         at.change("host-00000005", health="draining")
         await at.settled()
-        assert all(never_falls(balancer) for balancer in balancers) and at.next_call_direct.came == 0
+        assert all(never_falls(balancer) for balancer in balancers) and at.next_call_direct.received == 0
 
 
 @run
@@ -133,10 +133,10 @@
 
 @run
 async def test_requests_go_on_while_a_relay_is_killed_that_was_telling_of_a_drain() -> None:
-    ups = [Peer(says(reply())) for _ in range(2)]
-    for up in ups:
+    upstreams = [Peer(says(reply())) for _ in range(2)]
+    for up in upstreams:
         await up.start()
-    hosts = [row(f"s{number}", port=up.port) for number, up in enumerate(ups)]
+    hosts = [row(f"s{number}", port=up.port) for number, up in enumerate(upstreams)]
     async with site(2, hosts) as at, Lag() as lag:
         node = await serving(at)
         assert node.front.listener is not None
@@ -153,7 +153,7 @@
 
         clients = asyncio.gather(*(client() for _ in range(4)))
         try:
-            await until(lambda: all(len(up.came) > 20 for up in ups))
+            await until(lambda: all(len(up.received) > 20 for up in upstreams))
             await begin(lag)
             mine = next(relay for relay in at.relays if relay.gate.address == node.watch.call.target.address)  # type: ignore[union-attr]
             mine.gate.allowed = 0
@@ -164,17 +164,17 @@
             mine.gate.drop()
             await until(lambda: node.watch.version == version, 20.0)
             assert time.monotonic() - since <= RECEIVED_WITHIN_S + 2 * lag.worst
-            at_drained, at_other = len(ups[0].came), len(ups[1].came)
-            await until(lambda: len(ups[1].came) > at_other + 50)
-            assert len(ups[0].came) - at_drained <= 4  # what was on its way, of four clients
+            at_drained, at_other = len(upstreams[0].received), len(upstreams[1].received)
+            await until(lambda: len(upstreams[1].received) > at_other + 50)
+            assert len(upstreams[0].received) - at_drained <= 4  # what was on its way, of four clients
             ends.set()
             await clients
-            assert set(statuses) == {200} and at.next_call_direct.came == 0
+            assert set(statuses) == {200} and at.next_call_direct.received == 0
         finally:
             clients.cancel()
             node.watch.stop()
             node.front.stop_listening()
-            for up in ups:
+            for up in upstreams:
                 await up.stop()
 
 
@@ -207,7 +207,7 @@
             await at.settled()
         at.change("host-00000002", health="draining")
         await at.settled()
-        assert at.next_call_direct.came == 0
+        assert at.next_call_direct.received == 0
 
 
 async def index_of_an_earlier_life(anew: bool) -> None:
@@ -236,7 +236,7 @@
         await at.settled()
         # The new relay makes an index above its version wait, which may look as if no relay were there.
         assert anew or (
-            all(balancer.at(two.gate) for balancer in balancers) and at.next_call_direct.came == 0
+            all(balancer.at(two.gate) for balancer in balancers) and at.next_call_direct.received == 0
         )
 
 
@@ -349,7 +349,7 @@
         await at.service.start()
         await at.settled()
         assert len(at.service.calls) - calls == len(at.service.answers) - answers == 2
-        assert at.next_call_direct.came == 0
+        assert at.next_call_direct.received == 0
         at.change("host-00000002", health="draining")
         await at.settled()
         for balancer, ended_before in zip(balancers, ended, strict=True):
@@ -368,15 +368,15 @@
         many = [at.balancer(number % 2, fleet=4_600, back=1.0) for number in range(20)]
         middle = [at.balancer(number % 2, fleet=116, back=1.0, direct=closed) for number in range(20)]
         await at.settled(seconds=30.0)
-        assert at.next_call_direct.came == closed.came == 0
+        assert at.next_call_direct.received == closed.received == 0
         for relay in at.relays:
             await relay.kill()
             relay.gate.drop()
         since = time.monotonic()
         await asyncio.sleep(8.0)
         took = time.monotonic() - since  # longer on a busy machine
-        assert at.next_call_direct.came < 10 * took / 8.0  # on average 20 * 8 / 92
-        assert 20 <= closed.came <= 100 * took / 8.0  # on average 20 * 8 / 2
+        assert at.next_call_direct.received < 10 * took / 8.0  # on average 20 * 8 / 92
+        assert 20 <= closed.received <= 100 * took / 8.0  # on average 20 * 8 / 2
         few = [at.balancer(0, fleet=10, back=1.0) for _ in range(3)]
         await until(lambda: all(balancer.at(at.next_call_direct) for balancer in few), 20.0)
         at.change("host-00000001", health="draining")
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -169,7 +169,7 @@
             assert await behind.status() == 200 and await behind.line() == table(9, complete=False)
             assert await other.status() == 200 and (await other.line())["whole"]
             assert await current.reader.readuntil(b"\n\r\n") == b"1\r\n\n\r\n"
-            assert len(here.source.peer.came) == 1 and "index=0" in here.source.peer.came[0].line
+            assert len(here.source.peer.received) == 1 and "index=0" in here.source.peer.received[0].line
 
     run(main)()
 
@@ -340,7 +340,7 @@
             watch = await here.watch(8)
             await watch.line()
             here.source.send_line(garbage)
-            await until(lambda: len(here.source.peer.came) == 2)
+            await until(lambda: len(here.source.peer.received) == 2)
             assert here.relay.catalog.version == 8 and len(here.server.watchers) == 1
             await until(lambda: len(here.source.watches) == 2)
             here.source.send_line(table(9, row("a", block=1), complete=False))
@@ -365,13 +365,13 @@
             )
             await here.source.peer.stop()
             await until(lambda: here.relay.watch.counts["ended unreached"] >= 2)
-            before = len(here.source.peer.came)
+            before = len(here.source.peer.received)
             here.source.silent = False
             await here.source.peer.start(here.source.peer.port)
             await until(lambda: here.relay.watch.is_current())
             back = await here.watch(8)
             assert await back.line() == table(8, complete=False)
-            assert len(here.source.peer.came) == before + 1
+            assert len(here.source.peer.received) == before + 1
 
     run(main)()
 
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -158,7 +158,7 @@
         await site.at(two)
         assert site.watch.clock.now() - before <= 1.0 + 2 * lag.worst
         assert two.indexes == [7] and not site.told[-1].complete and not three.indexes
-        assert not any(relay.complete for relay in site.relays) and not site.source.came
+        assert not any(relay.complete for relay in site.relays) and not site.source.received
 
 
 @run
@@ -332,7 +332,7 @@
         await until(lambda: site.told)
         assert sum(relay.complete for relay in site.relays) == 1 and site.watch.version == 7
         await until(lambda: all(relay.indexes.count(7) >= 2 for relay in site.relays))
-        assert len(site.told) == 1 and not site.source.came
+        assert len(site.told) == 1 and not site.source.received
         site.relays[1].mode = "tell"
         await site.at(site.relays[1])
         assert sum(relay.complete for relay in site.relays) == 1 and not site.told[-1].complete
