--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 import uvloop
-from helpers import ask, entry, outcome, sends, settings, started
+from helpers import entry, outcome, sends, settings, started, submit
 from peers import Message, World, read_message, reply, request, reserved_port, says, until
 from test_process import COMMAND, ROOT
 
@@ -89,7 +89,7 @@
     balancer.handle(6.0, io.EndpointListUpdate("changes", (entry(4, started=5.0),)))
     for number in range(400):
         now = 10.0 + 5 * number
-        for send in sends(ask(balancer, now, number)):
+        for send in sends(submit(balancer, now, number)):
             bad = send.server == "s0"
             spent = 5.0 if send.server == "s1" else 20.0
             actions = balancer.handle(now + 4, outcome(send, 0, "error" if bad else "ok", spent))
@@ -123,7 +123,7 @@
     # One budget for the cold server: the old process has none of it left, the new one what was left.
     cold = new.servers["s4"]
     assert cold in new.endpoints.slow_start.cold and cold.tokens == old.servers["s4"].tokens
-    old_sends = {s.server for n in range(200) for s in sends(ask(old, now + 5_000, 9_000 + n))}
+    old_sends = {s.server for n in range(200) for s in sends(submit(old, now + 5_000, 9_000 + n))}
     assert "s4" not in old_sends and old_sends
     old.take_back(now + 5_001)
     assert old.servers["s4"].tokens == 0.0
@@ -137,7 +137,7 @@
     new.inherit(2_100.0, memory)
     assert new.servers["s0"].failing == 0.0 and sum(s.p for s in new.ready) == pytest.approx(1.0)
     assert new.servers["s9"].p > 0 and new.servers["s9"].cost == pytest.approx(new.servers["s1"].cost)
-    assert sends(ask(new, 2_101.0, 1))
+    assert sends(submit(new, 2_101.0, 1))
 
 
 def _table(**changes: Any) -> dict[str, Any]:
@@ -193,7 +193,7 @@
 
     async def begin(self) -> None:
         self.folder.mkdir()
-        for peer in (*self.world.ups, self.world.discovery):
+        for peer in (*self.world.upstreams, self.world.discovery):
             await peer.start()
         self.port = reserved_port()
         self.config = {
@@ -202,7 +202,7 @@
             "seed": "ab12",
             "discovery": f"127.0.0.1:{self.world.discovery.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self.world.list(*(self.world.host(n) for n in range(len(self.world.ups)))),
+            "known": self.world.list(*(self.world.host(n) for n in range(len(self.world.upstreams)))),
             "settings": self.world.settings,
         }
         await self.start()
@@ -262,10 +262,10 @@
     async def connect(self) -> ClientConnection:
         return ClientConnection(*await asyncio.open_connection("127.0.0.1", self.port, limit=2**22))
 
-    async def ask(self, data: bytes | None = None) -> Message:
+    async def submit(self, data: bytes | None = None) -> Message:
         kept = await self.connect()
         try:
-            return await asyncio.wait_for(kept.ask(data or request()), 20)
+            return await asyncio.wait_for(kept.submit(data or request()), 20)
         finally:
             kept.writer.close()
 
@@ -276,7 +276,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def ask(self, data: bytes | None = None) -> Message:
+    async def submit(self, data: bytes | None = None) -> Message:
         self.writer.write(data or request())
         return await read_message(self.reader)
 
@@ -296,7 +296,7 @@
                 process.send_signal(signal.SIGCONT)
                 process.kill()
             await process.wait()
-        for peer in (*balancer.world.ups, balancer.world.discovery):
+        for peer in (*balancer.world.upstreams, balancer.world.discovery):
             await peer.stop()
 
 
@@ -321,13 +321,13 @@
 
     async def client(number: int) -> None:
         while not stop.is_set():
-            answer = await kept[number].ask()
+            answer = await kept[number].submit()
             assert answer.status == 200 and answer.fields.get("connection") != "close"
             served[number] += 1
             await asyncio.sleep(0.002 * (number % 5))
 
     resting = await balancer.connect()
-    assert (await resting.ask()).status == 200
+    assert (await resting.submit()).status == 200
     clients = [asyncio.ensure_future(client(n)) for n in range(len(kept))]
     await until(lambda: min(served) > 5)
     assert (await balancer.call("PUT /maintenance/enter", "s0")).status == 200
@@ -337,10 +337,10 @@
         await until(lambda marks=marks: all(a > b + 3 for a, b in zip(served, marks, strict=True)))
     stop.set()
     await asyncio.gather(*clients)
-    assert (await resting.ask()).status == 200
+    assert (await resting.submit()).status == 200
     assert (await balancer.figures())["edge.upstreams_excluded"] == 1
-    came = len(balancer.world.ups[0].came)
-    assert (await balancer.ask()).status == 200 and len(balancer.world.ups[0].came) == came
+    received = len(balancer.world.upstreams[0].received)
+    assert (await balancer.submit()).status == 200 and len(balancer.world.upstreams[0].received) == received
     assert (await balancer.call("PUT /maintenance/exit", "s0")).status == 200
     await balancer.until_figure("upstreams_excluded", 0)
 
@@ -355,23 +355,23 @@
         await gate.wait()
         writer.write(reply(b"late"))
 
-    for up in balancer.world.ups:
+    for up in balancer.world.upstreams:
         up.script = wait
     kept, half = await balancer.connect(), await balancer.connect()
-    pending = asyncio.ensure_future(kept.ask(request("pay", b"x")))
+    pending = asyncio.ensure_future(kept.submit(request("pay", b"x")))
     half.writer.write(request("pay", b"body")[:-2])
-    await until(lambda: sum(len(up.came) for up in balancer.world.ups) == 1)
+    await until(lambda: sum(len(up.received) for up in balancer.world.upstreams) == 1)
     old = balancer.processes[0]
     await balancer.start()
     await balancer.yes()
     await balancer.until_figure("in_flight", 1, at=0)
     old.send_signal(signal.SIGTERM)
     half.writer.write(b"dy")
-    await until(lambda: sum(len(up.came) for up in balancer.world.ups) == 2)
+    await until(lambda: sum(len(up.received) for up in balancer.world.upstreams) == 2)
     gate.set()
     assert (await pending).body == b"late" and (await read_message(half.reader)).body == b"late"
     assert await asyncio.wait_for(old.wait(), 20) == 0
-    assert (await kept.ask()).status == (await half.ask()).status == 200
+    assert (await kept.submit()).status == (await half.submit()).status == 200
     assert (await balancer.figures())["edge.served.read"] == 2
 
 
@@ -392,20 +392,20 @@
     balancer: ReplacedBalancer,
 ) -> None:
     kept = await balancer.connect()
-    assert (await kept.ask()).status == 200
+    assert (await kept.submit()).status == 200
     bad = await balancer.start({**balancer.config, "seed": "xyz"})
     assert await asyncio.wait_for(bad.wait(), 20) == 2
-    assert (await balancer.ask()).status == (await kept.ask()).status == 200
+    assert (await balancer.submit()).status == (await kept.submit()).status == 200
     after = await balancer.start()
     await balancer.yes()
-    assert (await balancer.ask()).status == 200
+    assert (await balancer.submit()).status == 200
     after.kill()
     await after.wait()
-    assert (await balancer.ask()).status == 200  # it waited in the queue of a listener that both held
+    assert (await balancer.submit()).status == 200  # it waited in the queue of a listener that both held
     balancer.admins[1:] = []
     balancer.processes[1:] = []
     await balancer.replace()
-    assert (await balancer.ask()).status == 200
+    assert (await balancer.submit()).status == 200
 
 
 async def connect_as_successor(balancer: ReplacedBalancer) -> tuple[socket.socket, list[int]]:
@@ -429,7 +429,7 @@
     async def test() -> None:
         async with replaced_balancer(tmp_path) as balancer:
             sock, descriptors = await connect_as_successor(balancer)
-            pending = asyncio.ensure_future(balancer.ask())  # waits in the queue: nobody accepts
+            pending = asyncio.ensure_future(balancer.submit())  # waits in the queue: nobody accepts
             if how == "ends":
                 sock.close()
             elif how == "talks nonsense":
@@ -437,7 +437,7 @@
             assert (await pending).status == 200
             sock.close()
             os.close(descriptors[0])
-            assert (await balancer.ask()).status == 200
+            assert (await balancer.submit()).status == 200
             await balancer.replace()
 
     uvloop.run(asyncio.wait_for(test(), 60))
@@ -461,7 +461,7 @@
             if how == "hangs":  # half of the new connections wait in its queue until it is gone
                 balancer.processes[0].send_signal(signal.SIGKILL)
                 await balancer.processes[0].wait()
-            assert (await balancer.ask()).status == 200
+            assert (await balancer.submit()).status == 200
             balancer.processes[0:1] = []
             await balancer.replace()
             assert (await balancer.figures())["edge.upstreams_excluded"] == 1
@@ -518,7 +518,7 @@
     """Taking connections back for the first one's loss must not outlive the second one's coming."""
     first, descriptors = await connect_as_successor(balancer)
     second, more = await connect_as_successor(balancer)
-    pending = asyncio.ensure_future(balancer.ask())
+    pending = asyncio.ensure_future(balancer.submit())
     await asyncio.sleep(0.4)
     assert not pending.done()  # the listener is the second one's
     second.close()
@@ -533,30 +533,35 @@
     balancer: ReplacedBalancer,
 ) -> None:
     resting = await balancer.connect()
-    assert (await resting.ask()).status == 200
+    assert (await resting.submit()).status == 200
     await balancer.start()
     await balancer.yes()
     moved = await balancer.connect()
-    assert (await moved.ask()).status == 200 and (await balancer.figures())["edge.served.read"] == 1
+    assert (await moved.submit()).status == 200 and (await balancer.figures())["edge.served.read"] == 1
     for _ in range(1000):  # the resting one has gone over: the new process answers it
-        assert (await resting.ask()).status == 200
+        assert (await resting.submit()).status == 200
         if (await balancer.figures())["edge.served.read"] > 1:
             break
     balancer.processes[0].kill()
     await balancer.processes[0].wait()
-    assert (await resting.ask()).status == (await moved.ask()).status == (await balancer.ask()).status == 200
+    assert (
+        (await resting.submit()).status
+        == (await moved.submit()).status
+        == (await balancer.submit()).status
+        == 200
+    )
 
 
 @with_replaced_balancer
 async def test_a_replacement_during_a_drain_sends_nothing_there(balancer: ReplacedBalancer) -> None:
     await until(lambda: balancer.world.watches)
     balancer.world.current = balancer.world.list(balancer.world.host(0, "draining"), balancer.world.host(1))
-    balancer.world.news(balancer.world.host(0, "draining"))
+    balancer.world.update(balancer.world.host(0, "draining"))
     await balancer.replace()
-    came = len(balancer.world.ups[0].came)
+    received = len(balancer.world.upstreams[0].received)
     for _ in range(30):
-        assert (await balancer.ask()).status == 200
-    assert len(balancer.world.ups[0].came) == came
+        assert (await balancer.submit()).status == 200
+    assert len(balancer.world.upstreams[0].received) == received
 
 
 @with_replaced_balancer
@@ -566,11 +571,11 @@
     """The old one counts by the old discovery: changes since its number would be of another list."""
     await until(lambda: balancer.world.watches)
     balancer.world.version = 900
-    balancer.world.news(balancer.world.host(0))
+    balancer.world.update(balancer.world.host(0))
     elsewhere = World(3)
-    for peer in (elsewhere.ups[2], elsewhere.discovery):
+    for peer in (elsewhere.upstreams[2], elsewhere.discovery):
         await peer.start()
-    elsewhere.ups[2].script, elsewhere.version = says(reply(b"new")), 1_000
+    elsewhere.upstreams[2].script, elsewhere.version = says(reply(b"new")), 1_000
     elsewhere.current = elsewhere.list(elsewhere.host(2))
     balancer.config = {**balancer.config, "discovery": f"127.0.0.1:{elsewhere.discovery.port}"}
     old = balancer.processes[0]
@@ -581,10 +586,10 @@
     old.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(old.wait(), 20) == 0
     await until(lambda: elsewhere.watches)
-    assert not any("index=901" in message.line for message in elsewhere.discovery.came)
+    assert not any("index=901" in message.line for message in elsewhere.discovery.received)
     for _ in range(1000):
-        if (await balancer.ask()).body == b"new":
+        if (await balancer.submit()).body == b"new":
             break
-    assert [(await balancer.ask()).body for _ in range(20)] == [b"new"] * 20
-    for peer in (elsewhere.ups[2], elsewhere.discovery):
+    assert [(await balancer.submit()).body for _ in range(20)] == [b"new"] * 20
+    for peer in (elsewhere.upstreams[2], elsewhere.discovery):
         await peer.stop()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from helpers import CLASSES, RULES, ask, entry, finals, listed, outcome, sends, serve, settings, started
+from helpers import CLASSES, RULES, entry, finals, listed, outcome, sends, serve, settings, started, submit
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize("code", ["timeout", "error", "reset", "cancelled"])
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_refused(code: str) -> None:
     balancer = started()
-    send = sends(ask(balancer, 0.0, 1, "pay"))[0]
+    send = sends(submit(balancer, 0.0, 1, "pay"))[0]
     actions = balancer.handle(20.0, outcome(send, 0, code, 20.0))
     assert finals(actions) == [io.Fail(1)] and not sends(actions)
 
@@ -167,7 +167,7 @@
 @pytest.mark.parametrize(("spent", "again"), [(30.0, True), (59.5, False), (80.0, False)])
 def test_a_keyed_request_goes_again_in_its_group_and_window_only(spent: float, again: bool) -> None:
     balancer = started(8)  # cells of two; the window is 60 ms from the first send
-    send = sends(ask(balancer, 0.0, 1, "book"))[0]
+    send = sends(submit(balancer, 0.0, 1, "book"))[0]
     actions = balancer.handle(spent, outcome(send, 0, "error", spent))
     if again:
         assert int(sends(actions)[0].server[1:]) // 2 == int(send.server[1:]) // 2
@@ -178,14 +178,14 @@
 @pytest.mark.parametrize("code", ["full", "connect_failed"])
 def test_a_proof_that_it_never_ran_lets_an_unsafe_request_go_on(code: str) -> None:
     balancer = started()
-    send = sends(ask(balancer, 0.0, 1, "pay"))[0]
+    send = sends(submit(balancer, 0.0, 1, "pay"))[0]
     again = sends(balancer.handle(5.0, outcome(send, 0, code, 5.0)))
     assert again and again[0].server != send.server
 
 
 def test_an_empty_list_holds_and_then_refuses_in_time() -> None:
     balancer = Balancer(settings(), 1)
-    actions = ask(balancer, 0.0, 1, "pay", budget=100.0)
+    actions = submit(balancer, 0.0, 1, "pay", budget=100.0)
     now = 0.0
     while not finals(actions):
         wakes = [a for a in actions if isinstance(a, io.SetTimer)]
@@ -205,10 +205,10 @@
         number, now = 0, b * gap / balancers
         while now < (4.0 + span_s) * 1_000.0:
             if number == int(4.0 * per_s):  # all hear of the newcomers at the same moment
-                news = tuple(entry(100 + n, started=3_900.0) for n in range(cold))
-                balancer.handle(now, io.EndpointListUpdate("changes", news))
+                update = tuple(entry(100 + n, started=3_900.0) for n in range(cold))
+                balancer.handle(now, io.EndpointListUpdate("changes", update))
             number, now = number + 1, now + gap
-            for send in sends(ask(balancer, now, number)):
+            for send in sends(submit(balancer, now, number)):
                 balancer.handle(now, outcome(send, 0, "ok", 1.0))
                 if send.server == "s100":
                     arrivals.append(now)
@@ -247,7 +247,7 @@
 def test_a_fleet_of_cold_servers_is_paced_by_a_balancer_that_just_started() -> None:
     balancer = Balancer(settings(), 3)
     balancer.handle(50_000.0, listed(range(4), started=49_990.0))
-    sent = sum(len(sends(ask(balancer, 50_000.0 + n, n))) for n in range(1_000))
+    sent = sum(len(sends(submit(balancer, 50_000.0 + n, n))) for n in range(1_000))
     assert 0 < sent < 450  # about the ramp's part of 1,000 requests
 
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -185,12 +185,12 @@
         assert {row["host"] for row in held.table["hosts"]} == {"s0", "s1"}
         second = Kept(path, mute=True)
         # The next life's upstreams are where the first one's were.
-        for old, new in zip(first.ups, second.ups, strict=True):
+        for old, new in zip(first.upstreams, second.upstreams, strict=True):
             await new.start(old.port)
             new.start = still  # type: ignore[method-assign]
         async with second:
             assert second.node.ready() and not second.node.watch.ever_answered
-            assert (await second.ask(request())).status == 200
+            assert (await second.submit(request())).status == 200
 
     test()
 
@@ -211,7 +211,7 @@
     @run
     async def test() -> None:
         world = Kept(path, rule, mute=True)
-        for up in world.ups:
+        for up in world.upstreams:
             await up.start()
             up.start = still  # type: ignore[method-assign]
         table = world.list(world.host(0), world.host(1))
@@ -226,13 +226,13 @@
                 assert "index=1" in message.line
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 world.watches.append(writer)
-                world.tell({"seq": 2, "whole": False, "hosts": [world.host(1, "draining")]}, writer)
+                world.send_line({"seq": 2, "whole": False, "hosts": [world.host(1, "draining")]}, writer)
 
             world.discovery.script = speaks
             for writer in world.discovery.writers:
                 writer.transport.abort()
             await until(lambda: len(fleet.ready) == 1)
-            assert (await world.ask(request())).status == 200
+            assert (await world.submit(request())).status == 200
             assert not fleet.slow_start.cold and fleet.ready[0].entry.server == "s0"
             assert world.node.pool.upstreams["s0"] is upstream  # the same incarnation
 
@@ -256,7 +256,7 @@
     async def test() -> None:
         world = Kept(path)
         async with world:
-            assert (await world.ask(request())).status == 200
+            assert (await world.submit(request())).status == 200
             writer = world.node.snapshot_writer
             assert writer is not None
             await until(lambda: writer.last_error or writer.written)
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -25,14 +25,14 @@
 async def test_changes_drains_removals_and_whole_lists_are_followed() -> None:
     async with World(3) as world:
         assert ready(world) == {"s0", "s1", "s2"}
-        world.news(world.host(0, "draining"))
+        world.update(world.host(0, "draining"))
         await until(lambda: ready(world) == {"s1", "s2"})
-        world.news(world.host(1, "gone"))
+        world.update(world.host(1, "gone"))
         await until(lambda: ready(world) == {"s2"})
         for _ in range(5):
-            assert (await world.ask(request())).status == 200
-        assert [len(up.came) for up in world.ups] == [0, 0, 5]
-        world.news(world.host(1), complete=True)
+            assert (await world.submit(request())).status == 200
+        assert [len(up.received) for up in world.upstreams] == [0, 0, 5]
+        world.update(world.host(1), complete=True)
         await until(lambda: ready(world) == {"s1"})
         hows = [e.how for e in world.events if isinstance(e, io.EndpointListUpdate)]
         assert hows == ["stale", "whole", "changes", "changes", "whole"]
@@ -47,15 +47,15 @@
             await gate.wait()
             writer.write(reply(b"late"))
 
-        world.ups[0].script = world.ups[1].script = wait
-        asking = asyncio.ensure_future(world.ask(request("pay", b"")))
-        await until(lambda: world.ups[0].came or world.ups[1].came)
-        busy = 0 if world.ups[0].came else 1
-        world.news(world.host(busy, "draining"))
+        world.upstreams[0].script = world.upstreams[1].script = wait
+        asking = asyncio.ensure_future(world.submit(request("pay", b"")))
+        await until(lambda: world.upstreams[0].received or world.upstreams[1].received)
+        busy = 0 if world.upstreams[0].received else 1
+        world.update(world.host(busy, "draining"))
         await until(lambda: len(ready(world)) == 1)
         gate.set()
         assert (await asking).body == b"late"
-        await until(lambda: world.ups[busy].left == 1)
+        await until(lambda: world.upstreams[busy].left == 1)
 
 
 @pytest.mark.parametrize("how", ["ends", "bad line", "not a host", "version back", "stalls"])
@@ -64,25 +64,25 @@
         if how == "stalls":
             monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.3)
         async with World(2) as world:
-            before = len(world.discovery.came)
+            before = len(world.discovery.received)
             world.version = 9
             world.current = world.list(world.host(1))
             if how == "ends":
-                world.raw(b'{"seq":8,"whole":false,"ho')
+                world.send_chunk(b'{"seq":8,"whole":false,"ho')
                 world.watches[-1].transport.abort()
             elif how == "bad line":
-                world.tell("{nonsense")
+                world.send_line("{nonsense")
             elif how == "not a host":
-                world.tell({"seq": 8, "whole": False, "hosts": [{"host": "s0", "health": "unwell"}]})
+                world.send_line({"seq": 8, "whole": False, "hosts": [{"host": "s0", "health": "unwell"}]})
             elif how == "version back":
-                world.tell({"seq": 0, "whole": False, "hosts": []})
+                world.send_line({"seq": 0, "whole": False, "hosts": []})
             await until(lambda: ready(world) == {"s1"})
-            came = [message.line for message in world.discovery.came[before:]]
+            received = [message.line for message in world.discovery.received[before:]]
             if how in ("ends", "stalls"):
-                assert came[0].startswith("GET /catalog/members?stream=1&index=1 ")
+                assert received[0].startswith("GET /catalog/members?stream=1&index=1 ")
             else:
-                assert came[0].startswith("GET /catalog/members ")
-            assert (await world.ask(request())).status == 200
+                assert received[0].startswith("GET /catalog/members ")
+            assert (await world.submit(request())).status == 200
 
     uvloop.run(test())
 
@@ -93,7 +93,7 @@
         port = world.discovery.port
         await world.discovery.stop()
         await until(lambda: world.node.watch.policy.failed_calls > 2)
-        assert (await world.ask(request())).status == 200
+        assert (await world.submit(request())).status == 200
         world.version, world.current = 5, None
         await world.discovery.start(port)
         await until(lambda: world.node.watch.version == 5)
@@ -104,7 +104,7 @@
     """A client that knew the process before comes as soon as the address listens. What its list said may be
     long untrue: what the agent holds counts as told from the start, and sends to s0 would break its drain."""
     world = World(2)
-    for peer in (*world.ups, world.discovery):
+    for peer in (*world.upstreams, world.discovery):
         await peer.start()
     world.known = world.list(world.host(0), world.host(1))
     world.version, world.current = 3, world.list(world.host(0, "draining"), world.host(1))
@@ -116,14 +116,14 @@
 
     world.discovery.script = late
     entering = asyncio.ensure_future(world.enter())
-    await until(lambda: world.discovery.came)
+    await until(lambda: world.discovery.received)
     assert world.node.front.listener is None and not world.node.watch.ever_answered
     hold.set()
     await entering
     assert world.node.front.listener is not None
     for _ in range(20):
-        assert (await world.ask(request())).status == 200
-    assert [len(up.came) for up in world.ups] == [0, 20]
+        assert (await world.submit(request())).status == 200
+    assert [len(up.received) for up in world.upstreams] == [0, 20]
     await world.__aexit__()
 
 
@@ -133,17 +133,17 @@
 
     async def test() -> None:
         world = World(2)
-        for peer in (*world.ups, world.discovery):
+        for peer in (*world.upstreams, world.discovery):
             await peer.start()
         world.discovery.script = silent
         entering = asyncio.ensure_future(world.enter(heard=False))
-        await until(lambda: world.discovery.came)
+        await until(lambda: world.discovery.received)
         world.node.terminate()
         with pytest.raises(AssertionError):  # the helper's own: there is no server to ask
             await entering
         await world.node.finished
         assert world.node.front.listener is None and not world.node.watch.ever_answered
-        for peer in (*world.ups, world.discovery):
+        for peer in (*world.upstreams, world.discovery):
             await peer.stop()
 
     uvloop.run(asyncio.wait_for(test(), 30))
@@ -155,7 +155,7 @@
 
     async def test() -> None:
         world = World(1)
-        for peer in (*world.ups, world.discovery):
+        for peer in (*world.upstreams, world.discovery):
             await peer.start()
         world.discovery.script = silent
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -172,13 +172,13 @@
 @run
 async def test_a_discovery_that_says_nothing_holds_up_the_start_for_a_moment_only() -> None:
     world = World(2)
-    for peer in (*world.ups, world.discovery):
+    for peer in (*world.upstreams, world.discovery):
         await peer.start()
     world.discovery.script = silent
     before = asyncio.get_running_loop().time()
     await world.enter(heard=False)
     assert asyncio.get_running_loop().time() - before > node.LISTED_S - 0.01
-    assert (await world.ask(request())).status == 200
+    assert (await world.submit(request())).status == 200
     await world.__aexit__()
 
 
@@ -193,17 +193,17 @@
 
     async def test() -> None:
         world = asking() if asked else World()
-        world.ups.append(Peer(says(reply())))
-        for peer in (*world.ups, world.discovery):
+        world.upstreams.append(Peer(says(reply())))
+        for peer in (*world.upstreams, world.discovery):
             await peer.start()
         world.known = world.list(world.host(0))
         world.version, world.current = 4, world.list(world.host(1))
 
         async def moody(message: Message, writer: asyncio.StreamWriter) -> None:
-            came = len(world.discovery.came)
-            if came == 1:
+            received = len(world.discovery.received)
+            if received == 1:
                 return
-            if came == 2:
+            if received == 2:
                 await asyncio.sleep(0.2)
             await world._discover(message, writer)
 
@@ -211,8 +211,8 @@
         await world.enter()
         await until(lambda: ready(world) == {"s1"})
         for _ in range(5):
-            assert (await world.ask(request())).status == 200
-        assert [len(up.came) for up in world.ups] == [0, 5] and len(world.discovery.came) == 2
+            assert (await world.submit(request())).status == 200
+        assert [len(up.received) for up in world.upstreams] == [0, 5] and len(world.discovery.received) == 2
         await world.__aexit__()
 
     uvloop.run(asyncio.wait_for(test(), 30))
@@ -223,16 +223,16 @@
     async with World() as world:
         for script in (says(reply(b"", "503 Down")), says(b"garbage\r\n\r\n"), says(b"", close=True)):
             world.discovery.script = script
-            before = len(world.discovery.came)
+            before = len(world.discovery.received)
             world.discovery.writers[-1].transport.abort()
-            await until(lambda before=before: len(world.discovery.came) > before + 1)  # type: ignore[misc]
+            await until(lambda before=before: len(world.discovery.received) > before + 1)  # type: ignore[misc]
         world.discovery.script = world._discover
         watches = len(world.watches)
         await until(lambda: len(world.watches) > watches)
         for _ in range(5):
-            world.raw(b"x" * 1_000_000)
+            world.send_chunk(b"x" * 1_000_000)
         await until(lambda: len(world.watches) > watches + 1)
-        assert (await world.ask(request())).status == 200
+        assert (await world.submit(request())).status == 200
 
 
 def asking(**settings: Any) -> World:
@@ -272,7 +272,9 @@
         await step.wait()
         await until(lambda: world.node.watch.ever_answered)
         counts = {name: count for name, count in world.node.watch.counts.items() if name != "kept"}
-        assert len(world.discovery.came) == 1 and counts == {"watched": 1} and world.node.watch.is_current()
+        assert (
+            len(world.discovery.received) == 1 and counts == {"watched": 1} and world.node.watch.is_current()
+        )
 
 
 @pytest.mark.parametrize(
@@ -289,17 +291,17 @@
 
     async def test() -> None:
         world = asking(guarantees={**World().settings["guarantees"], "askEveryMs": 1_000.0})
-        came: list[float] = []
+        received: list[float] = []
 
         async def busy(message: Message, writer: asyncio.StreamWriter) -> None:
-            came.append(asyncio.get_running_loop().time())
-            if len(came) > 1:
+            received.append(asyncio.get_running_loop().time())
+            if len(received) > 1:
                 return await world._discover(message, writer)
             writer.write(reply(b"", "503 Busy", field + "\r\n" if field else ""))
 
         world.discovery.script = busy
         async with world:
-            assert least - 0.002 <= came[1] - came[0] <= most  # the loop's clock counts milliseconds
+            assert least - 0.002 <= received[1] - received[0] <= most  # the loop's clock counts milliseconds
 
     uvloop.run(test())
 
@@ -353,7 +355,7 @@
         assert call is not None
         world.node.clock.now = lambda: now() + 10.0  # type: ignore[method-assign]
         call._timed_out()
-        world.news(world.host(0, "draining"))
+        world.update(world.host(0, "draining"))
         await until(lambda: watch.version == world.version)
         assert watch.call is call and not watch.counts["ended silent"]
         call._timed_out()
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -56,12 +56,14 @@
 def test_every_way_an_attempt_ends(script: Script, code: str, status: int) -> None:
     async def test() -> None:
         async with World() as world:
-            world.ups[0].script = script
-            answer = await world.ask(request("pay", b"", left="300m"))
+            world.upstreams[0].script = script
+            answer = await world.submit(request("pay", b"", left="300m"))
             assert answer.status == status
             assert set(world.outcomes()) == {code}
-            assert code == "full" or len(world.ups[0].came) == 1  # unsafe: not sent again if it may have run
-            world.ups[0].script = says(reply())
+            assert (
+                code == "full" or len(world.upstreams[0].received) == 1
+            )  # unsafe: not sent again if it may have run
+            world.upstreams[0].script = says(reply())
             await until(lambda: not world.node.engine.pending_requests and world.node.budget.used == 0)
 
     uvloop.run(test())
@@ -70,9 +72,9 @@
 @run
 async def test_a_refused_connection_never_ran() -> None:
     async with World(2) as world:
-        await world.ups[0].stop()
+        await world.upstreams[0].stop()
         for _ in range(8):
-            assert (await world.ask(request("pay", b""))).status == 200
+            assert (await world.submit(request("pay", b""))).status == 200
         assert set(world.outcomes()) == {"ok", "connect_failed"}
 
 
@@ -87,9 +89,9 @@
         for sock in held:
             sock.setblocking(False)
             sock.connect_ex(address)
-        world.news(world.host(0, dial=f"{address[0]}:{address[1]}"))
+        world.update(world.host(0, dial=f"{address[0]}:{address[1]}"))
         await until(lambda: world.node.pool.upstreams["s0"].address == address)
-        answer = await world.ask(request("pay", b"", left="600m"))
+        answer = await world.submit(request("pay", b"", left="600m"))
         assert answer.status == 503 and set(world.outcomes()) == {"connect_failed"}
         for sock in (*held, full):
             sock.close()
@@ -107,15 +109,15 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(stall, "127.0.0.1", 0, limit=1000)
-        world.ups[0].port = server.sockets[0].getsockname()[1]
-        world.news(world.host(0), world.host(1, "draining"))
+        world.upstreams[0].port = server.sockets[0].getsockname()[1]
+        world.update(world.host(0), world.host(1, "draining"))
         await until(lambda: not world.node.pool.upstreams["s1"].ready)
-        asking = asyncio.ensure_future(world.ask(request("pay", b"b" * 12_000_000)))
+        asking = asyncio.ensure_future(world.submit(request("pay", b"b" * 12_000_000)))
         await stalled.wait()
-        world.news(world.host(0, "gone"), world.host(1))
+        world.update(world.host(0, "gone"), world.host(1))
         answer = await asking
         assert answer.status == 200 and world.outcomes()[0] == "connect_failed"
-        assert len(world.ups[1].came[0].body) == 12_000_000
+        assert len(world.upstreams[1].received[0].body) == 12_000_000
         server.close()
 
 
@@ -136,15 +138,15 @@
                 await connect(sock, address)
 
         world.node.pool.loop = Loop()  # type: ignore[assignment]
-        world.news(world.host(1, "draining"))
+        world.update(world.host(1, "draining"))
         await until(lambda: not world.node.pool.upstreams["s1"].ready)
-        asking = asyncio.ensure_future(world.ask(request("pay", b"")))
+        asking = asyncio.ensure_future(world.submit(request("pay", b"")))
         await until(lambda: any(isinstance(a, io.Send) for a in world.actions))
-        world.news(world.host(0, "draining"), world.host(1))
+        world.update(world.host(0, "draining"), world.host(1))
         await until(lambda: world.node.pool.upstreams["s1"].ready)
         gate.set()
         assert (await asking).status == 200
-        assert world.outcomes() == ["moot", "ok"] and world.ups[0].came == []
+        assert world.outcomes() == ["moot", "ok"] and world.upstreams[0].received == []
 
 
 @run
@@ -153,16 +155,16 @@
         open_at: list[int] = []
 
         async def hang(message: Message, writer: asyncio.StreamWriter) -> None:
-            first = world.ups[0] if world.ups[0].came else world.ups[1]
-            if sum(len(up.came) for up in world.ups) == 2:
-                await until(lambda: world.ups[0].left + world.ups[1].left == 1)
+            first = world.upstreams[0] if world.upstreams[0].received else world.upstreams[1]
+            if sum(len(up.received) for up in world.upstreams) == 2:
+                await until(lambda: world.upstreams[0].left + world.upstreams[1].left == 1)
                 open_at.append(first.left)
                 writer.write(reply())
 
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = hang
         world.node.engine.balancer.latency.typical["read"] = 20.0
-        assert (await world.ask(request())).status == 200
+        assert (await world.submit(request())).status == 200
         assert world.outcomes() == ["timeout", "ok"] and len(open_at) == 1
 
 
@@ -170,8 +172,8 @@
 async def test_reports_reach_the_module_in_its_order_and_bad_ones_do_not() -> None:
     async with World() as world:
         fields = 'X-Backend-Load: {"inflight":7,"util":0.5,"queue":2}\r\n'
-        world.ups[0].script = says(reply(fields=fields))
-        answer = await world.ask(request())
+        world.upstreams[0].script = says(reply(fields=fields))
+        answer = await world.submit(request())
         assert "x-backend-load" not in answer.fields
         (outcome,) = (e for e in world.events if isinstance(e, io.AttemptEnded))
         assert outcome.report == (2.0, 0.5)  # the settings say depth, load_share
@@ -203,18 +205,18 @@
                 await asyncio.sleep(0.06)
                 writer.write(b"d")
 
-        world.ups[0].script = dribble
+        world.upstreams[0].script = dribble
         world.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
-        assert (await world.ask(request())).body == b"dddddd"
-        assert world.outcomes() == ["ok"] and len(world.ups[0].came) == 1
+        assert (await world.submit(request())).body == b"dddddd"
+        assert world.outcomes() == ["ok"] and len(world.upstreams[0].received) == 1
 
 
 @run
 async def test_an_answer_that_begins_and_stops_is_given_up() -> None:
     async with World() as world:
-        world.ups[0].script = says(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nd")
+        world.upstreams[0].script = says(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nd")
         world.node.engine.balancer.latency.typical["read"] = 20.0
-        await world.ask(request())
+        await world.submit(request())
         first = next(e for e in world.events if isinstance(e, io.AttemptEnded))
         assert first.code == "timeout" and first.spent_ms < 2000.0
 
@@ -234,7 +236,7 @@
             "close": b"HTTP/1.1 200 OK\r\n\r\n" + body,
         }
         async with World() as world:
-            world.ups[0].script = says(heads[framing], close=framing == "close")
+            world.upstreams[0].script = says(heads[framing], close=framing == "close")
             reader, writer = await world.connect()
             for _ in range(2):
                 writer.write(request("pay", b""))
@@ -252,15 +254,15 @@
     async def test() -> None:
         async with World() as world:
             half = b"%x\r\n" % LONG if b"chunked" in framing else b""
-            world.ups[0].script = resets(
+            world.upstreams[0].script = resets(
                 b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n" + half + b"h" * 150_000
             )
             asked = request("pay", b"")
-            answered = world.ask(asked.replace(b"HTTP/1.1", b"HTTP/1.0") if old else asked)
+            answered = world.submit(asked.replace(b"HTTP/1.1", b"HTTP/1.0") if old else asked)
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await answered
             await until(lambda: world.outcomes())
-            assert world.outcomes() == ["reset"] and len(world.ups[0].came) == 1
+            assert world.outcomes() == ["reset"] and len(world.upstreams[0].received) == 1
 
     uvloop.run(test())
 
@@ -276,8 +278,8 @@
                 await asyncio.sleep(0.028)  # past its time, but not by half a second
             writer.write(b"0\r\n\r\n")
 
-        world.ups[0].script = dribble
-        answer = await world.ask(request("pay", b"", left="400m"))
+        world.upstreams[0].script = dribble
+        answer = await world.submit(request("pay", b"", left="400m"))
         assert answer.status == 200 and answer.body == b"d" * 81_920
         assert world.outcomes() == ["ok"]
 
@@ -296,7 +298,7 @@
                 written += 100_000
                 await writer.drain()
 
-        world.ups[0].script = pour
+        world.upstreams[0].script = pour
         reader, writer = await asyncio.open_connection("127.0.0.1", world.port, limit=1000)
         world.clients.append(writer)
         writer.write(request("pay", b""))
@@ -314,12 +316,12 @@
 @run
 async def test_a_client_that_leaves_takes_its_attempt_along() -> None:
     async with World() as world:
-        world.ups[0].script = silent
+        world.upstreams[0].script = silent
         _, writer = await world.connect()
         writer.write(request("pay", b""))
-        await until(lambda: world.ups[0].came)
+        await until(lambda: world.upstreams[0].received)
         writer.close()
-        await until(lambda: world.ups[0].left == 1)
+        await until(lambda: world.upstreams[0].left == 1)
         assert world.outcomes() == ["cancelled"] and any(
             isinstance(e, io.ClientDisconnected) for e in world.events
         )
@@ -329,7 +331,7 @@
 @run
 async def test_a_client_that_leaves_while_its_request_waits_or_is_answered() -> None:
     async with World() as world:
-        world.news(world.host(0, "draining"))
+        world.update(world.host(0, "draining"))
         await until(lambda: not world.node.pool.upstreams["s0"].ready)
         _, writer = await world.connect()
         writer.write(request("pay", b"held"))
@@ -337,18 +339,18 @@
         writer.close()
         await until(lambda: not world.node.engine.pending_requests)
         assert world.outcomes() == [] and world.node.budget.used == 0
-        world.news(world.host(0))
+        world.update(world.host(0))
         await until(lambda: world.node.pool.upstreams["s0"].ready)
 
         async def half(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"h" * 150_000)
 
-        world.ups[0].script = half
+        world.upstreams[0].script = half
         reader, writer = await world.connect()
         writer.write(request("pay", b""))
         await reader.readexactly(100_000)
         writer.transport.abort()
-        await until(lambda: world.ups[0].left == 1 and not world.node.front.clients)
+        await until(lambda: world.upstreams[0].left == 1 and not world.node.front.clients)
         assert not world.node.pool.streams and world.node.budget.used == 0
 
 
@@ -369,19 +371,19 @@
             return actions
 
         world.node.engine.balancer.handle = forgetful  # type: ignore[method-assign]
-        assert (await world.ask(request("pay", b"", left="300m"))).status == 500
-        assert (await world.ask(request("pay", b"", left="100m"))).status == 500
+        assert (await world.submit(request("pay", b"", left="300m"))).status == 500
+        assert (await world.submit(request("pay", b"", left="100m"))).status == 500
         world.node.engine.balancer.handle = handle  # type: ignore[method-assign]
-        assert (await world.ask(request("pay", b""))).status == 200
+        assert (await world.submit(request("pay", b""))).status == 200
 
 
 @run
 async def test_pipelined_requests_that_are_never_taken_give_their_bytes_back() -> None:
     async with World() as world:
-        world.ups[0].script = silent
+        world.upstreams[0].script = silent
         _, writer = await world.connect()
         writer.write(request("pay", b"first") + request("pay", b"second") * 3)
-        await until(lambda: world.ups[0].came and world.node.budget.used > 20)
+        await until(lambda: world.upstreams[0].received and world.node.budget.used > 20)
         writer.transport.abort()
         await until(lambda: not world.node.front.clients)
         assert world.node.budget.used == 0
@@ -390,15 +392,15 @@
 @run
 async def test_upstreams_that_accept_and_say_nothing_cannot_use_up_the_descriptors() -> None:
     async with World(sockets=80) as world:
-        world.ups[0].script = silent
-        asked = [world.ask(request("pay", b"", left="700m")) for _ in range(25)]
+        world.upstreams[0].script = silent
+        asked = [world.submit(request("pay", b"", left="700m")) for _ in range(25)]
         statuses = {answer.status for answer in await asyncio.gather(*asked)}
         assert statuses <= {502, 503}
-        assert len(world.ups[0].writers) <= world.node.pool.max_connections
-        world.ups[0].script = says(reply())
+        assert len(world.upstreams[0].writers) <= world.node.pool.max_connections
+        world.upstreams[0].script = says(reply())
         await until(lambda: not world.node.pool.connections)
         for _ in range(100):  # after nothing but time-outs little is let in, until these are forgotten
-            if (status := (await world.ask(request("pay", b""))).status) != 503:
+            if (status := (await world.submit(request("pay", b""))).status) != 503:
                 break
             await asyncio.sleep(0.1)
         assert status == 200
@@ -408,11 +410,11 @@
 async def test_requests_that_upstreams_find_fault_with_do_not_spoil_their_health() -> None:
     """Bad clients got sound upstreams ejected, and were tried up to four times each."""
     async with World(3) as world:
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = says(reply(b"", "400 Bad Request"))
         for number in range(6):
-            assert (await world.ask(request())).status == 502
-            assert sum(len(up.came) for up in world.ups) == number + 1
+            assert (await world.submit(request())).status == 502
+            assert sum(len(up.received) for up in world.upstreams) == number + 1
         assert set(world.outcomes()) == {"error"}
         servers = world.node.engine.balancer.servers.values()
         assert [(s.failing, s.ejections, len(s.in_flight)) for s in servers] == [(0.0, 0, 0)] * 3
@@ -420,9 +422,9 @@
             world.node.engine.balancer.endpoints.ejection.failing == 0.0
             and not world.node.engine.pending_requests
         )
-        for up in world.ups:
+        for up in world.upstreams:
             up.script = says(reply(b"", "500 Oops"))
-        await world.ask(request("pay", b""))
+        await world.submit(request("pay", b""))
         assert max(s.failing for s in servers) > 0.0
 
 
@@ -436,10 +438,10 @@
 
     async def test() -> None:
         async with World() as world:
-            world.ups[0].script = says(
+            world.upstreams[0].script = says(
                 b"HTTP/1.1 200 OK\r\nX-Backend-Load: " + report + b"\r\nContent-Length: 4\r\n\r\ndone"
             )
-            assert (await world.ask(request("pay", b""))).body == b"done"
+            assert (await world.submit(request("pay", b""))).body == b"done"
             assert world.outcomes() == ["ok"]
             assert [e.report for e in world.events if isinstance(e, io.AttemptEnded)] == [()]
 
@@ -450,8 +452,8 @@
 async def test_a_break_is_not_the_end_of_an_answer_without_length() -> None:
     """Half an answer, cut off by a reset, was served as if it were whole."""
     async with World() as world:
-        world.ups[0].script = resets(b"HTTP/1.1 200 OK\r\n\r\nhalf of it")
-        assert (await world.ask(request("pay", b""))).status == 502
+        world.upstreams[0].script = resets(b"HTTP/1.1 200 OK\r\n\r\nhalf of it")
+        assert (await world.submit(request("pay", b""))).status == 502
         assert world.outcomes() == ["reset"]
 
 
@@ -460,8 +462,8 @@
     """Fields of a second answer in the same bytes were passed on with the first, and its report believed."""
     async with World() as world:
         more = 'X-Second: yes\r\nX-Backend-Load: {"queue":9,"util":1}\r\n'
-        world.ups[0].script = says(reply(b"first") + reply(b"second", fields=more))
-        answer = await world.ask(request("pay", b""))
+        world.upstreams[0].script = says(reply(b"first") + reply(b"second", fields=more))
+        answer = await world.submit(request("pay", b""))
         assert answer.body == b"first" and "x-second" not in answer.fields
         assert [e.report for e in world.events if isinstance(e, io.AttemptEnded)] == [()]
         await until(lambda: not world.node.pool.connections)
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -17,13 +17,13 @@
     """A connection that never reached the idle pool was neither used nor closed."""
     async with World() as world:
         for _ in range(6):
-            assert (await world.ask(request())).status == 200
+            assert (await world.submit(request())).status == 200
             rested = asyncio.get_running_loop().time() + MIN_IDLE_S
             await until(lambda rested=rested: asyncio.get_running_loop().time() > rested)  # type: ignore[misc]
-        assert len(world.ups[0].writers) == 1 and len(world.node.pool.connections) == 1
+        assert len(world.upstreams[0].writers) == 1 and len(world.node.pool.connections) == 1
         assert len(world.node.pool.upstreams["s0"].idle) == 1
-        world.news(world.host(0, "draining"))
-        await until(lambda: world.ups[0].left == 1 and not world.node.pool.connections)
+        world.update(world.host(0, "draining"))
+        await until(lambda: world.upstreams[0].left == 1 and not world.node.pool.connections)
 
 
 @run
@@ -31,10 +31,10 @@
     """With no sweep nothing ended idle connections or slow heads, or forgot upstreams that went."""
     limits = {**SETTINGS["limits"], "connIdleMs": 600.0}
     async with World(2, limits=limits) as world:
-        assert (await world.ask(request())).status == 200
+        assert (await world.submit(request())).status == 200
         await until(lambda: not world.node.pool.connections)
-        await until(lambda: world.ups[0].left + world.ups[1].left == 1)
-        world.news(world.host(1, "gone"))
+        await until(lambda: world.upstreams[0].left + world.upstreams[1].left == 1)
+        world.update(world.host(1, "gone"))
         await until(lambda: "s1" not in world.node.pool.upstreams)
         reader, writer = await world.connect()
         writer.write(b"GET /api HTTP/1.1\r\nX-Half:")
@@ -53,10 +53,12 @@
                 await gate.wait()
                 writer.write(reply())
 
-            for up in world.ups:
+            for up in world.upstreams:
                 up.script = wait
-            asking = [asyncio.ensure_future(world.ask(request("pay", b""))) for _ in range(asked)]
-            await until(lambda: sum(len(up.came) for up in world.ups) + len(world.outcomes()) >= asked)
+            asking = [asyncio.ensure_future(world.submit(request("pay", b""))) for _ in range(asked)]
+            await until(
+                lambda: sum(len(up.received) for up in world.upstreams) + len(world.outcomes()) >= asked
+            )
             gate.set()
             assert {answer.status for answer in await asyncio.gather(*asking)} == {200}
             assert (
@@ -89,7 +91,7 @@
         assert (await answer).status == 408
         task.cancel()
         await until(lambda: not world.node.front.clients)
-        assert len(world.ups[0].came) == 1 and world.node.budget.used == 0
+        assert len(world.upstreams[0].received) == 1 and world.node.budget.used == 0
 
 
 @run
@@ -97,10 +99,10 @@
     """Thousands are not gone through four times a second; what has gone is forgotten all the same."""
     async with World(2) as world:
         rows = [world.host(0), world.host(1), *(world.host(0, host=f"x{n}") for n in range(3_000))]
-        world.news(*rows, complete=True)
+        world.update(*rows, complete=True)
         await until(lambda: len(world.node.pool.upstreams) == 3_002)
-        world.news(*(row | {"health": "draining"} for row in rows[2:1_000]))
-        world.news(*(row | {"health": "gone"} for row in rows[2:900]))
+        world.update(*(row | {"health": "draining"} for row in rows[2:1_000]))
+        world.update(*(row | {"health": "gone"} for row in rows[2:900]))
         await until(lambda: len(world.node.pool.upstreams) == 3_002 - 898)
         looked: list[str] = []
         expire = Upstream.expire
@@ -112,7 +114,7 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Upstream, "expire", counted)
             for _ in range(8):
-                assert (await world.ask(request())).status == 200
+                assert (await world.submit(request())).status == 200
             looked.clear()
             world.node.pool.sweep()
         assert 1 <= len(looked) <= 8
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -10,76 +10,79 @@
 from peers import read_message, run, until
 
 from standins.fleet import Fleet, Plan
-from standins.nodo import Books, Nodo, Run, fleet
+from standins.upstream import Execution, ExecutionJournal, StandInUpstream, start_upstreams
 
 
 def asked(identity: str) -> bytes:
     return f"POST /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {identity}\r\n\r\n".encode()
 
 
-async def dial(nodo: Nodo) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    return await asyncio.open_connection("127.0.0.1", nodo.port)
+async def dial(upstream: StandInUpstream) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    return await asyncio.open_connection("127.0.0.1", upstream.port)
 
 
-def make(number: int, books: Books) -> Nodo:
-    return Nodo(f"s{number}", books, capacity=100.0, queue=3, warm_s=10.0)
+def make(number: int, journal: ExecutionJournal) -> StandInUpstream:
+    return StandInUpstream(f"s{number}", journal, capacity=100.0, queue=3, warm_s=10.0)
 
 
 @run
 async def test_a_second_copy_is_seen_and_one_that_was_given_up_is_not() -> None:
-    nodos, books, registry = await fleet(2, make)
+    nodos, journal, registry = await start_upstreams(2, make)
     nodos[0].mode = "swallow"
     one, two, three = await dial(nodos[0]), await dial(nodos[1]), await dial(nodos[1])
     one[1].write(asked("c1"))
-    await until(lambda: len(books.runs) == 1)
+    await until(lambda: len(journal.runs) == 1)
     two[1].write(asked("c1"))
     assert (await read_message(two[0])).status == 200
-    assert books.overlapping == 1 and books.twice("") == ["c1"]
+    assert journal.overlapping == 1 and journal.duplicate_executions("") == ["c1"]
     number = one[1].get_extra_info("socket").fileno()
     with socket.fromfd(number, socket.AF_INET, socket.SOCK_STREAM) as same:
         same.shutdown(socket.SHUT_RDWR)
     three[1].write(asked("c1"))  # right behind: the nodo's loop may see this first
     assert (await read_message(three[0])).status == 200
-    assert books.overlapping == 1
+    assert journal.overlapping == 1
     for peer in (registry, *nodos):
         await peer.stop()
 
 
 @run
 async def test_a_full_a_draining_and_a_cold_nodo() -> None:
-    (nodo,), books, registry = await fleet(1, make)
-    nodo.gate = asyncio.Event()
-    links = [await dial(nodo) for _ in range(6)]
+    (upstream,), journal, registry = await start_upstreams(1, make)
+    upstream.gate = asyncio.Event()
+    links = [await dial(upstream) for _ in range(6)]
     for number, (_, writer) in enumerate(links):
         writer.write(asked(f"c{number}"))
-    await until(lambda: len(books.runs) + books.turned_away == 6)
-    assert books.turned_away >= 1
+    await until(lambda: len(journal.runs) + journal.turned_away == 6)
+    assert journal.turned_away >= 1
     full = await read_message(links[-1][0])
     assert full.status == 503 and full.fields["x-unprocessed"] == "1" and "x-backend-load" in full.fields
-    warm = nodo.able(0.0)
-    await nodo.restart()
-    assert nodo.born is not None
-    assert abs(nodo.able(nodo.born) - 0.13 * warm) < 1e-6 and nodo.able(nodo.born + 99) == warm
-    nodo.health = "draining"
-    link = await dial(nodo)
+    warm = upstream.able(0.0)
+    await upstream.restart()
+    assert upstream.started_at is not None
+    assert (
+        abs(upstream.able(upstream.started_at) - 0.13 * warm) < 1e-6
+        and upstream.able(upstream.started_at + 99) == warm
+    )
+    upstream.health = "draining"
+    link = await dial(upstream)
     link[1].write(asked("late"))
-    assert (await read_message(link[0])).status == 503 and nodo.life == 1
-    for peer in (registry, nodo):
+    assert (await read_message(link[0])).status == 503 and upstream.life == 1
+    for peer in (registry, upstream):
         await peer.stop()
 
 
 @run
 async def test_the_padron_tells_its_watchers_and_keeps_when() -> None:
-    nodos, _, registry = await fleet(2, make)
+    nodos, _, registry = await start_upstreams(2, make)
     reader, writer = await asyncio.open_connection("127.0.0.1", registry.port)
     writer.write(b"GET /catalog/members?stream=1&index=0 HTTP/1.1\r\n\r\n")
     await until(lambda: registry.watchers)
-    registry.tell(nodos[0], health="draining")
+    registry.notify(nodos[0], health="draining")
     text = b""
     while b"draining" not in text:
         text += await asyncio.wait_for(reader.read(65536), 20)
     assert b'"whole": true' in text and "s0" in registry.told
-    registry.tell(nodos[0])
+    registry.notify(nodos[0])
     assert "s0" not in registry.told
     writer.close()
     for peer in (registry, *nodos):
@@ -87,17 +90,17 @@
 
 
 def test_effects_of_a_keyed_class() -> None:
-    def ran(at: float, block: int) -> Run:
-        return Run(at, "c", "reserva", "k", block, 0)
+    def ran(at: float, block: int) -> Execution:
+        return Execution(at, "c", "reserva", "k", block, 0)
 
-    cases: list[tuple[list[Run], list[str]]] = [
+    cases: list[tuple[list[Execution], list[str]]] = [
         ([ran(0, 1), ran(1.9, 1)], []),
         ([ran(0, 1), ran(2.1, 1)], ["k"]),
         ([ran(0, 1), ran(0.1, 2)], ["k"]),
     ]
     for runs, found in cases:
-        books: Any = Books(runs=runs)
-        assert books.effects_twice("reserva", 2.0) == found
+        journal: Any = ExecutionJournal(runs=runs)
+        assert journal.duplicate_effects("reserva", 2.0) == found
 
 
 def posted(identity: str, key: str = "", name: str = "reserva") -> bytes:
@@ -110,63 +113,67 @@
 
 @run
 async def test_a_block_drops_repeats_of_a_key_and_another_block_does_not() -> None:
-    nodos, books, registry = await fleet(3, lambda n, books: Nodo(f"s{n}", books, block=n // 2))
-    for number, nodo in enumerate(nodos):
-        reader, writer = await dial(nodo)
+    nodos, journal, registry = await start_upstreams(
+        3, lambda n, journal: StandInUpstream(f"s{n}", journal, block=n // 2)
+    )
+    for number, upstream in enumerate(nodos):
+        reader, writer = await dial(upstream)
         writer.write(posted(f"c{number}", "k"))
         assert (await read_message(reader)).status == 200
-    assert [run.dropped for run in books.runs] == [False, True, False]
-    assert books.effects_twice("reserva", books.window_s) == ["k"]
+    assert [run.dropped for run in journal.runs] == [False, True, False]
+    assert journal.duplicate_effects("reserva", journal.window_s) == ["k"]
     for peer in (registry, *nodos):
         await peer.stop()
 
 
 @run
 async def test_cores_work_side_by_side_and_the_queue_waits() -> None:
-    (nodo,), books, registry = await fleet(
-        1, lambda n, books: Nodo("s0", books, capacity=20.0, cores=2, latency_s=0.0, queue=2)
+    (upstream,), journal, registry = await start_upstreams(
+        1, lambda n, journal: StandInUpstream("s0", journal, capacity=20.0, cores=2, latency_s=0.0, queue=2)
     )
-    links = [await dial(nodo) for _ in range(5)]
+    links = [await dial(upstream) for _ in range(5)]
     for number, (_, writer) in enumerate(links):
         writer.write(posted(f"c{number}"))
-        await until(lambda seen=number + 1: len(books.runs) + books.turned_away == seen)
-    assert nodo.busy(asyncio.get_running_loop().time()) <= 2
+        await until(lambda seen=number + 1: len(journal.runs) + journal.turned_away == seen)
+    assert upstream.busy(asyncio.get_running_loop().time()) <= 2
     statuses = [(await read_message(reader)).status for reader, _ in links]
     assert statuses == [200, 200, 200, 200, 503]  # two run, two wait, one is too many
-    for peer in (registry, nodo):
+    for peer in (registry, upstream):
         await peer.stop()
 
 
 @run
 async def test_waiting_work_whose_client_left_is_dropped() -> None:
-    (nodo,), books, registry = await fleet(1, lambda n, books: Nodo("s0", books, capacity=5.0, latency_s=0.0))
-    one, two, three = [await dial(nodo) for _ in range(3)]
+    (upstream,), journal, registry = await start_upstreams(
+        1, lambda n, journal: StandInUpstream("s0", journal, capacity=5.0, latency_s=0.0)
+    )
+    one, two, three = [await dial(upstream) for _ in range(3)]
     for number, (_, writer) in enumerate((one, two, three)):
         writer.write(posted(f"c{number}"))
-        await until(lambda seen=number + 1: len(books.runs) == seen)
-    assert nodo.waiting() == 2
+        await until(lambda seen=number + 1: len(journal.runs) == seen)
+    assert upstream.waiting() == 2
     two[1].transport.abort()
-    await until(lambda: nodo.waiting() == 1)
+    await until(lambda: upstream.waiting() == 1)
     assert (await read_message(one[0])).status == (await read_message(three[0])).status == 200
-    for peer in (registry, nodo):
+    for peer in (registry, upstream):
         await peer.stop()
 
 
 @run
 async def test_connections_are_capped_cost_work_and_are_closed_when_idle() -> None:
-    (nodo,), books, registry = await fleet(
-        1, lambda n, books: Nodo("s0", books, most_connections=2, connect_s=0.01, idle_s=0.3)
+    (upstream,), journal, registry = await start_upstreams(
+        1, lambda n, journal: StandInUpstream("s0", journal, most_connections=2, connect_s=0.01, idle_s=0.3)
     )
-    links = [await dial(nodo) for _ in range(3)]
-    await until(lambda: len(nodo.connections) == 3)
-    before = nodo.free[0]
+    links = [await dial(upstream) for _ in range(3)]
+    await until(lambda: len(upstream.connections) == 3)
+    before = upstream.free[0]
     assert before > 0.0  # three handshakes of work
     links[2][1].write(posted("c2"))
     answer = await read_message(links[2][0])
-    assert answer.status == 503 and answer.fields["x-unprocessed"] == "1" and books.turned_away == 1
+    assert answer.status == 503 and answer.fields["x-unprocessed"] == "1" and journal.turned_away == 1
     assert await asyncio.wait_for(links[0][0].read(), 20) == b""  # closed by the nodo
-    await until(lambda: not nodo.connections)
-    for peer in (registry, nodo):
+    await until(lambda: not upstream.connections)
+    for peer in (registry, upstream):
         await peer.stop()
 
 
@@ -180,7 +187,7 @@
     writer.write(b"GET /books HTTP/1.1\r\nHost: a\r\n\r\n")
     account = json.loads((await read_message(reader)).body)
     assert [d[0] for d in account["drains"]] == ["s0001"] and account["drains"][0][3] is None
-    await until(lambda: one.books.births, 30)
+    await until(lambda: one.journal.births, 30)
     assert [b[:2] for b in one.account()["births"]] == [["s0001", 1]]
     await until(lambda: one.account()["drains"][0][3] is not None)
     one.stop()
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -37,8 +37,8 @@
         self.states: dict[str, str] = {}
         self.changes = 0
 
-    def hear(self, news: Listing) -> Listing:
-        out = self.subset.filter(news)
+    def hear(self, update: Listing) -> Listing:
+        out = self.subset.filter(update)
         assert len(out.entries) == len(out.addresses) == len({e.server for e in out.entries})
         if out.complete:
             self.states.clear()
@@ -173,19 +173,19 @@
         node = world.node
         node.subset = Subset("n0", 2)
         hosts = [world.host(n, block=n // 2) for n in range(4)]
-        world.news(*hosts, complete=True)
+        world.update(*hosts, complete=True)
         await until(lambda: len(node.engine.balancer.ready) == 2)
         used = {s.entry.server for s in node.engine.balancer.ready}
         assert used in ({"s0", "s1"}, {"s2", "s3"})
         for _ in range(10):
-            assert (await world.ask(request())).status == 200
-        assert {f"s{n}" for n, up in enumerate(world.ups) if up.came} <= used
+            assert (await world.submit(request())).status == 200
+        assert {f"s{n}" for n, up in enumerate(world.upstreams) if up.received} <= used
         number = int(min(used)[1:])
-        world.news(world.host(number, "draining", block=number // 2))
+        world.update(world.host(number, "draining", block=number // 2))
         await until(lambda: not node.pool.upstreams[f"s{number}"].ready)
         other = {"s0", "s1", "s2", "s3"} - used  # has come in, whole
         await until(lambda: other <= {s.entry.server for s in node.engine.balancer.ready})
-        before = len(world.ups[number].came)
+        before = len(world.upstreams[number].received)
         for _ in range(10):
-            assert (await world.ask(request())).status == 200
-        assert len(world.ups[number].came) == before
+            assert (await world.submit(request())).status == 200
+        assert len(world.upstreams[number].received) == before
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -24,7 +24,7 @@
 from quartzford.membership.list_watch import ListWatch
 from quartzford.membership.listing import Listing
 from standins.listservice import Plan, Service
-from standins.nodo import Nodo, fleet
+from standins.upstream import StandInUpstream, start_upstreams
 
 CLASSES = ("read", "book", "pay")
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
@@ -46,8 +46,8 @@
 
     async def start(self, folder: Path) -> None:
         """Start the upstreams and the list service, and write the configuration."""
-        self.upstreams, self.books, self.registry = await fleet(
-            4, lambda n, books: Nodo(f"s{n}", books, block=n // 2)
+        self.upstreams, self.journal, self.registry = await start_upstreams(
+            4, lambda n, journal: StandInUpstream(f"s{n}", journal, block=n // 2)
         )
         self.path = folder / "balancer.json"
         config = {
@@ -80,7 +80,7 @@
             await asyncio.sleep(0.02)
         raise AssertionError("it was never ready")
 
-    async def ask(self) -> int:
+    async def submit(self) -> int:
         """One request of the next class, on a connection of its own; its status, 0 for none."""
         self.number += 1
         name = CLASSES[self.number % len(CLASSES)]
@@ -96,7 +96,7 @@
 
         async def client() -> None:
             while self.number < last:
-                statuses.append(await self.ask())
+                statuses.append(await self.submit())
 
         last = self.number + count
         await asyncio.gather(*(client() for _ in range(AT_ONCE)))
@@ -106,23 +106,23 @@
         """An upstream drains, and the balancer has to hear of it: requests no longer reach it."""
         leaving = self.upstreams[0]
         leaving.health = "draining"
-        self.registry.tell(leaving)
+        self.registry.notify(leaving)
 
-        def came() -> int:
-            return len(self.books.arrivals.get(leaving.name, ()))
+        def received() -> int:
+            return len(self.journal.arrivals.get(leaving.name, ()))
 
         for _ in range(100):
-            before = came()
+            before = received()
             await self.load(AT_ONCE)
-            if came() == before:
+            if received() == before:
                 return
         raise AssertionError("the balancer never heard of the drain")
 
     def check_effects(self) -> None:
         """No unsafe request ran twice, no keyed one had two effects, no two attempts were out at once."""
-        assert not self.books.twice("pay")
-        assert not self.books.effects_twice("book", self.books.window_s)
-        assert self.books.overlapping == 0
+        assert not self.journal.duplicate_executions("pay")
+        assert not self.journal.duplicate_effects("book", self.journal.window_s)
+        assert self.journal.overlapping == 0
 
 
 @asynccontextmanager
@@ -291,11 +291,11 @@
     @run
     async def test() -> None:
         async with World(2) as world:
-            FailingSocket.error, FailingSocket.port, FailingSocket.left = error, world.ups[0].port, 30
+            FailingSocket.error, FailingSocket.port, FailingSocket.left = error, world.upstreams[0].port, 30
             with monkeypatch.context() as patch:
                 patch.setattr(socket, "socket", FailingSocket)
                 for _ in range(30):
-                    assert (await world.ask(request())).status == 200
+                    assert (await world.submit(request())).status == 200
             codes = set(world.outcomes())
             assert codes == {code, "ok"}
             ejected = world.node.engine.balancer.endpoints.excluded_count()
@@ -338,7 +338,7 @@
     @run
     async def test() -> None:
         world, lists = World(1), Lists()
-        for peer in (*world.ups, world.discovery):
+        for peer in (*world.upstreams, world.discovery):
             await peer.start()
         loop: Any = FailingLoop(asyncio.get_running_loop(), error)
         clock = LoopClock(loop)
@@ -349,7 +349,7 @@
         await until(lambda: lists.heard)
         assert not loop.left and watch.counts["ended unreached"] == failures
         watch.stop()
-        for peer in (*world.ups, world.discovery):
+        for peer in (*world.upstreams, world.discovery):
             await peer.stop()
 
     test()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -337,7 +337,7 @@
     @run
     async def test() -> None:
         world = World(4, guarantees=GUARANTEES)
-        for peer in (*world.ups, world.discovery):
+        for peer in (*world.upstreams, world.discovery):
             await peer.start()
         world.current = world.list(world.host(0), world.host(1), complete=True)
         config = read_config(
@@ -357,7 +357,7 @@
         nodes = [Node(config, loop, folder=str(tmp_path))]
         await nodes[0].start()
         await until(lambda: world.watches and nodes[0].watch.ever_answered)
-        world.news(world.host(2, born=time.time() * 1000.0 + skew_ms))
+        world.update(world.host(2, born=time.time() * 1000.0 + skew_ms))
         await until(lambda: "s2" in nodes[0].engine.balancer.servers)
 
         step_machine_clock(monkeypatch, skew_ms)
@@ -366,7 +366,7 @@
         ages = [node.clock.unix_ms() - node.engine.balancer.servers["s2"].cold_from for node in nodes]
         assert ages[1] == pytest.approx(ages[0], abs=100.0) and 0.0 <= ages[1] < COLD_MS
         await until(lambda: len(world.watches) > 1)
-        world.news(world.host(3, born=time.time() * 1000.0 - HOUR_MS))
+        world.update(world.host(3, born=time.time() * 1000.0 - HOUR_MS))
         await until(lambda: "s3" in nodes[1].engine.balancer.servers)
         assert nodes[1].engine.balancer.servers["s3"] in nodes[1].engine.balancer.endpoints.slow_start.cold
         for node in reversed(nodes):
@@ -374,7 +374,7 @@
             node.front.stop_listening()
             if node.handover is not None:
                 node.handover.stop()
-        for peer in (*world.ups, world.discovery):
+        for peer in (*world.upstreams, world.discovery):
             await peer.stop()
 
     test()
@@ -427,7 +427,7 @@
                 "Content-Length: 0\r\n\r\n".encode()
             )
 
-        for peer in (*world.ups, world.discovery):
+        for peer in (*world.upstreams, world.discovery):
             await peer.start()
         world.discovery.script = turned_away
         world.known = world.list(world.host(0), complete=True)
--- a/tests/test_workingset.py
+++ b/tests/test_workingset.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from helpers import ask, entry, listed, outcome, sends, settings, started
+from helpers import entry, listed, outcome, sends, settings, started, submit
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
@@ -116,7 +116,7 @@
         elif kind < 0.25:
             balancer.handle(now, io.MaintenanceChange(f"s{numbers[0]}", rng.random() < 0.5))
         else:
-            for send in sends(ask(balancer, now, step)):
+            for send in sends(submit(balancer, now, step)):
                 code = rng.choice(("ok", "ok", "error"))
                 balancer.handle(now, outcome(send, 0, code, 5.0, final=True))
         endpoints = balancer.endpoints
@@ -159,7 +159,7 @@
     balancer.handle(0.0, listed(range(100)))
     for n in range(40):
         now, balancer.retry_budget = 1_000.0 * n, 5.0
-        (send,) = sends(ask(balancer, now, n, "book"))
+        (send,) = sends(submit(balancer, now, n, "book"))
         (again,) = sends(balancer.handle(now + 5.0, outcome(send, 0, "reset", 5.0)))
         assert int(again.server[1:]) // 2 == int(send.server[1:]) // 2
         balancer.handle(now + 9.0, outcome(again, 1, "ok", 4.0))
@@ -168,7 +168,7 @@
 def test_a_successor_uses_what_the_process_before_used() -> None:
     before = started(100, seed=1)
     for n in range(50):
-        for send in sends(ask(before, 100.0 * n, n)):
+        for send in sends(submit(before, 100.0 * n, n)):
             before.handle(100.0 * n + 5.0, outcome(send, 0, "ok", 5.0))
     memory = before.hand_over(5_000.0)
     after = started(100, seed=2)
--- a/tests/transcript_site.py
+++ b/tests/transcript_site.py
@@ -300,7 +300,7 @@
     ) -> None:
         self.site, self.label, self.reader, self.writer = site, label, reader, writer
 
-    async def ask(self, data: bytes, bodiless: bool = False, reframed: bool = False) -> Wire:
+    async def submit(self, data: bytes, bodiless: bool = False, reframed: bool = False) -> Wire:
         """Write a request, and read its answer."""
         self.writer.write(data)
         return await self.answer(bodiless, reframed)
@@ -322,7 +322,7 @@
 
     async def ask_and_end(self, data: bytes, bodiless: bool = False) -> None:
         """A request that is the last of its connection."""
-        await self.ask(data, bodiless)
+        await self.submit(data, bodiless)
         await self.ended()
 
     def leave(self) -> None:
@@ -340,7 +340,7 @@
         self.held = asyncio.Event()  # an upstream holds an attempt
         self.released = asyncio.Event()  # it may answer
         self.ended: list[str] = []  # upstreams' connections
-        self.ups: list[Upstream] = []
+        self.upstreams: list[Upstream] = []
         self.services = [
             ListService(self.transcript, name) for name in ("list service", "second list service")
         ]
@@ -356,8 +356,8 @@
 
     async def upstream(self) -> Upstream:
         """A further upstream, not in the list yet."""
-        up = Upstream(self, len(self.ups))
-        self.ups.append(up)
+        up = Upstream(self, len(self.upstreams))
+        self.upstreams.append(up)
         await up.start()
         return up
 
@@ -400,7 +400,7 @@
             await self.process.wait()
         for client in self.clients:
             client.writer.transport.abort()
-        for up in self.ups:
+        for up in self.upstreams:
             if up.server is not None:
                 up.server.close()
         for service in self.services:
@@ -447,11 +447,11 @@
     async def fresh(self, count: int) -> list[Upstream]:
         """So many new upstreams are the whole list from now on; the process has taken note of it."""
         before = len(self.service.rows)
-        ups = [await self.upstream() for _ in range(count)]
-        rows = [up.row() for up in ups]
+        upstreams = [await self.upstream() for _ in range(count)]
+        rows = [up.row() for up in upstreams]
         if count == before:  # the figure tells by the count alone that the list is in force
             rows.append((await self.upstream()).row("draining"))
         self.service.send(*rows, complete=True)
         await self.figure("upstreams_known", len(rows))
         await asyncio.sleep(REST_S)
-        return ups
+        return upstreams
