--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -19,16 +19,16 @@
 from bench import capacity_page as page
 from bench.callmodel import CALLS_PER_S, SERVICE_BEHAVIOURS, Model
 from bench.capacity_inputs import (
+    DiscoveryProtocol,
     Figures,
     InputError,
-    Program,
-    Protocol,
+    ProgramBounds,
     Target,
     read_calls,
     read_scale,
     read_slopes,
 )
-from bench.capacity_model import WANTED
+from bench.capacity_model import MODEL_FIGURES
 from bench.capacity_model import Model as Capacity
 from bench.common import ROOT
 from quartzford.decision.workingset import LEAST, MEET_MS
@@ -45,15 +45,15 @@
 T = TypeVar("T")
 
 
-def program() -> Program:
+def program_bounds() -> ProgramBounds:
     """The bounds in this checkout's code."""
-    return Program(
+    return ProgramBounds(
         calls_per_s=LISTS_PER_S,
         spread_s=NOTIFY_BOUND_S - QUEUE_S,
-        small=SMALL,
+        small_fleet=SMALL,
         line_bytes=MAX_LINE_BYTES,
-        meet_s=MEET_MS / 1000.0,
-        least_used=LEAST,
+        revisit_s=MEET_MS / 1000.0,
+        min_working_set=LEAST,
         log_lines_per_s=LOG_LINES_PER_S,
         relay=importlib.util.find_spec("quartzford.relay") is not None,
     )
@@ -80,7 +80,7 @@
     )
 
 
-def play_calls(balancers: int) -> dict[str, Any]:
+def run_call_model(balancers: int) -> dict[str, Any]:
     """The policy in force with each balancer asking the list service itself, at one size."""
     rows = [
         Model("spread", service, balancers, until=6 * balancers / CALLS_PER_S + 40).run()
@@ -95,24 +95,26 @@
     path = root / PAGE
     try:
         figures = read_figures(root / "docs" / "measurements")
-        blocks = page.blocks(Capacity(figures, Target(), Protocol(), program()))
+        blocks = page.blocks(Capacity(figures, Target(), DiscoveryProtocol(), program_bounds()))
         text = path.read_text()
-        parted, fresh = page.parted(text, blocks), page.exchanged(text, blocks)
+        stale_blocks, fresh = page.stale_blocks(text, blocks), page.replace_blocks(text, blocks)
     except (OSError, InputError, page.PageError) as error:
         print(f"capacity: {error}", file=sys.stderr)
         return 2
-    missing = sorted(f"{role}: {name}" for role, name in WANTED.values() if not figures.slope(role, name))
+    missing = sorted(
+        f"{role}: {name}" for role, name in MODEL_FIGURES.values() if not figures.slope(role, name)
+    )
     if missing:
         print(f"capacity: {len(missing)} figures not measured: {'; '.join(missing)}")
     if write:
         path.write_text(fresh)
-        print(f"capacity: {PAGE}: {len(parted)} of {len(blocks)} blocks written anew")
+        print(f"capacity: {PAGE}: {len(stale_blocks)} of {len(blocks)} blocks written anew")
         return 0
-    for name in parted:
+    for name in stale_blocks:
         print(
             f"capacity: {PAGE}: block {name} is not what the figures give; run with --write", file=sys.stderr
         )
-    return 1 if parted else 0
+    return 1 if stale_blocks else 0
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -121,7 +123,7 @@
     parser.add_argument("--calls", action="store_true", help="play the model of calls first")
     options = parser.parse_args(arguments)
     if options.calls:
-        played = play_calls(Target().balancers)
+        played = run_call_model(Target().balancers)
         (ROOT / "docs" / "measurements" / CALLS).write_text(json.dumps(played, indent=1) + "\n")
     return run(ROOT, options.write)
 
--- a/bench/capacity_assumptions.py
+++ b/bench/capacity_assumptions.py
@@ -26,14 +26,15 @@
 def _rates(model: Model) -> tuple[Assumption, ...]:
     t = model.target
     rows, quick = model.rows_per_s(), DAY_S / WORKING_DAY_S
+    rate = model.requests_per_balancer()
     per_s = t.changes_per_day / DAY_S
     share = t.balancers / (t.balancers + t.upstreams)
     return (
         Assumption(
             "550,000 requests a second: a peak over seconds or over an hour",
             "a peak that lasts, evenly over balancers",
-            f"fronts that send one zone twice its part make {2 * model.requests_each():.4g}/s of "
-            f"{model.requests_each():.4g} at each balancer there, and twice the processor time of requests",
+            f"fronts that send one zone twice its part make {2 * rate:.4g}/s of {rate:.4g} at each balancer "
+            "there, and twice the processor time of requests",
         ),
         Assumption(
             "machines and configurations a day: evenly over 24 hours or not",
--- a/bench/capacity_events.py
+++ b/bench/capacity_events.py
@@ -54,9 +54,9 @@
     return ", ".join(parts)
 
 
-def _told(model: Model, rows: float, askers: float) -> str:
+def _notification(model: Model, rows: float, askers: float) -> str:
     """Bytes that so many changed rows are to so many balancers."""
-    each = model.change(rows).value
+    each = model.change_bytes(rows).value
     if each is None:
         return f"bytes {NOT_MEASURED}"
     return f"{each / 1e3:,.3g} KB to each, {each * askers / 1e6:,.4g} MB to all"
@@ -85,10 +85,10 @@
     complete = model.measured("list bytes").value
     if complete is None:
         return NOT_MEASURED
-    return f"{model.behind_relay() * complete / model.program.relay_whole_bytes_per_s:.0f} s"
+    return f"{model.balancers_per_relay() * complete / model.program.relay_list_bytes_per_s:.0f} s"
 
 
-def _noticed(model: Model, *events: str) -> str:
+def _requests_noticed(model: Model, *events: str) -> str:
     for name in events:
         for way in ("relays", "source"):
             event = model.figures.event(name, way)
@@ -99,21 +99,21 @@
 
 def event_rows(model: Model) -> tuple[EventRow, ...]:
     """The table by event."""
-    t, lists = model.target, model.lists_today()
+    t, lists = model.target, model.lists_carried_by()
     rows_a_day = model.rows_per_s() * DAY_S
     zone, zone_balancers = t.upstreams / t.zones, t.balancers / t.zones
     remote = t.balancers * (t.regions - 1) / t.regions
-    behind, call_s = model.behind_relay(), t.balancers / model.program.calls_per_s
-    busiest = [run.most_1s for run in model.figures.calls if run.balancers == t.balancers]
+    behind, call_s = model.balancers_per_relay(), t.balancers / model.program.calls_per_s
+    busiest = [run.busiest_second_calls for run in model.figures.calls if run.balancers == t.balancers]
     calls = f"{min(busiest):,.0f} to {max(busiest):,.0f} calls/s (model)" if busiest else NOT_MEASURED
     return (
         EventRow(
             "ordinary day",
             f"{t.failed_per_day:,.0f} + {t.replaced_per_day:,.0f} machines: {rows_a_day:,.0f} rows, "
             f"{model.rows_per_s():.3g}/s",
-            f"a row: {_told(model, 1, t.balancers)}",
+            f"a row: {_notification(model, 1, t.balancers)}",
             in_force(model, "one upstream replaced"),
-            _noticed(model, "one upstream replaced"),
+            _requests_noticed(model, "one upstream replaced"),
             lists,
         ),
         EventRow(
@@ -126,18 +126,18 @@
         ),
         EventRow(
             "rack",
-            f"most days: {t.rack} upstreams in one instant",
-            _told(model, t.rack, t.balancers),
+            f"most days: {t.rack_upstreams} upstreams in one instant",
+            _notification(model, t.rack_upstreams, t.balancers),
             in_force(model, "rack"),
-            _noticed(model, "rack"),
+            _requests_noticed(model, "rack"),
             f"{lists}; ejection until told",
         ),
         EventRow(
             "zone",
             f"once or twice a year: {zone:,.0f} upstreams, {zone_balancers:,.0f} balancers",
-            _told(model, zone, t.balancers - zone_balancers),
+            _notification(model, zone, t.balancers - zone_balancers),
             in_force(model, "zone"),
-            _noticed(model, "zone"),
+            _requests_noticed(model, "zone"),
             f"{lists}; `membership/list_chunks.py`; ejection until told",
         ),
         EventRow(
@@ -154,7 +154,7 @@
             "not in the letter; part 2 of issue 47",
             f"{t.balancers:,} watches end",
             in_force(model, "source down"),
-            _noticed(model, "source down"),
+            _requests_noticed(model, "source down"),
             f"{lists}; last list kept",
         ),
         EventRow(
@@ -170,7 +170,7 @@
             f"{behind:.0f} balancers move by index",
             f"{behind / (t.control_machines - 1):.0f} more at each other",
             in_force(model, "relay killed"),
-            _noticed(model, "relay killed"),
+            _requests_noticed(model, "relay killed"),
             _relays(model),
         ),
         EventRow(
@@ -178,7 +178,7 @@
             f"{3 * behind:,.0f} balancers move by index",
             f"{3 * behind / (t.control_machines - 3):.0f} more at each other",
             in_force(model, "three relays killed"),
-            _noticed(model, "three relays killed"),
+            _requests_noticed(model, "three relays killed"),
             _relays(model),
         ),
         EventRow(
@@ -209,4 +209,4 @@
 
 
 def _relays(model: Model) -> str:
-    return model.lists_today() if model.program.relay else f"{NONE}: no relays yet"
+    return model.lists_carried_by() if model.program.relay else f"{NONE}: no relays yet"
--- a/bench/capacity_inputs.py
+++ b/bench/capacity_inputs.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any
 
-LETTER = "the operators' letter"
+OPERATORS_LETTER = "the operators' letter"
 DAY_S = 86_400.0
 KB, MB = 1e3, 1e6
 LINE_ERROR = 0.20  # of a foretold size, past which a line is not taken for one
@@ -59,8 +59,8 @@
     requests_per_s: float = 550_000.0
     routes: int = 60_000
     tenants: int = 180_000
-    added_s: float = 1.7e-3  # to 99 in 100 requests
-    added_share: float = 0.01  # of the requests may be given more
+    added_latency_s: float = 1.7e-3  # to 99 in 100 requests
+    slow_request_share: float = 0.01  # of the requests may be given more
     regions: int = 6
     zones: int = 15  # in all regions together
     changes_per_day: float = 2_700.0  # of the configuration
@@ -71,36 +71,36 @@
     control_machines: int = 11
     failed_per_day: float = 210.0
     replaced_per_day: float = 6_900.0
-    rack: int = 40  # upstreams that go in one instant (issue 47, part 2)
+    rack_upstreams: int = 40  # upstreams that go in one instant (issue 47, part 2)
 
 
 @dataclass(frozen=True)
-class Protocol:
+class DiscoveryProtocol:
     """What the platform's protocol sets (PROTOCOL, section Discovery)."""
 
-    told_s: float = 6.0  # what discovery has counts as told so much later
-    beat_s: float = 2.0
-    beat_bytes: float = 6.0  # an empty line as a chunk: "1\r\n\n\r\n"
+    notified_s: float = 6.0  # what discovery has counts as told so much later
+    heartbeat_s: float = 2.0
+    heartbeat_bytes: float = 6.0  # an empty line as a chunk: "1\r\n\n\r\n"
 
 
 @dataclass(frozen=True)
-class Program:
+class ProgramBounds:
     """Bounds that the program's code has today; the command reads them out of its modules."""
 
     calls_per_s: float  # of a list service, taken for granted
     spread_s: float  # within which all first calls of a start are made at the latest
-    small: int  # so many balancers may call at once
+    small_fleet: int  # so many balancers may call at once
     line_bytes: float  # of the longest line of a list that is read
-    meet_s: float  # a server in use is met about this often
-    least_used: int  # servers that are in use at the least
+    revisit_s: float  # a server in use is met about this often
+    min_working_set: int  # servers that are in use at the least
     log_lines_per_s: float
     relay: bool  # whether there are relays
-    relay_whole_bytes_per_s: float = 50 * MB  # [relay] whole_bytes_per_s as it is unless set
-    relay_slack: float = 1.25  # bounded load: of the mean, with a quarter of the relays lost
+    relay_list_bytes_per_s: float = 50 * MB  # [relay] whole_bytes_per_s as it is unless set
+    relay_load_factor: float = 1.25  # bounded load: of the mean, with a quarter of the relays lost
 
-    def told_in_time(self) -> int:
+    def notified_in_time(self) -> int:
         """Balancers whose first calls one list service answers within the spread."""
-        return int(self.small + self.spread_s * self.calls_per_s)
+        return int(self.small_fleet + self.spread_s * self.calls_per_s)
 
 
 @dataclass(frozen=True)
@@ -179,7 +179,7 @@
     served: int
     all_after_s: float
     calls: float
-    most_1s: float
+    busiest_second_calls: float
 
 
 @dataclass(frozen=True)
--- a/bench/capacity_mechanisms.py
+++ b/bench/capacity_mechanisms.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from bench.capacity_model import EACH_ASKS, NONE, Row
+from bench.capacity_model import EACH_POLLS, NONE, Row
 
-LISTS = "distribution of lists"
+LIST_DISTRIBUTION = "distribution of lists"
 LONG_LISTS = "long lists"
 CONFIGURATION = "configuration"
-SERVICES = "services and routes"
-CONNECTIONS = "connections at upstreams"
-SHARED = "state shared by balancers"
-QUOTAS = "tenants' quotas"
+SERVICES_AND_ROUTES = "services and routes"
+UPSTREAM_CONNECTIONS = "connections at upstreams"
+SHARED_STATE = "state shared by balancers"
+TENANT_QUOTAS = "tenants' quotas"
 REGIONS = "regions"
-REQUESTS = "request path"
+REQUEST_PATH = "request path"
 
 
 @dataclass(frozen=True)
@@ -24,12 +24,12 @@
     """Something that the target needs. needs: mechanisms that have to be there first."""
 
     name: str
-    today: str
-    needs: tuple[str, ...]
+    carried_by: str
+    depends_on: tuple[str, ...]
     plan: str
 
 
-class Place(NamedTuple):
+class RankedMechanism(NamedTuple):
     """A mechanism in the ranking, with the row that puts it there."""
 
     mechanism: Mechanism
@@ -39,8 +39,8 @@
 
 MECHANISMS = (
     Mechanism(
-        LISTS,
-        EACH_ASKS,
+        LIST_DISTRIBUTION,
+        EACH_POLLS,
         (),
         "`quartzford relay` on the control machines: one watch to the source, thousands to balancers",
     ),
@@ -53,44 +53,44 @@
     Mechanism(
         CONFIGURATION,
         "a file on each machine, SIGHUP, read whole (`Node.reconfigure`)",
-        (LISTS,),
+        (LIST_DISTRIBUTION,),
         "180,000 tenants, 2,700 changes a day, within 19 s: changes by tenant and class with a version, sent "
         "as the list is, taken in by pieces; to a few balancers first, with a way back",
     ),
     Mechanism(
-        SERVICES,
+        SERVICES_AND_ROUTES,
         f"{NONE}: one service to a process",
         (CONFIGURATION, LONG_LISTS),
         "60,000 routes to 2,700 services out of the configuration; list, P and working set by service, and "
         "only of services that a balancer has traffic for",
     ),
     Mechanism(
-        CONNECTIONS,
+        UPSTREAM_CONNECTIONS,
         "working set by the balancer's own rate (`decision/workingset.py`)",
-        (SERVICES,),
+        (SERVICES_AND_ROUTES,),
         "each service's requests by a few balancers instead of all, so that a connection is used again",
     ),
     Mechanism(
-        SHARED,
+        SHARED_STATE,
         f"{NONE}: copies share nothing",
-        (LISTS,),
+        (LIST_DISTRIBUTION,),
         "sums by zone, kept on the control machines and told back: load, what is shed, what fails",
     ),
     Mechanism(
-        QUOTAS,
+        TENANT_QUOTAS,
         "a quota over the number of balancers, each alone (`decision/admission.py`)",
-        (SHARED, CONFIGURATION),
+        (SHARED_STATE, CONFIGURATION),
         "over 4,600 balancers, parts of a quota lent by need, as a tenant's mean rate at one balancer is far "
         "under one request a second",
     ),
     Mechanism(
         REGIONS,
         f"{NONE}: one list for all, no region in it",
-        (LISTS,),
+        (LIST_DISTRIBUTION,),
         "a source and relays by region; what other regions said last stays in use while they are parted",
     ),
     Mechanism(
-        REQUESTS,
+        REQUEST_PATH,
         "`fronts/client_connection.py`, `engine/`, `backends/http_attempt.py`",
         (),
         "only if its rows have no room",
@@ -98,20 +98,20 @@
 )
 
 
-def by_name(name: str) -> Mechanism:
+def find_mechanism(name: str) -> Mechanism:
     """The mechanism of that name."""
     return next(mechanism for mechanism in MECHANISMS if mechanism.name == name)
 
 
-def ranking(rows: Iterable[Row]) -> tuple[Place, ...]:
+def ranking(rows: Iterable[Row]) -> tuple[RankedMechanism, ...]:
     """Mechanisms by their worst factor, the greatest first; those with none last, in the plan's order."""
     rows = tuple(rows)
     places = (_place(mechanism, rows) for mechanism in MECHANISMS)
     return tuple(sorted(places, key=lambda place: (place.factor is None, -(place.factor or 0.0))))
 
 
-def _place(mechanism: Mechanism, rows: tuple[Row, ...]) -> Place:
+def _place(mechanism: Mechanism, rows: tuple[Row, ...]) -> RankedMechanism:
     found = [(factor, row) for row in rows if row.mechanism == mechanism.name and (factor := row.factor())]
     if not found:
-        return Place(mechanism, None, None)
-    return Place(mechanism, *max(found, key=lambda pair: pair[0]))
+        return RankedMechanism(mechanism, None, None)
+    return RankedMechanism(mechanism, *max(found, key=lambda pair: pair[0]))
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -12,17 +12,17 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from bench.capacity_inputs import DAY_S, Figures, Program, Protocol, Slope, Target
+from bench.capacity_inputs import DAY_S, DiscoveryProtocol, Figures, ProgramBounds, Slope, Target
 
 SLOPES_RUN, SCALE_RUN, CALLS_RUN = "bench.slopes", "bench.scale", "bench.callmodel"
 ARITHMETIC = "arithmetic"
 RESTART_ROWS, FAILURE_ROWS = 3, 2  # of the list: draining, gone, ready; gone, ready
 NONE = "none"
-EACH_ASKS = "each balancer asks the one list service (`membership/call_policy.py`)"
+EACH_POLLS = "each balancer asks the one list service (`membership/call_policy.py`)"
 RELAY = "relay (`docs/relay.md`)"
 
 # Figures of slopes.json that the model uses, by its own names.
-WANTED = {
+MODEL_FIGURES = {
     "list memory": ("balancer", "list: resident memory"),
     "list peak": ("balancer", "list: highest memory while taken in"),
     "list time": ("balancer", "list: time until taken in"),
@@ -57,7 +57,7 @@
     """A quantity in the model's units; None: not measured."""
 
     value: float | None
-    how: str
+    derivation: str
     run: str
 
 
@@ -87,7 +87,7 @@
     basis: Basis
     unit: str
     bound: Bound = NO_BOUND
-    today: str = "-"
+    carried_by: str = "-"
     mechanism: str = ""
 
     def factor(self) -> float | None:
@@ -97,40 +97,42 @@
         return self.basis.value / self.bound.value
 
 
-def given(value: float, how: str) -> Basis:
+def from_target(value: float, derivation: str) -> Basis:
     """What follows from the target alone."""
-    return Basis(float(value), how, ARITHMETIC)
+    return Basis(float(value), derivation, ARITHMETIC)
 
 
 class Model:
     """Figures, target and bounds, and what follows from them."""
 
-    def __init__(self, figures: Figures, target: Target, protocol: Protocol, program: Program) -> None:
+    def __init__(
+        self, figures: Figures, target: Target, protocol: DiscoveryProtocol, program: ProgramBounds
+    ) -> None:
         self.figures, self.target, self.protocol, self.program = figures, target, protocol, program
 
     # ---- quantities
 
     def measured(self, key: str) -> Basis:
         """A figure of slopes.json at the target's size."""
-        slope = self.figures.slope(*WANTED[key])
+        slope = self.figures.slope(*MODEL_FIGURES[key])
         if slope is None or slope.target_size is None:
             return Basis(None, "", "")
         return Basis(slope.value(), line(slope), SLOPES_RUN)
 
-    def change(self, rows: float) -> Basis:
+    def change_bytes(self, rows: float) -> Basis:
         """Bytes on the wire of one line with so many changed rows."""
-        slope = self.figures.slope(*WANTED["change bytes"])
+        slope = self.figures.slope(*MODEL_FIGURES["change bytes"])
         return Basis(slope.at(rows), line(slope), SLOPES_RUN) if slope else Basis(None, "", "")
 
-    def beats(self) -> float:
+    def heartbeat_bytes_per_s(self) -> float:
         """Bytes a second of a watch on which nothing changes."""
-        return self.protocol.beat_bytes / self.protocol.beat_s
+        return self.protocol.heartbeat_bytes / self.protocol.heartbeat_s
 
-    def derive(self, how: str, work: Callable[[float], float], of: Basis) -> Basis:
+    def derive(self, derivation: str, work: Callable[[float], float], of: Basis) -> Basis:
         """What follows from a measured figure; not measured where that is missing."""
-        return Basis(None if of.value is None else work(of.value), how, of.run)
+        return Basis(None if of.value is None else work(of.value), derivation, of.run)
 
-    def requests_each(self) -> float:
+    def requests_per_balancer(self) -> float:
         return self.target.requests_per_s / self.target.balancers
 
     def rows_per_s(self) -> float:
@@ -139,28 +141,28 @@
         rows = target.failed_per_day * FAILURE_ROWS + target.replaced_per_day * RESTART_ROWS
         return rows / DAY_S
 
-    def behind_relay(self) -> float:
+    def balancers_per_relay(self) -> float:
         return self.target.balancers / self.target.control_machines
 
-    def most_watchers(self) -> int:
+    def max_watchers(self) -> int:
         """Balancers that one relay takes, with a quarter of the relays lost."""
         relays = self.target.control_machines
         left = max(1, relays - math.ceil(relays / 4))
-        return math.ceil(self.program.relay_slack * self.target.balancers / left)
+        return math.ceil(self.program.relay_load_factor * self.target.balancers / left)
 
-    def used_by_balancer(self) -> float:
+    def one_service_working_set(self) -> float:
         """Upstreams that a balancer's working set holds, were all upstreams one service."""
-        met = self.requests_each() * self.program.meet_s
-        return max(self.program.least_used, min(float(self.target.upstreams), met))
+        met = self.requests_per_balancer() * self.program.revisit_s
+        return max(self.program.min_working_set, min(float(self.target.upstreams), met))
 
-    def used_by_services(self) -> float:
+    def all_services_working_sets(self) -> float:
         """The same with every service's own set: the least of each."""
         each = self.target.upstreams / self.target.services
-        return self.target.services * min(each, float(self.program.least_used))
+        return self.target.services * min(each, float(self.program.min_working_set))
 
-    def lists_today(self) -> str:
+    def lists_carried_by(self) -> str:
         """What brings the list to balancers today."""
-        return RELAY if self.program.relay else EACH_ASKS
+        return RELAY if self.program.relay else EACH_POLLS
 
 
 def line(slope: Slope) -> str:
--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -4,20 +4,20 @@
 
 from functools import partial
 
-from bench.capacity_inputs import DAY_S, LETTER
+from bench.capacity_inputs import DAY_S, OPERATORS_LETTER
 from bench.capacity_mechanisms import (
     CONFIGURATION,
-    CONNECTIONS,
-    LISTS,
+    LIST_DISTRIBUTION,
     LONG_LISTS,
-    QUOTAS,
-    REQUESTS,
-    SHARED,
-    by_name,
+    REQUEST_PATH,
+    SHARED_STATE,
+    TENANT_QUOTAS,
+    UPSTREAM_CONNECTIONS,
+    find_mechanism,
 )
 from bench.capacity_model import (
     CALLS_RUN,
-    EACH_ASKS,
+    EACH_POLLS,
     NO_BOUND,
     NONE,
     NOT_OURS,
@@ -28,7 +28,7 @@
     Bound,
     Model,
     Row,
-    given,
+    from_target,
 )
 
 SOCKETS = Bound(None, "`limits.sockets`, as set")
@@ -52,21 +52,25 @@
 
 def _balancer_lists(model: Model) -> tuple[Row, ...]:
     row, t, changes = partial(Row, "balancer"), model.target, model.rows_per_s()
-    lists, cores = model.lists_today(), Bound(t.control_cores, LETTER)
-    complete, budget = model.measured("list bytes"), Bound(t.control_bytes_per_s, LETTER)
+    lists, cores = model.lists_carried_by(), Bound(t.control_cores, OPERATORS_LETTER)
+    complete, budget = model.measured("list bytes"), Bound(t.control_bytes_per_s, OPERATORS_LETTER)
     longest = Bound(model.program.line_bytes, "longest line that is read (`membership/line_splitter.py`)")
-    beats = f"{model.beats():.3g} B/s of beats + {changes:.3g} rows/s x bytes of a change"
-    mean = model.derive(beats, lambda size: model.beats() + changes * size, model.change(1.0))
+    both = f"{model.heartbeat_bytes_per_s():.3g} B/s of beats + {changes:.3g} rows/s x bytes of a change"
+    mean = model.derive(
+        both,
+        lambda size: model.heartbeat_bytes_per_s() + changes * size,
+        model.change_bytes(1.0),
+    )
     seconds = model.derive("bytes of a whole list / 15 KB/s", lambda b: b / t.control_bytes_per_s, complete)
     taken = model.derive(
         f"{changes:.3g} rows/s x time of a row", lambda s: changes * s, model.measured("row time")
     )
-    memory, pieces = Bound(t.control_bytes, LETTER), "`membership/list_chunks.py`"
-    reading = by_name(LONG_LISTS).today
+    memory, pieces = Bound(t.control_bytes, OPERATORS_LETTER), "`membership/list_chunks.py`"
+    reading = find_mechanism(LONG_LISTS).carried_by
     return (
         row("state", f"whole list, {t.upstreams:,} rows", complete, "bytes", longest, reading, LONG_LISTS),
-        row("messages", "beats and changed rows, mean", mean, "bytes/s", budget, lists, LISTS),
-        row("messages", "a whole list at the budget's rate", seconds, "s", today=lists),
+        row("messages", "beats and changed rows, mean", mean, "bytes/s", budget, lists, LIST_DISTRIBUTION),
+        row("messages", "a whole list at the budget's rate", seconds, "s", carried_by=lists),
         row(
             "processor time",
             "at rest, with the whole list",
@@ -90,7 +94,7 @@
             "a whole list taken in (wall time)",
             model.measured("list time"),
             "s",
-            today=pieces,
+            carried_by=pieces,
         ),
         row(
             "memory",
@@ -110,13 +114,19 @@
             reading,
             LONG_LISTS,
         ),
-        row("latency", "the loop is held by a whole list", model.measured("list stall"), "s", today=pieces),
+        row(
+            "latency",
+            "the loop is held by a whole list",
+            model.measured("list stall"),
+            "s",
+            carried_by=pieces,
+        ),
         row(
             "latency",
             "the loop is held by a changed row",
             model.measured("row stall"),
             "s",
-            Bound(t.added_s, LETTER),
+            Bound(t.added_latency_s, OPERATORS_LETTER),
             pieces,
             LONG_LISTS,
         ),
@@ -125,23 +135,23 @@
 
 def _balancer_configuration(model: Model) -> tuple[Row, ...]:
     row, t = partial(Row, "balancer"), model.target
-    per_s, today = t.changes_per_day / DAY_S, by_name(CONFIGURATION).today
+    per_s, carried_by = t.changes_per_day / DAY_S, find_mechanism(CONFIGURATION).carried_by
     size, time = model.measured("config bytes"), model.measured("config time")
     stall = model.measured("config stall")
     sent = model.derive(f"{per_s:.4g}/s x bytes of a configuration", lambda b: per_s * b, size)
     read = model.derive(f"{per_s:.4g}/s x time to read", lambda s: per_s * s, time)
     held = model.derive(f"{per_s:.4g}/s x the loop's stall", lambda s: per_s * s, stall)
-    budget, cores = Bound(t.control_bytes_per_s, LETTER), Bound(t.control_cores, LETTER)
-    share = Bound(t.added_share, f"99 in 100 within 1.7 ms: {LETTER}")
+    budget, cores = Bound(t.control_bytes_per_s, OPERATORS_LETTER), Bound(t.control_cores, OPERATORS_LETTER)
+    share = Bound(t.slow_request_share, f"99 in 100 within 1.7 ms: {OPERATORS_LETTER}")
     return (
-        row("state", f"configuration, {t.tenants:,} tenants", size, "bytes", today=today),
+        row("state", f"configuration, {t.tenants:,} tenants", size, "bytes", carried_by=carried_by),
         row(
             "messages",
             "whole configuration at each change, mean",
             sent,
             "bytes/s",
             budget,
-            today,
+            carried_by,
             CONFIGURATION,
         ),
         row(
@@ -150,7 +160,7 @@
             read,
             "cores",
             cores,
-            today,
+            carried_by,
             CONFIGURATION,
         ),
         row(
@@ -158,18 +168,18 @@
             "with the configuration",
             model.measured("config memory"),
             "bytes",
-            Bound(t.control_bytes, LETTER),
+            Bound(t.control_bytes, OPERATORS_LETTER),
             "`settings/configuration.py`",
             CONFIGURATION,
         ),
-        row("latency", "the loop is held by a reload", stall, "s", today=today),
+        row("latency", "the loop is held by a reload", stall, "s", carried_by=carried_by),
         row(
             "latency",
             "share of the day in which reloads hold the loop",
             held,
             "share",
             share,
-            today,
+            carried_by,
             CONFIGURATION,
         ),
     )
@@ -177,10 +187,14 @@
 
 def _balancer_requests(model: Model) -> tuple[Row, ...]:
     row, t, program = partial(Row, "balancer"), model.target, model.program
-    rate, today = model.requests_each(), by_name(REQUESTS).today
+    rate, carried_by = model.requests_per_balancer(), find_mechanism(REQUEST_PATH).carried_by
     cost = model.derive(f"{rate:.4g}/s x time of one", lambda s: rate * s, model.measured("request time"))
-    one = given(model.used_by_balancer(), f"{rate:.4g}/s x {program.meet_s:g} s between two meetings")
-    each = given(model.used_by_services(), f"{t.services:,} x at least {program.least_used}")
+    one = from_target(
+        model.one_service_working_set(), f"{rate:.4g}/s x {program.revisit_s:g} s between two meetings"
+    )
+    each = from_target(
+        model.all_services_working_sets(), f"{t.services:,} x at least {program.min_working_set}"
+    )
     return (
         row(
             "processor time",
@@ -188,17 +202,17 @@
             cost,
             "cores",
             ONE_CORE,
-            today,
-            REQUESTS,
+            carried_by,
+            REQUEST_PATH,
         ),
         row(
             "latency",
             f"added to a request at {rate:.4g}/s, p99",
             model.measured("added p99"),
             "s",
-            Bound(t.added_s, LETTER),
-            today,
-            REQUESTS,
+            Bound(t.added_latency_s, OPERATORS_LETTER),
+            carried_by,
+            REQUEST_PATH,
         ),
         row(
             "connections",
@@ -206,7 +220,7 @@
             one,
             "number",
             SOCKETS,
-            by_name(CONNECTIONS).today,
+            find_mechanism(UPSTREAM_CONNECTIONS).carried_by,
         ),
         row(
             "connections",
@@ -215,7 +229,7 @@
             "number",
             SOCKETS,
             NONE,
-            CONNECTIONS,
+            UPSTREAM_CONNECTIONS,
         ),
     )
 
@@ -224,42 +238,48 @@
     """One upstream, as the balancers use it."""
     row, t = partial(Row, "upstream"), model.target
     per = t.balancers / t.upstreams
-    one, each = model.used_by_balancer(), model.used_by_services()
+    one, each = model.one_service_working_set(), model.all_services_working_sets()
     used = "balancers x upstreams in use / upstreams"
     return (
-        row("state", "its row at every balancer", model.change(1.0), "bytes", today=model.lists_today()),
+        row(
+            "state",
+            "its row at every balancer",
+            model.change_bytes(1.0),
+            "bytes",
+            carried_by=model.lists_carried_by(),
+        ),
         row(
             "messages",
             "requests",
-            given(t.requests_per_s / t.upstreams, "peak / upstreams"),
+            from_target(t.requests_per_s / t.upstreams, "peak / upstreams"),
             "1/s",
-            today=by_name(REQUESTS).today,
+            carried_by=find_mechanism(REQUEST_PATH).carried_by,
         ),
         row(
             "connections",
             "balancers that use it, were all one service",
-            given(per * one, used),
+            from_target(per * one, used),
             "number",
             ITS_OWN,
-            by_name(CONNECTIONS).today,
+            find_mechanism(UPSTREAM_CONNECTIONS).carried_by,
         ),
         row(
             "connections",
             f"balancers that use it, {t.services:,} services",
-            given(per * each, used),
+            from_target(per * each, used),
             "number",
             ITS_OWN,
             NONE,
-            CONNECTIONS,
+            UPSTREAM_CONNECTIONS,
         ),
         row(
             "connections",
             "then from one request to the next on one of them",
-            given(each / model.requests_each(), "upstreams in use / requests of a balancer"),
+            from_target(each / model.requests_per_balancer(), "upstreams in use / requests of a balancer"),
             "s",
             Bound(None, "`connIdleMs`, as set"),
             NONE,
-            CONNECTIONS,
+            UPSTREAM_CONNECTIONS,
         ),
         row("processor time", "its own", UNKNOWN, "cores", NOT_OURS),
         row("memory", "its own", UNKNOWN, "bytes", NOT_OURS),
@@ -270,28 +290,29 @@
     """The one source of the list: with every balancer asking it, and with relays where there are any."""
     row, t, program = partial(Row, "list service"), model.target, model.program
     askers = t.control_machines if program.relay else t.balancers
-    policy = (
-        f"{program.small} + {program.spread_s:g} s x {program.calls_per_s:g}/s (`membership/call_policy.py`)"
-    )
+    first_calls = f"{program.small_fleet} + {program.spread_s:g} s x {program.calls_per_s:g}/s"
+    policy = f"{first_calls} (`membership/call_policy.py`)"
     complete = model.measured("list bytes")
     total = model.derive(
         f"{t.balancers:,} x bytes of a whole list", lambda size: t.balancers * size, complete
     )
-    lists = model.lists_today()
+    lists = model.lists_carried_by()
     return (
-        row("state", "rows", given(t.upstreams, LETTER), "number", today="the operators'"),
-        row("connections", "watches", given(askers, "who asks it"), "number", ITS_OWN, lists),
+        row(
+            "state", "rows", from_target(t.upstreams, OPERATORS_LETTER), "number", carried_by="the operators'"
+        ),
+        row("connections", "watches", from_target(askers, "who asks it"), "number", ITS_OWN, lists),
         row(
             "messages",
             "balancers to be told in 6 s, each asks itself",
-            given(t.balancers, "all of them"),
+            from_target(t.balancers, "all of them"),
             "number",
-            Bound(program.told_in_time(), policy),
-            EACH_ASKS,
-            LISTS,
+            Bound(program.notified_in_time(), policy),
+            EACH_POLLS,
+            LIST_DISTRIBUTION,
         ),
         *(found for service in SERVICES_OF_CALLS for found in _calls(model, service)),
-        row("messages", "whole lists, all start, each asks itself", total, "bytes", today=EACH_ASKS),
+        row("messages", "whole lists, all start, each asks itself", total, "bytes", carried_by=EACH_POLLS),
         *_source_costs(model),
     )
 
@@ -301,16 +322,16 @@
     row, per_s = partial(Row, "list service"), model.program.calls_per_s
     told = "a changed row told to all, each asks itself"
     return (
-        row("messages", told, model.measured("source span"), "s", NO_BOUND, EACH_ASKS),
-        row("processor time", told, model.measured("source change"), "s", NO_BOUND, EACH_ASKS),
+        row("messages", told, model.measured("source span"), "s", NO_BOUND, EACH_POLLS),
+        row("processor time", told, model.measured("source change"), "s", NO_BOUND, EACH_POLLS),
         row(
             "processor time",
             "beats to all",
             model.measured("source beats"),
             "cores",
             ONE_CORE,
-            EACH_ASKS,
-            LISTS,
+            EACH_POLLS,
+            LIST_DISTRIBUTION,
         ),
         row(
             "processor time",
@@ -318,7 +339,7 @@
             model.measured("source list"),
             "s",
             Bound(1.0 / per_s, f"one call at {per_s:g}/s"),
-            model.lists_today(),
+            model.lists_carried_by(),
             LONG_LISTS,
         ),
         row(
@@ -335,7 +356,7 @@
             model.measured("source watchers"),
             "bytes",
             ITS_OWN,
-            EACH_ASKS,
+            EACH_POLLS,
         ),
     )
 
@@ -343,7 +364,7 @@
 def _calls(model: Model, service: str) -> tuple[Row, ...]:
     """All start and each asks the service itself, as the model of calls plays it."""
     row, run = partial(Row, "list service"), model.figures.call(service, model.target.balancers)
-    busiest = Basis(run.most_1s, "model of calls", CALLS_RUN) if run else UNKNOWN
+    busiest = Basis(run.busiest_second_calls, "model of calls", CALLS_RUN) if run else UNKNOWN
     last = Basis(run.all_after_s, "model of calls", CALLS_RUN) if run else UNKNOWN
     answers = Bound(model.program.calls_per_s, "what it is taken to answer")
     return (
@@ -353,17 +374,17 @@
             busiest,
             "1/s",
             answers,
-            EACH_ASKS,
-            LISTS,
+            EACH_POLLS,
+            LIST_DISTRIBUTION,
         ),
         row(
             "messages",
             f"until all have the list, each asks itself ({service})",
             last,
             "s",
-            Bound(model.protocol.told_s, "the protocol: told after 6 s"),
-            EACH_ASKS,
-            LISTS,
+            Bound(model.protocol.notified_s, "the protocol: told after 6 s"),
+            EACH_POLLS,
+            LIST_DISTRIBUTION,
         ),
     )
 
@@ -375,7 +396,7 @@
 def _in_force(model: Model) -> tuple[Row, ...]:
     """A change told through relays, in the scale run."""
     row, event = partial(Row, RELAY_ROLE), model.figures.event("one upstream replaced", "relays")
-    how = f"{event.hollow:,} hollow, {event.real} real balancers" if event else ""
+    derivation = f"{event.hollow:,} hollow, {event.real} real balancers" if event else ""
     run = SCALE_RUN if event else ""
     p99, last = (event.p99_s, event.last_s) if event else (None, None)
     source = "issue 47, part 4"
@@ -383,7 +404,7 @@
         row(
             "messages",
             "a change in force, p99",
-            Basis(p99, how, run),
+            Basis(p99, derivation, run),
             "s",
             Bound(2.0, source),
             _relays_today(model),
@@ -391,7 +412,7 @@
         row(
             "messages",
             "a change in force, last",
-            Basis(last, how, run),
+            Basis(last, derivation, run),
             "s",
             Bound(5.75, source),
             _relays_today(model),
@@ -401,37 +422,47 @@
 
 def _relay_costs(model: Model) -> tuple[Row, ...]:
     """Processor time and memory of a relay with the most watchers that it takes."""
-    row, today = partial(Row, RELAY_ROLE), _relays_today(model)
-    most = f"{model.most_watchers():,}"
+    row, carried_by = partial(Row, RELAY_ROLE), _relays_today(model)
+    most = f"{model.max_watchers():,}"
     told = f"a changed row told to {most} watchers"
     return (
-        row("messages", told, model.measured("relay span"), "s", NO_BOUND, today),
-        row("processor time", told, model.measured("relay change"), "s", NO_BOUND, today),
+        row("messages", told, model.measured("relay span"), "s", NO_BOUND, carried_by),
+        row("processor time", told, model.measured("relay change"), "s", NO_BOUND, carried_by),
         row(
             "processor time",
             f"beats to {most} watchers",
             model.measured("relay beats"),
             "cores",
             ONE_CORE,
-            today,
+            carried_by,
+        ),
+        row(
+            "processor time", "a whole list let out", model.measured("relay list"), "s", NO_BOUND, carried_by
+        ),
+        row(
+            "memory", "with the whole list", model.measured("relay memory"), "bytes", RELAY_MEMORY, carried_by
         ),
-        row("processor time", "a whole list let out", model.measured("relay list"), "s", NO_BOUND, today),
-        row("memory", "with the whole list", model.measured("relay memory"), "bytes", RELAY_MEMORY, today),
         row(
-            "memory", f"with {most} watchers", model.measured("relay watchers"), "bytes", RELAY_MEMORY, today
+            "memory",
+            f"with {most} watchers",
+            model.measured("relay watchers"),
+            "bytes",
+            RELAY_MEMORY,
+            carried_by,
         ),
     )
 
 
 def relay(model: Model) -> tuple[Row, ...]:
     """One of the control machines."""
-    row, rate = partial(Row, RELAY_ROLE), model.program.relay_whole_bytes_per_s
-    today = _relays_today(model)
-    behind, changes = model.behind_relay(), model.rows_per_s()
+    row, rate = partial(Row, RELAY_ROLE), model.program.relay_list_bytes_per_s
+    carried_by = _relays_today(model)
+    behind, changes = model.balancers_per_relay(), model.rows_per_s()
+    beats = model.heartbeat_bytes_per_s()
     mean = model.derive(
-        f"{behind:.4g} x ({model.beats():.3g} B/s + {changes:.3g} rows/s x bytes of a change)",
-        lambda size: behind * (model.beats() + changes * size),
-        model.change(1.0),
+        f"{behind:.4g} x ({beats:.3g} B/s + {changes:.3g} rows/s x bytes of a change)",
+        lambda size: behind * (beats + changes * size),
+        model.change_bytes(1.0),
     )
     complete = model.derive(
         f"{behind:.4g} x bytes of a whole list / {rate / 1e6:g} MB/s",
@@ -439,24 +470,36 @@
         model.measured("list bytes"),
     )
     return (
-        row("state", "the whole list, encoded once", model.measured("list bytes"), "bytes", today=today),
-        row("messages", "beats and changed rows to all behind it, mean", mean, "bytes/s", today=today),
+        row(
+            "state",
+            "the whole list, encoded once",
+            model.measured("list bytes"),
+            "bytes",
+            carried_by=carried_by,
+        ),
+        row(
+            "messages",
+            "beats and changed rows to all behind it, mean",
+            mean,
+            "bytes/s",
+            carried_by=carried_by,
+        ),
         row(
             "messages",
             "whole lists to all behind it",
             complete,
             "s",
             Bound(None, "not given for this size"),
-            today,
+            carried_by,
         ),
         *_relay_costs(model),
         row(
             "connections",
             "balancers, mean",
-            given(behind, "balancers / relays"),
+            from_target(behind, "balancers / relays"),
             "number",
-            Bound(float(model.most_watchers()), "most watchers, bounded load"),
-            today,
+            Bound(float(model.max_watchers()), "most watchers, bounded load"),
+            carried_by,
         ),
         *_in_force(model),
     )
@@ -467,57 +510,61 @@
     row, t = partial(Row, "operator's tools"), model.target
     fleet = float(t.balancers)
     copying = f"{NONE}: the operators' own copying and SIGHUP"
-    mean = given(t.changes_per_day / DAY_S * fleet, "changes a second x balancers")
-    lines = given(model.program.log_lines_per_s * fleet, "a balancer's most x balancers")
+    mean = from_target(t.changes_per_day / DAY_S * fleet, "changes a second x balancers")
+    lines = from_target(model.program.log_lines_per_s * fleet, "a balancer's most x balancers")
     return (
         row(
             "state",
             "endpoints in maintenance",
             UNKNOWN,
             "number",
-            today="`replacement/maintenance_file.py`, at each balancer",
+            carried_by="`replacement/maintenance_file.py`, at each balancer",
         ),
         row(
             "messages",
             "configurations put on machines, mean",
             mean,
             "1/s",
-            today=copying,
+            carried_by=copying,
             mechanism=CONFIGURATION,
         ),
         row(
             "messages",
             f"the same for one change within {t.change_within_s:g} s",
-            given(fleet / t.change_within_s, "balancers / 19 s"),
+            from_target(fleet / t.change_within_s, "balancers / 19 s"),
             "1/s",
-            today=copying,
+            carried_by=copying,
             mechanism=CONFIGURATION,
         ),
         row(
-            "messages", "log lines, at most", lines, "1/s", today="`engine/log.py`, bounded at each balancer"
+            "messages",
+            "log lines, at most",
+            lines,
+            "1/s",
+            carried_by="`engine/log.py`, bounded at each balancer",
         ),
         row(
             "messages",
             "calls to take one upstream out",
-            given(fleet, "one to each balancer"),
+            from_target(fleet, "one to each balancer"),
             "number",
-            today="`fronts/operations.py`, one balancer at a time",
-            mechanism=SHARED,
+            carried_by="`fronts/operations.py`, one balancer at a time",
+            mechanism=SHARED_STATE,
         ),
         row(
             "processor time",
             "a page of figures, at a balancer",
             UNKNOWN,
             "s",
-            today="`engine/request_counters.py`",
+            carried_by="`engine/request_counters.py`",
         ),
         row("memory", "their own", UNKNOWN, "bytes", NOT_OURS),
         row(
             "connections",
             "to second addresses, for one look at all",
-            given(fleet, "one to each balancer"),
+            from_target(fleet, "one to each balancer"),
             "number",
-            today="`fronts/operations.py`",
+            carried_by="`fronts/operations.py`",
         ),
     )
 
@@ -525,29 +572,29 @@
 def fronts(model: Model) -> tuple[Row, ...]:
     """What deals clients' connections out among balancers."""
     row, t = partial(Row, "clients' fronts"), model.target
-    tenant = given(t.requests_per_s / t.tenants / t.balancers, "peak / tenants / balancers")
+    tenant = from_target(t.requests_per_s / t.tenants / t.balancers, "peak / tenants / balancers")
     return (
         row(
             "state",
             "balancers in a zone",
-            given(t.balancers / t.zones, "balancers / zones"),
+            from_target(t.balancers / t.zones, "balancers / zones"),
             "number",
-            today="their own, by `/_health`",
+            carried_by="their own, by `/_health`",
         ),
         row(
             "messages",
             "requests to a balancer",
-            given(model.requests_each(), "peak / balancers"),
+            from_target(model.requests_per_balancer(), "peak / balancers"),
             "1/s",
-            today="`fronts/client_connection.py`",
+            carried_by="`fronts/client_connection.py`",
         ),
         row(
             "messages",
             "one tenant's at a balancer, mean",
             tenant,
             "1/s",
-            today=by_name(QUOTAS).today,
-            mechanism=QUOTAS,
+            carried_by=find_mechanism(TENANT_QUOTAS).carried_by,
+            mechanism=TENANT_QUOTAS,
         ),
         row("processor time", "their own", UNKNOWN, "cores", NOT_OURS),
         row("memory", "their own", UNKNOWN, "bytes", NOT_OURS),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,35 +13,43 @@
 from bench import capacity
 from bench.capacity_inputs import (
     NOT_MEASURED,
+    DiscoveryProtocol,
     Figures,
     InputError,
-    Program,
-    Protocol,
+    ProgramBounds,
     Target,
     read_calls,
     read_scale,
     read_slopes,
 )
-from bench.capacity_mechanisms import LISTS, LONG_LISTS, MECHANISMS, QUOTAS, ranking
-from bench.capacity_model import WANTED, Model, Row, given
-from bench.capacity_page import PageError, blocks, digits, exchanged, factor, parted, quantity
-from bench.capacity_roles import Bound, all_rows
+from bench.capacity_mechanisms import LIST_DISTRIBUTION, LONG_LISTS, MECHANISMS, TENANT_QUOTAS, ranking
+from bench.capacity_model import MODEL_FIGURES, Bound, Model, Row, from_target
+from bench.capacity_page import (
+    PageError,
+    blocks,
+    format_factor,
+    format_number,
+    format_quantity,
+    replace_blocks,
+    stale_blocks,
+)
+from bench.capacity_roles import all_rows
 
 ROOT = Path(__file__).resolve().parent.parent
-PROGRAM = Program(
+PROGRAM = ProgramBounds(
     calls_per_s=50.0,
     spread_s=3.75,
-    small=16,
+    small_fleet=16,
     line_bytes=4 * 1024 * 1024,
-    meet_s=1.5,
-    least_used=16,
+    revisit_s=1.5,
+    min_working_set=16,
     log_lines_per_s=5.0,
     relay=False,
 )
 
 
 def slope(key: str, value: float, unit: str = "B", **more: Any) -> dict[str, Any]:
-    role, name = WANTED[key]
+    role, name = MODEL_FIGURES[key]
     return {
         "role": role,
         "name": name,
@@ -61,7 +69,7 @@
         read_scale(scale or {"events": []}),
         read_calls(calls or {"rows": []}),
     )
-    return Model(found, Target(), Protocol(), PROGRAM)
+    return Model(found, Target(), DiscoveryProtocol(), PROGRAM)
 
 
 def row(of: Model, role: str, what: str) -> Row:
@@ -168,8 +176,8 @@
 def test_a_change_is_read_at_its_rows_not_at_the_targets() -> None:
     change = slope("change bytes", 4200.0, sizes=[1, 10, 40, 4200], values=[150, 1500, 6000, 600000])
     of = model(change)
-    assert of.change(1.0).value == 150 and of.change(40.0).value == 6000
-    assert of.change(20.0).value == 20.0  # between the measured ones by the line of its fit
+    assert of.change_bytes(1.0).value == 150 and of.change_bytes(40.0).value == 6000
+    assert of.change_bytes(20.0).value == 20.0  # between the measured ones by the line of its fit
     mean = row(of, "balancer", "beats and changed rows")
     assert mean.basis.value == pytest.approx(3.0 + 21_120 / 86_400 * 150)
 
@@ -177,51 +185,55 @@
 def test_a_curve_is_not_read_as_a_line() -> None:
     power = {"kind": "power", "intercept": 0.0, "slope": 2.0, "residual": 0.0, "exponent": 0.5}
     other = {"kind": "stairs", "intercept": 0.0, "slope": 2.0, "residual": 0.0}
-    assert model(slope("change bytes", 1.0, fit=power)).change(100.0).value == pytest.approx(20.0)
-    assert model(slope("change bytes", 1.0, fit=other)).change(100.0).value is None
+    assert model(slope("change bytes", 1.0, fit=power)).change_bytes(100.0).value == pytest.approx(20.0)
+    assert model(slope("change bytes", 1.0, fit=other)).change_bytes(100.0).value is None
 
 
 def test_closed_forms_of_each_asking_the_source() -> None:
     of = model()
-    assert PROGRAM.told_in_time() == 203
+    assert PROGRAM.notified_in_time() == 203
     assert row(of, "list service", "balancers to be told").factor() == pytest.approx(4600 / 203)
-    assert of.most_watchers() == 719 and of.behind_relay() == pytest.approx(418.18, abs=0.01)
+    assert of.max_watchers() == 719 and of.balancers_per_relay() == pytest.approx(418.18, abs=0.01)
     assert "| 92 s |" in blocks(of)["calls"]
 
 
 def test_ranks_follow_the_factors() -> None:
     def place(name: str, over: float) -> Row:
-        return Row("r", "k", "w", given(over, ""), "number", Bound(1.0, ""), mechanism=name)
+        return Row("r", "k", "w", from_target(over, ""), "number", Bound(1.0, ""), mechanism=name)
 
-    low = [place(LISTS, 2.0), place(LONG_LISTS, 3.0), place(LONG_LISTS, 0.5)]
+    low = [place(LIST_DISTRIBUTION, 2.0), place(LONG_LISTS, 3.0), place(LONG_LISTS, 0.5)]
     ranked = ranking(low)
-    assert [p.mechanism.name for p in ranked[:2]] == [LONG_LISTS, LISTS]
+    assert [p.mechanism.name for p in ranked[:2]] == [LONG_LISTS, LIST_DISTRIBUTION]
     assert ranked[0].factor == 3.0 and ranked[0].row is low[1]
-    assert [p.mechanism.name for p in ranking([*low, place(QUOTAS, 9.0)])[:3]] == [QUOTAS, LONG_LISTS, LISTS]
+    assert [p.mechanism.name for p in ranking([*low, place(TENANT_QUOTAS, 9.0)])[:3]] == [
+        TENANT_QUOTAS,
+        LONG_LISTS,
+        LIST_DISTRIBUTION,
+    ]
     rest = [p.mechanism for p in ranked[2:]]
-    assert rest == [m for m in MECHANISMS if m.name not in (LISTS, LONG_LISTS)]
+    assert rest == [m for m in MECHANISMS if m.name not in (LIST_DISTRIBUTION, LONG_LISTS)]
     assert all(p.factor is None for p in ranked[2:])
 
 
 def test_a_measured_figure_moves_its_mechanism_up() -> None:
     before = ranking(all_rows(model()))
-    assert before[0].mechanism.name == LISTS
+    assert before[0].mechanism.name == LIST_DISTRIBUTION
     after = ranking(all_rows(model(slope("list bytes", 4e9))))
     assert after[0].mechanism.name == LONG_LISTS
     assert after[0].factor == pytest.approx(4e9 / PROGRAM.line_bytes)
 
 
 def test_what_a_mechanism_depends_on_is_a_mechanism_and_never_itself() -> None:
-    needs = {m.name: m.needs for m in MECHANISMS}
+    depends_on = {m.name: m.depends_on for m in MECHANISMS}
 
     def reach(name: str, path: tuple[str, ...] = ()) -> None:
         assert name not in path, path
-        for other in needs[name]:
+        for other in depends_on[name]:
             reach(other, (*path, name))
 
-    for name in needs:
+    for name in depends_on:
         reach(name)
-    assert {r.mechanism for r in all_rows(model()) if r.mechanism} <= set(needs)
+    assert {r.mechanism for r in all_rows(model()) if r.mechanism} <= set(depends_on)
 
 
 def test_events_of_the_scale_run_show_at_the_largest_size_played() -> None:
@@ -242,8 +254,8 @@
 
 def test_markers_that_do_not_fit_are_refused() -> None:
     page = "a\n<!-- generated: one -->\nold\n<!-- end -->\nb\n"
-    assert exchanged(page, {"one": "new\n"}) == page.replace("old", "new")
-    assert parted(page, {"one": "new\n"}) == ["one"] and parted(page, {"one": "old\n"}) == []
+    assert replace_blocks(page, {"one": "new\n"}) == page.replace("old", "new")
+    assert stale_blocks(page, {"one": "new\n"}) == ["one"] and stale_blocks(page, {"one": "old\n"}) == []
     for bad, made in (
         (page, {"one": "", "two": ""}),
         (page, {}),
@@ -251,7 +263,7 @@
         (page.replace("<!-- end -->", ""), {"one": ""}),
     ):
         with pytest.raises(PageError):
-            exchanged(bad, made)
+            replace_blocks(bad, made)
 
 
 @pytest.mark.parametrize(
@@ -270,16 +282,24 @@
     ],
 )
 def test_quantities_read_well(value: float | None, unit: str, text: str) -> None:
-    assert quantity(value, unit) == text
+    assert format_quantity(value, unit) == text
 
 
 def test_factors_say_which_way() -> None:
-    assert factor(2.0) == "**missing x 2**" and factor(0.5) == "to spare x 2" and factor(None) == "-"
-    assert factor(1.0) == "to spare x 1" and factor(-1.0) == "to spare" and digits(99.96) == "100"
+    assert (
+        format_factor(2.0) == "**missing x 2**"
+        and format_factor(0.5) == "to spare x 2"
+        and format_factor(None) == "-"
+    )
+    assert (
+        format_factor(1.0) == "to spare x 1"
+        and format_factor(-1.0) == "to spare"
+        and format_number(99.96) == "100"
+    )
 
 
 def test_a_program_with_relays_carries_lists_by_them() -> None:
-    of = Model(Figures(), Target(), Protocol(), replace(PROGRAM, relay=True))
+    of = Model(Figures(), Target(), DiscoveryProtocol(), replace(PROGRAM, relay=True))
     assert row(of, "list service", "watches").basis.value == Target().control_machines
     assert "| relay (`docs/relay.md`) |" in blocks(of)["ranking"]
 
