--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -28,7 +28,8 @@
     read_scale,
     read_slopes,
 )
-from bench.capacity_model import MODEL_FIGURES
+from bench.capacity_list_service import CALL_MODEL_SERVICES
+from bench.capacity_model import MeasuredFigure
 from bench.capacity_model import Model as Capacity
 from bench.common import ROOT
 from quartzford.decision.workingset import LEAST, MEET_MS
@@ -39,7 +40,6 @@
 PAGE = Path("docs/CAPACITY.md")
 SLOPES, SCALE, CALLS = "slopes.json", "scale.json", "capacity_calls.json"
 LOG_LINES_PER_S = 5.0  # README, log lines
-CALL_SERVICES = ("queues", "turns away")
 COMMAND = "python -m bench.capacity --calls"
 
 T = TypeVar("T")
@@ -85,7 +85,7 @@
     rows = [
         Model("spread", service, balancers, until=6 * balancers / CALLS_PER_S + 40).run()
         for service in SERVICE_BEHAVIOURS
-        if service.name in CALL_SERVICES
+        if service.name in CALL_MODEL_SERVICES
     ]
     return {"command": COMMAND, "calls_per_s": CALLS_PER_S, "rows": rows}
 
@@ -101,9 +101,8 @@
     except (OSError, InputError, page.PageError) as error:
         print(f"capacity: {error}", file=sys.stderr)
         return 2
-    missing = sorted(
-        f"{role}: {name}" for role, name in MODEL_FIGURES.values() if not figures.slope(role, name)
-    )
+    wanted = (figure.value for figure in MeasuredFigure)
+    missing = sorted(f"{role}: {name}" for role, name in wanted if not figures.slope(role, name))
     if missing:
         print(f"capacity: {len(missing)} figures not measured: {'; '.join(missing)}")
     if write:
--- a/bench/capacity_assumptions.py
+++ b/bench/capacity_assumptions.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from bench.capacity_inputs import DAY_S, NOT_MEASURED
-from bench.capacity_model import FAILURE_ROWS, RESTART_ROWS, Model
+from bench.capacity_model import FAILURE_ROWS, RESTART_ROWS, MeasuredFigure, Model
 
 WORKING_DAY_S = 8 * 3600.0
 
@@ -54,7 +54,7 @@
 
 def _budgets(model: Model) -> tuple[Assumption, ...]:
     t = model.target
-    complete = model.measured("list bytes").value
+    complete = model.measured(MeasuredFigure.LIST_BYTES).value
     start = NOT_MEASURED if complete is None else f"{complete / t.control_bytes_per_s:,.0f} s"
     return (
         Assumption(
--- a/bench/capacity_inputs.py
+++ b/bench/capacity_inputs.py
@@ -17,6 +17,7 @@
 KB, MB = 1e3, 1e6
 LINE_ERROR = 0.20  # of a foretold size, past which a line is not taken for one
 NOT_MEASURED = "not measured"
+VIA_SOURCE, VIA_RELAYS = "source", "relays"  # how balancers of a scale run get their lists
 
 # Units that measured figures may have, in those of the model.
 UNITS = {
@@ -156,7 +157,7 @@
     """One event of a scale run; times until the change was in force."""
 
     event: str
-    way: str  # "source": each balancer asks the list service; "relays"
+    way: str  # VIA_SOURCE: each balancer polls the list service; VIA_RELAYS
     hollow: int
     real: int
     p50_s: float | None
--- a/bench/capacity_mechanisms.py
+++ b/bench/capacity_mechanisms.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from bench.capacity_model import EACH_POLLS, NONE, Row
+from bench.capacity_model import EACH_POLLS, NONE
+from bench.capacity_rows import Row
 
 LIST_DISTRIBUTION = "distribution of lists"
 LONG_LISTS = "long lists"
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -10,8 +10,9 @@
 from bench.capacity_inputs import DAY_S, LINE_ERROR, NOT_MEASURED, OPERATORS_LETTER, Figures, Slope
 from bench.capacity_mechanisms import LIST_DISTRIBUTION, RankedMechanism
 from bench.capacity_mechanisms import ranking as ranked
-from bench.capacity_model import NOT_OURS, Model, Row, line
+from bench.capacity_model import Model, describe_fit
 from bench.capacity_roles import all_rows
+from bench.capacity_rows import NOT_OURS, Row
 
 BLOCK = re.compile(r"<!-- generated: ([\w-]+) -->\n(.*?)<!-- end -->", re.DOTALL)
 
@@ -248,7 +249,7 @@
         if slope.error is not None and abs(slope.error) > LINE_ERROR:
             error = f"**{error}**"
         span = f"{min(slope.sizes):,g} to {max(slope.sizes):,g}" if slope.sizes else "-"
-        fit = "-" if slope.fit is None else line(slope).partition(" (")[0].partition("; kept")[0]
+        fit = "-" if slope.fit is None else describe_fit(slope).partition(" (")[0].partition("; kept")[0]
         residual = "-" if slope.fit is None else format_number(slope.fit.residual)
         return slope.role, slope.name, f"{span} {slope.by}", fit, residual, error, f"{size}: {at}"
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -23,7 +23,7 @@
     read_slopes,
 )
 from bench.capacity_mechanisms import LIST_DISTRIBUTION, LONG_LISTS, MECHANISMS, TENANT_QUOTAS, ranking
-from bench.capacity_model import MODEL_FIGURES, Bound, Model, Row, from_target
+from bench.capacity_model import MeasuredFigure, Model
 from bench.capacity_page import (
     PageError,
     blocks,
@@ -34,6 +34,7 @@
     stale_blocks,
 )
 from bench.capacity_roles import all_rows
+from bench.capacity_rows import Bound, Row, RowKind, Unit, from_target
 
 ROOT = Path(__file__).resolve().parent.parent
 PROGRAM = ProgramBounds(
@@ -48,8 +49,8 @@
 )
 
 
-def slope(key: str, value: float, unit: str = "B", **more: Any) -> dict[str, Any]:
-    role, name = MODEL_FIGURES[key]
+def slope(figure: MeasuredFigure, value: float, unit: str = "B", **more: Any) -> dict[str, Any]:
+    role, name = figure.value
     return {
         "role": role,
         "name": name,
@@ -153,7 +154,7 @@
 
 
 def test_a_missing_figure_is_not_measured_and_takes_along_what_follows_from_it() -> None:
-    complete = row(model(slope("list bytes", 8.7e6)), "balancer", "whole list")
+    complete = row(model(slope(MeasuredFigure.LIST_BYTES, 8.7e6)), "balancer", "whole list")
     assert complete.basis.value == 8.7e6 and complete.factor() == pytest.approx(8.7e6 / PROGRAM.line_bytes)
     for start in ("whole list", "a whole list at the budget's rate", "beats and changed rows"):
         missing = row(model(), "balancer", start)
@@ -163,18 +164,22 @@
 
 
 def test_units_are_made_equal_and_unknown_ones_refused() -> None:
-    reload = slope("config time", 960.0, "ms")
-    of = model(reload, slope("config bytes", 8100.0, "kB"))
+    reload = slope(MeasuredFigure.CONFIGURATION_TIME, 960.0, "ms")
+    of = model(reload, slope(MeasuredFigure.CONFIGURATION_BYTES, 8100.0, "kB"))
     cpu = row(of, "balancer", "whole configuration at each change")
     assert cpu.basis.value == pytest.approx(2700 / 86400 * 8.1e6)
-    share = next(r for r in all_rows(of) if r.kind == "processor time" and r.what.startswith("whole conf"))
+    share = next(
+        r for r in all_rows(of) if r.kind is RowKind.PROCESSOR_TIME and r.what.startswith("whole conf")
+    )
     assert share.basis.value == pytest.approx(0.03) and share.factor() == pytest.approx(0.03 / 0.016)
     with pytest.raises(InputError, match="furlong"):
-        model(slope("list bytes", 1.0, "furlong"))
+        model(slope(MeasuredFigure.LIST_BYTES, 1.0, "furlong"))
 
 
 def test_a_change_is_read_at_its_rows_not_at_the_targets() -> None:
-    change = slope("change bytes", 4200.0, sizes=[1, 10, 40, 4200], values=[150, 1500, 6000, 600000])
+    change = slope(
+        MeasuredFigure.CHANGE_BYTES, 4200.0, sizes=[1, 10, 40, 4200], values=[150, 1500, 6000, 600000]
+    )
     of = model(change)
     assert of.change_bytes(1.0).value == 150 and of.change_bytes(40.0).value == 6000
     assert of.change_bytes(20.0).value == 20.0  # between the measured ones by the line of its fit
@@ -185,8 +190,10 @@
 def test_a_curve_is_not_read_as_a_line() -> None:
     power = {"kind": "power", "intercept": 0.0, "slope": 2.0, "residual": 0.0, "exponent": 0.5}
     other = {"kind": "stairs", "intercept": 0.0, "slope": 2.0, "residual": 0.0}
-    assert model(slope("change bytes", 1.0, fit=power)).change_bytes(100.0).value == pytest.approx(20.0)
-    assert model(slope("change bytes", 1.0, fit=other)).change_bytes(100.0).value is None
+    assert model(slope(MeasuredFigure.CHANGE_BYTES, 1.0, fit=power)).change_bytes(
+        100.0
+    ).value == pytest.approx(20.0)
+    assert model(slope(MeasuredFigure.CHANGE_BYTES, 1.0, fit=other)).change_bytes(100.0).value is None
 
 
 def test_closed_forms_of_each_asking_the_source() -> None:
@@ -199,7 +206,9 @@
 
 def test_ranks_follow_the_factors() -> None:
     def place(name: str, over: float) -> Row:
-        return Row("r", "k", "w", from_target(over, ""), "number", Bound(1.0, ""), mechanism=name)
+        return Row(
+            "r", RowKind.STATE, "w", from_target(over, ""), Unit.NUMBER, Bound(1.0, ""), mechanism=name
+        )
 
     low = [place(LIST_DISTRIBUTION, 2.0), place(LONG_LISTS, 3.0), place(LONG_LISTS, 0.5)]
     ranked = ranking(low)
@@ -218,7 +227,7 @@
 def test_a_measured_figure_moves_its_mechanism_up() -> None:
     before = ranking(all_rows(model()))
     assert before[0].mechanism.name == LIST_DISTRIBUTION
-    after = ranking(all_rows(model(slope("list bytes", 4e9))))
+    after = ranking(all_rows(model(slope(MeasuredFigure.LIST_BYTES, 4e9))))
     assert after[0].mechanism.name == LONG_LISTS
     assert after[0].factor == pytest.approx(4e9 / PROGRAM.line_bytes)
 
