--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,10 @@
 """The capacity page's generated blocks: python -m bench.capacity [--write] [--calls].
 
-Reads slopes.json, scale.json and capacity_calls.json in docs/measurements, as far as they are there, and
-works out the blocks of docs/CAPACITY.md (bench/capacity_model.py). Without --write nothing is changed, and
-the command ends with 1 and the blocks' names where page and figures part. --calls plays `bench.callmodel` at
-the target's size first, some half a minute, and writes capacity_calls.json. Exit 2: a file can't be used.
+Reads slopes.json, scale.json and capacity_calls.json in docs/measurements, as far as they exist, and
+generates the blocks of docs/CAPACITY.md (bench/capacity_blocks.py). Without --write nothing is changed: the
+command names the blocks that differ from the figures and exits with 1. --calls first runs `bench.callmodel`
+at the target's size, which takes about half a minute, and writes capacity_calls.json. Exit status 2: a file
+can't be used.
 """
 
 from __future__ import annotations
@@ -16,8 +17,9 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from bench import capacity_page as page
-from bench.callmodel import CALLS_PER_S, SERVICE_BEHAVIOURS, Model
+from bench.callmodel import CALLS_PER_S, SERVICE_BEHAVIOURS
+from bench.callmodel import Model as CallModel
+from bench.capacity_blocks import blocks
 from bench.capacity_inputs import (
     DiscoveryProtocol,
     Figures,
@@ -29,8 +31,8 @@
     read_slopes,
 )
 from bench.capacity_list_service import CALL_MODEL_SERVICES
-from bench.capacity_model import MeasuredFigure
-from bench.capacity_model import Model as Capacity
+from bench.capacity_model import MeasuredFigure, Model
+from bench.capacity_page import PageError, replace_blocks, stale_blocks
 from bench.common import ROOT
 from quartzford.decision.workingset import LEAST, MEET_MS
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, QUEUE_S, SMALL
@@ -38,8 +40,10 @@
 from quartzford.node import LISTS_PER_S
 
 PAGE = Path("docs/CAPACITY.md")
+MEASUREMENTS = Path("docs/measurements")
 SLOPES, SCALE, CALLS = "slopes.json", "scale.json", "capacity_calls.json"
 LOG_LINES_PER_S = 5.0  # README, log lines
+EXIT_STALE, EXIT_UNUSABLE = 1, 2
 COMMAND = "python -m bench.capacity --calls"
 
 T = TypeVar("T")
@@ -59,12 +63,12 @@
     )
 
 
-def _read(path: Path, reader: Callable[[Any], T], nothing: T) -> T:
-    """A file of figures; nothing where it is not there."""
+def _read(path: Path, reader: Callable[[Any], T], default: T) -> T:
+    """A file of figures as its reader returns it; the default where the file is not there."""
     try:
         text = path.read_text()
     except FileNotFoundError:
-        return nothing
+        return default
     try:
         return reader(json.loads(text))
     except ValueError as error:
@@ -72,7 +76,7 @@
 
 
 def read_figures(folder: Path) -> Figures:
-    """All figures in a folder of measurements."""
+    """All figures in a folder of measurements; InputError if a file is not in the form that is read."""
     return Figures(
         slopes=_read(folder / SLOPES, read_slopes, {}),
         events=_read(folder / SCALE, read_scale, ()),
@@ -81,9 +85,9 @@
 
 
 def run_call_model(balancers: int) -> dict[str, Any]:
-    """The policy in force with each balancer asking the list service itself, at one size."""
+    """The policy in force with each balancer polling the list service itself, at one size."""
     rows = [
-        Model("spread", service, balancers, until=6 * balancers / CALLS_PER_S + 40).run()
+        CallModel("spread", service, balancers, until=6 * balancers / CALLS_PER_S + 40).run()
         for service in SERVICE_BEHAVIOURS
         if service.name in CALL_MODEL_SERVICES
     ]
@@ -94,36 +98,43 @@
     """Check or write the page under a root; the command's exit status."""
     path = root / PAGE
     try:
-        figures = read_figures(root / "docs" / "measurements")
-        blocks = page.blocks(Capacity(figures, Target(), DiscoveryProtocol(), program_bounds()))
+        figures = read_figures(root / MEASUREMENTS)
+        generated = blocks(Model(figures, Target(), DiscoveryProtocol(), program_bounds()))
         text = path.read_text()
-        stale_blocks, fresh = page.stale_blocks(text, blocks), page.replace_blocks(text, blocks)
-    except (OSError, InputError, page.PageError) as error:
+        stale = stale_blocks(text, generated)
+        fresh = replace_blocks(text, generated)
+    except (OSError, InputError, PageError) as error:
         print(f"capacity: {error}", file=sys.stderr)
-        return 2
-    wanted = (figure.value for figure in MeasuredFigure)
-    missing = sorted(f"{role}: {name}" for role, name in wanted if not figures.slope(role, name))
-    if missing:
-        print(f"capacity: {len(missing)} figures not measured: {'; '.join(missing)}")
+        return EXIT_UNUSABLE
+    _report_missing(figures)
     if write:
         path.write_text(fresh)
-        print(f"capacity: {PAGE}: {len(stale_blocks)} of {len(blocks)} blocks written anew")
+        print(f"capacity: {PAGE}: {len(stale)} of {len(generated)} blocks written anew")
         return 0
-    for name in stale_blocks:
+    for name in stale:
         print(
             f"capacity: {PAGE}: block {name} is not what the figures give; run with --write", file=sys.stderr
         )
-    return 1 if stale_blocks else 0
+    return EXIT_STALE if stale else 0
+
+
+def _report_missing(figures: Figures) -> None:
+    """Print the figures that the model uses and slopes.json does not have."""
+    wanted = (figure.value for figure in MeasuredFigure)
+    missing = sorted(f"{role}: {name}" for role, name in wanted if not figures.slope(role, name))
+    if missing:
+        print(f"capacity: {len(missing)} figures not measured: {'; '.join(missing)}")
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """The command; arguments: those of the process unless given. Its exit status."""
     parser = argparse.ArgumentParser(prog="python -m bench.capacity")
     parser.add_argument("--write", action="store_true", help="write the blocks into the page")
     parser.add_argument("--calls", action="store_true", help="play the model of calls first")
     options = parser.parse_args(arguments)
     if options.calls:
         played = run_call_model(Target().balancers)
-        (ROOT / "docs" / "measurements" / CALLS).write_text(json.dumps(played, indent=1) + "\n")
+        (ROOT / MEASUREMENTS / CALLS).write_text(json.dumps(played, indent=1) + "\n")
     return run(ROOT, options.write)
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,6 +11,8 @@
 import pytest
 
 from bench import capacity
+from bench.capacity_blocks import blocks
+from bench.capacity_format import format_factor, format_number, format_quantity
 from bench.capacity_inputs import (
     NOT_MEASURED,
     DiscoveryProtocol,
@@ -24,15 +26,7 @@
 )
 from bench.capacity_mechanisms import LIST_DISTRIBUTION, LONG_LISTS, MECHANISMS, TENANT_QUOTAS, ranking
 from bench.capacity_model import MeasuredFigure, Model
-from bench.capacity_page import (
-    PageError,
-    blocks,
-    format_factor,
-    format_number,
-    format_quantity,
-    replace_blocks,
-    stale_blocks,
-)
+from bench.capacity_page import PageError, replace_blocks, stale_blocks
 from bench.capacity_roles import all_rows
 from bench.capacity_rows import Bound, Row, RowKind, Unit, from_target
 
