--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -20,19 +20,12 @@
 from bench.callmodel import CALLS_PER_S, SERVICE_BEHAVIOURS
 from bench.callmodel import Model as CallModel
 from bench.capacity_blocks import blocks
-from bench.capacity_inputs import (
-    DiscoveryProtocol,
-    Figures,
-    InputError,
-    ProgramBounds,
-    Target,
-    read_calls,
-    read_scale,
-    read_slopes,
-)
+from bench.capacity_figures import Figures, InputError
+from bench.capacity_inputs import read_calls, read_scale, read_slopes
 from bench.capacity_list_service import CALL_MODEL_SERVICES
 from bench.capacity_model import MeasuredFigure, Model
 from bench.capacity_page import PageError, replace_blocks, stale_blocks
+from bench.capacity_target import DiscoveryProtocol, ProgramBounds, Target
 from bench.common import ROOT
 from quartzford.decision.workingset import LEAST, MEET_MS
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, QUEUE_S, SMALL
--- a/bench/capacity_assumptions.py
+++ b/bench/capacity_assumptions.py
@@ -1,17 +1,18 @@
-"""What the letter leaves open, how it is taken here, and what changes if that is wrong. No I/O."""
+"""Assumptions where the operators' letter is open, and what changes if they are wrong. No I/O."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from bench.capacity_inputs import DAY_S, NOT_MEASURED
+from bench.capacity_figures import NOT_MEASURED
 from bench.capacity_model import FAILURE_ROWS, RESTART_ROWS, MeasuredFigure, Model
+from bench.capacity_target import DAY_S
 
 WORKING_DAY_S = 8 * 3600.0
 
 
 class Assumption(NamedTuple):
-    """One open question of the letter."""
+    """One open question of the letter, the answer assumed, and what follows if that is wrong."""
 
     left_open: str
     taken_as: str
@@ -19,16 +20,19 @@
 
 
 def assumptions(model: Model) -> tuple[Assumption, ...]:
-    """All of them, with the figures that they move."""
+    """All assumptions, with the figures that they change, in the page's order."""
     return (*_rates(model), *_budgets(model), *_shape(model), *_rows(model))
 
 
 def _rates(model: Model) -> tuple[Assumption, ...]:
-    t = model.target
-    rows, quick = model.rows_per_s(), DAY_S / WORKING_DAY_S
+    """Rates of requests and of changes."""
+    target = model.target
+    rows, compression = model.rows_per_s(), DAY_S / WORKING_DAY_S
     rate = model.requests_per_balancer()
-    per_s = t.changes_per_day / DAY_S
-    share = t.balancers / (t.balancers + t.upstreams)
+    changes = target.changes_per_day / DAY_S
+    release_rows = target.replaced_per_day * RESTART_ROWS / 3600
+    share = target.balancers / (target.balancers + target.upstreams)
+    whole_lists = (target.replaced_per_day + target.failed_per_day) * share
     return (
         Assumption(
             "550,000 requests a second: a peak over seconds or over an hour",
@@ -38,24 +42,25 @@
         ),
         Assumption(
             "machines and configurations a day: evenly over 24 hours or not",
-            f"evenly: {rows:.3g} rows/s, {per_s:.3g} configurations/s",
-            f"within eight working hours {rows * quick:.3g} rows/s and {per_s * quick:.3g} configurations/s, "
-            f"all means that follow from them times {quick:g}; a release of 6,900 within an hour is "
-            f"{t.replaced_per_day * RESTART_ROWS / 3600:.3g} rows/s",
+            f"evenly: {rows:.3g} rows/s, {changes:.3g} configurations/s",
+            f"within eight working hours {rows * compression:.3g} rows/s and "
+            f"{changes * compression:.3g} configurations/s, all means that follow from them times "
+            f"{compression:g}; a release of 6,900 within an hour is {release_rows:.3g} rows/s",
         ),
         Assumption(
             "210 and 6,900 machines: balancers, upstreams or others",
             "all upstreams (the more rows)",
             f"by their numbers, {share:.1%} are balancers: rows fall by as much, and some "
-            f"{(t.replaced_per_day + t.failed_per_day) * share:,.0f} whole lists a day are added",
+            f"{whole_lists:,.0f} whole lists a day are added",
         ),
     )
 
 
 def _budgets(model: Model) -> tuple[Assumption, ...]:
-    t = model.target
-    complete = model.measured(MeasuredFigure.LIST_BYTES).value
-    start = NOT_MEASURED if complete is None else f"{complete / t.control_bytes_per_s:,.0f} s"
+    """Budgets of processor time, memory, bytes and latency."""
+    target = model.target
+    list_bytes = model.measured(MeasuredFigure.LIST_BYTES).value
+    start = NOT_MEASURED if list_bytes is None else f"{list_bytes / target.control_bytes_per_s:,.0f} s"
     return (
         Assumption(
             "15 KB/s and 1.6% of a core: over what span a mean",
@@ -89,11 +94,13 @@
 
 
 def _shape(model: Model) -> tuple[Assumption, ...]:
-    t = model.target
+    """Sizes of services, zones, regions and tenants."""
+    target = model.target
+    upstreams, balancers = target.upstreams / target.zones, target.balancers / target.zones
     return (
         Assumption(
             "sizes of the 2,700 services",
-            f"the mean, {t.upstreams / t.services:.1f} upstreams",
+            f"the mean, {target.upstreams / target.services:.1f} upstreams",
             "a few large services: the working set gives more there and connections fall; many of one or two "
             "upstreams: a set is all of them, and one failure is half a service",
         ),
@@ -104,8 +111,8 @@
         ),
         Assumption(
             "spread over zones and regions",
-            f"even: {t.upstreams / t.zones:,.0f} upstreams and {t.balancers / t.zones:,.0f} balancers a "
-            "zone; 15 zones in all regions together",
+            f"even: {upstreams:,.0f} upstreams and {balancers:,.0f} balancers a zone; 15 zones in all "
+            "regions together",
             "a zone of twice the size is twice the rows in one instant, and takes twice the load away",
         ),
         Assumption(
@@ -115,13 +122,14 @@
         ),
         Assumption(
             "tenants' rates",
-            f"the mean, {t.requests_per_s / t.tenants:.3g}/s",
+            f"the mean, {target.requests_per_s / target.tenants:.3g}/s",
             "a few large tenants: a quota over 4,600 balancers means something for those alone",
         ),
     )
 
 
 def _rows(model: Model) -> tuple[Assumption, ...]:
+    """Rows of the list, and calls to the list service."""
     return (
         Assumption(
             "rows for each change",
--- a/bench/capacity_balancer.py
+++ b/bench/capacity_balancer.py
@@ -4,7 +4,6 @@
 
 from functools import partial
 
-from bench.capacity_inputs import DAY_S, OPERATORS_LETTER
 from bench.capacity_mechanisms import (
     CONFIGURATION,
     LIST_DISTRIBUTION,
@@ -15,6 +14,7 @@
 )
 from bench.capacity_model import NONE, MeasuredFigure, Model
 from bench.capacity_rows import ONE_CORE, Basis, Bound, Row, RowKind, Unit, from_target
+from bench.capacity_target import DAY_S, OPERATORS_LETTER
 
 SOCKETS = Bound(None, "`limits.sockets`, as set")
 LIST_CHUNKS = "`membership/list_chunks.py`"
--- a/bench/capacity_blocks.py
+++ b/bench/capacity_blocks.py
@@ -6,13 +6,14 @@
 
 from bench.capacity_assumptions import assumptions
 from bench.capacity_events import event_rows
+from bench.capacity_figures import NOT_MEASURED
 from bench.capacity_format import format_factor, format_number, format_quantity, markdown_table
-from bench.capacity_inputs import DAY_S, NOT_MEASURED, OPERATORS_LETTER, Target
 from bench.capacity_measurements import calls_block, scale_block, slopes_block
 from bench.capacity_mechanisms import LIST_DISTRIBUTION, RankedMechanism, ranking
 from bench.capacity_model import Model
 from bench.capacity_roles import all_rows
 from bench.capacity_rows import NOT_OURS, Row, Unit
+from bench.capacity_target import DAY_S, OPERATORS_LETTER, Target
 
 ROLE_HEAD = ("quantity", "at the target", "how it follows", "run", "bound", "factor", "carried today by")
 RANKING_HEAD = ("", "mechanism", "factor", "worst row", "need", "there", "run", "depends on", "today")
--- a/bench/capacity_events.py
+++ b/bench/capacity_events.py
@@ -8,8 +8,9 @@
 
 from typing import NamedTuple
 
-from bench.capacity_inputs import DAY_S, NOT_MEASURED, VIA_RELAYS, VIA_SOURCE, ScaleEvent
+from bench.capacity_figures import NOT_MEASURED, VIA_RELAYS, VIA_SOURCE, ScaleEvent
 from bench.capacity_model import NONE, MeasuredFigure, Model
+from bench.capacity_target import DAY_S
 
 LAST_LIST_USED = "by design: the list as last told is used on"
 
@@ -32,7 +33,7 @@
         _configuration_change(model),
         _rack_lost(model),
         _zone_lost(model),
-        _regions_parted(model),
+        _regions_partitioned(model),
         _source_down(model),
         _all_started(model),
         _relays_lost(model, 1, "one control machine lost", "relay killed"),
@@ -135,7 +136,7 @@
 # ---- faults of the network, of the source and of all balancers
 
 
-def _regions_parted(model: Model) -> EventRow:
+def _regions_partitioned(model: Model) -> EventRow:
     target = model.target
     remote = target.balancers * (target.regions - 1) / target.regions
     return EventRow(
--- a/bench/capacity_format.py
+++ b/bench/capacity_format.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from bench.capacity_inputs import NOT_MEASURED
+from bench.capacity_figures import NOT_MEASURED
 from bench.capacity_rows import Unit
 
 BYTE_PREFIXES = ((1e9, "GB"), (1e6, "MB"), (1e3, "KB"))
--- a/bench/capacity_list_service.py
+++ b/bench/capacity_list_service.py
@@ -4,7 +4,6 @@
 
 from functools import partial
 
-from bench.capacity_inputs import OPERATORS_LETTER
 from bench.capacity_mechanisms import LIST_DISTRIBUTION, LONG_LISTS
 from bench.capacity_model import CALLS_RUN, EACH_POLLS, MeasuredFigure, Model
 from bench.capacity_rows import (
@@ -19,6 +18,7 @@
     Unit,
     from_target,
 )
+from bench.capacity_target import OPERATORS_LETTER
 
 CALL_MODEL_SERVICES = ("queues", "turns away")  # of bench.callmodel: how a service treats too many calls
 OPERATORS = "the operators'"
--- a/bench/capacity_measurements.py
+++ b/bench/capacity_measurements.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+from bench.capacity_figures import NOT_MEASURED, CallRun, Figures, ScaleEvent, Slope
 from bench.capacity_format import format_count, format_number, format_quantity, markdown_table
-from bench.capacity_inputs import LINE_ERROR, NOT_MEASURED, CallRun, Figures, ScaleEvent, Slope
 from bench.capacity_model import Model, describe_fit
 from bench.capacity_rows import Unit
+from bench.fit import LINE_ERROR
 
 CALLS_HEAD = ("service", "balancers", "ever had it", "all after", "calls each", "busiest second")
 SLOPES_HEAD = ("role", "figure", "sizes", "fit", "residual", "kept-out size, error", "at the target")
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -7,8 +7,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from bench.capacity_inputs import DAY_S, DiscoveryProtocol, Figures, ProgramBounds, Slope, Target
+from bench.capacity_figures import Figures, Slope
 from bench.capacity_rows import UNKNOWN, Basis
+from bench.capacity_target import DAY_S, DiscoveryProtocol, ProgramBounds, Target
 from bench.fit import LINE
 
 SLOPES_RUN, SCALE_RUN, CALLS_RUN = "bench.slopes", "bench.scale", "bench.callmodel"
--- a/bench/capacity_relay.py
+++ b/bench/capacity_relay.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from bench.capacity_inputs import VIA_RELAYS
+from bench.capacity_figures import VIA_RELAYS
 from bench.capacity_model import NONE, RELAY, SCALE_RUN, MeasuredFigure, Model
 from bench.capacity_rows import NO_BOUND, ONE_CORE, Basis, Bound, Row, RowKind, Unit, from_target
 
--- a/bench/capacity_tools.py
+++ b/bench/capacity_tools.py
@@ -4,10 +4,10 @@
 
 from functools import partial
 
-from bench.capacity_inputs import DAY_S
 from bench.capacity_mechanisms import CONFIGURATION, SHARED_STATE
 from bench.capacity_model import NONE, Model
 from bench.capacity_rows import NOT_OURS, UNKNOWN, Row, RowKind, Unit, from_target
+from bench.capacity_target import DAY_S
 
 _row = partial(Row, "operator's tools")
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: the same each time, parted figures found out, missing ones said, ranks by factors."""
+"""The capacity page: reproducible, stale blocks detected, missing figures shown, mechanisms ranked."""
 
 from __future__ import annotations
 
@@ -12,23 +12,15 @@
 
 from bench import capacity
 from bench.capacity_blocks import blocks
+from bench.capacity_figures import NOT_MEASURED, Figures, InputError
 from bench.capacity_format import format_factor, format_number, format_quantity
-from bench.capacity_inputs import (
-    NOT_MEASURED,
-    DiscoveryProtocol,
-    Figures,
-    InputError,
-    ProgramBounds,
-    Target,
-    read_calls,
-    read_scale,
-    read_slopes,
-)
+from bench.capacity_inputs import read_calls, read_scale, read_slopes
 from bench.capacity_mechanisms import LIST_DISTRIBUTION, LONG_LISTS, MECHANISMS, TENANT_QUOTAS, ranking
 from bench.capacity_model import MeasuredFigure, Model
 from bench.capacity_page import PageError, replace_blocks, stale_blocks
 from bench.capacity_roles import all_rows
 from bench.capacity_rows import Bound, Row, RowKind, Unit, from_target
+from bench.capacity_target import DiscoveryProtocol, ProgramBounds, Target
 
 ROOT = Path(__file__).resolve().parent.parent
 PROGRAM = ProgramBounds(
@@ -44,6 +36,7 @@
 
 
 def slope(figure: MeasuredFigure, value: float, unit: str = "B", **more: Any) -> dict[str, Any]:
+    """A figure of slopes.json with this value at the target's size; more: other keys of it."""
     role, name = figure.value
     return {
         "role": role,
@@ -59,6 +52,7 @@
 
 
 def model(*figures: dict[str, Any], scale: Any = None, calls: Any = None) -> Model:
+    """The model out of these figures of slopes.json, scale.json and capacity_calls.json."""
     found = Figures(
         read_slopes({"figures": list(figures)}),
         read_scale(scale or {"events": []}),
@@ -68,6 +62,7 @@
 
 
 def row(of: Model, role: str, what: str) -> Row:
+    """The first row of a role whose quantity begins with these words."""
     return next(r for r in all_rows(of) if r.role == role and r.what.startswith(what))
 
 
