--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -41,13 +41,13 @@
 
 
 def _role(role: slopes_services.Role, quick: bool) -> list[dict[str, Any]]:
-    return slopes_services.figures_of(role, slopes_services.QUICK if quick else slopes_services.FULL)
+    return slopes_services.role_figures(role, slopes_services.QUICK if quick else slopes_services.FULL)
 
 
 def groups() -> dict[str, Group]:
     """What is measured, in this order."""
     found: dict[str, Group] = {"list": _list, "configuration": _configuration, "requests": _requests}
-    return found | {role.name: partial(_role, role) for role in slopes_services.ROLES if role.there()}
+    return found | {role.name: partial(_role, role) for role in slopes_services.ROLES if role.is_available()}
 
 
 def machine() -> dict[str, Any]:
@@ -81,7 +81,7 @@
     return said
 
 
-def told(figure: dict[str, Any]) -> str:
+def describe_figure(figure: dict[str, Any]) -> str:
     """A figure in one line."""
     target, kept = figure["at_target"], figure["kept_out"]
     how = "" if target["measured"] else ", reckoned"
@@ -108,7 +108,7 @@
         result["figures"] += found
         print(f"{name}: {time.monotonic() - since:.0f} s", flush=True)
         for one in found:
-            print(f"  {told(one)}", flush=True)
+            print(f"  {describe_figure(one)}", flush=True)
     result["machine"]["load_after"] = os.getloadavg()[0]
     return result | {"seconds": round(time.monotonic() - begun, 1), "notes": notes()}
 
--- a/bench/slopes_configuration.py
+++ b/bench/slopes_configuration.py
@@ -17,8 +17,8 @@
 import uvloop
 
 from bench.fit import figure
-from bench.slopes_list import quiet_node
-from bench.slopes_process import Ticks, measured, resident_mb
+from bench.slopes_list import node_without_log
+from bench.slopes_process import LoopLag, measure_in_process, resident_mb
 from quartzford.__main__ import reload_configuration
 from quartzford.decision.columns import load_arrays
 from quartzford.settings.configuration import load_config
@@ -44,7 +44,7 @@
 FULL = Sizes((1_000, 10_000, 45_000, 90_000, 180_000), 90_000, (3, 300, 900, 1_800, 2_700), 900, 5)
 
 
-def written(path: Path, tenants: int, classes: int, quota: float) -> None:
+def write_configuration(path: Path, tenants: int, classes: int, quota: float) -> None:
     """A configuration in the platform's form with so many tenants and classes."""
     table = config(free_port(), free_port(), {"seq": 0, "whole": True, "hosts": []})
     table["settings"]["customers"] = [
@@ -57,10 +57,10 @@
     path.write_text(json.dumps(table))
 
 
-async def _reloaded(path: Path, tenants: int, classes: int, reloads: int) -> dict[str, float]:
+async def _measure_reloads(path: Path, tenants: int, classes: int, reloads: int) -> dict[str, float]:
     """The configuration read, and read again on SIGHUP as a balancer does that."""
     before, begun, spent = resident_mb(), time.monotonic(), time.process_time()
-    node = quiet_node(load_config(str(path)))
+    node = node_without_log(load_config(str(path)))
     read_s, read_cpu = time.monotonic() - begun, time.process_time() - spent
     resident, done = resident_mb(), asyncio.Event()
 
@@ -69,17 +69,17 @@
         done.set()
 
     node.loop.add_signal_handler(signal.SIGHUP, reread)
-    ticks, stalls, costs = Ticks(node.loop), [], []
+    loop_lag, stalls, costs = LoopLag(node.loop), [], []
     for number in range(reloads):
-        written(path, tenants, classes, 5.0 + number)
+        write_configuration(path, tenants, classes, 5.0 + number)
         await asyncio.sleep(QUIET_S)
-        ticks.begin()
+        loop_lag.begin()
         done.clear()
         spent = time.process_time()
         os.kill(os.getpid(), signal.SIGHUP)
         await asyncio.wait_for(done.wait(), RELOAD_S)
         costs.append(time.process_time() - spent)
-        stalls.append(await ticks.worst_ms())
+        stalls.append(await loop_lag.worst_ms())
     if node.engine.request_counters.reloads["ok"] != reloads:
         raise RuntimeError("a reload was refused")
     return {
@@ -100,9 +100,9 @@
     load_arrays()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        written(path, tenants, classes, 4.0)
+        write_configuration(path, tenants, classes, 4.0)
         os.environ["EDGE_CONFIG"] = str(path)
-        pipe.send(uvloop.run(_reloaded(path, tenants, classes, reloads)))
+        pipe.send(uvloop.run(_measure_reloads(path, tenants, classes, reloads)))
 
 
 FIGURES = (
@@ -132,8 +132,8 @@
 
 def figures(sizes: Sizes) -> list[dict[str, Any]]:
     """All figures of the configuration."""
-    tenants = {n: measured(read_and_reload, n, 3, sizes.reloads) for n in sizes.tenants}
-    classes = {n: measured(read_and_reload, 0, n, sizes.reloads) for n in sizes.classes}
+    tenants = {n: measure_in_process(read_and_reload, n, 3, sizes.reloads) for n in sizes.tenants}
+    classes = {n: measure_in_process(read_and_reload, 0, n, sizes.reloads) for n in sizes.classes}
     return [
         *_table("tenants", tenants, sizes.kept_tenants, TARGET_TENANTS),
         *_table("classes", classes, sizes.kept_classes, TARGET_CLASSES),
--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -18,8 +18,8 @@
 import uvloop
 
 from bench.fit import figure
-from bench.slopes_process import Ticks, measured, receive, resident_mb, spawned
-from bench.slopes_source import BEAT, Written, chunk, encoded, rows, source
+from bench.slopes_process import LoopLag, measure_in_process, receive, resident_mb, spawned
+from bench.slopes_source import HEARTBEAT, WrittenChange, chunk, encoded, rows, source
 from quartzford.decision import interface as io
 from quartzford.decision.columns import load_arrays
 from quartzford.membership import line_splitter
@@ -33,11 +33,11 @@
 RACK = 40
 SITE_TICK_MS = 5.0
 LINE_BYTES = 64 * 1024 * 1024
-TAKE_IN_S = 60.0
-REST_S = 0.4  # between two measurements, until what they left behind is done
+TAKE_IN_TIMEOUT_S = 60.0
+SETTLE_S = 0.4  # between two measurements, until what they left behind is done
 
 
-class Quiet:
+class NullLog:
     """A log that keeps nothing."""
 
     def line(self, topic: str, text: str) -> None:
@@ -61,10 +61,10 @@
     kept_tick_ms: float = 5.0
     per_s: tuple[float, ...] = (1.0, 5.0, 10.0, 40.0)
     kept_per_s: float = 10.0
-    rest_upstreams: int = 4_000  # where tick and rate are varied
+    idle_upstreams: int = 4_000  # where tick and rate are varied
 
 
-QUICK = Sizes((500, 1_000, 2_000, 4_000), 2_000, 6, 1, 0.5, 1.0, rest_upstreams=1_000)
+QUICK = Sizes((500, 1_000, 2_000, 4_000), 2_000, 6, 1, 0.5, 1.0, idle_upstreams=1_000)
 FULL = Sizes((1_000, 4_000, 16_000, 32_000, 63_000), 32_000, 20, 3, 2.0, 3.0)
 
 
@@ -80,72 +80,74 @@
     return read_config(json.dumps(table))
 
 
-def quiet_node(settings: Config) -> Node:
+def node_without_log(settings: Config) -> Node:
     """The program's node, without its log."""
     node = Node(settings, asyncio.get_running_loop())
-    node.log = node.watch.log = node.engine.log = Quiet()  # type: ignore[assignment]
+    node.log = node.watch.log = node.engine.log = NullLog()  # type: ignore[assignment]
     return node
 
 
-class Adoption:
+class ListObserver:
     """Hears of each piece that the module has adopted, and when a condition on the list first holds."""
 
     def __init__(self, node: Node) -> None:
         self.node, self.listed = node, node.engine.endpoint_list_update
         self.condition: Callable[[], bool] = lambda: False
         self.done: asyncio.Future[float] = node.loop.create_future()
-        node.engine.endpoint_list_update = self._listed  # type: ignore[method-assign]
+        node.engine.endpoint_list_update = self._on_update  # type: ignore[method-assign]
 
-    def _listed(
+    def _on_update(
         self, how: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
         self.listed(how, entries, starts)
         if not self.done.done() and self.condition():
             self.done.set_result(time.monotonic())
 
-    async def when(self, condition: Callable[[], bool]) -> float:
+    async def wait_until(self, condition: Callable[[], bool]) -> float:
         """The moment (monotonic clock) at which it held."""
         self.condition, self.done = condition, self.node.loop.create_future()
         if condition():
             return time.monotonic()
-        return await asyncio.wait_for(self.done, TAKE_IN_S)
+        return await asyncio.wait_for(self.done, TAKE_IN_TIMEOUT_S)
 
 
-async def _taken_in(node: Node, count: int) -> float:
+async def _take_in_list(node: Node, count: int) -> float:
     """Start, and the seconds until the module has so many upstreams."""
-    adoption, begun = Adoption(node), time.monotonic()
+    observer, begun = ListObserver(node), time.monotonic()
     await node.start()
-    return await adoption.when(lambda: len(node.engine.balancer.servers) == count) - begun
+    return await observer.wait_until(lambda: len(node.engine.balancer.servers) == count) - begun
 
 
-async def _one_change(node: Node, adoption: Adoption, orders: Connection, count: int) -> float:
+async def _one_change(node: Node, observer: ListObserver, orders: Connection, count: int) -> float:
     """Seconds from the source's write of so many changed rows until the module has them."""
     servers = node.engine.balancer.servers
     orders.send(("change", count))
-    written: Written = await node.loop.run_in_executor(None, receive, orders)
+    written: WrittenChange = await node.loop.run_in_executor(None, receive, orders)
     names = written.names
-    done = await adoption.when(lambda: all(servers[name].entry.state == written.state for name in names))
+    done = await observer.wait_until(
+        lambda: all(servers[name].entry.state == written.state for name in names)
+    )
     return done - written.at
 
 
-async def _list_costs(pipe: Connection, port: int, orders: Connection, count: int, changes: int) -> None:
+async def _measure_list(pipe: Connection, port: int, orders: Connection, count: int, changes: int) -> None:
     load_arrays()
-    node = quiet_node(balancer_config(port))
-    before, ticks = resident_mb(), Ticks(node.loop)
+    node = node_without_log(balancer_config(port))
+    before, loop_lag = resident_mb(), LoopLag(node.loop)
     await asyncio.sleep(0.1)
-    ticks.begin()
+    loop_lag.begin()
     spent_before = time.process_time()
-    took = await _taken_in(node, count)
+    took = await _take_in_list(node, count)
     processor = time.process_time() - spent_before
-    stall = await ticks.worst_ms()
+    stall = await loop_lag.worst_ms()
     peak = resident_mb(peak=True)
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(SETTLE_S)
     after = resident_mb()
-    adoption, spent, stalls = Adoption(node), [], []
+    observer, spent, stalls = ListObserver(node), [], []
     for _ in range(changes):
-        ticks.begin()
-        spent.append(await _one_change(node, adoption, orders, 1))
-        stalls.append(await ticks.worst_ms())
+        loop_lag.begin()
+        spent.append(await _one_change(node, observer, orders, 1))
+        stalls.append(await loop_lag.worst_ms())
     pipe.send(
         {
             "base_mb": before,
@@ -161,40 +163,42 @@
     )
 
 
-def list_costs(
-    pipe: Connection, port: int, orders: Connection, count: int, changes: int, extra: bool
+def measure_list(
+    pipe: Connection, port: int, orders: Connection, count: int, changes: int, with_orjson: bool
 ) -> None:
     """A list of so many rows taken in whole, and then single rows of it changed; extra: with orjson."""
-    if not extra:
+    if not with_orjson:
         sys.modules["orjson"] = None  # type: ignore[assignment]
     line_splitter.MAX_LINE_BYTES = max(line_splitter.MAX_LINE_BYTES, LINE_BYTES)
-    uvloop.run(_list_costs(pipe, port, orders, count, changes))
+    uvloop.run(_measure_list(pipe, port, orders, count, changes))
 
 
-async def _at_rest(
+async def _idle_balancer(
     pipe: Connection, port: int, count: int, tick_ms: float, window_s: float, stall_s: float
 ) -> None:
     load_arrays()
-    node = quiet_node(balancer_config(port, tick_ms))
-    await _taken_in(node, count)
-    await asyncio.sleep(REST_S)
+    node = node_without_log(balancer_config(port, tick_ms))
+    await _take_in_list(node, count)
+    await asyncio.sleep(SETTLE_S)
     pipe.send("taken in")
     await node.loop.run_in_executor(None, pipe.recv)
     begun, before = time.monotonic(), time.process_time()
     await asyncio.sleep(window_s)
     spent = (time.process_time() - before) / (time.monotonic() - begun)
-    ticks = Ticks(node.loop)
+    loop_lag = LoopLag(node.loop)
     await asyncio.sleep(stall_s)
-    pipe.send((spent * 1000, await ticks.worst_ms()))
+    pipe.send((spent * 1000, await loop_lag.worst_ms()))
 
 
-def at_rest(pipe: Connection, port: int, count: int, tick_ms: float, window_s: float, stall_s: float) -> None:
+def idle_balancer(
+    pipe: Connection, port: int, count: int, tick_ms: float, window_s: float, stall_s: float
+) -> None:
     """Processor time in ms a second of a balancer with its list and no clients, and its worst stall."""
     line_splitter.MAX_LINE_BYTES = max(line_splitter.MAX_LINE_BYTES, LINE_BYTES)
-    uvloop.run(_at_rest(pipe, port, count, tick_ms, window_s, stall_s))
+    uvloop.run(_idle_balancer(pipe, port, count, tick_ms, window_s, stall_s))
 
 
-def rest_costs(
+def idle_costs(
     count: int,
     window_s: float,
     tick_ms: float = SITE_TICK_MS,
@@ -204,7 +208,7 @@
     """Milliseconds of processor time a second at rest, and the worst stall; per_s: rows changed a second."""
     with (
         source(count) as (port, _, orders),
-        spawned(at_rest, port, count, tick_ms, window_s, stall_s) as pipe,
+        spawned(idle_balancer, port, count, tick_ms, window_s, stall_s) as pipe,
     ):
         receive(pipe)
         if per_s:
@@ -214,18 +218,18 @@
     return float(spent), float(stall)
 
 
-def costs_by_size(sizes: Sizes, extra: bool = True) -> dict[int, dict[str, float]]:
+def costs_by_size(sizes: Sizes, with_orjson: bool = True) -> dict[int, dict[str, float]]:
     """The median of the rounds of list_costs at each size, with the bytes of the call and of the whole."""
     out = {}
     for count in sizes.upstreams:
-        rounds = [_costs(count, sizes.changes, extra) for _ in range(sizes.rounds)]
+        rounds = [_costs(count, sizes.changes, with_orjson) for _ in range(sizes.rounds)]
         out[count] = {key: median(row[key] for row in rounds) for key in rounds[0]}
     return out
 
 
-def _costs(count: int, changes: int, extra: bool) -> dict[str, float]:
+def _costs(count: int, changes: int, with_orjson: bool) -> dict[str, float]:
     with source(count) as (port, complete, orders):
-        row: dict[str, float] = measured(list_costs, port, orders, count, changes, extra)
+        row: dict[str, float] = measure_in_process(measure_list, port, orders, count, changes, with_orjson)
         orders.send(("calls", None))
         calls = receive(orders)
     return row | {"whole_bytes": complete, "call_bytes": calls[0]}
@@ -251,8 +255,8 @@
 def figures(sizes: Sizes) -> list[dict[str, Any]]:
     """All figures of the list in a balancer."""
     out = []
-    for table, extra in ((LIST_FIGURES, True), (PLAIN_FIGURES, False)):
-        costs = costs_by_size(sizes, extra)
+    for table, with_orjson in ((LIST_FIGURES, True), (PLAIN_FIGURES, False)):
+        costs = costs_by_size(sizes, with_orjson)
         out += [
             figure(
                 ROLE,
@@ -265,16 +269,16 @@
             )
             for name, unit, key in table
         ]
-    return out + _rest_figures(sizes) + byte_figures()
+    return out + _idle_figures(sizes) + byte_figures()
 
 
-def _rest_figures(sizes: Sizes) -> list[dict[str, Any]]:
+def _idle_figures(sizes: Sizes) -> list[dict[str, Any]]:
     window, unit = sizes.window_s, "ms/s"
-    by_size = {float(n): rest_costs(n, window, stall_s=sizes.stall_s) for n in sizes.upstreams}
+    by_size = {float(n): idle_costs(n, window, stall_s=sizes.stall_s) for n in sizes.upstreams}
     spent = {n: cost for n, (cost, _) in by_size.items()}
     stalls = {n: stall for n, (_, stall) in by_size.items()}
-    by_tick = {t: rest_costs(sizes.rest_upstreams, window, tick_ms=t)[0] for t in sizes.tick_ms}
-    by_rate = {r: rest_costs(sizes.rest_upstreams, window, per_s=r)[0] for r in sizes.per_s}
+    by_tick = {t: idle_costs(sizes.idle_upstreams, window, tick_ms=t)[0] for t in sizes.tick_ms}
+    by_rate = {r: idle_costs(sizes.idle_upstreams, window, per_s=r)[0] for r in sizes.per_s}
     return [
         figure(
             ROLE, "rest: processor time", unit, "upstreams", spent, sizes.kept_upstreams, TARGET_UPSTREAMS
@@ -316,7 +320,7 @@
         float(n): float(len(chunk(encoded(TARGET_UPSTREAMS, False, made[:n]))))
         for n in (1, 4, 10, 40, 400, 4_200)
     }
-    beats = {seconds: len(BEAT) * seconds / 2.0 for seconds in (60.0, 600.0, 3_600.0, 86_400.0)}
+    beats = {seconds: len(HEARTBEAT) * seconds / 2.0 for seconds in (60.0, 600.0, 3_600.0, 86_400.0)}
     return [
         figure(ROLE, "bytes of a change", "B", "rows changed", changes, 40.0, 4_200.0),
         figure(ROLE, "bytes of beats", "B", "seconds", beats, 3_600.0, 86_400.0),
--- a/bench/slopes_process.py
+++ b/bench/slopes_process.py
@@ -74,7 +74,7 @@
     return told
 
 
-def measured(function: Callable[..., None], *arguments: Any) -> Any:
+def measure_in_process(function: Callable[..., None], *arguments: Any) -> Any:
     """What function(pipe, *arguments) sends first, in a process of its own."""
     with spawned(function, *arguments) as pipe:
         return receive(pipe)
@@ -94,7 +94,7 @@
     return time.clock_gettime(~pid << 3 | PROCESS_CLOCK)
 
 
-class Ticks:
+class LoopLag:
     """A tick every 5 ms on a loop; how late the latest of them was."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -30,7 +30,7 @@
 from bench.common import ROOT
 from bench.decisions import MAX_IN_FLIGHT, Site
 from bench.fit import figure
-from bench.slopes_process import MeasurementError, measured, processor_s, receive, spawned
+from bench.slopes_process import MeasurementError, measure_in_process, processor_s, receive, spawned
 from bench.slopes_source import rows, source
 from quartzford.decision.columns import load_arrays
 from quartzford.decision.logic import Balancer
@@ -44,11 +44,11 @@
 TARGET_UPSTREAMS = 63_000
 SERVICE_UPSTREAMS = 24  # 63,000 over 2,700 services
 TARGET_RATE = 120.0  # 550,000 requests a second over 4,600 balancers
-FLEET = 8  # stand-in upstreams in one process
-READY_S = 20.0
-END_S = 20.0
+STAND_IN_UPSTREAMS = 8  # stand-in upstreams in one process
+READY_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 20.0
 SETTLE_S, REST_S, WARM_S = 0.5, 1.0, 0.7
-KIND = (RequestClass("consulta"),)
+REQUEST_CLASSES = (RequestClass("consulta"),)
 
 
 class Sizes(NamedTuple):
@@ -134,7 +134,7 @@
         finally:
             running.terminate()
             try:
-                running.wait(END_S)
+                running.wait(STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 running.kill()
                 running.wait()
@@ -162,7 +162,7 @@
 
 
 def _wait_until_ready(admin: int, running: subprocess.Popen[bytes]) -> None:
-    end = time.monotonic() + READY_S
+    end = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < end:
         if running.poll() is not None:
             raise MeasurementError(f"the balancer ended with {running.returncode}")
@@ -173,10 +173,10 @@
         except OSError:
             pass
         time.sleep(0.05)
-    raise MeasurementError(f"the balancer was not ready in {READY_S:g} s")
+    raise MeasurementError(f"the balancer was not ready in {READY_TIMEOUT_S:g} s")
 
 
-def _played(port: int, rate: float, seconds: float, seed: int) -> dict[str, Any]:
+def _run_load(port: int, rate: float, seconds: float, seed: int) -> dict[str, Any]:
     """Open-loop arrivals at a rate, the first moments not measured."""
     load = LoadOptions(
         Target("127.0.0.1", port, initial_connections=8),
@@ -184,7 +184,7 @@
         seconds=WARM_S + seconds,
         warm_up_s=WARM_S,
         seed=seed,
-        request_classes=KIND,
+        request_classes=REQUEST_CLASSES,
         behaviour=SINGLE_ATTEMPT,
         max_lateness_ms=math.inf,
     )
@@ -197,7 +197,7 @@
     return result
 
 
-class Side(NamedTuple):
+class LoadRun(NamedTuple):
     """One load's latencies in ms, and the balancer's processor time and the time around it."""
 
     p50: float
@@ -208,16 +208,16 @@
     late_p99: float
 
 
-def _side(port: int, pid: int | None, rate: float, seconds: float, seed: int) -> Side:
+def _run_measured_load(port: int, pid: int | None, rate: float, seconds: float, seed: int) -> LoadRun:
     before, begun = processor_s(pid) if pid is not None else 0.0, time.monotonic()
-    result = _played(port, rate, seconds, seed)
+    result = _run_load(port, rate, seconds, seed)
     elapsed = time.monotonic() - begun
     spent = processor_s(pid) - before if pid is not None else 0.0
     row = result["latency_ms"]["all"]
-    return Side(row["p50"], row["p99"], spent, elapsed, result["sent"], result["lateness_ms"]["p99"])
+    return LoadRun(row["p50"], row["p99"], spent, elapsed, result["sent"], result["lateness_ms"]["p99"])
 
 
-def _at_rest(pid: int) -> float:
+def _idle_cost(pid: int) -> float:
     """Seconds of processor time a second while nothing is asked of it."""
     time.sleep(SETTLE_S)
     before = processor_s(pid)
@@ -225,36 +225,39 @@
     return (processor_s(pid) - before) / REST_S
 
 
-def _request_us(side: Side, at_rest: float) -> float:
-    return (side.processor_s - at_rest * side.elapsed_s) / side.sent * 1e6
+def _request_us(load_run: LoadRun, idle_cost: float) -> float:
+    return (load_run.processor_s - idle_cost * load_run.elapsed_s) / load_run.sent * 1e6
 
 
 def path_by_rate(sizes: Sizes) -> dict[float, dict[str, float]]:
     """What the HTTP path adds at each rate: the median of rounds of balancer and upstream in turns."""
     out = {}
     with upstreams(SERVICE_UPSTREAMS) as (discovery, known):
-        straight = int(known["hosts"][0]["dial"].rpartition(":")[2])
+        direct = int(known["hosts"][0]["dial"].rpartition(":")[2])
         with balancer_process(discovery, known) as (port, pid):
-            rest = _at_rest(pid)
+            idle_cost = _idle_cost(pid)
             for rate, seconds in zip(sizes.rates, sizes.seconds, strict=True):
-                sides = [
-                    (_side(port, pid, rate, seconds, seed), _side(straight, None, rate, seconds, seed))
+                load_runs = [
+                    (
+                        _run_measured_load(port, pid, rate, seconds, seed),
+                        _run_measured_load(direct, None, rate, seconds, seed),
+                    )
                     for seed in range(1, sizes.rounds + 1)
                 ]
-                out[rate] = _added(sides, rest)
+                out[rate] = _added(load_runs, idle_cost)
     return out
 
 
-def _added(sides: Sequence[tuple[Side, Side]], rest: float) -> dict[str, float]:
+def _added(load_runs: Sequence[tuple[LoadRun, LoadRun]], idle_cost: float) -> dict[str, float]:
     return {
-        "p50_ms": median(through.p50 for through, _ in sides),
-        "p99_ms": median(through.p99 for through, _ in sides),
-        "straight_p50_ms": median(straight.p50 for _, straight in sides),
-        "straight_p99_ms": median(straight.p99 for _, straight in sides),
-        "added_p50_ms": median(through.p50 - straight.p50 for through, straight in sides),
-        "added_p99_ms": median(through.p99 - straight.p99 for through, straight in sides),
-        "late_p99_ms": max(max(through.late_p99, straight.late_p99) for through, straight in sides),
-        "request_us": median(_request_us(through, rest) for through, _ in sides),
+        "p50_ms": median(through.p50 for through, _ in load_runs),
+        "p99_ms": median(through.p99 for through, _ in load_runs),
+        "straight_p50_ms": median(direct.p50 for _, direct in load_runs),
+        "straight_p99_ms": median(direct.p99 for _, direct in load_runs),
+        "added_p50_ms": median(through.p50 - direct.p50 for through, direct in load_runs),
+        "added_p99_ms": median(through.p99 - direct.p99 for through, direct in load_runs),
+        "late_p99_ms": max(max(through.late_p99, direct.late_p99) for through, direct in load_runs),
+        "request_us": median(_request_us(through, idle_cost) for through, _ in load_runs),
     }
 
 
@@ -264,15 +267,18 @@
     The upstreams share the addresses of a few stand-ins; a balancer knows them by name.
     """
     out: dict[float, dict[str, float]] = {}
-    with upstreams(FLEET) as (_, start_upstreams):
-        dials = [row["dial"] for row in start_upstreams["hosts"]]
+    with upstreams(STAND_IN_UPSTREAMS) as (_, listed):
+        addresses = [row["dial"] for row in listed["hosts"]]
         for count in sizes.path_upstreams:
-            known = {"seq": 1, "whole": True, "hosts": rows(count, dials)}
-            with source(count, dials) as (discovery, _, _), balancer_process(discovery, known) as (port, pid):
-                rest = _at_rest(pid)
-                side = _side(port, pid, sizes.path_rate, sizes.path_seconds, 1)
-                cost = _request_us(side, rest)
-                out[count] = {"request_us": cost, "p50_ms": side.p50, "p99_ms": side.p99}
+            known = {"seq": 1, "whole": True, "hosts": rows(count, addresses)}
+            with (
+                source(count, addresses) as (discovery, _, _),
+                balancer_process(discovery, known) as (port, pid),
+            ):
+                idle_cost = _idle_cost(pid)
+                load_run = _run_measured_load(port, pid, sizes.path_rate, sizes.path_seconds, 1)
+                cost = _request_us(load_run, idle_cost)
+                out[count] = {"request_us": cost, "p50_ms": load_run.p50, "p99_ms": load_run.p99}
     return out
 
 
@@ -297,7 +303,7 @@
 
 def figures(sizes: Sizes) -> list[dict[str, Any]]:
     """All figures of requests."""
-    modules = {float(n): float(measured(module_cost, n, sizes.batches)) for n in sizes.upstreams}
+    modules = {float(n): float(measure_in_process(module_cost, n, sizes.batches)) for n in sizes.upstreams}
     added, complete = path_by_rate(sizes), path_by_upstreams(sizes)
     name = "requests: processor time of one in the decision module"
     out = [figure(ROLE, name, "us", "upstreams", modules, sizes.kept_upstreams, TARGET_UPSTREAMS)]
--- a/bench/slopes_services.py
+++ b/bench/slopes_services.py
@@ -36,16 +36,16 @@
 RELAYS = 11
 MOST_WATCHERS = math.ceil(1.25 * TARGET_BALANCERS / (RELAYS - math.ceil(RELAYS / 4)))
 WATCHED_ROWS = 100
-AT_ONCE = 32  # calls of the crowd
-SETTLE_S, TOLD_S, OPEN_S = 0.3, 30.0, 60.0
-END_S = 5.0
+CONCURRENT_CALLS = 32  # calls of the crowd
+SETTLE_S, NOTIFY_TIMEOUT_S, OPEN_TIMEOUT_S = 0.3, 30.0, 60.0
+STOP_TIMEOUT_S = 5.0
 
 
 class Sizes(NamedTuple):
     """What is measured, each with the size that is kept out of the fit."""
 
-    askers: tuple[int, ...]
-    kept_askers: int
+    polls: tuple[int, ...]
+    kept_polls: int
     watchers: tuple[int, ...]
     kept_watchers: int
     changes: int
@@ -70,12 +70,12 @@
 # ---- roles
 
 
-class Running(NamedTuple):
+class RunningRole(NamedTuple):
     """A role's process. tell: the list as it is from now on."""
 
     port: int
     pid: int
-    tell: Callable[[list[Row]], None]
+    set_list: Callable[[list[Row]], None]
 
 
 @contextmanager
@@ -86,7 +86,7 @@
     finally:
         running.terminate()
         try:
-            running.wait(END_S)
+            running.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             running.kill()
             running.wait()
@@ -96,7 +96,7 @@
 
 
 @contextmanager
-def list_service() -> Iterator[Running]:
+def list_service() -> Iterator[RunningRole]:
     """The stand-in list service, without the bounds that it is given elsewhere."""
     plan = json.dumps({"per_s": 1e6, "bytes_per_s": 1e15})
     pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE}
@@ -105,14 +105,14 @@
         stdin = running.stdin
         port = json.loads(running.stdout.readline())["port"]
 
-        def tell(hosts: list[Row]) -> None:
+        def set_list(hosts: list[Row]) -> None:
             stdin.write(json.dumps({"hosts": hosts}).encode() + b"\n")
             stdin.flush()
 
-        yield Running(port, running.pid, tell)
+        yield RunningRole(port, running.pid, set_list)
 
 
-OPERATOR = """
+OPERATOR_SETTINGS = """
 [relay]
 listen = "127.0.0.1:0"
 source = "127.0.0.1:{source}"
@@ -125,15 +125,15 @@
 
 
 @contextmanager
-def relay() -> Iterator[Running]:
+def relay() -> Iterator[RunningRole]:
     """One relay behind a list service of its own; the bound on whole lists is out of the way."""
     with list_service() as service, tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "operator.toml"
-        path.write_text(OPERATOR.format(source=service.port, balancers=2 * TARGET_BALANCERS))
-        service.tell(rows(1))
+        path.write_text(OPERATOR_SETTINGS.format(source=service.port, balancers=2 * TARGET_BALANCERS))
+        service.set_list(rows(1))
         arguments = ["quartzford", "relay", "--operator", str(path)]
         with _started(arguments, stderr=subprocess.PIPE) as running:
-            yield Running(_port_in_log(running), running.pid, service.tell)
+            yield RunningRole(_port_in_log(running), running.pid, service.set_list)
 
 
 def _port_in_log(running: subprocess.Popen[bytes]) -> int:
@@ -159,9 +159,9 @@
     """One role, and the most balancers that one process of it has at the target."""
 
     name: str
-    start: Callable[[], AbstractContextManager[Running]]
+    start: Callable[[], AbstractContextManager[RunningRole]]
     target_watchers: int
-    there: Callable[[], bool] = lambda: True
+    is_available: Callable[[], bool] = lambda: True
 
 
 ROLES = (
@@ -173,7 +173,7 @@
 # ---- the crowd
 
 
-class Told(asyncio.Protocol):
+class CrowdConnection(asyncio.Protocol):
     """One connection of the crowd: asks, and counts the lines with rows that it hears."""
 
     transport: asyncio.Transport
@@ -182,7 +182,7 @@
         self.crowd, self.target = crowd, target
         self.data = b""
         self.ended: asyncio.Future[bytes] = crowd.loop.create_future()
-        self.begun = False
+        self.accepted = False
         self.parser: Any = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -195,12 +195,12 @@
             self.data += data
             self.parser.feed_data(data)
             return
-        if not self.begun:
-            self.begun = True
-            self.crowd.begun += data.startswith(b"HTTP/1.1 200")
-            self.crowd.refused += not data.startswith(b"HTTP/1.1 200")
+        if not self.accepted:
+            self.accepted = True
+            self.crowd.accepted += data.startswith(b"HTTP/1.1 200")
+            self.crowd.rejected += not data.startswith(b"HTTP/1.1 200")
             return
-        self.crowd.told += data.count(b'"hosts"')
+        self.crowd.notified += data.count(b'"hosts"')
 
     def on_message_complete(self) -> None:
         """The whole answer to a GET has come."""
@@ -217,25 +217,29 @@
 
     def __init__(self, pipe: Connection, port: int) -> None:
         self.pipe, self.port, self.loop = pipe, port, asyncio.get_running_loop()
-        self.begun = self.refused = self.told = 0
-        self.watchers: list[Told] = []
+        self.accepted = self.rejected = self.notified = 0
+        self.watchers: list[CrowdConnection] = []
 
     async def run(self) -> None:
         """Follow orders: ("ask", times), ("watch", count), ("told", expected)."""
-        orders = {"ask": self._ask, "watch": self._watch, "told": self._hear}
+        orders = {"ask": self._poll, "watch": self._watch, "told": self._wait_for_notifications}
         while True:
             order, count = await self.loop.run_in_executor(None, self.pipe.recv)
             self.pipe.send(await orders[order](count))
 
-    async def _call(self, target: str) -> Told:
-        _, call = await self.loop.create_connection(lambda: Told(self, target), "127.0.0.1", self.port)
+    async def _call(self, target: str) -> CrowdConnection:
+        _, call = await self.loop.create_connection(
+            lambda: CrowdConnection(self, target), "127.0.0.1", self.port
+        )
         return call
 
-    async def _ask(self, times: int) -> tuple[int, int]:
+    async def _poll(self, times: int) -> tuple[int, int]:
         """Whole lists asked for, some at a time; the version of the last, and its bytes."""
         last = b""
-        for begin in range(0, times, AT_ONCE):
-            calls = [await self._call("/catalog/members") for _ in range(min(AT_ONCE, times - begin))]
+        for begin in range(0, times, CONCURRENT_CALLS):
+            calls = [
+                await self._call("/catalog/members") for _ in range(min(CONCURRENT_CALLS, times - begin))
+            ]
             answers = await asyncio.gather(*(call.ended for call in calls))
             last = answers[-1]
             if not all(answer.startswith(b"HTTP/1.1 200") for answer in answers):
@@ -244,26 +248,26 @@
         found = re.search(rb'"seq":\s*(\d+)', body[:200])
         return int(found[1]) if found else 0, len(head) + 4 + len(body)
 
-    async def _hear(self, count: int) -> int:
+    async def _wait_for_notifications(self, count: int) -> int:
         """Until so many lines with rows have been heard; how many it were."""
-        await self._until(lambda: self.told >= count, TOLD_S)
-        told, self.told = self.told, 0
-        return told
+        await self._wait_until(lambda: self.notified >= count, NOTIFY_TIMEOUT_S)
+        notified, self.notified = self.notified, 0
+        return notified
 
     async def _watch(self, count: int) -> tuple[int, int]:
         """So many watches from the version that stands; how many were taken, and refused."""
-        version, _ = await self._ask(1)
+        version, _ = await self._poll(1)
         target = f"/catalog/members?stream=1&index={version}"
-        wanted = self.begun + self.refused + count
-        for begin in range(0, count, AT_ONCE):
-            for _ in range(min(AT_ONCE, count - begin)):
+        wanted = self.accepted + self.rejected + count
+        for begin in range(0, count, CONCURRENT_CALLS):
+            for _ in range(min(CONCURRENT_CALLS, count - begin)):
                 self.watchers.append(await self._call(target))
-        await self._until(lambda: self.begun + self.refused >= wanted, OPEN_S)
+        await self._wait_until(lambda: self.accepted + self.rejected >= wanted, OPEN_TIMEOUT_S)
         await asyncio.sleep(SETTLE_S)
-        self.told = 0
-        return self.begun, self.refused
+        self.notified = 0
+        return self.accepted, self.rejected
 
-    async def _until(self, condition: Callable[[], bool], seconds: float) -> None:
+    async def _wait_until(self, condition: Callable[[], bool], seconds: float) -> None:
         end = time.monotonic() + seconds
         while not condition() and time.monotonic() < end:
             await asyncio.sleep(0.005)
@@ -289,7 +293,7 @@
 
 def _wait_for_rows(pipe: Connection, hosts: list[Row]) -> int:
     """Until the role has this list; its bytes on the wire."""
-    least, end = 100 * len(hosts), time.monotonic() + OPEN_S
+    least, end = 100 * len(hosts), time.monotonic() + OPEN_TIMEOUT_S
     while time.monotonic() < end:
         _, size = _order(pipe, "ask", 1)
         if size >= least:
@@ -298,21 +302,21 @@
     raise MeasurementError("the list did not come through")
 
 
-def _started_over(hosts: list[Row], attempts: list[int]) -> list[Row]:
+def _replace_one_row(hosts: list[Row], attempts: list[int]) -> list[Row]:
     """The same list with one row changed: an upstream was replaced."""
     attempts[0] += 1
     changed = hosts[0] | {"born_ms": hosts[0]["born_ms"] + attempts[0]}
     return [changed, *hosts[1:]]
 
 
-def asker_costs(role: Role, sizes: Sizes) -> dict[float, float]:
+def poll_costs(role: Role, sizes: Sizes) -> dict[float, float]:
     """Milliseconds of processor time of so many calls for a list of 100 rows, a connection each."""
     hosts, out = rows(WATCHED_ROWS), dict[float, float]()
     with role.start() as running, spawned(crowd_main, running.port) as pipe:
-        running.tell(hosts)
+        running.set_list(hosts)
         _wait_for_rows(pipe, hosts)
         _order(pipe, "ask", 50)
-        for count in sizes.askers:
+        for count in sizes.polls:
             before = processor_s(running.pid)
             _order(pipe, "ask", count)
             out[count] = (processor_s(running.pid) - before) * 1000
@@ -323,23 +327,23 @@
     """At so many watchers: processor time at rest, of a change told to all, its time, and memory."""
     hosts, number = rows(WATCHED_ROWS), [0]
     with role.start() as running, spawned(crowd_main, running.port) as pipe:
-        running.tell(hosts)
+        running.set_list(hosts)
         _wait_for_rows(pipe, hosts)
-        begun, refused = _order(pipe, "watch", count)
-        if begun != count:
-            raise MeasurementError(f"{begun} watches of {count} were taken, {refused} refused")
+        accepted, rejected = _order(pipe, "watch", count)
+        if accepted != count:
+            raise MeasurementError(f"{accepted} watches of {count} were taken, {rejected} refused")
         before, since = processor_s(running.pid), time.monotonic()
         time.sleep(sizes.rest_s)
         at_rest = (processor_s(running.pid) - before) / (time.monotonic() - since)
         costs, spans = [], []
         for _ in range(sizes.changes):
-            changed = _started_over(hosts, number)
+            changed = _replace_one_row(hosts, number)
             before, since = processor_s(running.pid), time.monotonic()
-            running.tell(changed)
-            told = _order(pipe, "told", count)
+            running.set_list(changed)
+            notified = _order(pipe, "told", count)
             spans.append(time.monotonic() - since)
-            if told != count:
-                raise MeasurementError(f"a change was told to {told} of {count}")
+            if notified != count:
+                raise MeasurementError(f"a change was told to {notified} of {count}")
             time.sleep(0.05)
             costs.append(processor_s(running.pid) - before)
         return {
@@ -350,14 +354,14 @@
         }
 
 
-def whole_costs(role: Role, count: int) -> dict[str, float]:
+def list_costs(role: Role, count: int) -> dict[str, float]:
     """At so many rows: processor time of a whole list, changed and unchanged since the last, and memory."""
     hosts, number, firsts, nexts = rows(count), [0], [], []
     with role.start() as running, spawned(crowd_main, running.port) as pipe:
-        running.tell(hosts)
+        running.set_list(hosts)
         _wait_for_rows(pipe, hosts)
         for _ in range(3):
-            running.tell(_started_over(hosts, number))
+            running.set_list(_replace_one_row(hosts, number))
             time.sleep(SETTLE_S + count / 50_000)  # until the list is taken in: only the answers count
             before = processor_s(running.pid)
             _order(pipe, "ask", 1)
@@ -385,7 +389,7 @@
 )
 
 
-def figures_of(role: Role, sizes: Sizes) -> list[dict[str, Any]]:
+def role_figures(role: Role, sizes: Sizes) -> list[dict[str, Any]]:
     """All figures of one role."""
     out = [
         figure(
@@ -393,13 +397,13 @@
             "calls for 100 rows: processor time",
             "ms",
             "calls",
-            asker_costs(role, sizes),
-            sizes.kept_askers,
+            poll_costs(role, sizes),
+            sizes.kept_polls,
             TARGET_BALANCERS,
         )
     ]
     watched = {count: watcher_costs(role, count, sizes) for count in sizes.watchers}
-    complete = {count: whole_costs(role, count) for count in sizes.upstreams}
+    complete = {count: list_costs(role, count) for count in sizes.upstreams}
     for name, unit, key in WATCHER_FIGURES:
         points = {float(count): row[key] for count, row in watched.items()}
         out.append(
@@ -413,4 +417,4 @@
 
 def figures(sizes: Sizes) -> list[dict[str, Any]]:
     """All figures of the roles that this program has."""
-    return [one for role in ROLES if role.there() for one in figures_of(role, sizes)]
+    return [one for role in ROLES if role.is_available() for one in role_figures(role, sizes)]
--- a/bench/slopes_source.py
+++ b/bench/slopes_source.py
@@ -18,14 +18,14 @@
 
 from bench.slopes_process import receive, spawned
 
-BEAT_S = 2.0
-BEAT = b"1\r\n\n\r\n"
+HEARTBEAT_S = 2.0
+HEARTBEAT = b"1\r\n\n\r\n"
 SERVICES, REGIONS, ZONES, BLOCK = 2_700, 6, 15, 4
 BORN_MS = 1_700_000_000_000  # long ago: warm
 Row = dict[str, Any]
 
 
-class Written(NamedTuple):
+class WrittenChange(NamedTuple):
     """A change: when it was written (monotonic clock), its bytes on the wire, the rows' names and state."""
 
     at: float
@@ -34,12 +34,12 @@
     state: str
 
 
-def rows(count: int, dials: Sequence[str] = ()) -> list[Row]:
+def rows(count: int, addresses: Sequence[str] = ()) -> list[Row]:
     """So many upstreams in discovery's form; dials: the addresses they share, if they have to exist."""
     made = []
     for n in range(count):
         block, service = n // BLOCK, n % SERVICES
-        dial = dials[n % len(dials)] if dials else f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080"
+        dial = addresses[n % len(addresses)] if addresses else f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080"
         made.append(
             {
                 "host": f"svc{service:04}-{n:06}",
@@ -65,7 +65,7 @@
     return b"%x\r\n%b\r\n" % (len(line), line)
 
 
-class Source:
+class ListSource:
     """The list, its watchers, and the orders of who measures."""
 
     def __init__(self, hosts: list[Row], pipe: Connection) -> None:
@@ -78,17 +78,17 @@
     async def run(self) -> None:
         """Serve until the pipe ends."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Caller(self), "127.0.0.1", 0)
+        server = await loop.create_server(lambda: BalancerConnection(self), "127.0.0.1", 0)
         ended = loop.create_future()
         loop.add_reader(self.pipe.fileno(), self._order, ended)
-        loop.call_later(BEAT_S, self._beat)
+        loop.call_later(HEARTBEAT_S, self._heartbeat)
         self.pipe.send((server.sockets[0].getsockname()[1], len(self.complete)))
         await ended
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         for watcher in self.watchers:
-            watcher.write(BEAT)
-        asyncio.get_running_loop().call_later(BEAT_S, self._beat)
+            watcher.write(HEARTBEAT)
+        asyncio.get_running_loop().call_later(HEARTBEAT_S, self._heartbeat)
 
     def _order(self, ended: asyncio.Future[None]) -> None:
         try:
@@ -99,11 +99,11 @@
         if what == "change":
             self.pipe.send(self.change(value))
         elif what == "rate":
-            self._go_on(value)
+            self._change_at_rate(value)
         else:
             self.pipe.send(self.call_bytes)
 
-    def change(self, count: int) -> Written:
+    def change(self, count: int) -> WrittenChange:
         """The next rows drain, or come back if they do."""
         picked = [self.hosts[(self.next + n) % len(self.hosts)] for n in range(count)]
         self.next = (self.next + count) % len(self.hosts) if picked[0]["health"] != "ready" else self.next
@@ -115,20 +115,20 @@
         at = monotonic()
         for watcher in self.watchers:
             watcher.write(data)
-        return Written(at, len(data), tuple(row["host"] for row in picked), state)
+        return WrittenChange(at, len(data), tuple(row["host"] for row in picked), state)
 
-    def _go_on(self, per_s: float) -> None:
+    def _change_at_rate(self, per_s: float) -> None:
         """Single changes at this rate from now on, evenly spaced."""
         self.change(1)
-        asyncio.get_running_loop().call_later(1.0 / per_s, self._go_on, per_s)
+        asyncio.get_running_loop().call_later(1.0 / per_s, self._change_at_rate, per_s)
 
 
-class Caller(asyncio.Protocol):
+class BalancerConnection(asyncio.Protocol):
     """One connection of a balancer."""
 
     transport: asyncio.Transport
 
-    def __init__(self, source: Source) -> None:
+    def __init__(self, source: ListSource) -> None:
         self.source, self.data = source, b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -141,11 +141,11 @@
         self.data += data
         if b"\r\n\r\n" not in self.data:
             return
-        asked, self.data = self.data, b""
+        request, self.data = self.data, b""
         source = self.source
-        if b"stream=1" in asked.split(b"\r\n", 1)[0]:
+        if b"stream=1" in request.split(b"\r\n", 1)[0]:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            index = int(asked.split(b"index=")[1].split()[0])
+            index = int(request.split(b"index=")[1].split()[0])
             since = encoded(source.version, False, []) if index else source.complete
             self.transport.write(head + chunk(since))
             source.watchers.add(self.transport)
@@ -153,16 +153,16 @@
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(source.complete)
             self.transport.write(head)
             self.transport.write(source.complete)
-        source.call_bytes.append(len(asked) + len(head))
+        source.call_bytes.append(len(request) + len(head))
 
 
-def _serve(pipe: Connection, count: int, dials: Sequence[str]) -> None:
-    uvloop.run(Source(rows(count, dials), pipe).run())
+def _serve(pipe: Connection, count: int, addresses: Sequence[str]) -> None:
+    uvloop.run(ListSource(rows(count, addresses), pipe).run())
 
 
 @contextmanager
-def source(count: int, dials: Sequence[str] = ()) -> Iterator[tuple[int, int, Connection]]:
+def source(count: int, addresses: Sequence[str] = ()) -> Iterator[tuple[int, int, Connection]]:
     """A source of so many rows: its port, the whole list's bytes, and the pipe for orders."""
-    with spawned(_serve, count, dials) as pipe:
+    with spawned(_serve, count, addresses) as pipe:
         port, size = receive(pipe)
         yield port, size, pipe
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -13,7 +13,7 @@
 from bench import slopes, slopes_list, slopes_services
 from bench.fit import CONSTANT, LINE, N_LOG_N, POWER, best_fit, figure, line
 from bench.slopes_page import page, remarks
-from bench.slopes_process import MeasurementError, measured, receive, spawned
+from bench.slopes_process import MeasurementError, measure_in_process, receive, spawned
 
 SIZES = (1_000.0, 4_000.0, 16_000.0, 32_000.0, 63_000.0)
 
@@ -96,7 +96,7 @@
 
 def test_a_measuring_process_that_fails_is_told_with_its_cause() -> None:
     with pytest.raises(MeasurementError, match="by intent"):
-        measured(fails)
+        measure_in_process(fails)
 
 
 def test_an_interrupted_measurement_leaves_no_process() -> None:
@@ -117,7 +117,7 @@
     assert all(row["resident_mb"] > row["base_mb"] for row in costs.values())
     memory = {float(n): row["resident_mb"] for n, row in costs.items()}
     services = slopes_services.Sizes((4, 8, 16, 32), 16, (2, 4, 8, 16), 8, 1, 0.1, (100, 200, 400, 800), 400)
-    calls = slopes_services.asker_costs(slopes_services.ROLES[0], services)
+    calls = slopes_services.poll_costs(slopes_services.ROLES[0], services)
     assert list(calls) == [4, 8, 16, 32] and all(cost > 0 for cost in calls.values())
 
     def group(quick: bool) -> list[dict[str, object]]:
@@ -143,4 +143,4 @@
     sizes = slopes_services.QUICK._replace(changes=2, rest_s=0.1)
     watched = slopes_services.watcher_costs(role, 16, sizes)  # fails where not all of them are told
     assert watched["memory"] > 0 and watched["change"] > 0
-    assert slopes_services.whole_costs(role, 200)["memory"] > 0
+    assert slopes_services.list_costs(role, 200)["memory"] > 0
