--- a/bench/slopes_page.py
+++ b/bench/slopes_page.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from bench.fit import LINE, LINE_ERROR, POWER
+from bench.fit import CONSTANT, LINE, LINE_ERROR, POWER
 
 HEAD = """# Slopes: what each role costs by its sizes
 
@@ -33,8 +33,8 @@
 )
 
 
-def digits(value: float) -> str:
-    """Three digits that count, and no exponent."""
+def format_number(value: float) -> str:
+    """Three significant digits, or a whole number from 1,000 on."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -44,27 +44,34 @@
 
 def _curve(figure: Mapping[str, Any]) -> str:
     fit, unit = figure["fit"], figure["unit"]
-    level, slope = digits(fit["intercept"]), f"{fit['slope']:.3g}"
+    level, slope = format_number(fit["intercept"]), f"{fit['slope']:.3g}"
     if fit["kind"] == LINE:
-        said = f"{level} + {slope} n"
+        curve = f"{level} + {slope} n"
     elif fit["kind"] == POWER:
-        said = f"power: {slope} n^{fit['exponent']:.2f}"
-    elif fit["kind"] == "constant":
-        said = f"constant: {level}"
+        curve = f"power: {slope} n^{fit['exponent']:.2f}"
+    elif fit["kind"] == CONSTANT:
+        curve = f"constant: {level}"
     else:
-        said = f"{fit['kind']}: {level} + {slope} n log2 n"
-    return f"{said} {unit} (residual {digits(fit['residual'])})"
+        curve = f"{fit['kind']}: {level} + {slope} n log2 n"
+    return f"{curve} {unit} (residual {format_number(fit['residual'])})"
 
 
 def _row(figure: Mapping[str, Any]) -> str:
-    kept, target = figure["kept_out"], figure["at_target"]
+    unit, kept, target = figure["unit"], figure["kept_out"], figure["at_target"]
+    sizes = ", ".join(f"{size:,g}" for size in figure["sizes"])
+    values = ", ".join(format_number(value) for value in figure["values"])
+    kept_out = f"{format_number(kept['value'])}, {format_number(kept['foretold'])}, {kept['error']:.0%}"
     mark = " *" if target["measured"] else ""
-    return (
-        f"| {figure['name']} | {figure['by']} | {', '.join(f'{size:,g}' for size in figure['sizes'])} "
-        f"| {', '.join(digits(value) for value in figure['values'])} {figure['unit']} | {_curve(figure)} "
-        f"| {kept['size']:,g}: {digits(kept['value'])}, {digits(kept['foretold'])}, {kept['error']:.0%} "
-        f"| {target['size']:,g}: {digits(target['value'])} {figure['unit']}{mark} |"
+    cells = (
+        figure["name"],
+        figure["by"],
+        sizes,
+        f"{values} {unit}",
+        _curve(figure),
+        f"{kept['size']:,g}: {kept_out}",
+        f"{target['size']:,g}: {format_number(target['value'])} {unit}{mark}",
     )
+    return f"| {' | '.join(cells)} |"
 
 
 def _tables(figures: Sequence[Mapping[str, Any]]) -> list[str]:
@@ -78,7 +85,7 @@
 
 
 def _not_lines(figures: Sequence[Mapping[str, Any]]) -> list[str]:
-    """What is no line, and what no curve foretells either."""
+    """The figures that are no line, and those that no curve predicts either."""
     out = ["\n## What is not a line\n"]
     for figure in figures:
         kept, kind = figure["kept_out"], figure["fit"]["kind"]
@@ -88,8 +95,8 @@
         if kept["error"] > LINE_ERROR:
             end += " too, so none of the curves is one to reckon with: take the values measured"
         size = f"{kept['size']:,g}"
-        said = f"a line is {kept['line_error']:.0%} off at {size}; {kind}, {end}."
-        out.append(f"- {figure['role']}, {figure['name']}: {said}")
+        verdict = f"a line is {kept['line_error']:.0%} off at {size}; {kind}, {end}."
+        out.append(f"- {figure['role']}, {figure['name']}: {verdict}")
     return out if len(out) > 1 else [*out, "Nothing."]
 
 
@@ -104,12 +111,12 @@
 
 
 def remarks(text: str) -> str:
-    """What somebody wrote under the marker of a page, to be kept when it is written anew."""
+    """The text under the marker of a page, which is written by hand and kept when the page is generated."""
     return text.partition(MARKER)[2].strip()
 
 
 def page(result: Mapping[str, Any], remarks: str = "") -> str:
-    """The whole page; remarks: written by hand, at its end."""
+    """The whole page out of the result of bench.slopes; remarks: written by hand, at its end."""
     machine, figures = result["machine"], result["figures"]
     text = [HEAD.format(error=LINE_ERROR)]
     text.append(_machine(machine) + f" The run took {result['seconds']:.0f} s.")
--- a/bench/slopes_process.py
+++ b/bench/slopes_process.py
@@ -1,4 +1,4 @@
-"""Processes that slopes are measured in: spawned, ended with what started them, their time and memory."""
+"""Processes that slopes are measured in: spawned, ended with what started them; their time and memory."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
 from pathlib import Path
 from typing import Any
 
-JOIN_S = 5.0
+JOIN_TIMEOUT_S = 5.0
+RECEIVE_TIMEOUT_S = 120.0
 TICK_S = 0.005
 MB = 1e6
-PROCESS_CLOCK = 2  # with the pid's complement above it: the clock of a process, as clock_getcpuclockid has it
+# The clock of a process's CPU time as clock_getcpuclockid computes it: the pid's complement above some bits.
+PROCESS_CLOCK_BITS = 3
+PROCESS_CLOCK = 2
 
 
 class MeasurementError(RuntimeError):
-    """A measuring process failed; the text is its traceback."""
+    """A measurement failed; of a failed process the text is its traceback."""
 
 
-def _end_with_parent() -> None:
-    """A process whose parent has been killed has nobody left to end it."""
+def _exit_with_parent() -> None:
+    """Wait for the end of the parent, which ends this process otherwise, and exit."""
     parent = mp.parent_process()
     if parent is not None:
         wait([parent.sentinel])
@@ -34,8 +37,8 @@
 
 
 def _main(function: Callable[..., None], pipe: Connection, arguments: tuple[Any, ...]) -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # who started it hears it, and ends this one
-    threading.Thread(target=_end_with_parent, daemon=True).start()
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent gets the signal too, and ends this process
+    threading.Thread(target=_exit_with_parent, daemon=True).start()
     try:
         function(pipe, *arguments)
     except Exception:
@@ -44,7 +47,7 @@
 
 @contextmanager
 def spawned(function: Callable[..., None], *arguments: Any) -> Iterator[Connection]:
-    """function(pipe, *arguments) in a process of its own, ended with the block; yields the pipe to it."""
+    """Run function(pipe, *arguments) in a new process that ends with the block; yields the pipe to it."""
     context = mp.get_context("spawn")
     ours, theirs = context.Pipe()
     process = context.Process(target=_main, args=(function, theirs, arguments), daemon=True)
@@ -55,70 +58,66 @@
     finally:
         ours.close()
         process.terminate()
-        process.join(JOIN_S)
+        process.join(JOIN_TIMEOUT_S)
         if process.is_alive():
             process.kill()
             process.join()
 
 
-def receive(pipe: Connection, seconds: float = 120.0) -> Any:
-    """What a process tells next; MeasureError if it failed, or said nothing for so long."""
+def receive(pipe: Connection, seconds: float = RECEIVE_TIMEOUT_S) -> Any:
+    """The next message of a process; MeasurementError if it failed, ended, or sent nothing for this long."""
     if not pipe.poll(seconds):
-        raise MeasurementError(f"no word for {seconds:g} s")
+        raise MeasurementError(f"no message for {seconds:g} s")
     try:
-        told = pipe.recv()
+        message = pipe.recv()
     except EOFError:
-        raise MeasurementError("a measuring process ended without a word") from None
-    if isinstance(told, MeasurementError):
-        raise told
-    return told
+        raise MeasurementError("a measuring process ended without a message") from None
+    if isinstance(message, MeasurementError):
+        raise message
+    return message
 
 
 def measure_in_process(function: Callable[..., None], *arguments: Any) -> Any:
-    """What function(pipe, *arguments) sends first, in a process of its own."""
+    """Run function(pipe, *arguments) in a process of its own; the first message that it sends."""
     with spawned(function, *arguments) as pipe:
         return receive(pipe)
 
 
 def resident_mb(pid: int | str = "self", peak: bool = False) -> float:
-    """Resident memory of a process in MB of 10^6 bytes, now or at its highest."""
-    wanted = "VmHWM:" if peak else "VmRSS:"
+    """Resident memory of a process in MB of 10^6 bytes, now or at its peak."""
+    key = "VmHWM:" if peak else "VmRSS:"
     for row in Path(f"/proc/{pid}/status").read_text().splitlines():
-        if row.startswith(wanted):
+        if row.startswith(key):
             return int(row.split()[1]) * 1024 / MB
-    raise MeasurementError(f"{wanted} of {pid} can't be read")
+    raise MeasurementError(f"{key} of {pid} can't be read")
 
 
 def processor_s(pid: int) -> float:
-    """Processor time that a process has had in all its threads, by the kernel's clock of that process."""
-    return time.clock_gettime(~pid << 3 | PROCESS_CLOCK)
+    """Processor time of all threads of a process in seconds, by the kernel's clock of that process."""
+    return time.clock_gettime(~pid << PROCESS_CLOCK_BITS | PROCESS_CLOCK)
 
 
 class LoopLag:
-    """A tick every 5 ms on a loop; how late the latest of them was."""
+    """How late a loop runs a timer that is due every 5 ms: the longest stall of the loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.worst = loop, 0.0
-        self._next(time.monotonic())
+        self._schedule(time.monotonic())
 
     def _tick(self) -> None:
         now = time.monotonic()
         self.worst = max(self.worst, now - self._due)
-        self._next(now)
+        self._schedule(now)
 
-    def _next(self, now: float) -> None:
+    def _schedule(self, now: float) -> None:
         self._due = now + TICK_S
-        self._timer = self.loop.call_later(TICK_S, self._tick)
+        self.loop.call_later(TICK_S, self._tick)
 
     def begin(self) -> None:
-        """Forget what was late before."""
+        """Forget the lag so far."""
         self.worst = 0.0
 
     async def worst_ms(self) -> float:
-        """The worst lateness so far, in ms; the tick that is due now is waited for."""
+        """The longest lag since the beginning in ms; waits for the tick that is due now."""
         await asyncio.sleep(2 * TICK_S)
         return self.worst * 1000
-
-    def stop(self) -> None:
-        """No further tick."""
-        self._timer.cancel()
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -1,6 +1,6 @@
 """Slopes of requests at a balancer: processor time by upstreams and by rate, and what the HTTP path adds.
 
-Latencies count from intended times. The balancer is the platform's run in a process of its own, before
+Latencies count from intended times. The balancer is the platform's run in a process of its own, in front of
 stand-in upstreams that answer at once (a loop's timer is exact to a millisecond, which is what is to be
 measured); the same load goes straight to one of them in turns.
 """
@@ -29,9 +29,9 @@
 
 from bench.common import ROOT
 from bench.decisions import MAX_IN_FLIGHT, Site
-from bench.fit import figure
+from bench.slopes_figures import Axis, FigureSpec, figures_of
 from bench.slopes_process import MeasurementError, measure_in_process, processor_s, receive, spawned
-from bench.slopes_source import rows, source
+from bench.slopes_source import Row, rows, source
 from quartzford.decision.columns import load_arrays
 from quartzford.decision.logic import Balancer
 from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
@@ -44,22 +44,25 @@
 TARGET_UPSTREAMS = 63_000
 SERVICE_UPSTREAMS = 24  # 63,000 over 2,700 services
 TARGET_RATE = 120.0  # 550,000 requests a second over 4,600 balancers
-STAND_IN_UPSTREAMS = 8  # stand-in upstreams in one process
+STAND_IN_UPSTREAMS = 8  # in one process, whose addresses the upstreams of a long list share
+REQUESTS_PER_BATCH = 200  # in the decision module
+INITIAL_CONNECTIONS = 8
 READY_TIMEOUT_S = 20.0
+READY_POLL_S = 0.05
 STOP_TIMEOUT_S = 20.0
-SETTLE_S, REST_S, WARM_S = 0.5, 1.0, 0.7
+SETTLE_S, IDLE_WINDOW_S, WARM_UP_S = 0.5, 1.0, 0.7
 REQUEST_CLASSES = (RequestClass("consulta"),)
 
 
 class Sizes(NamedTuple):
-    """What is measured; seconds: of each rate, one for one."""
+    """What is measured, each with the size that is kept out of the fit."""
 
     upstreams: tuple[int, ...]
     kept_upstreams: int
-    batches: int  # of two hundred requests in the module
+    batches: int  # of REQUESTS_PER_BATCH requests in the decision module
     rates: tuple[float, ...]
     kept_rate: float
-    seconds: tuple[float, ...]
+    seconds: tuple[float, ...]  # of the load at each rate
     rounds: int
     path_upstreams: tuple[int, ...]
     kept_path_upstreams: int
@@ -68,30 +71,30 @@
 
 
 QUICK = Sizes(
-    (100, 500, 1_000, 2_000),
-    1_000,
-    5,
-    (60.0, 120.0, 240.0, 480.0),
-    240.0,
-    (2.0, 1.5, 1.5, 1.0),
-    1,
-    (24, 100, 250, 500),
-    250,
-    200.0,
-    1.0,
+    upstreams=(100, 500, 1_000, 2_000),
+    kept_upstreams=1_000,
+    batches=5,
+    rates=(60.0, 120.0, 240.0, 480.0),
+    kept_rate=240.0,
+    seconds=(2.0, 1.5, 1.5, 1.0),
+    rounds=1,
+    path_upstreams=(24, 100, 250, 500),
+    kept_path_upstreams=250,
+    path_rate=200.0,
+    path_seconds=1.0,
 )
 FULL = Sizes(
-    (100, 1_000, 4_000, 16_000, 32_000, 63_000),
-    32_000,
-    15,
-    (120.0, 300.0, 600.0, 1_200.0),
-    600.0,
-    (6.0, 4.0, 3.0, 3.0),
-    2,
-    (24, 1_000, 4_000, 16_000, 63_000),
-    4_000,
-    300.0,
-    3.0,
+    upstreams=(100, 1_000, 4_000, 16_000, 32_000, 63_000),
+    kept_upstreams=32_000,
+    batches=15,
+    rates=(120.0, 300.0, 600.0, 1_200.0),
+    kept_rate=600.0,
+    seconds=(6.0, 4.0, 3.0, 3.0),
+    rounds=2,
+    path_upstreams=(24, 1_000, 4_000, 16_000, 63_000),
+    kept_path_upstreams=4_000,
+    path_rate=300.0,
+    path_seconds=3.0,
 )
 
 
@@ -99,22 +102,29 @@
 
 
 def module_cost(pipe: Connection, upstreams: int, batches: int) -> None:
-    """Microseconds of the decision module for a request and its answer."""
+    """Send the microseconds of the decision module for a request and its answer: the median of batches."""
     load_arrays()
     site = Site(Balancer, upstreams)
     for _ in range(2 * MAX_IN_FLIGHT):
         site.request()
     gc.collect()
     gc.freeze()
-    pipe.send(median(sum(site.request() for _ in range(200)) / 200 for _ in range(batches)))
+    pipe.send(median(_batch_mean(site) for _ in range(batches)))
 
 
-# ---- the whole path
+def _batch_mean(site: Site) -> float:
+    return sum(site.request() for _ in range(REQUESTS_PER_BATCH)) / REQUESTS_PER_BATCH
+
+
+# ---- processes of the whole path
 
 
 @contextmanager
 def balancer_process(discovery: int, known: Any) -> Iterator[tuple[int, int]]:
-    """The platform's run: its port for clients and its process id, once it is ready."""
+    """The platform's run of this checkout, once it is ready: its port for clients and its process id.
+
+    discovery: the list service's port. known: the list in the configuration, in discovery's form.
+    """
     admin, port = free_port(), free_port()
     table = config(port, discovery, known) | {"admin_addr": f"127.0.0.1:{admin}"}
     table["settings"] |= {"registryMode": "subscribe", "nInstances": 1}
@@ -140,6 +150,21 @@
                 running.wait()
 
 
+def _wait_until_ready(admin: int, running: subprocess.Popen[bytes]) -> None:
+    end = time.monotonic() + READY_TIMEOUT_S
+    while time.monotonic() < end:
+        if running.poll() is not None:
+            raise MeasurementError(f"the balancer ended with {running.returncode}")
+        try:
+            with urllib.request.urlopen(f"http://127.0.0.1:{admin}/status", timeout=1) as answer:
+                if answer.status == 200:
+                    return
+        except OSError:
+            pass
+        time.sleep(READY_POLL_S)
+    raise MeasurementError(f"the balancer was not ready in {READY_TIMEOUT_S:g} s")
+
+
 async def _upstreams(pipe: Connection, count: int) -> None:
     def make(number: int, journal: ExecutionJournal) -> StandInUpstream:
         return StandInUpstream(f"s{number}", journal, capacity=1e6, latency_s=0.0, rng=random.Random(number))
@@ -150,7 +175,7 @@
 
 
 def serve_upstreams(pipe: Connection, count: int) -> None:
-    """So many stand-in upstreams that answer at once; tells their list service's port and the list."""
+    """Run stand-in upstreams that answer at once; sends their list service's port and the list."""
     uvloop.run(_upstreams(pipe, count))
 
 
@@ -161,34 +186,54 @@
         yield receive(pipe)
 
 
-def _wait_until_ready(admin: int, running: subprocess.Popen[bytes]) -> None:
-    end = time.monotonic() + READY_TIMEOUT_S
-    while time.monotonic() < end:
-        if running.poll() is not None:
-            raise MeasurementError(f"the balancer ended with {running.returncode}")
-        try:
-            with urllib.request.urlopen(f"http://127.0.0.1:{admin}/status", timeout=1) as answer:
-                if answer.status == 200:
-                    return
-        except OSError:
-            pass
-        time.sleep(0.05)
-    raise MeasurementError(f"the balancer was not ready in {READY_TIMEOUT_S:g} s")
+# ---- loads
 
 
-def _run_load(port: int, rate: float, seconds: float, seed: int) -> dict[str, Any]:
-    """Open-loop arrivals at a rate, the first moments not measured."""
-    load = LoadOptions(
-        Target("127.0.0.1", port, initial_connections=8),
+class LoadRun(NamedTuple):
+    """One load's latencies in ms, and the processor time of the process behind it."""
+
+    p50: float
+    p99: float
+    processor_s: float  # 0 if that was not measured
+    elapsed_s: float
+    sent: int
+    late_p99: float  # of the load generator's own lateness
+
+    def request_us(self, idle_share: float) -> float:
+        """Microseconds of processor time of a request, beyond what the process uses at rest."""
+        return (self.processor_s - idle_share * self.elapsed_s) / self.sent * 1e6
+
+
+def run_load(port: int, pid: int | None, rate: float, seconds: float, seed: int) -> LoadRun:
+    """Play a load against a port; pid: the process whose processor time counts, if any."""
+    processor_before, begun = processor_s(pid) if pid is not None else 0.0, time.monotonic()
+    result = _play(port, rate, seconds, seed)
+    elapsed = time.monotonic() - begun
+    processor = processor_s(pid) - processor_before if pid is not None else 0.0
+    latencies = result["latency_ms"]["all"]
+    return LoadRun(
+        p50=latencies["p50"],
+        p99=latencies["p99"],
+        processor_s=processor,
+        elapsed_s=elapsed,
+        sent=result["sent"],
+        late_p99=result["lateness_ms"]["p99"],
+    )
+
+
+def _play(port: int, rate: float, seconds: float, seed: int) -> dict[str, Any]:
+    """Open-loop arrivals at a rate, without the warm-up; MeasurementError unless all were served."""
+    options = LoadOptions(
+        Target("127.0.0.1", port, initial_connections=INITIAL_CONNECTIONS),
         shape=f"constant:{rate:g}",
-        seconds=WARM_S + seconds,
-        warm_up_s=WARM_S,
+        seconds=WARM_UP_S + seconds,
+        warm_up_s=WARM_UP_S,
         seed=seed,
         request_classes=REQUEST_CLASSES,
         behaviour=SINGLE_ATTEMPT,
         max_lateness_ms=math.inf,
     )
-    result = play(load)
+    result = play(options)
     if result["interrupted"]:
         raise KeyboardInterrupt
     served = sum(count for name, count in result["ends"].items() if name.endswith(" served"))
@@ -197,120 +242,123 @@
     return result
 
 
-class LoadRun(NamedTuple):
-    """One load's latencies in ms, and the balancer's processor time and the time around it."""
+def _idle_share(pid: int) -> float:
+    """Seconds of processor time a second of a process while it has no requests."""
+    time.sleep(SETTLE_S)
+    before = processor_s(pid)
+    time.sleep(IDLE_WINDOW_S)
+    return (processor_s(pid) - before) / IDLE_WINDOW_S
 
-    p50: float
-    p99: float
-    processor_s: float
-    elapsed_s: float
-    sent: int
-    late_p99: float
 
+# ---- costs of the whole path
 
-def _run_measured_load(port: int, pid: int | None, rate: float, seconds: float, seed: int) -> LoadRun:
-    before, begun = processor_s(pid) if pid is not None else 0.0, time.monotonic()
-    result = _run_load(port, rate, seconds, seed)
-    elapsed = time.monotonic() - begun
-    spent = processor_s(pid) - before if pid is not None else 0.0
-    row = result["latency_ms"]["all"]
-    return LoadRun(row["p50"], row["p99"], spent, elapsed, result["sent"], result["lateness_ms"]["p99"])
 
+class AddedCosts(NamedTuple):
+    """What the HTTP path adds at one rate: medians over rounds, times in ms."""
 
-def _idle_cost(pid: int) -> float:
-    """Seconds of processor time a second while nothing is asked of it."""
-    time.sleep(SETTLE_S)
-    before = processor_s(pid)
-    time.sleep(REST_S)
-    return (processor_s(pid) - before) / REST_S
+    p50_ms: float
+    p99_ms: float
+    direct_p50_ms: float
+    direct_p99_ms: float
+    added_p50_ms: float
+    added_p99_ms: float
+    late_p99_ms: float
+    request_us: float
 
 
-def _request_us(load_run: LoadRun, idle_cost: float) -> float:
-    return (load_run.processor_s - idle_cost * load_run.elapsed_s) / load_run.sent * 1e6
+class PathCosts(NamedTuple):
+    """A request through a balancer that knows this many upstreams."""
 
+    request_us: float
+    p50_ms: float
+    p99_ms: float
 
-def path_by_rate(sizes: Sizes) -> dict[float, dict[str, float]]:
-    """What the HTTP path adds at each rate: the median of rounds of balancer and upstream in turns."""
+
+def path_by_rate(sizes: Sizes) -> dict[float, AddedCosts]:
+    """What the HTTP path adds at each rate, from rounds through the balancer and straight, in turns."""
     out = {}
     with upstreams(SERVICE_UPSTREAMS) as (discovery, known):
-        direct = int(known["hosts"][0]["dial"].rpartition(":")[2])
+        upstream_port = int(known["hosts"][0]["dial"].rpartition(":")[2])
         with balancer_process(discovery, known) as (port, pid):
-            idle_cost = _idle_cost(pid)
+            idle_share = _idle_share(pid)
             for rate, seconds in zip(sizes.rates, sizes.seconds, strict=True):
-                load_runs = [
-                    (
-                        _run_measured_load(port, pid, rate, seconds, seed),
-                        _run_measured_load(direct, None, rate, seconds, seed),
-                    )
-                    for seed in range(1, sizes.rounds + 1)
-                ]
-                out[rate] = _added(load_runs, idle_cost)
+                pairs = []
+                for seed in range(1, sizes.rounds + 1):
+                    through = run_load(port, pid, rate, seconds, seed)
+                    pairs.append((through, run_load(upstream_port, None, rate, seconds, seed)))
+                out[rate] = _added(pairs, idle_share)
     return out
 
 
-def _added(load_runs: Sequence[tuple[LoadRun, LoadRun]], idle_cost: float) -> dict[str, float]:
-    return {
-        "p50_ms": median(through.p50 for through, _ in load_runs),
-        "p99_ms": median(through.p99 for through, _ in load_runs),
-        "straight_p50_ms": median(direct.p50 for _, direct in load_runs),
-        "straight_p99_ms": median(direct.p99 for _, direct in load_runs),
-        "added_p50_ms": median(through.p50 - direct.p50 for through, direct in load_runs),
-        "added_p99_ms": median(through.p99 - direct.p99 for through, direct in load_runs),
-        "late_p99_ms": max(max(through.late_p99, direct.late_p99) for through, direct in load_runs),
-        "request_us": median(_request_us(through, idle_cost) for through, _ in load_runs),
-    }
+def _added(pairs: Sequence[tuple[LoadRun, LoadRun]], idle_share: float) -> AddedCosts:
+    """The costs out of rounds; of each pair the first goes through the balancer, the other straight."""
+    return AddedCosts(
+        p50_ms=median(through.p50 for through, _ in pairs),
+        p99_ms=median(through.p99 for through, _ in pairs),
+        direct_p50_ms=median(direct.p50 for _, direct in pairs),
+        direct_p99_ms=median(direct.p99 for _, direct in pairs),
+        added_p50_ms=median(through.p50 - direct.p50 for through, direct in pairs),
+        added_p99_ms=median(through.p99 - direct.p99 for through, direct in pairs),
+        late_p99_ms=max(max(through.late_p99, direct.late_p99) for through, direct in pairs),
+        request_us=median(through.request_us(idle_share) for through, _ in pairs),
+    )
 
 
-def path_by_upstreams(sizes: Sizes) -> dict[float, dict[str, float]]:
-    """A request's processor time over rest, and its latency, by the upstreams that a balancer knows.
+def path_by_upstreams(sizes: Sizes) -> dict[float, PathCosts]:
+    """A request's processor time and latency by the upstreams that a balancer knows.
 
     The upstreams share the addresses of a few stand-ins; a balancer knows them by name.
     """
-    out: dict[float, dict[str, float]] = {}
+    out: dict[float, PathCosts] = {}
     with upstreams(STAND_IN_UPSTREAMS) as (_, listed):
         addresses = [row["dial"] for row in listed["hosts"]]
         for count in sizes.path_upstreams:
-            known = {"seq": 1, "whole": True, "hosts": rows(count, addresses)}
-            with (
-                source(count, addresses) as (discovery, _, _),
-                balancer_process(discovery, known) as (port, pid),
-            ):
-                idle_cost = _idle_cost(pid)
-                load_run = _run_measured_load(port, pid, sizes.path_rate, sizes.path_seconds, 1)
-                cost = _request_us(load_run, idle_cost)
-                out[count] = {"request_us": cost, "p50_ms": load_run.p50, "p99_ms": load_run.p99}
+            out[count] = _path_costs(sizes, rows(count, addresses), addresses)
     return out
 
 
-PATH_FIGURES = (
-    ("requests: added at p50", "ms", "added_p50_ms"),
-    ("requests: added at p99", "ms", "added_p99_ms"),
-    ("requests: p50 through the balancer", "ms", "p50_ms"),
-    ("requests: p99 through the balancer", "ms", "p99_ms"),
-    ("requests: p50 straight at the upstream", "ms", "straight_p50_ms"),
-    ("requests: p99 straight at the upstream", "ms", "straight_p99_ms"),
-    ("requests: p99 of the load's own lateness", "ms", "late_p99_ms"),
-    ("requests: processor time of one over rest", "us", "request_us"),
-)
+def _path_costs(sizes: Sizes, hosts: list[Row], addresses: Sequence[str]) -> PathCosts:
+    known = {"seq": 1, "whole": True, "hosts": hosts}
+    with (
+        source(len(hosts), addresses) as (discovery, _, _),
+        balancer_process(discovery, known) as (port, pid),
+    ):
+        idle_share = _idle_share(pid)
+        run = run_load(port, pid, sizes.path_rate, sizes.path_seconds, seed=1)
+        return PathCosts(run.request_us(idle_share), run.p50, run.p99)
+
 
+# ---- figures
 
-UPSTREAM_FIGURES = (
-    ("requests: processor time of one in the whole path", "us", "request_us"),
-    ("requests: p50 by upstreams", "ms", "p50_ms"),
-    ("requests: p99 by upstreams", "ms", "p99_ms"),
+MODULE_FIGURES: tuple[FigureSpec[float], ...] = (
+    FigureSpec("requests: processor time of one in the decision module", "us", lambda cost: cost),
+)
+UPSTREAM_FIGURES: tuple[FigureSpec[PathCosts], ...] = (
+    FigureSpec("requests: processor time of one in the whole path", "us", lambda costs: costs.request_us),
+    FigureSpec("requests: p50 by upstreams", "ms", lambda costs: costs.p50_ms),
+    FigureSpec("requests: p99 by upstreams", "ms", lambda costs: costs.p99_ms),
+)
+RATE_FIGURES: tuple[FigureSpec[AddedCosts], ...] = (
+    FigureSpec("requests: added at p50", "ms", lambda costs: costs.added_p50_ms),
+    FigureSpec("requests: added at p99", "ms", lambda costs: costs.added_p99_ms),
+    FigureSpec("requests: p50 through the balancer", "ms", lambda costs: costs.p50_ms),
+    FigureSpec("requests: p99 through the balancer", "ms", lambda costs: costs.p99_ms),
+    FigureSpec("requests: p50 straight at the upstream", "ms", lambda costs: costs.direct_p50_ms),
+    FigureSpec("requests: p99 straight at the upstream", "ms", lambda costs: costs.direct_p99_ms),
+    FigureSpec("requests: p99 of the load's own lateness", "ms", lambda costs: costs.late_p99_ms),
+    FigureSpec("requests: processor time of one over rest", "us", lambda costs: costs.request_us),
 )
 
 
 def figures(sizes: Sizes) -> list[dict[str, Any]]:
-    """All figures of requests."""
+    """All figures of requests: in the module, by upstreams through the whole path, and by rate."""
     modules = {float(n): float(measure_in_process(module_cost, n, sizes.batches)) for n in sizes.upstreams}
-    added, complete = path_by_rate(sizes), path_by_upstreams(sizes)
-    name = "requests: processor time of one in the decision module"
-    out = [figure(ROLE, name, "us", "upstreams", modules, sizes.kept_upstreams, TARGET_UPSTREAMS)]
-    for name, unit, key in UPSTREAM_FIGURES:
-        points = {count: row[key] for count, row in complete.items()}
-        out.append(figure(ROLE, name, unit, "upstreams", points, sizes.kept_path_upstreams, TARGET_UPSTREAMS))
-    for name, unit, key in PATH_FIGURES:
-        points = {rate: row[key] for rate, row in added.items()}
-        out.append(figure(ROLE, name, unit, "requests a second", points, sizes.kept_rate, TARGET_RATE))
-    return out
+    by_rate, by_upstreams = path_by_rate(sizes), path_by_upstreams(sizes)
+    module_axis = Axis("upstreams", sizes.kept_upstreams, TARGET_UPSTREAMS)
+    path_axis = Axis("upstreams", sizes.kept_path_upstreams, TARGET_UPSTREAMS)
+    rate_axis = Axis("requests a second", sizes.kept_rate, TARGET_RATE)
+    return [
+        *figures_of(ROLE, MODULE_FIGURES, modules, module_axis),
+        *figures_of(ROLE, UPSTREAM_FIGURES, by_upstreams, path_axis),
+        *figures_of(ROLE, RATE_FIGURES, by_rate, rate_axis),
+    ]
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+import os
 import random
 import time
 from multiprocessing.connection import Connection
@@ -14,6 +15,7 @@
 from bench.fit import CONSTANT, LINE, N_LOG_N, POWER, best_fit, figure, line
 from bench.slopes_page import page, remarks
 from bench.slopes_process import MeasurementError, measure_in_process, receive, spawned
+from bench.slopes_roles import ROLES, Role
 
 SIZES = (1_000.0, 4_000.0, 16_000.0, 32_000.0, 63_000.0)
 
@@ -84,23 +86,23 @@
 
 
 def fails(pipe: Connection) -> None:
+    """A measuring process that fails."""
     raise ZeroDivisionError("by intent")
 
 
-def tells_its_pid_and_stays(pipe: Connection) -> None:
-    import os
-
+def sends_its_pid_and_stays(pipe: Connection) -> None:
+    """A measuring process that does not end by itself."""
     pipe.send(os.getpid())
     time.sleep(600)
 
 
-def test_a_measuring_process_that_fails_is_told_with_its_cause() -> None:
+def test_a_measuring_process_that_fails_is_reported_with_its_cause() -> None:
     with pytest.raises(MeasurementError, match="by intent"):
         measure_in_process(fails)
 
 
 def test_an_interrupted_measurement_leaves_no_process() -> None:
-    with pytest.raises(KeyboardInterrupt), spawned(tells_its_pid_and_stays) as pipe:
+    with pytest.raises(KeyboardInterrupt), spawned(sends_its_pid_and_stays) as pipe:
         pid = receive(pipe)
         raise KeyboardInterrupt
     assert not Path(f"/proc/{pid}").exists()
@@ -114,10 +116,10 @@
 ) -> None:
     sizes = slopes_list.Sizes((300, 600, 900, 1_200), 900, 2, 1, 0.1, 0.1)
     costs = slopes_list.costs_by_size(sizes)
-    assert all(row["resident_mb"] > row["base_mb"] for row in costs.values())
-    memory = {float(n): row["resident_mb"] for n, row in costs.items()}
+    assert all(row.resident_mb > row.base_mb for row in costs.values())
+    memory = {float(n): row.resident_mb for n, row in costs.items()}
     services = slopes_services.Sizes((4, 8, 16, 32), 16, (2, 4, 8, 16), 8, 1, 0.1, (100, 200, 400, 800), 400)
-    calls = slopes_services.poll_costs(slopes_services.ROLES[0], services)
+    calls = slopes_services.poll_costs(ROLES[0], services)
     assert list(calls) == [4, 8, 16, 32] and all(cost > 0 for cost in calls.values())
 
     def group(quick: bool) -> list[dict[str, object]]:
@@ -138,9 +140,9 @@
     assert remarks(text) == "Said by hand."
 
 
-@pytest.mark.parametrize("role", slopes_services.ROLES, ids=lambda role: role.name)
-def test_each_role_that_serves_lists_is_asked_and_watched_and_tells_all(role: slopes_services.Role) -> None:
+@pytest.mark.parametrize("role", ROLES, ids=lambda role: role.name)
+def test_each_role_that_serves_lists_is_polled_and_watched_and_notifies_all(role: Role) -> None:
     sizes = slopes_services.QUICK._replace(changes=2, rest_s=0.1)
-    watched = slopes_services.watcher_costs(role, 16, sizes)  # fails where not all of them are told
-    assert watched["memory"] > 0 and watched["change"] > 0
-    assert slopes_services.list_costs(role, 200)["memory"] > 0
+    watched = slopes_services.watcher_costs(role, 16, sizes)  # fails unless all of them are notified
+    assert watched.memory_mb > 0 and watched.change.processor_ms > 0
+    assert slopes_services.list_costs(role, 200).memory_mb > 0
