--- a/bench/capacity_assumptions.py
+++ b/bench/capacity_assumptions.py
@@ -32,7 +32,7 @@
     changes = target.changes_per_day / DAY_S
     release_rows = target.replaced_per_day * RESTART_ROWS / 3600
     share = target.balancers / (target.balancers + target.upstreams)
-    whole_lists = (target.replaced_per_day + target.failed_per_day) * share
+    complete_lists = (target.replaced_per_day + target.failed_per_day) * share
     return (
         Assumption(
             "550,000 requests a second: a peak over seconds or over an hour",
@@ -51,7 +51,7 @@
             "210 and 6,900 machines: balancers, upstreams or others",
             "all upstreams (the more rows)",
             f"by their numbers, {share:.1%} are balancers: rows fall by as much, and some "
-            f"{whole_lists:,.0f} whole lists a day are added",
+            f"{complete_lists:,.0f} whole lists a day are added",
         ),
     )
 
--- a/bench/capacity_balancer.py
+++ b/bench/capacity_balancer.py
@@ -38,7 +38,7 @@
 
 
 def _list_distribution(model: Model) -> tuple[Row, ...]:
-    """Size of the whole list, and bytes that a balancer receives for it."""
+    """Size of the complete list, and bytes that a balancer receives for it."""
     target, changes = model.target, model.rows_per_s()
     heartbeats = model.heartbeat_bytes_per_s()
     longest_line = Bound(
--- a/bench/capacity_events.py
+++ b/bench/capacity_events.py
@@ -175,7 +175,7 @@
 
 
 def _relay_lists_time(model: Model) -> str:
-    """How long a relay takes to send whole lists to all its balancers, under its bound on their rate."""
+    """How long a relay takes to send complete lists to all its balancers, under its bound on their rate."""
     size = model.measured(MeasuredFigure.LIST_BYTES).value
     if size is None:
         return NOT_MEASURED
@@ -226,7 +226,7 @@
 
 
 def _configuration_bytes(model: Model) -> str:
-    """Bytes of a whole configuration to all balancers, and a second if all are to have it in time."""
+    """Bytes of a complete configuration to all balancers, and a second if all are to have it in time."""
     size, target = model.measured(MeasuredFigure.CONFIGURATION_BYTES).value, model.target
     if size is None:
         return f"bytes {NOT_MEASURED}"
--- a/bench/capacity_list_service.py
+++ b/bench/capacity_list_service.py
@@ -75,7 +75,7 @@
 
 
 def _all_lists(model: Model) -> Row:
-    """Bytes of the whole list to every balancer."""
+    """Bytes of the complete list to every balancer."""
     balancers = model.target.balancers
     total = model.derive(
         f"{balancers:,} x bytes of a whole list",
@@ -98,15 +98,15 @@
 
 
 def _list_costs(model: Model) -> tuple[Row, ...]:
-    """Processor time of the stand-in list service for heartbeats and for one whole list."""
+    """Processor time of the stand-in list service for heartbeats and for one complete list."""
     per_s, lists = model.program.calls_per_s, model.lists_carried_by()
     heartbeats = model.measured(MeasuredFigure.SOURCE_HEARTBEATS)
-    whole = model.measured(MeasuredFigure.SOURCE_LIST_TIME)
+    complete_list = model.measured(MeasuredFigure.SOURCE_LIST_TIME)
     one_call = Bound(1.0 / per_s, f"one call at {per_s:g}/s")
     row = partial(_row, RowKind.PROCESSOR_TIME)
     return (
         row("beats to all", heartbeats, Unit.CORES, ONE_CORE, EACH_POLLS, LIST_DISTRIBUTION),
-        row("a whole list", whole, Unit.SECONDS, one_call, lists, LONG_LISTS),
+        row("a whole list", complete_list, Unit.SECONDS, one_call, lists, LONG_LISTS),
     )
 
 
--- a/bench/capacity_relay.py
+++ b/bench/capacity_relay.py
@@ -34,7 +34,7 @@
 
 
 def _distribution(model: Model) -> tuple[Row, ...]:
-    """The whole list, and bytes and time to send lists and changes to all balancers behind a relay."""
+    """The complete list, and bytes and time to send lists and changes to all balancers behind a relay."""
     rate, carried_by = model.program.relay_list_bytes_per_s, carried_by_relays(model)
     balancers, changes = model.balancers_per_relay(), model.rows_per_s()
     heartbeats = model.heartbeat_bytes_per_s()
@@ -71,15 +71,15 @@
 
 
 def _list_costs(model: Model) -> tuple[Row, ...]:
-    """Processor time for heartbeats to the most watchers, and for one whole list."""
+    """Processor time for heartbeats to the most watchers, and for one complete list."""
     what = f"beats to {model.max_watchers():,} watchers"
     heartbeats = model.measured(MeasuredFigure.RELAY_HEARTBEATS)
-    whole = model.measured(MeasuredFigure.RELAY_LIST_TIME)
+    complete_list = model.measured(MeasuredFigure.RELAY_LIST_TIME)
     carried_by = carried_by_relays(model)
     row = partial(_row, RowKind.PROCESSOR_TIME)
     return (
         row(what, heartbeats, Unit.CORES, ONE_CORE, carried_by),
-        row("a whole list let out", whole, Unit.SECONDS, NO_BOUND, carried_by),
+        row("a whole list let out", complete_list, Unit.SECONDS, NO_BOUND, carried_by),
     )
 
 
--- a/bench/slopes_crowd.py
+++ b/bench/slopes_crowd.py
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True)
 class Poll:
-    """An order to the crowd: request the whole list so many times; it replies with a ReceivedList."""
+    """An order to the crowd: request the complete list this many times; it replies with a ReceivedList."""
 
     times: int
 
 
 @dataclass(frozen=True)
 class Watch:
-    """An order to the crowd: open so many more watches; it replies with Watches."""
+    """An order to the crowd: open this many more watches; it replies with Watches."""
 
     count: int
 
@@ -137,7 +137,7 @@
         return connection
 
     async def _poll(self, times: int) -> ReceivedList:
-        """Request whole lists, a few at a time."""
+        """Request complete lists, a few at a time."""
         last = b""
         for begin in range(0, times, CONCURRENT_CALLS):
             concurrent = min(CONCURRENT_CALLS, times - begin)
@@ -164,7 +164,7 @@
         return Watches(self.accepted, self.rejected)
 
     async def _await_notifications(self, expected: int) -> int:
-        """Wait for so many lines with rows; how many there were."""
+        """Wait for this many lines with rows; how many there were."""
         await self._wait_until(lambda: self.notified >= expected, NOTIFY_TIMEOUT_S)
         notified, self.notified = self.notified, 0
         return notified
@@ -189,14 +189,14 @@
 
 
 def poll(pipe: Connection, times: int) -> ReceivedList:
-    """Let the crowd request the whole list so many times."""
+    """Let the crowd request the complete list this many times."""
     pipe.send(Poll(times))
     received: ReceivedList = receive(pipe)
     return received
 
 
 def watch(pipe: Connection, count: int) -> Watches:
-    """Let the crowd open so many more watches."""
+    """Let the crowd open this many more watches."""
     pipe.send(Watch(count))
     watches: Watches = receive(pipe)
     return watches
--- a/bench/slopes_list.py
+++ b/bench/slopes_list.py
@@ -75,7 +75,7 @@
     stall_ms: float  # the loop's longest, while the list is taken in
     change_ms: float
     change_stall_ms: float
-    whole_bytes: float = 0.0
+    list_bytes: float = 0.0
     call_bytes: float = 0.0  # a request for the list, and the head of its answer
 
 
@@ -85,7 +85,7 @@
 def measure_list(
     pipe: Connection, port: int, orders: Connection, count: int, changes: int, with_orjson: bool
 ) -> None:
-    """Send the ListCosts of this many rows, taken in whole and then changed in single rows."""
+    """Send the ListCosts of this many rows, taken in at once and then changed in single rows."""
     if not with_orjson:
         sys.modules["orjson"] = None  # type: ignore[assignment]
     accept_long_lines()
@@ -150,11 +150,11 @@
 
 
 def _measured_list(count: int, changes: int, with_orjson: bool) -> ListCosts:
-    with source(count) as (port, whole_bytes, orders):
+    with source(count) as (port, list_bytes, orders):
         costs: ListCosts = measure_in_process(measure_list, port, orders, count, changes, with_orjson)
         orders.send(ReportCalls())
         calls = receive(orders)
-    return costs._replace(whole_bytes=whole_bytes, call_bytes=calls[0])
+    return costs._replace(list_bytes=list_bytes, call_bytes=calls[0])
 
 
 LIST_FIGURES: tuple[FigureSpec[ListCosts], ...] = (
@@ -165,7 +165,7 @@
     FigureSpec("list: longest stall of the loop", "ms", lambda costs: costs.stall_ms),
     FigureSpec("list: one changed row until taken in", "ms", lambda costs: costs.change_ms),
     FigureSpec("list: longest stall by one changed row", "ms", lambda costs: costs.change_stall_ms),
-    FigureSpec("list: bytes of the whole", "B", lambda costs: costs.whole_bytes),
+    FigureSpec("list: bytes of the whole", "B", lambda costs: costs.list_bytes),
     FigureSpec("list: bytes of a call and its answer's head", "B", lambda costs: costs.call_bytes),
 )
 FIGURES_WITHOUT_ORJSON: tuple[FigureSpec[ListCosts], ...] = (
--- a/bench/slopes_roles.py
+++ b/bench/slopes_roles.py
@@ -81,7 +81,7 @@
 
 @contextmanager
 def relay() -> Iterator[RunningRole]:
-    """One relay behind a list service of its own, its bound on whole lists set out of the way."""
+    """One relay behind a list service of its own, with its bound on complete lists out of the way."""
     with list_service() as service, tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "operator.toml"
         path.write_text(OPERATOR_SETTINGS.format(source=service.port, balancers=2 * TARGET_BALANCERS))
--- a/bench/slopes_services.py
+++ b/bench/slopes_services.py
@@ -1,4 +1,4 @@
-"""Slopes of what serves lists: the cost of a poll, of a watcher, of a change sent to all, of a whole list.
+"""Slopes of what serves lists: the cost of a poll, of a watcher, of a change sent to all, of a complete list.
 
 All roles (bench/slopes_roles.py) are measured alike: each runs as a process of its own, polled and watched by
 a crowd of plain sockets in another. Costs are the role's processor time by the kernel's clock of its process.
@@ -72,7 +72,7 @@
 
 
 class WatcherCosts(NamedTuple):
-    """Costs of so many watchers; MB are 10^6 bytes."""
+    """Costs of a number of watchers; MB are 10^6 bytes."""
 
     idle_ms_per_s: float
     change: ChangeCosts
@@ -80,7 +80,7 @@
 
 
 class ListCosts(NamedTuple):
-    """Processor time of a whole list, after a change of it and again, and memory with it."""
+    """Processor time of the complete list, after a change of it and again, and memory with it."""
 
     first_ms: float
     again_ms: float
@@ -112,7 +112,7 @@
 
 
 def poll_costs(role: Role, sizes: Sizes) -> dict[float, float]:
-    """Milliseconds of processor time of so many calls for a list of 100 rows, a connection each."""
+    """Milliseconds of processor time of each number of calls for a list of 100 rows, a connection each."""
     out = dict[float, float]()
     with _with_list(role, rows(WATCHED_ROWS)) as (running, crowd):
         poll(crowd, WARM_UP_POLLS)
--- a/bench/slopes_source.py
+++ b/bench/slopes_source.py
@@ -1,6 +1,6 @@
 """A list service for one balancer under measurement, in a process of its own: it reports when it wrote what.
 
-The whole list is encoded before it is requested, so that its encoding is no part of a balancer's time.
+The complete list is encoded before it is requested, so that its encoding is no part of a balancer's time.
 """
 
 from __future__ import annotations
@@ -95,7 +95,7 @@
         self.call_bytes: list[int] = []  # of each call, its request and the head of the answer
 
     async def run(self) -> None:
-        """Serve until the pipe ends; sends the port and the whole list's bytes first."""
+        """Serve until the pipe ends; sends the port and the complete list's bytes first."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: BalancerConnection(self), "127.0.0.1", 0)
         ended = loop.create_future()
@@ -146,7 +146,7 @@
 
 
 class BalancerConnection(asyncio.Protocol):
-    """One connection of a balancer: a call for the whole list, or a watch."""
+    """One connection of a balancer: a call for the complete list, or a watch."""
 
     transport: asyncio.Transport
 
@@ -182,7 +182,7 @@
         return head
 
     def _send_list(self) -> bytes:
-        """Answer a call with the whole list; returns the answer's head."""
+        """Answer a call with the complete list; returns the answer's head."""
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(self.source.complete)
         self.transport.write(head)
         self.transport.write(self.source.complete)
@@ -195,7 +195,7 @@
 
 @contextmanager
 def source(count: int, addresses: Sequence[str] = ()) -> Iterator[tuple[int, int, Connection]]:
-    """A source of this many rows: its port, the whole list's bytes, and the pipe for orders."""
+    """A source of this many rows: its port, the complete list's bytes, and the pipe for orders."""
     with spawned(_serve, count, addresses) as pipe:
         port, size = receive(pipe)
         yield port, size, pipe
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes: the fit and what it foretells, and that figures are measured, fitted and shown."""
+"""Slopes: the fit and what it predicts, and that figures are measured, fitted and shown."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 SIZES = (1_000.0, 4_000.0, 16_000.0, 32_000.0, 63_000.0)
 
 
-def test_a_line_is_found_and_foretells_the_size_that_was_kept_out() -> None:
+def test_a_line_is_found_and_predicts_the_size_that_was_kept_out() -> None:
     rng = random.Random(1)
     points = {n: 40.0 + 0.002 * n + rng.uniform(-0.5, 0.5) for n in SIZES}
     fit, kept = best_fit(points, 32_000.0)
