--- a/quartzford/load/connecting.py
+++ b/quartzford/load/connecting.py
@@ -5,14 +5,14 @@
 import asyncio
 from typing import TypeVar
 
-Protocol = TypeVar("Protocol", bound=asyncio.Protocol)
+ProtocolT = TypeVar("ProtocolT", bound=asyncio.Protocol)
 
 # Long enough for the event loop to poll once more and to run what the poll has made ready.
 POLL_S = 0.002
 
 
 async def connect_within(
-    loop: asyncio.AbstractEventLoop, protocol: Protocol, host: str, port: int, limit_s: float
+    loop: asyncio.AbstractEventLoop, protocol: ProtocolT, host: str, port: int, limit_s: float
 ) -> None:
     """Connect the protocol to a server; limit_s: seconds from now.
 
--- a/quartzford/load/shapes.py
+++ b/quartzford/load/shapes.py
@@ -1,4 +1,4 @@
-"""Arrivals: rates over time that compose, and the moments drawn from them. No I/O; every draw is seeded.
+"""Arrivals: rates over time that add up, and the moments drawn from them. No I/O; every draw is seeded.
 
 A shape is written as parts joined by '+', whose rates add up (requests a second, seconds):
 
@@ -7,7 +7,7 @@
     step:RATE@AT                from AT on
     burst:RATE@AT+SECONDS       in that span
     sine:RATE/PERIOD            a wave from 0 to RATE, at 0 in the beginning
-    surge:RATE@AT+SECONDS       a morning after rain: up within a tenth of the span, then slowly down
+    surge:RATE@AT+SECONDS       up within a tenth of the span, then slowly down
 """
 
 from __future__ import annotations
@@ -19,8 +19,11 @@
 from typing import NamedTuple
 
 NUMBER = r"(\d+(?:\.\d+)?)"
-MOST_RATE = 1e6
-RISE = 0.1  # share of a surge's span in which it rises
+PART_SEPARATOR = re.compile(r"\+(?=[a-z])")  # a '+' before a digit is inside a part
+MAX_RATE = 1e6
+SURGE_RISE_SHARE = 0.1  # of a surge's span
+INTEGRATION_STEP_S = 1e-4
+END_TOLERANCE_S = 1e-12
 
 
 class ShapeError(ValueError):
@@ -28,10 +31,10 @@
 
 
 class Part(NamedTuple):
-    """One part: its rate at a moment, and a bound on it."""
+    """One part of a shape: its rate at a moment (requests a second, by seconds), and the highest it has."""
 
     rate: Callable[[float], float]
-    most: float
+    max_rate: float
 
 
 def _constant(rate: float) -> Part:
@@ -55,92 +58,104 @@
 
 
 def _surge(rate: float, at: float, span: float) -> Part:
-    def of(t: float) -> float:
+    def rate_at(t: float) -> float:
         x = (t - at) / span
         if not 0 <= x < 1:
             return 0.0
-        return rate * (x / RISE if x < RISE else (1 - (x - RISE) / (1 - RISE)) ** 2)
+        if x < SURGE_RISE_SHARE:
+            return rate * (x / SURGE_RISE_SHARE)
+        return rate * (1 - (x - SURGE_RISE_SHARE) / (1 - SURGE_RISE_SHARE)) ** 2
 
-    return Part(of, rate)
+    return Part(rate_at, rate)
 
 
-KINDS: dict[str, tuple[str, Callable[..., Part]]] = {
-    "constant": (NUMBER, _constant),
-    "ramp": (f"{NUMBER}-{NUMBER}/{NUMBER}", _ramp),
-    "step": (f"{NUMBER}@{NUMBER}", _step),
-    "burst": (rf"{NUMBER}@{NUMBER}\+{NUMBER}", _burst),
-    "sine": (f"{NUMBER}/{NUMBER}", _sine),
-    "surge": (rf"{NUMBER}@{NUMBER}\+{NUMBER}", _surge),
+class _Form(NamedTuple):
+    """How a part is written. span: which of its figures is a length of time, and must not be 0."""
+
+    pattern: str
+    make: Callable[..., Part]
+    span: int | None = None
+
+
+FORMS = {
+    "constant": _Form(NUMBER, _constant),
+    "ramp": _Form(f"{NUMBER}-{NUMBER}/{NUMBER}", _ramp, 2),
+    "step": _Form(f"{NUMBER}@{NUMBER}", _step),
+    "burst": _Form(rf"{NUMBER}@{NUMBER}\+{NUMBER}", _burst, 2),
+    "sine": _Form(f"{NUMBER}/{NUMBER}", _sine, 1),
+    "surge": _Form(rf"{NUMBER}@{NUMBER}\+{NUMBER}", _surge, 2),
 }
-SPANNED = {"ramp": 2, "burst": 2, "sine": 1, "surge": 2}  # which figure is a span, and must not be 0
 
 
 class Shape:
-    """A sum of parts."""
+    """A sum of parts. max_rate: a bound on its rate, in requests a second."""
 
     def __init__(self, parts: list[Part]) -> None:
         self.parts = parts
-        self.most = sum(part.most for part in parts)
+        self.max_rate = sum(part.max_rate for part in parts)
 
-    def part(self, share: int) -> Shape:
-        """A share of it: so many of these add up to the whole."""
+    def part(self, count: int) -> Shape:
+        """Return one of so many equal shares of it."""
 
-        def less(one: Part) -> Part:
-            return Part(lambda t: one.rate(t) / share, one.most / share)
+        def share(one: Part) -> Part:
+            return Part(lambda t: one.rate(t) / count, one.max_rate / count)
 
-        return Shape([less(one) for one in self.parts])
+        return Shape([share(one) for one in self.parts])
 
     def rate(self, t: float) -> float:
+        """Return the rate at a moment, in requests a second."""
         return sum(part.rate(t) for part in self.parts)
 
 
 def read_shape(text: str) -> Shape:
-    """The shape that a text describes; ShapeError where it describes none."""
-    parts = []
-    for piece in re.split(r"\+(?=[a-z])", text.strip()):
-        name, _, histogram_summary = piece.partition(":")
-        if name not in KINDS:
-            raise ShapeError(f"{piece!r}: no such shape; there are {', '.join(KINDS)}")
-        form, make = KINDS[name]
-        found = re.fullmatch(form, histogram_summary)
-        if found is None:
-            raise ShapeError(f"{piece!r}: not of the form that {name} has")
-        values = [float(value) for value in found.groups()]
-        if name in SPANNED and values[SPANNED[name]] <= 0:
-            raise ShapeError(f"{piece!r}: the span is 0")
-        parts.append(make(*values))
-    shape = Shape(parts)
-    if not 0 < shape.most <= MOST_RATE:
-        raise ShapeError(f"{text!r}: the rate is not above 0 and at most {MOST_RATE:g}")
+    """Return the shape that a text describes; raises ShapeError if it describes none."""
+    shape = Shape([_read_part(piece) for piece in PART_SEPARATOR.split(text.strip())])
+    if not 0 < shape.max_rate <= MAX_RATE:
+        raise ShapeError(f"{text!r}: the rate is not above 0 and at most {MAX_RATE:g}")
     return shape
 
 
+def _read_part(piece: str) -> Part:
+    name, _, figures = piece.partition(":")
+    if name not in FORMS:
+        raise ShapeError(f"{piece!r}: no such shape; there are {', '.join(FORMS)}")
+    form = FORMS[name]
+    found = re.fullmatch(form.pattern, figures)
+    if found is None:
+        raise ShapeError(f"{piece!r}: not of the form that {name} has")
+    values = [float(value) for value in found.groups()]
+    if form.span is not None and values[form.span] <= 0:
+        raise ShapeError(f"{piece!r}: the span is 0")
+    return form.make(*values)
+
+
 def poisson(shape: Shape, seconds: float, rng: random.Random) -> Iterator[float]:
-    """Arrivals of a Poisson process whose rate is the shape's, by thinning (Lewis and Shedler, 1979)."""
+    """Yield the arrivals of a Poisson process with a shape's rate, by thinning (Lewis and Shedler, 1979)."""
     t = 0.0
     while True:
-        t += rng.expovariate(shape.most)
+        t += rng.expovariate(shape.max_rate)
         if t >= seconds:
             return
-        if rng.random() * shape.most < shape.rate(t):
+        if rng.random() * shape.max_rate < shape.rate(t):
             yield t
 
 
-def fixed(shape: Shape, seconds: float, step: float = 1e-4) -> Iterator[float]:
-    """Arrivals at even spacing: one each time the area under the rate has grown by 1, from 0 on."""
-    area, wanted, t = 0.0, 1, 0.0
+def fixed(shape: Shape, seconds: float, step_s: float = INTEGRATION_STEP_S) -> Iterator[float]:
+    """Yield arrivals at even spacing: from 0 on, one each time the area under the rate has grown by 1.
+
+    step_s: of the integration by trapezoids.
+    """
+    area, arrivals, t = 0.0, 1, 0.0
     before = shape.rate(0.0)
     if before > 0:
         yield 0.0
-    count = round(seconds / step)
-    for n in range(1, count + 1):
-        after = shape.rate(n * step)
-        more = (before + after) / 2 * step
-        while more > 0 and area + more >= wanted:
-            part = (wanted - area) / more
-            at = t + part * step
-            if at >= seconds - 1e-12:
+    for number in range(1, round(seconds / step_s) + 1):
+        after = shape.rate(number * step_s)
+        growth = (before + after) / 2 * step_s
+        while growth > 0 and area + growth >= arrivals:
+            at = t + (arrivals - area) / growth * step_s
+            if at >= seconds - END_TOLERANCE_S:
                 return
             yield at
-            wanted += 1
-        area, t, before = area + more, n * step, after
+            arrivals += 1
+        area, t, before = area + growth, number * step_s, after
--- a/quartzford/load/trace.py
+++ b/quartzford/load/trace.py
@@ -5,9 +5,10 @@
     ...
     #end COUNT
 
-Fields are parted by one tab, '-' stands for none; offsets are microseconds from the trace's beginning and
-never fall; `size` is the body's length in bytes, `left_ms` the time that the client gave. Class, tenant and
-key are percent-encoded where they would break a line. The last line tells that nothing is missing.
+Fields are separated by one tab, and '-' stands for none. Offsets are microseconds from the beginning of the
+trace and never fall; `size` is the length of the body in bytes, `left_ms` the time that the client gave.
+Class, tenant and key are percent-encoded where they would break a line. The last line tells that nothing is
+missing.
 """
 
 from __future__ import annotations
@@ -19,7 +20,10 @@
 HEADER_PREFIX = "#quartzford-trace "
 VERSION = "1"
 END_PREFIX = "#end "
-MOST_SIZE, MOST_LEFT_MS = 32 * 1024 * 1024, 1e9
+NO_VALUE = "-"
+FIELDS = 6
+MAX_SIZE, MAX_LEFT_MS = 32 * 1024 * 1024, 1e9
+SAFE_CHARACTERS = "/:=@,;+*!$&'()[]~ "  # written as they are, beside letters, digits and "_.-"
 
 
 class TraceError(ValueError):
@@ -27,7 +31,11 @@
 
 
 class TraceRow(NamedTuple):
-    """One request. offset: seconds."""
+    """One request.
+
+    offset: seconds from the beginning of the trace. size: of the body, in bytes. left_ms: to the deadline, in
+    milliseconds; 0: that of the class.
+    """
 
     offset: float
     service_class: str
@@ -37,20 +45,15 @@
     left_ms: float = 0.0
 
 
-def _word(text: str) -> str:
-    if text == "-":
-        return "%2D"
-    return quote(text, safe="/:=@,;+*!$&'()[]~ ") or "-"
-
-
 def format_row(row: TraceRow) -> str:
-    """A row as its line, with the line break."""
-    words = (_word(row.service_class), _word(row.tenant), _word(row.key))
-    return f"{round(row.offset * 1e6)}\t{words[0]}\t{words[1]}\t{words[2]}\t{row.size}\t{row.left_ms:g}\n"
+    """Return a row as its line, with the line break."""
+    offset_us = round(row.offset * 1e6)
+    words = "\t".join(_encode(text) for text in (row.service_class, row.tenant, row.key))
+    return f"{offset_us}\t{words}\t{row.size}\t{row.left_ms:g}\n"
 
 
 def write_trace(rows: Iterable[TraceRow]) -> Iterator[str]:
-    """The lines of a trace, each with its line break."""
+    """Yield the lines of a trace, each with its line break."""
     yield f"{HEADER_PREFIX}{VERSION}\n"
     count = 0
     for row in rows:
@@ -59,48 +62,81 @@
     yield f"{END_PREFIX}{count}\n"
 
 
-def _row(text: str, number: int) -> TraceRow:
-    fields = text.split("\t")
-    if len(fields) != 6:
-        raise TraceError(f"line {number}: {len(fields)} fields, 6 wanted")
-    words = ["" if word == "-" else unquote(word) for word in fields[1:4]]
-    if not words[0]:
-        raise TraceError(f"line {number}: no class")
-    try:
-        offset, size, left = int(fields[0]), int(fields[4]), float(fields[5])
-    except ValueError:
-        raise TraceError(f"line {number}: offset, size or time left is not a number") from None
-    if offset < 0 or not 0 <= size <= MOST_SIZE or not 0 <= left <= MOST_LEFT_MS:
-        raise TraceError(f"line {number}: offset, size or time left is out of bounds")
-    return TraceRow(offset / 1e6, words[0], words[1], words[2], size, left)
+def _encode(text: str) -> str:
+    if text == NO_VALUE:
+        return "%2D"
+    return quote(text, safe=SAFE_CHARACTERS) or NO_VALUE
 
 
 def read_trace(lines: Iterable[str]) -> Iterator[TraceRow]:
-    """The rows of a trace; TraceError at the first line that breaks it."""
-    count, last, ended, number = 0, 0.0, False, 0
+    """Yield the rows of a trace; raises TraceError at the first line that breaks it."""
+    reader = _Reader()
     for number, line in enumerate(lines, 1):
-        text = line.rstrip("\n")
+        row = reader.read(number, line.rstrip("\n"))
+        if row is not None:
+            yield row
+    reader.finish()
+
+
+class _Reader:
+    """Reads a trace line by line, and checks that it is complete and in order."""
+
+    def __init__(self) -> None:
+        self._lines = 0
+        self._rows = 0
+        self._last_offset = 0.0
+        self._ended = False
+
+    def read(self, number: int, text: str) -> TraceRow | None:
+        """Return the row of a line, if it is one. number: of the line, from 1."""
+        self._lines = number
         if number == 1:
-            if not text.startswith(HEADER_PREFIX):
-                raise TraceError("line 1: not a trace")
-            if text[len(HEADER_PREFIX) :] != VERSION:
-                raise TraceError(
-                    f"line 1: version {text[len(HEADER_PREFIX) :]!r}, {VERSION} is what can be read"
-                )
-            continue
-        if ended:
+            _check_header(text)
+            return None
+        if self._ended:
             raise TraceError(f"line {number}: more follows the end")
         if text.startswith(END_PREFIX):
-            if text[len(END_PREFIX) :] != str(count):
-                raise TraceError(f"line {number}: {count} requests, {text[len(END_PREFIX) :]} are said")
-            ended = True
-            continue
-        row = _row(text, number)
-        if row.offset < last:
+            self._end(number, text[len(END_PREFIX) :])
+            return None
+        row = _read_row(text, number)
+        if row.offset < self._last_offset:
             raise TraceError(f"line {number}: earlier than the line before")
-        count, last = count + 1, row.offset
-        yield row
-    if not number:
+        self._rows += 1
+        self._last_offset = row.offset
+        return row
+
+    def finish(self) -> None:
+        """Check that the trace has ended."""
+        if not self._lines:
+            raise TraceError("line 1: not a trace")
+        if not self._ended:
+            raise TraceError(f"line {self._lines}: the trace is cut off")
+
+    def _end(self, number: int, count: str) -> None:
+        if count != str(self._rows):
+            raise TraceError(f"line {number}: {self._rows} requests, {count} are said")
+        self._ended = True
+
+
+def _check_header(text: str) -> None:
+    if not text.startswith(HEADER_PREFIX):
         raise TraceError("line 1: not a trace")
-    if not ended:
-        raise TraceError(f"line {number}: the trace is cut off")
+    version = text[len(HEADER_PREFIX) :]
+    if version != VERSION:
+        raise TraceError(f"line 1: version {version!r}, {VERSION} is what can be read")
+
+
+def _read_row(text: str, number: int) -> TraceRow:
+    fields = text.split("\t")
+    if len(fields) != FIELDS:
+        raise TraceError(f"line {number}: {len(fields)} fields, {FIELDS} wanted")
+    words = ["" if word == NO_VALUE else unquote(word) for word in fields[1:4]]
+    if not words[0]:
+        raise TraceError(f"line {number}: no class")
+    try:
+        offset_us, size, left_ms = int(fields[0]), int(fields[4]), float(fields[5])
+    except ValueError:
+        raise TraceError(f"line {number}: offset, size or time left is not a number") from None
+    if offset_us < 0 or not 0 <= size <= MAX_SIZE or not 0 <= left_ms <= MAX_LEFT_MS:
+        raise TraceError(f"line {number}: offset, size or time left is out of bounds")
+    return TraceRow(offset_us / 1e6, words[0], words[1], words[2], size, left_ms)
