--- a/quartzford/load/clients.py
+++ b/quartzford/load/clients.py
@@ -1,19 +1,41 @@
-"""What a client does: what it asks, when it gives a try up, whether and when it tries again. No I/O."""
+"""The behaviour of clients: how long they wait for an attempt, and whether and when they retry. No I/O."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import NamedTuple
 
-SERVED, REFUSED, FAILED, NO_ANSWER, UNREACHABLE = "served", "refused", "failed", "no answer", "unreachable"
-LOST = "lost"  # its connection ended with no whole answer: rule one is broken
-ENDS = (SERVED, REFUSED, FAILED, NO_ANSWER, UNREACHABLE, LOST)
+
+class Outcome(StrEnum):
+    """How an attempt ended, or a request with its last attempt. The values are words of the results."""
+
+    SERVED = "served"  # 200
+    REFUSED = "refused"  # 429 or 503
+    FAILED = "failed"  # any other status
+    NO_ANSWER = "no answer"  # timed out
+    UNREACHABLE = "unreachable"  # no connection
+    LOST = "lost"  # the connection ended without a complete response: a broken rule
+
+
+SERVED = Outcome.SERVED
+REFUSED = Outcome.REFUSED
+FAILED = Outcome.FAILED
+NO_ANSWER = Outcome.NO_ANSWER
+UNREACHABLE = Outcome.UNREACHABLE
+LOST = Outcome.LOST
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests, as clients know it. Times in seconds."""
+    """A class of requests as clients know it. Times are in seconds.
+
+    share: of all requests, relative to the other classes'. priority_weight: what a request that is served
+    within its latency objective counts for in the goodput; late_weight: the share of it that one served
+    later, but within its deadline, counts for. effect: "free" (idempotent), "keyed" (with an idempotency key)
+    or "unsafe". group: of a keyed class, where repeats are dropped: in one "cell", or by "all".
+    """
 
     name: str
     share: float = 1.0
@@ -21,8 +43,13 @@
     deadline_s: float = 2.0
     priority_weight: float = 1.0
     late_weight: float = 0.0
-    effect: str = "free"  # free, keyed or unsafe
-    group: str = "all"  # of a keyed one: where its repeats are dropped
+    effect: str = "free"
+    group: str = "all"
+
+    @property
+    def may_repeat(self) -> bool:
+        """Whether a request may run again wherever it is sent."""
+        return self.effect == "free" or (self.effect == "keyed" and self.group == "all")
 
 
 DEFAULT_CLASSES = (
@@ -36,53 +63,60 @@
 class ClientBehaviour:
     """How clients behave.
 
-    tries: at most, the first included; wait_s: before a further one (0: at once); patience: a try is given up
-    after a share of the class's deadline drawn from this span; heeds: the share of clients that follow
-    Retry-After; fresh: the share of tries on a connection of their own.
+    max_attempts: of a request, the first included. retry_wait_s: before a retry; 0: at once. timeout_share:
+    an attempt times out after a share of its class's deadline that is drawn evenly from this span.
+    retry_after_share: of the clients, those that obey Retry-After. new_connection_share: of the attempts,
+    those sent on a connection of their own.
     """
 
-    tries: int = 4
-    wait_s: float = 0.0
-    patience: tuple[float, float] = (0.30, 0.55)
-    heeds: float = 1.0
-    fresh: float = 0.0
+    max_attempts: int = 4
+    retry_wait_s: float = 0.0
+    timeout_share: tuple[float, float] = (0.30, 0.55)
+    retry_after_share: float = 1.0
+    new_connection_share: float = 0.0
+
+
+SINGLE_ATTEMPT = ClientBehaviour(max_attempts=1, timeout_share=(1.0, 1.0))
 
 
-SINGLE_ATTEMPT = ClientBehaviour(tries=1, patience=(1.0, 1.0))
+class AttemptResult(NamedTuple):
+    """How an attempt ended, as far as a retry depends on it.
+
+    attempts: of the request so far. time_left_s: to the request's deadline. retry_after_s: the response's
+    Retry-After; 0: none.
+    """
+
+    outcome: Outcome
+    attempts: int
+    time_left_s: float
+    retry_after_s: float = 0.0
 
 
 class Retry(NamedTuple):
-    """A further try, so many seconds from now."""
+    """A further attempt, to be sent in so many seconds."""
 
     wait_s: float
 
 
-def attempt_timeout_s(kind: RequestClass, behaviour: ClientBehaviour, rng: random.Random) -> float:
-    """How long a try is waited for."""
-    least, most = behaviour.patience
-    return kind.deadline_s * (least + (most - least) * rng.random())
+def attempt_timeout_s(request_class: RequestClass, behaviour: ClientBehaviour, rng: random.Random) -> float:
+    """Draw how long a client waits for the response to an attempt, in seconds."""
+    least, most = behaviour.timeout_share
+    return request_class.deadline_s * (least + (most - least) * rng.random())
 
 
 def plan_retry(
-    kind: RequestClass,
-    behaviour: ClientBehaviour,
-    end: str,
-    tries: int,
-    left_s: float,
-    retry_after_s: float,
-    rng: random.Random,
+    request_class: RequestClass, behaviour: ClientBehaviour, result: AttemptResult, rng: random.Random
 ) -> Retry | None:
-    """Whether a client goes again after a try ended so, with so much of its time left.
+    """Decide whether a client retries after an attempt that has ended.
 
-    What is free, or keyed with repeats dropped anywhere, goes again after any failure; all else only where
-    trying again is harmless: refused, or nobody reached.
+    A request that may repeat is retried after any failure, others only where it has surely not run: after a
+    refusal, or where no connection was made.
     """
-    if end == SERVED or tries >= behaviour.tries:
+    if result.outcome is SERVED or result.attempts >= behaviour.max_attempts:
         return None
-    anyway = kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all")
-    if not anyway and end not in (REFUSED, UNREACHABLE):
+    if not request_class.may_repeat and result.outcome not in (REFUSED, UNREACHABLE):
         return None
-    wait = behaviour.wait_s
-    if retry_after_s > 0 and rng.random() < behaviour.heeds:
-        wait = max(wait, retry_after_s)
-    return Retry(wait) if wait < left_s else None
+    wait_s = behaviour.retry_wait_s
+    if result.retry_after_s > 0 and rng.random() < behaviour.retry_after_share:
+        wait_s = max(wait_s, result.retry_after_s)
+    return Retry(wait_s) if wait_s < result.time_left_s else None
--- a/tests/test_load_connection_end.py
+++ b/tests/test_load_connection_end.py
@@ -10,15 +10,18 @@
 import pytest
 import uvloop
 
+from quartzford.load.attempt import ClientAttempt
 from quartzford.load.clients import ClientBehaviour, RequestClass
+from quartzford.load.connection import TargetConnection
 from quartzford.load.connection_end import ended_by_peer, unacknowledged_bytes
-from quartzford.load.driver import ClientAttempt, Driver, Target, TargetConnection
+from quartzford.load.driver import Driver, WorkerPlan
+from quartzford.load.options import LoadOptions, Target
+from quartzford.load.plan import plan_requests
 from quartzford.load.record import Record
-from quartzford.load.run import LoadOptions, plan
 
 KEYED = (RequestClass("reserva", deadline_s=4.0, latency_objective_s=1.0, effect="keyed", group="cell"),)
-WHOLE_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-CUT_ANSWER = WHOLE_ANSWER[:-1]
+COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+CUT_RESPONSE = COMPLETE_RESPONSE[:-1]
 
 
 class Server:
@@ -34,17 +37,17 @@
 
     async def run(self) -> None:
         first = await self._accept()
-        await self._answer(first, WHOLE_ANSWER)
+        await self._respond(first, COMPLETE_RESPONSE)
         if self.closes == "unread":
             await self._readable(first)
         elif self.closes == "read":
             await self._request(first)
         elif self.closes == "in answer":
-            await self._answer(first, CUT_ANSWER)
+            await self._respond(first, CUT_RESPONSE)
         if self.closes != "as it is sent":  # else the test closes it, between two steps of the loop
             first.close()
         second = await self._accept()
-        await self._answer(second, WHOLE_ANSWER)
+        await self._respond(second, COMPLETE_RESPONSE)
 
     def close(self) -> None:
         for sock in (self.listening, *self.accepted):
@@ -57,9 +60,9 @@
         return sock
 
     async def _readable(self, sock: socket.socket) -> None:
-        come = asyncio.Event()
-        self.loop.add_reader(sock.fileno(), come.set)
-        await come.wait()
+        readable = asyncio.Event()
+        self.loop.add_reader(sock.fileno(), readable.set)
+        await readable.wait()
         self.loop.remove_reader(sock.fileno())
 
     async def _request(self, sock: socket.socket) -> None:
@@ -68,20 +71,20 @@
             data += await self.loop.sock_recv(sock, 65536)
         self.read += 1
 
-    async def _answer(self, sock: socket.socket, answer: bytes) -> None:
+    async def _respond(self, sock: socket.socket, response: bytes) -> None:
         await self._request(sock)
-        await self.loop.sock_sendall(sock, answer)
+        await self.loop.sock_sendall(sock, response)
 
 
 class CrossingDriver(Driver):
-    """Calls back right before its second request is written, after it has chosen the connection."""
+    """Calls back right before its second request is written, after the choice of its connection."""
 
     before_second: Callable[[], None] | None = None
 
-    def _send_attempt(self, attempt: ClientAttempt, link: TargetConnection) -> None:
+    def _send_attempt(self, attempt: ClientAttempt, connection: TargetConnection) -> None:
         if attempt.request.number == 2 and not attempt.resent and self.before_second is not None:
             self.before_second()
-        super()._send_attempt(attempt, link)
+        super()._send_attempt(attempt, connection)
 
 
 async def two_requests(closes: str) -> tuple[Record, Server]:
@@ -94,10 +97,12 @@
         0.2,
         "fixed",
         request_classes=KEYED,
-        behaviour=ClientBehaviour(patience=(1.0, 1.0)),
+        behaviour=ClientBehaviour(timeout_share=(1.0, 1.0)),
         size=200,
     )
-    driver = CrossingDriver(target, load.behaviour, plan(load, 0), time.monotonic(), 1, "t", record)
+    driver = CrossingDriver(
+        WorkerPlan(target, load.behaviour, plan_requests(load, 0), time.monotonic(), 1, "t"), record
+    )
     if closes == "as it is sent":
         driver.before_second = lambda: server.accepted[0].close()
     await driver.run()
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -15,7 +15,6 @@
 from hypothesis import strategies as st
 from rich.console import Console
 
-from quartzford.load.cli import compare
 from quartzford.load.clients import (
     DEFAULT_CLASSES,
     FAILED,
@@ -23,18 +22,23 @@
     REFUSED,
     SERVED,
     UNREACHABLE,
+    AttemptResult,
     ClientBehaviour,
+    Outcome,
     RequestClass,
     attempt_timeout_s,
     plan_retry,
 )
-from quartzford.load.driver import Target
+from quartzford.load.comparison import compare
 from quartzford.load.live import View, bars
+from quartzford.load.options import LoadOptions, Target
 from quartzford.load.page import page
+from quartzford.load.plan import make_trace, plan_requests, plan_sessions
 from quartzford.load.record import Record, histogram, histogram_summary
-from quartzford.load.run import LoadOptions, make_trace, plan, sessions, show, summary
+from quartzford.load.result import RunResults, WorkerResult, show, summary
 from quartzford.load.shapes import ShapeError, fixed, poisson, read_shape
 from quartzford.load.trace import TraceError, TraceRow, read_trace, write_trace
+from quartzford.load.worker import Progress
 
 
 @pytest.mark.parametrize(
@@ -102,11 +106,14 @@
     load = LoadOptions(
         Target("h", 1), "constant:400", 5.0, spacing, 7, workers=4, keys=10, tenants=(("a", 1), ("b", 3))
     )
-    dues = [due for n in range(4) for due in plan(load, n)]
-    assert abs(len(dues) - 2000) < 250 and [list(plan(load, 1))] == [list(plan(load, 1))]
-    shares = {k.name: sum(d.kind.name == k.name for d in dues) / len(dues) for k in DEFAULT_CLASSES}
-    assert all(abs(shares[k.name] - k.share) < 0.05 for k in DEFAULT_CLASSES)
-    assert {d.tenant for d in dues} == {"a", "b"} and len({d.key for d in dues}) == 10
+    requests = [planned for worker in range(4) for planned in plan_requests(load, worker)]
+    assert abs(len(requests) - 2000) < 250
+    assert [list(plan_requests(load, 1))] == [list(plan_requests(load, 1))]
+    for one in DEFAULT_CLASSES:
+        count = sum(planned.request_class.name == one.name for planned in requests)
+        assert abs(count / len(requests) - one.share) < 0.05
+    assert {planned.tenant for planned in requests} == {"a", "b"}
+    assert len({planned.key for planned in requests}) == 10
 
 
 # ---- traces
@@ -168,9 +175,11 @@
     load = LoadOptions(Target("h", 1), "constant:200", 5.0, seed=3, workers=2)
     rows = make_trace(load)
     fast = LoadOptions(Target("h", 1), rows=tuple(rows), speed=5.0, workers=3)
-    dues = sorted((due.offset, due.kind.name) for n in range(3) for due in plan(fast, n))
-    assert [name for _, name in dues] == [r.service_class for r in rows]
-    assert max(abs(at - r.offset / 5.0) for (at, _), r in zip(dues, rows, strict=True)) < 1e-9
+    requests = sorted(
+        (planned.offset, planned.request_class.name) for n in range(3) for planned in plan_requests(fast, n)
+    )
+    assert [name for _, name in requests] == [r.service_class for r in rows]
+    assert max(abs(at - r.offset / 5.0) for (at, _), r in zip(requests, rows, strict=True)) < 1e-9
 
 
 # ---- clients
@@ -179,20 +188,28 @@
 WIDE = RequestClass("note", effect="keyed", group="all")
 
 
-@pytest.mark.parametrize("kind", [FREE, CELL, UNSAFE, WIDE])
-@pytest.mark.parametrize("end", [REFUSED, FAILED, NO_ANSWER, UNREACHABLE])
-def test_who_goes_again_after_what(kind: RequestClass, end: str) -> None:
-    again = plan_retry(kind, ClientBehaviour(), end, 1, 1.0, 0.0, random.Random(1))
-    assert (again is not None) == (kind in (FREE, WIDE) or end in (REFUSED, UNREACHABLE))
+@pytest.mark.parametrize("request_class", [FREE, CELL, UNSAFE, WIDE])
+@pytest.mark.parametrize("outcome", [REFUSED, FAILED, NO_ANSWER, UNREACHABLE])
+def test_which_requests_are_retried_after_which_outcome(
+    request_class: RequestClass, outcome: Outcome
+) -> None:
+    result = AttemptResult(outcome, attempts=1, time_left_s=1.0)
+    retry = plan_retry(request_class, ClientBehaviour(), result, random.Random(1))
+    assert (retry is not None) == (request_class in (FREE, WIDE) or outcome in (REFUSED, UNREACHABLE))
 
 
-def test_tries_time_and_advice_bound_what_a_client_does() -> None:
+def test_attempts_time_and_retry_after_bound_what_a_client_does() -> None:
     rng = random.Random(1)
-    assert plan_retry(FREE, ClientBehaviour(), SERVED, 1, 1.0, 0.0, rng) is None
-    assert plan_retry(FREE, ClientBehaviour(tries=4), FAILED, 4, 1.0, 0.0, rng) is None
-    assert plan_retry(FREE, ClientBehaviour(wait_s=0.1), FAILED, 1, 0.1, 0.0, rng) is None
-    assert plan_retry(FREE, ClientBehaviour(heeds=1.0), REFUSED, 1, 1.0, 0.4, rng) == (0.4,)
-    assert plan_retry(FREE, ClientBehaviour(heeds=0.0), REFUSED, 1, 1.0, 0.4, rng) == (0.0,)
+
+    def retry(behaviour: ClientBehaviour, result: AttemptResult) -> Any:
+        return plan_retry(FREE, behaviour, result, rng)
+
+    assert retry(ClientBehaviour(), AttemptResult(SERVED, 1, 1.0)) is None
+    assert retry(ClientBehaviour(max_attempts=4), AttemptResult(FAILED, 4, 1.0)) is None
+    assert retry(ClientBehaviour(retry_wait_s=0.1), AttemptResult(FAILED, 1, 0.1)) is None
+    refused = AttemptResult(REFUSED, 1, 1.0, retry_after_s=0.4)
+    assert retry(ClientBehaviour(retry_after_share=1.0), refused) == (0.4,)
+    assert retry(ClientBehaviour(retry_after_share=0.0), refused) == (0.0,)
     spans = [attempt_timeout_s(FREE, ClientBehaviour(), rng) for _ in range(500)]
     assert 0.6 <= min(spans) < 0.65 and 1.05 < max(spans) <= 1.1
 
@@ -203,13 +220,17 @@
 def recorded(seed: int) -> Record:
     record, rng = Record(DEFAULT_CLASSES), random.Random(seed)
     for n in range(500):
-        kind = rng.choice(DEFAULT_CLASSES)
-        record.sent(rng.random() / 1000)
-        record.tried(kind.name, SERVED, rng.random() / 100)
-        record.ended(kind.name, "t", SERVED if n % 5 else FAILED, n // 25, rng.random())
+        name = rng.choice(DEFAULT_CLASSES).name
+        record.attempt_sent(rng.random() / 1000)
+        record.attempt_ended(name, SERVED, rng.random() / 100)
+        record.request_ended(name, "t", SERVED if n % 5 else FAILED, n // 25, rng.random())
     return record
 
 
+def worker_result(record: Record, starved: str = "") -> WorkerResult:
+    return WorkerResult(record.dump(), starved, sent=500, in_flight=0, cpu_s=1.0)
+
+
 def test_records_merge_into_what_one_would_have_been() -> None:
     one, other, both = recorded(1), recorded(2), Record(DEFAULT_CLASSES)
     both.merge(one.dump())
@@ -218,9 +239,9 @@
     complete = both.complete(both.latency)
     assert complete.get_total_count() == 800
     assert complete.get_max_value() >= one.complete(one.latency).get_max_value()
+    weights = [*one.weights_by_second.values(), *other.weights_by_second.values()]
     assert both.goodput()["whole"] == pytest.approx(
-        (sum(one.got.values()) + sum(other.got.values()))
-        / (sum(one.asked.values()) + sum(other.asked.values()))
+        sum(one.earned for one in weights) / sum(one.offered for one in weights)
     )
 
 
@@ -242,8 +263,8 @@
     )
     for second in range(30):
         late = 10 <= second < 20
-        record.ended("a", "x", SERVED, second, 0.5 if late else 0.05)
-        record.ended("b", "y", SERVED, second, 0.5)
+        record.request_ended("a", "x", SERVED, second, 0.5 if late else 0.05)
+        record.request_ended("b", "y", SERVED, second, 0.5)
     got = record.goodput()
     assert got["whole"] == pytest.approx((20 * 2 + 30 * 0.5) / 90)
     assert got["worst_10s"] == pytest.approx(5 / 30) and got["worst_class"] == 0.5
@@ -253,15 +274,14 @@
 def test_a_result_says_what_was_wrong_with_its_instrument() -> None:
     load = LoadOptions(Target("h", 1), max_lateness_ms=5.0)
     good = recorded(1)
-    part: dict[str, Any] = {"record": good.dump(), "starved": "", "sent": 500, "live": 0, "cpu_s": 1.0}
-    fine = summary(load, [part], 10.0, False, 0)
+    fine = summary(load, RunResults([worker_result(good)], 10.0))
     assert not fine["trouble"] and fine["ended"] == 500 and "goodput" in show(fine)
     for _ in range(20):
-        good.sent(0.05)
+        good.attempt_sent(0.05)
     good.counts["answered twice"] = 1
     good.counts["warm-up"] = 3
-    part = {**part, "record": good.dump(), "starved": "out of descriptors"}
-    bad = summary(load, [part], 10.0, False, 1)
+    starved = worker_result(good, starved="out of descriptors")
+    bad = summary(load, RunResults([starved], 10.0, silent_workers=1))
     assert bad["warm_up"] == 3 and bad["late"] and len(bad["trouble"]) == 4
     text = compare(fine, bad)
     assert "latency_ms p99" in text and text.count("! B:") == 4 and "! A:" not in text
@@ -270,21 +290,20 @@
 def test_latencies_by_the_second_are_merged_and_close() -> None:
     record, other = Record(DEFAULT_CLASSES), Record(DEFAULT_CLASSES)
     for n in range(1, 1001):
-        (record if n % 2 else other).ended("consulta", "", SERVED, n % 2, n / 1000)
+        (record if n % 2 else other).request_ended("consulta", "", SERVED, n % 2, n / 1000)
     record.merge(other.dump())
     rows = record.seconds()
     assert [row["second"] for row in rows] == [0, 1] and sum(row["served"] for row in rows) == 1000
     for row in rows:
         assert row["p50"] == pytest.approx(500, rel=0.03) and row["p99"] == pytest.approx(990, rel=0.03)
-        assert row["goodput"] == pytest.approx(0.5, abs=0.01)  # the aim is 500 ms
+        assert row["goodput"] == pytest.approx(0.5, abs=0.01)  # the objective is 500 ms
 
 
 # ---- the page and the live view
 
 
 def result_of(record: Record) -> dict[str, Any]:
-    part: dict[str, Any] = {"record": record.dump(), "starved": "", "sent": 500, "live": 0, "cpu_s": 1.0}
-    return summary(LoadOptions(Target("h", 1)), [part], 10.0, False, 0)
+    return summary(LoadOptions(Target("h", 1)), RunResults([worker_result(record)], 10.0))
 
 
 def test_the_page_stands_alone_and_says_what_the_result_says() -> None:
@@ -310,16 +329,16 @@
 
 def test_the_live_view_adds_up_its_workers() -> None:
     first, second = recorded(1), recorded(2)
-    told = [{"sent": 10, "live": 1, "ends": dict(r.outcomes), "recent": r.recent(4)} for r in (first, second)]
+    reports = [Progress(10, 1, dict(record.outcomes), record.recent(4)) for record in (first, second)]
     out = io.StringIO()
     view = View(Console(file=out, width=100, force_terminal=False))
     view.notes.append("drain: s0001")
     view.show([])
-    view.show(told)
+    view.show(reports)
     Console(file=out, width=100).print(view.table())
-    assert view.sums.sent == 20 and sorted(view.sums.seconds) == [16, 17, 18, 19]
-    goodput, served, p50, p99 = view.sums.row(18)
-    assert served == sum(first.by_second[18].values()) + sum(second.by_second[18].values())
+    assert view.totals.sent == 20 and sorted(view.totals.seconds) == [16, 17, 18, 19]
+    goodput, served, p50, p99 = view.totals.summary(18)
+    assert served == sum(first.latency_steps[18].values()) + sum(second.latency_steps[18].values())
     assert 0 < goodput < 1 and p50 < p99
     assert "drain: s0001" in out.getvalue() and "consulta served" in out.getvalue()
 
@@ -331,14 +350,14 @@
 # ---- sessions
 
 
-def test_sessions_are_whole_on_one_worker_and_keep_their_gaps() -> None:
+def test_sessions_are_complete_on_one_worker_and_keep_their_gaps() -> None:
     rows = tuple(TraceRow(n * 0.1, "consulta", "t", f"k{n % 7}" if n % 10 else "") for n in range(200))
     load = LoadOptions(Target("h", 1), rows=rows, speed=5.0, workers=3, keep_think_times=True)
     firsts, gaps = 0, []
     for worker in range(3):
-        mine, following = sessions(load, worker)
-        firsts += len(mine)
-        assert {due.session for due in mine} >= set(following)
-        gaps += [due.offset for dues in following.values() for due in dues]
+        first_requests, followers = plan_sessions(load, worker)
+        firsts += len(first_requests)
+        assert {planned.session for planned in first_requests} >= set(followers)
+        gaps += [planned.offset for session in followers.values() for planned in session]
     assert firsts + len(gaps) == 200 and firsts == 20 + 7
     assert min(gaps) >= 0.7 - 1e-9  # a key comes every 7 rows, 0.1 s each: not divided by the speed
--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -23,11 +23,14 @@
 import pytest
 import uvloop
 
+from quartzford.load.attempt import ClientAttempt
 from quartzford.load.clients import SINGLE_ATTEMPT, ClientBehaviour, RequestClass
-from quartzford.load.driver import ClientAttempt, Driver, Target
-from quartzford.load.live import Sums
+from quartzford.load.driver import Driver, WorkerPlan
+from quartzford.load.live import ProgressTotals
+from quartzford.load.options import LoadOptions, Target
+from quartzford.load.plan import make_trace, plan_requests
 from quartzford.load.record import Record, histogram_summary
-from quartzford.load.run import LoadOptions, make_trace, plan, play
+from quartzford.load.run import play
 from quartzford.load.trace import TraceRow
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -47,13 +50,25 @@
         process.wait()
 
 
+def worker_plan(load: LoadOptions, start: float | None = None) -> WorkerPlan:
+    """start: on the monotonic clock; None: now."""
+    requests = plan_requests(load, 0)
+    return WorkerPlan(
+        load.target,
+        load.behaviour,
+        requests,
+        time.monotonic() if start is None else start,
+        load.seed,
+        "t",
+    )
+
+
 def driven(load: LoadOptions) -> Record:
     """One worker, in this process."""
 
     async def main() -> Record:
         record = Record(load.request_classes)
-        start = time.monotonic() + 0.05
-        await Driver(load.target, load.behaviour, plan(load, 0), start, load.seed, "t", record).run()
+        await Driver(worker_plan(load, time.monotonic() + 0.05), record).run()
         return record
 
     return uvloop.run(main())
@@ -106,7 +121,9 @@
         histogram_summary(record.complete(record.service)),
     )
     assert latency["count"] >= 29 and latency["max"] > 250 > service["p50"] >= 20
-    assert histogram_summary(record.late)["max"] > 200  # its own bound: the generator says that it was late
+    assert (
+        histogram_summary(record.lateness)["max"] > 200
+    )  # its own bound: the generator says that it was late
 
 
 def test_a_server_that_never_answers_loses_no_request() -> None:
@@ -122,7 +139,7 @@
                 behaviour=ClientBehaviour(),
             )
         )
-    assert record.outcomes == {"cobro no answer": 100} and record.tries == {"no answer": 100}
+    assert record.outcomes == {"cobro no answer": 100} and record.attempt_outcomes == {"no answer": 100}
     assert record.goodput()["whole"] == 0.0
 
 
@@ -131,7 +148,7 @@
 
     def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
         super().connect(attempt, fresh)
-        if attempt.request.number == 1 and attempt.request.tries == 1:
+        if attempt.request.number == 1 and attempt.request.attempts == 1:
             self.loop.call_soon(self.loop.call_soon, time.sleep, 0.5)
 
 
@@ -149,13 +166,15 @@
             target, "constant:4", 0.2, "fixed", request_classes=request_classes, behaviour=ClientBehaviour()
         )
         record = Record(request_classes)
-        await HeldUp(target, load.behaviour, plan(load, 0), time.monotonic(), 1, "t", record).run()
+        await HeldUp(worker_plan(load), record).run()
         listening.close()
         return record
 
     record = uvloop.run(main())
-    assert record.outcomes == {"cobro no answer": 1} and record.tries == {"no answer": 1}
-    assert histogram_summary(record.late)["max"] > 400  # its own delay: the generator says that it was late
+    assert record.outcomes == {"cobro no answer": 1} and record.attempt_outcomes == {"no answer": 1}
+    assert (
+        histogram_summary(record.lateness)["max"] > 400
+    )  # its own delay: the generator says that it was late
 
 
 def test_a_server_that_never_takes_the_connection_is_unreachable() -> None:
@@ -176,21 +195,21 @@
                 0.2,
                 "fixed",
                 request_classes=request_classes,
-                behaviour=ClientBehaviour(tries=2),
+                behaviour=ClientBehaviour(max_attempts=2),
             )
         )
-    assert record.outcomes == {"cobro unreachable": 1} and record.tries == {"unreachable": 2}
+    assert record.outcomes == {"cobro unreachable": 1} and record.attempt_outcomes == {"unreachable": 2}
 
 
 def test_nobody_there_is_tried_again_and_counted() -> None:
     with server("none") as (target, process):
         process.kill()
         process.wait()
-        behaviour = ClientBehaviour(tries=3, wait_s=0.01)
+        behaviour = ClientBehaviour(max_attempts=3, retry_wait_s=0.01)
         record = driven(
             LoadOptions(target, "constant:50", 0.5, "fixed", request_classes=ONE, behaviour=behaviour)
         )
-    assert record.outcomes == {"consulta unreachable": 25} and record.tries == {"unreachable": 75}
+    assert record.outcomes == {"consulta unreachable": 25} and record.attempt_outcomes == {"unreachable": 75}
 
 
 def test_refused_clients_follow_the_time_to_come_back() -> None:
@@ -209,16 +228,18 @@
         port = listening.sockets[0].getsockname()[1]
         load = LoadOptions(Target("127.0.0.1", port), "constant:4", 0.2, "fixed", request_classes=ONE)
         record = Record(ONE)
-        await Driver(load.target, ClientBehaviour(), plan(load, 0), time.monotonic(), 1, "t", record).run()
+        await Driver(worker_plan(load), record).run()
         listening.close()
         return record
 
     record = uvloop.run(main())
-    assert record.outcomes == {"consulta served": 1} and record.tries == {"refused": 1, "served": 1}
+    assert record.outcomes == {"consulta served": 1} and record.attempt_outcomes == {
+        "refused": 1,
+        "served": 1,
+    }
     assert 0.28 <= moments[1] - moments[0] < 2.0
-    assert (
-        histogram_summary(record.complete(record.latency))["max"] >= 300
-    )  # from the first try's intended send
+    # From the intended send of the first attempt.
+    assert histogram_summary(record.complete(record.latency))["max"] >= 300
 
 
 def test_an_answer_to_nothing_is_counted() -> None:
@@ -233,17 +254,22 @@
         listening = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
         load = LoadOptions(
-            Target("127.0.0.1", port), "step:10@0.2+constant:1", 0.4, "fixed", request_classes=ONE
+            Target("127.0.0.1", port),
+            "step:10@0.2+constant:1",
+            0.4,
+            "fixed",
+            request_classes=ONE,
+            behaviour=SINGLE_ATTEMPT,
         )
         record = Record(ONE)
-        await Driver(load.target, SINGLE_ATTEMPT, plan(load, 0), time.monotonic(), 1, "t", record).run()
+        await Driver(worker_plan(load), record).run()
         listening.close()
         return record
 
     assert uvloop.run(main()).counts["answered twice"] >= 1
 
 
-def test_workers_merge_into_one_result() -> None:
+def test_the_records_of_workers_are_merged_into_one_result() -> None:
     with server("constant:1") as (target, _):
         result = play(
             LoadOptions(
@@ -328,7 +354,7 @@
     assert thinking["latency_ms"]["all"]["max"] < 1000  # from the moment at which it was due, not the first's
 
 
-def test_who_watches_is_told_how_far_the_workers_are() -> None:
+def test_workers_report_their_progress() -> None:
     seen: list[Any] = []
     with server("none") as (target, _):
         load = LoadOptions(
@@ -341,13 +367,14 @@
             report_progress=True,
         )
         result = play(load, progress=seen.append)
-    told = [one for parts in seen for one in parts]
-    assert told and result["ended"] == result["sent"]
-    counts = [one["sent"] for one in told]
+    reports = [one for received in seen for one in received]
+    assert reports and result["ended"] == result["sent"]
+    counts = [one.sent for one in reports]
     assert counts == sorted(counts) and 0 < counts[-1] <= result["sent"]
-    sums = Sums()
-    sums.add(seen[-1])
-    assert sums.sent == counts[-1] and sum(sums.row(s)[1] for s in sums.seconds) > 0
+    totals = ProgressTotals()
+    totals.update(seen[-1])
+    assert totals.sent == counts[-1]
+    assert sum(totals.summary(second).served for second in totals.seconds) > 0
 
 
 def test_a_trace_at_five_times_2600_is_in_time_or_said_to_be_late() -> None:
@@ -369,7 +396,7 @@
         load = LoadOptions(
             Target("127.0.0.1", 9), "constant:100", 0.2, request_classes=ONE, behaviour=SINGLE_ATTEMPT
         )
-        driver = Driver(load.target, load.behaviour, plan(load, 0), time.monotonic(), 1, "t", record)
+        driver = Driver(worker_plan(load), record)
 
         class Loop:
             def __getattr__(self, name: str) -> Any:
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -18,8 +18,8 @@
 
 from quartzford.decision import interface as io
 from quartzford.engine import LoopClock
-from quartzford.load.driver import Target
-from quartzford.load.run import LoadOptions, plan
+from quartzford.load.options import LoadOptions, Target
+from quartzford.load.plan import plan_requests
 from quartzford.load.trace import TraceRow, read_trace
 from quartzford.recording import Recorder
 from standins.site import free_port
@@ -160,8 +160,8 @@
         ("pay", "lima", n, 1500.0) for n in range(10)
     ]
     assert len({row.key for row in rows}) == 2 and not any("u0" in row.key for row in rows)
-    dues = list(plan(LoadOptions(Target("h", 1), rows=tuple(rows), speed=2.0), 0))
-    assert [due.size for due in dues] == list(range(10))
+    replayed = plan_requests(LoadOptions(Target("h", 1), rows=tuple(rows), speed=2.0), 0)
+    assert [planned.size for planned in replayed] == list(range(10))
 
 
 def test_a_file_that_cannot_be_made_is_refused_at_the_start(tmp_path: Path) -> None:
