--- a/bench/common.py
+++ b/bench/common.py
@@ -21,8 +21,8 @@
 import uvloop
 
 from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
-from quartzford.load.driver import Target
-from quartzford.load.run import LoadOptions, play
+from quartzford.load.options import LoadOptions, Target
+from quartzford.load.run import play
 from standins.site import config, free_port
 from standins.upstream import ExecutionJournal, StandInUpstream, start_upstreams
 
--- a/bench/growth.py
+++ b/bench/growth.py
@@ -25,8 +25,8 @@
 from bench.slopes_process import processor_s, resident_mb
 from bench.slopes_requests import balancer_process
 from quartzford.load.clients import DEFAULT_CLASSES, SERVED, SINGLE_ATTEMPT
-from quartzford.load.driver import Target
-from quartzford.load.run import LoadOptions, play
+from quartzford.load.options import LoadOptions, Target
+from quartzford.load.run import play
 
 RATE = 40.0  # requests a second
 REPLACED = 12  # one upstream in so many
--- a/bench/http_path.py
+++ b/bench/http_path.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bench.common import ROOT, cpu_seconds, healthy_fleet, platform_run, report, saturate
-from quartzford.load.driver import Target
+from quartzford.load.options import Target
 
 CLIENTS = 32
 
--- a/bench/loadgen.py
+++ b/bench/loadgen.py
@@ -18,8 +18,9 @@
 
 from bench.common import ROOT, cpu_seconds, healthy_fleet, platform_run, report, saturate
 from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
-from quartzford.load.driver import Target
-from quartzford.load.run import LoadOptions, make_trace, play
+from quartzford.load.options import LoadOptions, Target
+from quartzford.load.plan import make_trace
+from quartzford.load.run import play
 
 KINDS = (RequestClass("consulta", deadline_s=4.0, latency_objective_s=1.0),)
 MARGIN, MARGIN_MS = 0.01, 0.5
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -35,8 +35,8 @@
 from quartzford.decision.columns import load_arrays
 from quartzford.decision.logic import Balancer
 from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
-from quartzford.load.driver import Target
-from quartzford.load.run import LoadOptions, play
+from quartzford.load.options import LoadOptions, Target
+from quartzford.load.run import play
 from standins.site import config, free_port
 from standins.upstream import ExecutionJournal, StandInUpstream, start_upstreams
 
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -32,7 +32,7 @@
 import uvloop
 
 from bench.common import ROOT, quantile, report, saturate
-from quartzford.load.driver import Target
+from quartzford.load.options import Target
 from standins.site import MIX, config, free_port
 
 RATE = 250.0  # requests a second
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -22,16 +22,13 @@
 
 import uvloop
 
-from quartzford.load.clients import DEFAULT_CLASSES, SERVED, UNREACHABLE, ClientBehaviour, attempt_timeout_s
+from quartzford.load.attempt import ClientAttempt, ClientRequest
+from quartzford.load.clients import DEFAULT_CLASSES, SERVED, UNREACHABLE, ClientBehaviour, Outcome
 from quartzford.load.connecting import connect_within
-from quartzford.load.driver import (
-    ClientAttempt,
-    ClientRequest,
-    Driver,
-    PlannedRequest,
-    Target,
-    TargetConnection,
-)
+from quartzford.load.connection import TargetConnection
+from quartzford.load.driver import Driver, WorkerPlan
+from quartzford.load.options import Target
+from quartzford.load.plan import PlannedRequest
 from quartzford.load.record import Record, histogram_summary
 
 POLL_S = 0.25
@@ -130,7 +127,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Note the attempt that went down with the connection."""
-        if self.attempt is not None and not self.attempt.over:
+        if self.attempt is not None and not self.attempt.ended:
             self.driver.lost(self.attempt, self)
         super().connection_lost(error)
 
@@ -142,11 +139,11 @@
         super().__init__(DEFAULT_CLASSES)
         self.unserved: dict[int, Counter[str]] = {}
 
-    def ended(self, name: str, tenant: str, end: str, second: int, latency_s: float) -> None:
+    def request_ended(self, name: str, tenant: str, outcome: Outcome, second: int, latency_s: float) -> None:
         """A request has come to its end."""
-        super().ended(name, tenant, end, second, latency_s)
-        if end != SERVED:
-            self.unserved.setdefault(second, Counter())[end] += 1
+        super().request_ended(name, tenant, outcome, second, latency_s)
+        if outcome is not SERVED:
+            self.unserved.setdefault(second, Counter())[outcome] += 1
 
 
 class Crowd(Driver):
@@ -163,18 +160,13 @@
         self.front = front
         self.timed = record = Timed()
         record.attempt_log = []
-        super().__init__(Target("fleet", 80), behaviour, plan, start, seed, "c", record)
+        super().__init__(WorkerPlan(Target("fleet", 80), behaviour, plan, start, seed, "c"), record)
         self.rest = Rest(len(front.targets))
         self.idle = self.rest  # type: ignore[assignment]
         self.at: dict[str, tuple[int, float, float]] = {}  # of what was lost: where, since when, until when
 
-    def _begin_attempt(self, request: ClientRequest, intended: float) -> None:
-        request.tries += 1
-        attempt = ClientAttempt(
-            request,
-            intended,
-            min(request.end, intended + attempt_timeout_s(request.due.kind, self.behaviour, self.rng)),
-        )
+    def _begin_attempt(self, request: ClientRequest, intended_at: float) -> None:
+        attempt = self._new_attempt(request, intended_at)
         where = self.front.pick()
         links = self.rest.by[where] if where >= 0 else []
         while links:
@@ -193,9 +185,7 @@
 
     def _dial(self, attempt: ClientAttempt, where: int) -> None:
         self.open_connections += 1
-        task = self.loop.create_task(self._connect_to(attempt, where))
-        self.connecting.add(task)
-        task.add_done_callback(self.connecting.discard)
+        self._keep_task(self.loop.create_task(self._connect_to(attempt, where)))
 
     async def _connect_to(self, attempt: ClientAttempt, where: int) -> None:
         link = Member(self)
@@ -210,7 +200,7 @@
             self.open_connections -= 1
             if where >= 0:
                 self.front.failed(where)
-            return self.ended(attempt, UNREACHABLE, 0.0)
+            return self.attempt_ended(attempt, UNREACHABLE, 0.0)
         self.front.reached(where)
         self.connected(attempt, link)
 
@@ -254,10 +244,10 @@
         "lost": [[identity, *row] for identity, row in driver.at.items()],
         "ends": dict(record.outcomes),
         "latency_ms": histogram_summary(record.complete(record.latency)),
-        "late_ms": histogram_summary(record.late),
+        "late_ms": histogram_summary(record.lateness),
         "goodput": record.goodput(),
         "seconds": record.seconds(),
-        "steps": record.by_second,
+        "steps": record.latency_steps,
         "unserved": driver.timed.unserved,
     }
     print(json.dumps(result), flush=True)
