--- a/tests/test_load_reconciliation.py
+++ b/tests/test_load_reconciliation.py
@@ -1,4 +1,4 @@
-"""The rules read from books: each kind of breach is seen, and what is no breach is not."""
+"""The rules checked by what clients and servers saw: each breach is found, and what is none is not."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     "runs": [
         [1.0, "1.0.1-1", "consulta", "", 0, False],
         [1.1, "1.0.2-1", "reserva", "k2", 0, False],
-        [1.2, "1.0.2-2", "reserva", "k2", 0, True],  # a repeat that its block dropped
+        [1.2, "1.0.2-2", "reserva", "k2", 0, True],  # a repeat that its cell dropped
         [1.3, "1.0.3-2", "cobro", "", 0, False],
     ],
     "arrivals": {"s0": [[1.0, 0], [1.1, 0]], "s1": [[1.2, 1], [1.3, 1]]},
@@ -25,7 +25,7 @@
     "overlapping": 0,
     "window_s": 2.0,
 }
-TRIES = [
+ATTEMPTS = [
     ("1.0.1-1", "consulta", "served"),
     ("1.0.2-1", "reserva", "no answer"),
     ("1.0.2-2", "reserva", "served"),
@@ -34,14 +34,14 @@
 ]
 
 
-def test_books_that_agree() -> None:
-    verdict = check_rules(ACCOUNT, TRIES, DEFAULT_CLASSES)
+def test_an_account_and_an_attempt_log_that_agree() -> None:
+    verdict = check_rules(ACCOUNT, ATTEMPTS, DEFAULT_CLASSES)
     assert verdict["kept"] and verdict["runs"] == 4 and verdict["drains"] == 1
     assert verdict["latest_send_after_drain_ms"] == 200.0 and verdict["cold"]["lives"] == 1
 
 
 @pytest.mark.parametrize(
-    ("rule", "spoil"),
+    ("rule", "break_it"),
     [
         ("lost: no whole answer", lambda a, t: t.append(("1.0.7-1", "consulta", "lost"))),
         ("served but run by nobody", lambda a, t: t.append(("1.0.9-1", "consulta", "served"))),
@@ -60,21 +60,21 @@
         ("cold breaches", lambda a, t: a["arrivals"]["s1"].extend([[1.4, 1]] * 120)),
     ],
 )
-def test_each_rule_that_breaks_is_named(rule: str, spoil: Any) -> None:
-    account, tries = copy.deepcopy(ACCOUNT), list(TRIES)
-    spoil(account, tries)
-    verdict = check_rules(account, tries, DEFAULT_CLASSES)
+def test_each_rule_that_breaks_is_named(rule: str, break_it: Any) -> None:
+    account, attempts = copy.deepcopy(ACCOUNT), list(ATTEMPTS)
+    break_it(account, attempts)
+    verdict = check_rules(account, attempts, DEFAULT_CLASSES)
     assert verdict["rules"][rule] == 1 and not verdict["kept"]
     assert sum(bool(count) for count in verdict["rules"].values()) == 1
 
 
 def test_a_refused_consulta_that_ran_is_no_breach() -> None:
-    assert check_rules(ACCOUNT, [*TRIES, ("1.0.1-1", "consulta", "refused")], DEFAULT_CLASSES)["kept"]
+    assert check_rules(ACCOUNT, [*ATTEMPTS, ("1.0.1-1", "consulta", "refused")], DEFAULT_CLASSES)["kept"]
 
 
 def test_an_answer_too_many_is_a_breach() -> None:
-    assert check_rules(ACCOUNT, TRIES, DEFAULT_CLASSES, 1)["rules"]["answered twice"] == 1
-    assert not check_rules(ACCOUNT, TRIES, DEFAULT_CLASSES, 1)["kept"]
+    assert check_rules(ACCOUNT, ATTEMPTS, DEFAULT_CLASSES, 1)["rules"]["answered twice"] == 1
+    assert not check_rules(ACCOUNT, ATTEMPTS, DEFAULT_CLASSES, 1)["kept"]
 
 
 def test_a_drain_that_ended_counts_no_more() -> None:
