--- a/quartzford/load/connecting.py
+++ b/quartzford/load/connecting.py
@@ -3,21 +3,19 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TypeVar
-
-ProtocolT = TypeVar("ProtocolT", bound=asyncio.Protocol)
 
 # Long enough for the event loop to poll once more and to run what the poll has made ready.
 POLL_S = 0.002
 
 
 async def connect_within(
-    loop: asyncio.AbstractEventLoop, protocol: ProtocolT, host: str, port: int, limit_s: float
+    loop: asyncio.AbstractEventLoop, protocol: asyncio.Protocol, host: str, port: int, limit_s: float
 ) -> None:
     """Connect the protocol to a server; limit_s: seconds from now.
 
-    Where this process was held up until the limit, the connection may long be up without the loop having seen
-    it: the loop polls once more before the server is blamed. The caller may thus get a connection late.
+    If this process was delayed until the limit, the connection may have been up for long without the event
+    loop having seen it, so the loop polls once more before the server is blamed. The caller may thus get a
+    connection late.
 
     Raises OSError if the server can't be reached, and TimeoutError if it is not reached in time.
     """
