--- a/quartzford/load/worker.py
+++ b/quartzford/load/worker.py
@@ -10,6 +10,7 @@
 import asyncio
 import contextlib
 import gc
+import os
 import resource
 import signal
 from collections.abc import AsyncIterator
@@ -59,6 +60,7 @@
     record.attempt_log = [] if load.keep_attempt_log else None
     driver = Driver(_worker_plan(load, worker, start), record)
     loop.add_reader(pipe.fileno(), driver.stop)
+    os.set_blocking(pipe.fileno(), True)  # add_reader has changed that, and a long message would fail
     async with _progress_reports(driver, pipe, load.report_progress):
         gc.collect()
         gc.freeze()
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import time
 from dataclasses import replace
 from typing import Any
 
@@ -133,3 +134,20 @@
     assert result["ended"] == result["sent"] == len(rows) > 12_000
     late = result["lateness_ms"]["p99"] > 5.0
     assert result["late"] == late and any("late" in text for text in result["trouble"]) == late
+
+
+def test_a_result_of_any_size_reaches_a_parent_that_reads_it_late() -> None:
+    """The attempt log is larger than the pipe's buffer, and the parent is busy when the worker sends it."""
+    with server("none") as (target, _):
+        load = LoadOptions(
+            target,
+            seconds=2.0,
+            request_classes=ONE_CLASS,
+            behaviour=SINGLE_ATTEMPT,
+            closed_clients=16,
+            keep_attempt_log=True,
+            max_lateness_ms=1e6,
+        )
+        result = play(load, started=lambda: time.sleep(4.0))
+    assert not result["trouble"], result["trouble"]
+    assert len(result["record"]["book"]) == result["ended"] > 0
