--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -75,6 +75,7 @@
 
     async def start(self) -> None:
         self.nodos, self.journal, self.registry = await start_upstreams(self.plan.nodos, self._make)
+        self.registry.events = self.log
 
     def begin(self) -> None:
         """The trouble starts now."""
@@ -149,7 +150,7 @@
                 self._task(self.suffer(rng.choice(free), what))
 
     def account(self) -> dict[str, Any]:
-        return self.registry.account() | {"events": self.log, "plan": asdict(self.plan)}
+        return self.registry.account() | {"plan": asdict(self.plan)}
 
 
 async def run(plan: Plan) -> None:
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -358,6 +358,7 @@
         self.watchers: set[asyncio.Transport] = set()
         self.told: dict[str, float] = {}  # nodo: when it was last told that it drains or is gone
         self.drains: list[list[Any]] = []  # nodo, address, told from, until (None: still)
+        self.events: list[tuple[float, str, str]] = []  # when, what, nodo: of whoever runs the fleet
         self.delay_s = 0.0
 
     async def start(self) -> None:
@@ -414,6 +415,7 @@
             "turned_away": journal.turned_away,
             "overlapping": journal.overlapping,
             "window_s": journal.window_s,
+            "events": self.events,
         }
 
     def broadcast(self, line: bytes) -> None:
