--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -40,11 +40,11 @@
     endpoints.slow_start.refill(balancer.now)
     return io.LearnedState(
         servers=tuple(_server(endpoints, server) for server in endpoints.ready),
-        by_hand=tuple(endpoints.in_maintenance),
-        back=dict(endpoints.maintenance_ended),
+        in_maintenance=tuple(endpoints.in_maintenance),
+        maintenance_ended=dict(endpoints.maintenance_ended),
         arrivals=_rate(endpoints.traffic.arrivals),
         answers=_rate(endpoints.traffic.answers),
-        usual=dict(balancer.latency.typical),
+        typical_latencies=dict(balancer.latency.typical),
         peaks=tuple(balancer.latency.peaks.pairs),
         retry_budget=balancer.retry_budget / 2,
         tenants={name: _rate(rate) for name, rate in admission.rates.items()},
@@ -62,14 +62,14 @@
     """Put it into a balancer that has the list; servers that either does not know stay as they are."""
     endpoints = balancer.endpoints
     now = balancer.now
-    endpoints.maintenance_ended.update(state.back)
-    for name in state.by_hand:
+    endpoints.maintenance_ended.update(state.maintenance_ended)
+    for name in state.in_maintenance:
         endpoints.set_maintenance(name, True)
     endpoints.restore_working_set([learned.name for learned in state.servers])
     _recall_servers(endpoints, state.servers, now)
     endpoints.traffic.arrivals = _read(state.arrivals, now)
     endpoints.traffic.answers = _read(state.answers, now)
-    balancer.latency.restore(now, state.usual, state.peaks)
+    balancer.latency.restore(now, state.typical_latencies, state.peaks)
     balancer.retry_budget = min(MAX_RETRY_BUDGET, state.retry_budget)
     _recall_admission(balancer.admission, state, now)
     known = (Offer(*offer) for offer in state.offers if offer[1] in balancer.classes)
@@ -89,7 +89,7 @@
 
 def _recall_server(endpoints: EndpointSet, server: Server, learned: io.LearnedEndpoint, now: float) -> None:
     ejection = endpoints.ejection
-    ejection.set_failing(server, learned.failing)
+    ejection.set_failing(server, learned.failure_rate)
     server.ejections = learned.ejections
     server.ejected_until = learned.ejected_until
     if learned.suspect:  # what is in flight stays with the predecessor: passed over for a while
@@ -98,7 +98,7 @@
         ejection.unhealthy[server] = None
     server.tokens = learned.tokens
     server.tokens_ms = min(learned.tokens_ms, now)
-    endpoints.slow_start.begin(server, min(learned.cold_from, now))
+    endpoints.slow_start.begin(server, min(learned.slow_start_from_ms, now))
 
 
 def _recall_admission(admission: Admission, state: io.LearnedState, now: float) -> None:
@@ -123,7 +123,7 @@
     return replace(
         state,
         servers=tuple(_rebase_server(server, by_ms) for server in state.servers),
-        back={name: _rebase_moment(at, by_ms) for name, at in state.back.items()},
+        maintenance_ended={name: _rebase_moment(at, by_ms) for name, at in state.maintenance_ended.items()},
         arrivals=_rebase_rate(state.arrivals, by_ms),
         answers=_rebase_rate(state.answers, by_ms),
         peaks=tuple((_rebase_moment(at, by_ms), latency) for at, latency in state.peaks),
@@ -137,7 +137,7 @@
         server,
         ejected_until=_rebase_moment(server.ejected_until, by_ms),
         tokens_ms=_rebase_moment(server.tokens_ms, by_ms),
-        cold_from=_rebase_moment(server.cold_from, by_ms),
+        slow_start_from_ms=_rebase_moment(server.slow_start_from_ms, by_ms),
     )
 
 
@@ -159,13 +159,13 @@
         cost=float(shares.cost[slot]) if shares.known else 0.0,
         latency=float(shares.latency[slot]),
         report=float(shares.report[slot]),
-        failing=min(1.0, max(0.0, server.failing)),
+        failure_rate=min(1.0, max(0.0, server.failing)),
         ejections=server.ejections,
         ejected_until=max(0.0, server.ejected_until),
         suspect=endpoints.responsiveness.is_suspect(endpoints.now, server),
         tokens=server.tokens,
         tokens_ms=max(0.0, server.tokens_ms),
-        cold_from=server.cold_from,
+        slow_start_from_ms=server.cold_from,
     )
 
 
--- a/quartzford/replaceable_node.py
+++ b/quartzford/replaceable_node.py
@@ -89,7 +89,7 @@
         return inherited
 
     def _restore_maintenance(self, on_file: set[str], state: InheritedState | None) -> None:
-        names = on_file if state is None else set(state.memory.by_hand)
+        names = on_file if state is None else set(state.memory.in_maintenance)
         for name in names:
             self.control.engine.feed(io.MaintenanceChange(name, True))
         if names != on_file:  # the predecessor could not write its file
--- /dev/null
+++ b/quartzford/replacement/encoded_learned_state.py
@@ -0,0 +1,102 @@
+"""The learned state as it is encoded for a successor.
+
+Each record here stands for one of the decision module, with the same fields in the same order. Names and
+order are those of the bytes, which other versions of the program read: `rename` holds the names that are
+encoded under another one than the attribute's, and new fields come last, with a default.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from quartzford.decision import interface as io
+
+
+class EncodedRate(msgspec.Struct, frozen=True):
+    """A LearnedRate."""
+
+    start: float = 0.0
+    last: float = 0.0
+    value: float = 0.0
+
+    @classmethod
+    def encode(cls, rate: io.LearnedRate) -> EncodedRate:
+        """The record of a rate."""
+        return cls(rate.start, rate.last, rate.value)
+
+    def decode(self) -> io.LearnedRate:
+        """The rate; ValueError where a value is out of its bounds."""
+        return io.LearnedRate(self.start, self.last, self.value)
+
+
+class EncodedEndpoint(
+    msgspec.Struct, frozen=True, rename={"failure_rate": "failing", "slow_start_from_ms": "cold_from"}
+):
+    """A LearnedEndpoint."""
+
+    name: str
+    started_ms: float
+    p: float
+    cost: float
+    latency: float
+    report: float
+    failure_rate: float = 0.0
+    ejections: int = 0
+    ejected_until: float = 0.0
+    suspect: bool = False
+    tokens: float = 0.0
+    tokens_ms: float = 0.0
+    slow_start_from_ms: float = 0.0
+
+    @classmethod
+    def encode(cls, endpoint: io.LearnedEndpoint) -> EncodedEndpoint:
+        """The record of an endpoint."""
+        return cls(*(getattr(endpoint, name) for name in cls.__struct_fields__))
+
+    def decode(self) -> io.LearnedEndpoint:
+        """The endpoint; ValueError where a value is out of its bounds."""
+        return io.LearnedEndpoint(**msgspec.structs.asdict(self))
+
+
+class EncodedLearnedState(
+    msgspec.Struct,
+    frozen=True,
+    rename={"in_maintenance": "by_hand", "maintenance_ended": "back", "typical_latencies": "usual"},
+):
+    """A LearnedState."""
+
+    servers: tuple[EncodedEndpoint, ...] = ()
+    in_maintenance: tuple[str, ...] = ()
+    maintenance_ended: dict[str, float] = msgspec.field(default_factory=dict)
+    arrivals: EncodedRate = EncodedRate()
+    answers: EncodedRate = EncodedRate()
+    typical_latencies: dict[str, float] = msgspec.field(default_factory=dict)
+    peaks: tuple[tuple[float, float], ...] = ()
+    retry_budget: float = 0.0
+    tenants: dict[str, EncodedRate] = msgspec.field(default_factory=dict)
+    ends: float = 0.0
+    good: float = 0.0
+    refused: float = 0.0
+    shed: float = 0.0
+    shed_ms: float = 0.0
+    marginal: float = 0.5
+    offers: tuple[tuple[float, str], ...] = ()
+
+    @classmethod
+    def encode(cls, state: io.LearnedState) -> EncodedLearnedState:
+        """The record of a state."""
+        values = {name: getattr(state, name) for name in cls.__struct_fields__}
+        values["servers"] = tuple(EncodedEndpoint.encode(server) for server in state.servers)
+        values["arrivals"] = EncodedRate.encode(state.arrivals)
+        values["answers"] = EncodedRate.encode(state.answers)
+        values["tenants"] = {name: EncodedRate.encode(rate) for name, rate in state.tenants.items()}
+        return cls(**values)
+
+    def decode(self) -> io.LearnedState:
+        """The state; ValueError where a value in it is out of its bounds."""
+        values = msgspec.structs.asdict(self)
+        values["servers"] = tuple(server.decode() for server in self.servers)
+        values["arrivals"] = self.arrivals.decode()
+        values["answers"] = self.answers.decode()
+        values["tenants"] = {name: rate.decode() for name, rate in self.tenants.items()}
+        return io.LearnedState(**values)
--- a/quartzford/replacement/state.py
+++ b/quartzford/replacement/state.py
@@ -1,18 +1,19 @@
 """The state that a predecessor hands over, in msgpack, with bounds on what is read.
 
 It may be longer than a message and goes in parts. A state that can't be read costs a cold start, never the
-service. Field names as they are encoded are read by other versions of the program: they stay when an
-attribute is renamed.
+service.
 """
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass, field
 from typing import Any
 
 import msgspec
 
 from quartzford.decision import interface as io
+from quartzford.replacement.encoded_learned_state import EncodedLearnedState
 from quartzford.replacement.errors import StateFormatError
 from quartzford.replacement.messages import MAX_MESSAGE_BYTES
 
@@ -21,11 +22,12 @@
 PART_BYTES = MAX_MESSAGE_BYTES // 2
 
 
-class BalancerState(msgspec.Struct):
+@dataclass(slots=True)
+class BalancerState:
     """All that a successor is given besides sockets.
 
-    Moments in it are milliseconds on the sender's scale. A sender of an earlier version leaves the last three
-    fields out, a receiver of one passes over them.
+    Moments in it are milliseconds on the sender's scale; ValueError where one is not finite. A sender of an
+    earlier version leaves the last three fields out, a receiver of one passes over them.
 
     format: STATE_FORMAT of the sender.
     listing: the endpoint list, in the form that discovery sends.
@@ -44,28 +46,66 @@
     listing: dict[str, Any]
     version: int | None
     discovery: list[str | int]
-    discovery_answered: bool = msgspec.field(name="heard")
-    busy_clients: int = msgspec.field(name="busy")
+    discovery_answered: bool
+    busy_clients: int
     memory: io.LearnedState
     anchor_ms: float | None = None
-    list_known_ms: float | None = msgspec.field(default=None, name="listed_ms")
-    start_times_ms: dict[str, float] = msgspec.field(default_factory=dict, name="starts")
+    list_known_ms: float | None = None
+    start_times_ms: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """ValueError, which msgspec turns into a ValidationError, where a moment is not finite."""
         moments = [self.anchor_ms, self.list_known_ms, *self.start_times_ms.values()]
         if not all(moment is None or math.isfinite(moment) for moment in moments):
-            raise ValueError("anchor_ms, listed_ms or starts is not finite")
+            raise ValueError("anchor_ms, list_known_ms or start_times_ms is not finite")
+
+
+class EncodedBalancerState(
+    msgspec.Struct,
+    rename={
+        "discovery_answered": "heard",
+        "busy_clients": "busy",
+        "list_known_ms": "listed_ms",
+        "start_times_ms": "starts",
+    },
+):
+    """A BalancerState as it is encoded, with the same fields in the same order.
+
+    Other versions of the program read it: encoded names and order stay, new fields come last with a default.
+    """
+
+    format: int
+    listing: dict[str, Any]
+    version: int | None
+    discovery: list[str | int]
+    discovery_answered: bool
+    busy_clients: int
+    memory: EncodedLearnedState
+    anchor_ms: float | None = None
+    list_known_ms: float | None = None
+    start_times_ms: dict[str, float] = msgspec.field(default_factory=dict)
+
+    @classmethod
+    def encode(cls, state: BalancerState) -> EncodedBalancerState:
+        """The record of a state."""
+        values = {name: getattr(state, name) for name in cls.__struct_fields__}
+        values["memory"] = EncodedLearnedState.encode(state.memory)
+        return cls(**values)
+
+    def decode(self) -> BalancerState:
+        """The state; ValueError where a value in it is out of its bounds."""
+        values = msgspec.structs.asdict(self)
+        values["memory"] = self.memory.decode()
+        return BalancerState(**values)
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[BalancerState] = msgspec.msgpack.Decoder(BalancerState)
+_decoder: msgspec.msgpack.Decoder[EncodedBalancerState] = msgspec.msgpack.Decoder(EncodedBalancerState)
 _any_format_decoder: msgspec.msgpack.Decoder[dict[str, Any]] = msgspec.msgpack.Decoder(dict[str, Any])
 
 
 def split_state(state: BalancerState) -> list[bytes]:
     """The encoded state in parts that fit into a message each."""
-    data = _encoder.encode(state)
+    data = _encoder.encode(EncodedBalancerState.encode(state))
     return [data[start : start + PART_BYTES] for start in range(0, len(data), PART_BYTES)]
 
 
@@ -80,6 +120,6 @@
         sent_format = _any_format_decoder.decode(data).get("format")
         if sent_format != STATE_FORMAT:
             raise StateFormatError(f"a state of format {sent_format!r}; this process reads {STATE_FORMAT}")
-        return _decoder.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, OverflowError) as error:
+        return _decoder.decode(data).decode()
+    except (msgspec.MsgspecError, ValueError, RecursionError, OverflowError) as error:
         raise StateFormatError(f"a state that can't be read: {error}") from None
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -11,6 +11,7 @@
 import tempfile
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager, suppress
+from dataclasses import fields
 from pathlib import Path
 from typing import Any
 
@@ -26,6 +27,7 @@
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.replacement import messages
 from quartzford.replacement import state as wire
+from quartzford.replacement.encoded_learned_state import EncodedEndpoint, EncodedLearnedState, EncodedRate
 from quartzford.replacement.errors import StateFormatError
 from quartzford.replacement.handover import Handover
 from quartzford.replacement.state_machine import (
@@ -140,10 +142,25 @@
     assert sends(submit(new, 2_101.0, 1))
 
 
+def test_encoded_records_have_the_fields_and_defaults_of_those_they_stand_for() -> None:
+    for encoded, record in (
+        (EncodedRate, io.LearnedRate),
+        (EncodedEndpoint, io.LearnedEndpoint),
+        (EncodedLearnedState, io.LearnedState),
+        (wire.EncodedBalancerState, wire.BalancerState),
+    ):
+        assert encoded.__struct_fields__ == tuple(field.name for field in fields(record))
+    assert EncodedRate().decode() == io.LearnedRate()
+    assert EncodedLearnedState().decode() == io.LearnedState()
+    needed = ("s0", 0.0, 0.5, 1.0, 1.0, 0.0)
+    assert EncodedEndpoint(*needed).decode() == io.LearnedEndpoint(*needed)
+
+
 def _table(**changes: Any) -> dict[str, Any]:
     memory = learned_balancer().hand_over(2_100.0)
     state = wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, memory)
-    return msgspec.to_builtins(state) | changes
+    table: dict[str, Any] = msgspec.msgpack.decode(b"".join(wire.split_state(state)))
+    return table | changes
 
 
 def _memory(**changes: Any) -> dict[str, Any]:
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -93,6 +93,7 @@
         "replacement/messages.py",
         "replacement/state_machine.py",
         "replacement/state.py",
+        "replacement/encoded_learned_state.py",
         "backends/caller.py",
         "backends/outcomes.py",
         "backends/response_reader.py",
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -247,7 +247,7 @@
     warm = io.LearnedEndpoint("s1", 0.0, 0.5, 1.0, 1.0, 0.0)
     memory = io.LearnedState(
         servers=(server, warm),
-        back={"s2": 1_200.0},
+        maintenance_ended={"s2": 1_200.0},
         arrivals=rate,
         peaks=((1_700.0, 30.0),),
         tenants={"acme": rate},
@@ -256,11 +256,12 @@
     )
     moved = rebase(memory, HOUR_MS)
     first, second = moved.servers
-    assert (first.ejected_until, first.tokens_ms, first.cold_from) == tuple(
+    assert (first.ejected_until, first.tokens_ms, first.slow_start_from_ms) == tuple(
         at + HOUR_MS for at in (2_500.0, 1_900.0, 1_500.0)
     )
     assert (first.started_ms, second) == (9.0, warm)
-    assert moved.back == {"s2": 1_200.0 + HOUR_MS} and moved.peaks == ((1_700.0 + HOUR_MS, 30.0),)
+    assert moved.maintenance_ended == {"s2": 1_200.0 + HOUR_MS}
+    assert moved.peaks == ((1_700.0 + HOUR_MS, 30.0),)
     assert moved.tenants["acme"] == io.LearnedRate(1_000.0 + HOUR_MS, 2_000.0 + HOUR_MS, 3.0)
     assert moved.arrivals == moved.tenants["acme"] and moved.shed_ms == 1_800.0 + HOUR_MS
     assert rebase(moved, -HOUR_MS) == memory and moved.answers == memory.answers
@@ -298,7 +299,7 @@
     discovery: list[str | int]
     heard: bool
     busy: int
-    memory: io.LearnedState
+    memory: dict[str, Any]
 
 
 def test_the_state_is_read_by_an_earlier_version_and_an_earlier_versions_here() -> None:
@@ -306,8 +307,11 @@
         wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState(), 5.0, 7.0, {"s0": 6.0}
     )
     assert wire.decode_state(b"".join(wire.split_state(state))) == state
-    earlier = msgspec.msgpack.decode(b"".join(wire.split_state(state)), type=EarlierState)
-    assert earlier == EarlierState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
+    data = b"".join(wire.split_state(state))
+    earlier = msgspec.msgpack.decode(data, type=EarlierState)
+    memory = msgspec.msgpack.decode(data)["memory"]
+    assert memory["by_hand"] == [] and memory["marginal"] == 0.5
+    assert earlier == EarlierState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, memory)
     read = wire.decode_state(msgspec.msgpack.encode(earlier))
     assert (read.anchor_ms, read.list_known_ms, read.start_times_ms, read.memory) == (
         None,
@@ -320,8 +324,9 @@
 @pytest.mark.parametrize("changes", [{"anchor_ms": float("nan")}, {"starts": {"s0": float("inf")}}])
 def test_moments_that_can_t_be_are_turned_away(changes: dict[str, Any]) -> None:
     state = wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
+    table = msgspec.msgpack.decode(b"".join(wire.split_state(state)))
     with pytest.raises(StateFormatError, match="not finite"):
-        wire.decode_state(msgspec.msgpack.encode(msgspec.to_builtins(state) | changes))
+        wire.decode_state(msgspec.msgpack.encode(table | changes))
 
 
 def step_machine_clock(monkeypatch: pytest.MonkeyPatch, by_ms: float) -> None:
