--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -45,8 +45,8 @@
 DEADLINE_EXCEEDED = 4
 RESOURCE_EXHAUSTED = 8
 UNIMPLEMENTED = 12
-RESPONSE_HEADERS = http2.block(((b":status", b"200"), (b"content-type", b"application/grpc")))
-OK_TRAILERS = http2.block(((b"grpc-status", b"0"),))
+RESPONSE_HEADERS = http2.encode_header_block(((b":status", b"200"), (b"content-type", b"application/grpc")))
+OK_TRAILERS = http2.encode_header_block(((b"grpc-status", b"0"),))
 
 
 class ExtprocStream(Stream):
@@ -202,39 +202,39 @@
 
     def _write(self) -> None:
         self.flushing = False
-        if not self.connection.out or self.transport.is_closing():
+        if not self.connection.output or self.transport.is_closing():
             return
         self.transport.write(self.connection.take())
-        if self.transport.get_write_buffer_size() > http2.HELD_BYTES:
+        if self.transport.get_write_buffer_size() > http2.MAX_UNSENT_BYTES:
             self.transport.abort()  # it reads nothing
 
     # ---- http2.Events
 
-    def headers(self, stream: int, headers: list[tuple[bytes, bytes]], end: bool) -> None:
+    def headers(self, stream_id: int, headers: http2.Headers, end_stream: bool) -> None:
         """A new HTTP/2 stream; what is not this method of gRPC is rejected."""
         processor = self.processor
         read = dict(headers)
         if read.get(b":method") != b"POST" or read.get(b":path") != PATH:
-            return self._reject(stream, UNIMPLEMENTED, "no such method")
+            return self._reject(stream_id, UNIMPLEMENTED, "no such method")
         if not read.get(b"content-type", b"").startswith(b"application/grpc"):
-            return self._reject(stream, UNIMPLEMENTED, "not gRPC")
+            return self._reject(stream_id, UNIMPLEMENTED, "not gRPC")
         opens = read.get(ROLE_HEADER) == OPENER_ROLE
-        extproc_stream = ExtprocStream(self, stream, opens, processor.clock.now())
-        self.extproc_streams[stream] = extproc_stream
+        extproc_stream = ExtprocStream(self, stream_id, opens, processor.clock.now())
+        self.extproc_streams[stream_id] = extproc_stream
         processor.streams += 1
         processor.link.open(extproc_stream)
-        if end:
+        if end_stream:
             extproc_stream.feed(b"", True)
 
-    def data(self, stream: int, data: bytes, end: bool) -> None:
+    def data(self, stream_id: int, data: bytes, end_stream: bool) -> None:
         """Bytes of a stream's messages."""
-        extproc_stream = self.extproc_streams.get(stream)
+        extproc_stream = self.extproc_streams.get(stream_id)
         if extproc_stream is not None:
-            extproc_stream.feed(data, end)
+            extproc_stream.feed(data, end_stream)
 
-    def reset(self, stream: int, code: int) -> None:
+    def reset(self, stream_id: int, code: int) -> None:
         """The caller has cancelled a stream."""
-        extproc_stream = self.extproc_streams.pop(stream, None)
+        extproc_stream = self.extproc_streams.pop(stream_id, None)
         if extproc_stream is not None:
             self._drop(extproc_stream)
 
@@ -259,9 +259,13 @@
     def _trailers(self, stream: int, answered: bool, status: int, why: str) -> None:
         trailers = OK_TRAILERS
         if status != OK:
-            trailers = http2.block(((b"grpc-status", b"%d" % status), (b"grpc-message", why.encode())))
-        self.connection.send_headers(stream, trailers if answered else RESPONSE_HEADERS + trailers, end=True)
-        self.connection.reset(stream, http2.NO_ERROR)  # if its caller has not ended it
+            trailers = http2.encode_header_block(
+                ((b"grpc-status", b"%d" % status), (b"grpc-message", why.encode()))
+            )
+        self.connection.send_headers(
+            stream, trailers if answered else RESPONSE_HEADERS + trailers, end_stream=True
+        )
+        self.connection.reset(stream, http2.ErrorCode.NO_ERROR)  # if its caller has not ended it
         self.flush()
 
 
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -500,14 +500,18 @@
             deaf.send_headers(stream, grpc_headers)
             writer.write(deaf.data_to_send())
             # h2 keeps the window that it was told of: none of this needs our words.
-            writer.write(http2.frame(http2.DATA, 0, stream, b"\0" + len(data).to_bytes(4, "big") + data))
+            writer.write(
+                http2.encode_frame(
+                    http2.FrameType.DATA, 0, stream, b"\0" + len(data).to_bytes(4, "big") + data
+                )
+            )
         await until(lambda: site.open_requests() >= 190)
         assert site.front.processor is not None
         callers = site.front.processor.callers
         (connection,) = (c for c in callers if len(c.connection.streams) > 100)
         assert (await site.submit(site.caller(), "pay", left_s=0.5)).statuses == [200]
         await until(lambda: not site.open_requests() and not connection.extproc_streams, 20)
-        assert connection.transport.get_write_buffer_size() + connection.connection.out_bytes < 300_000
+        assert connection.transport.get_write_buffer_size() + len(connection.connection.output) < 300_000
         writer.transport.abort()
         await until(lambda: connection not in callers)
 
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -15,11 +15,18 @@
 from hypothesis import settings as budget
 from hypothesis import strategies as st
 
-from quartzford.protocols import http2
-from quartzford.protocols.http2 import PREFACE, ServerConnection, block, frame
+from quartzford.protocols.http2 import (
+    PREFACE,
+    ErrorCode,
+    Flag,
+    FrameType,
+    ServerConnection,
+    encode_frame,
+    encode_header_block,
+)
 
 ASK = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/p"), (b":authority", b"a")]
-OK = block(((b":status", b"200"), (b"x-long", b"v" * 300)))
+OK = encode_header_block(((b":status", b"200"), (b"x-long", b"v" * 300)))
 
 
 class Heard:
@@ -84,7 +91,7 @@
         assert pair.heard.opened[stream][:4] == ASK and pair.heard.got[stream] == b"up" * number
         pair.server.send_headers(stream, OK)
         pair.server.send_data(stream, b"down" * number)
-        pair.server.send_headers(stream, block(((b"grpc-status", b"0"),)), end=True)
+        pair.server.send_headers(stream, encode_header_block(((b"grpc-status", b"0"),)), end_stream=True)
         pair.move(piece)
     answers = pair.of(h2.events.ResponseReceived)
     assert len(answers) == 30 and dict(answers[0].headers)[b"x-long"] == b"v" * 300
@@ -105,8 +112,8 @@
         wanted[stream] = headers
         pair.client.send_headers(stream, headers, end_stream=True)
         pair.move()
-        pair.server.send_headers(stream, OK, end=True)
-    assert pair.heard.opened == wanted and pair.server.cache
+        pair.server.send_headers(stream, OK, end_stream=True)
+    assert pair.heard.opened == wanted and pair.server.decoder.cache
 
 
 def test_windows_of_stream_and_connection_are_kept() -> None:
@@ -118,7 +125,7 @@
     for stream in (1, 3):
         pair.server.send_headers(stream, OK)
         pair.server.send_data(stream, body)
-        pair.server.send_headers(stream, block(((b"grpc-status", b"0"),)), end=True)
+        pair.server.send_headers(stream, encode_header_block(((b"grpc-status", b"0"),)), end_stream=True)
     got = {1: b"", 3: b""}
     for _ in range(60):
         pair.events = []
@@ -126,7 +133,7 @@
         for event in pair.of(h2.events.DataReceived):  # h2 raises if a window is overrun
             got[event.stream_id] += event.data
             pair.client.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
-    assert got == {1: body, 3: body} and not pair.server.streams and not pair.server.blocked
+    assert got == {1: body, 3: body} and not pair.server.streams and not pair.server.sender.blocked
 
 
 def test_a_window_that_shrinks_under_what_was_sent() -> None:
@@ -139,7 +146,7 @@
     pair.client.update_settings({4: 1000})
     pair.move()
     assert pair.server.streams[1].window < 0
-    pair.server.send_data(1, b"y" * 10, end=True)
+    pair.server.send_data(1, b"y" * 10, end_stream=True)
     pair.move()
     assert pair.server.streams and sum(len(e.data) for e in pair.of(h2.events.DataReceived)) == 40_000
     pair.client.increment_flow_control_window(60_000, 1)
@@ -158,41 +165,43 @@
         pair.move()
     assert len(pair.heard.got[1]) == sent
     raw = opened()
-    raw.there = 100
-    raw.receive(frame(http2.DATA, 0, 1, b"x" * 101))
-    assert code_of(raw) == http2.FLOW_CONTROL_ERROR
+    raw.receive_window.remaining = 100
+    raw.receive(encode_frame(FrameType.DATA, 0, 1, b"x" * 101))
+    assert code_of(raw) == ErrorCode.FLOW_CONTROL_ERROR
 
 
 def test_streams_over_the_bound_and_after_goaway_are_refused() -> None:
     heard = Heard()
     server = ServerConnection(heard, 2)
-    server.receive(PREFACE + frame(http2.SETTINGS, 0, 0))
+    server.receive(PREFACE + encode_frame(FrameType.SETTINGS, 0, 0))
     server.take()
     for stream in (1, 3, 5):
         server.receive(headers(stream))
     assert sorted(heard.opened) == [1, 3]
-    assert server.take() == frame(http2.RST_STREAM, 0, 5, struct.pack(">L", http2.REFUSED_STREAM))
+    assert server.take() == encode_frame(
+        FrameType.RST_STREAM, 0, 5, struct.pack(">L", ErrorCode.REFUSED_STREAM)
+    )
     server.go_away()
-    assert server.take() == frame(http2.GOAWAY, 0, 0, struct.pack(">LL", 5, 0))
-    server.receive(frame(http2.RST_STREAM, 0, 1, struct.pack(">L", http2.CANCEL)))
-    assert heard.resets == {1: http2.CANCEL}
+    assert server.take() == encode_frame(FrameType.GOAWAY, 0, 0, struct.pack(">LL", 5, 0))
+    server.receive(encode_frame(FrameType.RST_STREAM, 0, 1, struct.pack(">L", ErrorCode.CANCEL)))
+    assert heard.resets == {1: ErrorCode.CANCEL}
     server.receive(headers(7))
     assert 7 not in heard.opened and server.take().startswith(b"\0\0\4\3")
-    server.send_headers(3, OK, end=True)  # what was open goes on
+    server.send_headers(3, OK, end_stream=True)  # what was open goes on
     assert server.take() and not server.over
 
 
 # ---- peers that break the protocol
 
 
-def headers(stream: int, flags: int = http2.END_HEADERS, extra: bytes = b"") -> bytes:
-    return frame(http2.HEADERS, flags, stream, block(ASK) + extra)
+def headers(stream: int, flags: int = Flag.END_HEADERS, extra: bytes = b"") -> bytes:
+    return encode_frame(FrameType.HEADERS, flags, stream, encode_header_block(ASK) + extra)
 
 
 def opened(most: int = 10) -> ServerConnection:
     """A connection with stream 1 open."""
     server = ServerConnection(Heard(), most)
-    server.receive(PREFACE + frame(http2.SETTINGS, 0, 0) + headers(1))
+    server.receive(PREFACE + encode_frame(FrameType.SETTINGS, 0, 0) + headers(1))
     server.take()
     assert not server.over
     return server
@@ -204,7 +213,7 @@
     data = server.take()
     while data:
         size = int.from_bytes(data[:3], "big")
-        if data[3] == http2.GOAWAY:
+        if data[3] == FrameType.GOAWAY:
             return int.from_bytes(data[13:17], "big")
         data = data[9 + size :]
     raise AssertionError("no GOAWAY")
@@ -212,42 +221,54 @@
 
 U32 = struct.Struct(">L").pack
 BROKEN = [
-    (frame(http2.DATA, 0, 0, b"x"), http2.PROTOCOL_ERROR),
-    (frame(http2.DATA, 0, 2, b"x"), http2.PROTOCOL_ERROR),
-    (frame(http2.DATA, 0, 5, b"x"), http2.PROTOCOL_ERROR),
-    (frame(http2.DATA, http2.PADDED, 1, b""), http2.PROTOCOL_ERROR),
-    (frame(http2.DATA, http2.PADDED, 1, b"\x05abc"), http2.PROTOCOL_ERROR),
-    (frame(http2.DATA, 1, 1, b"x") + frame(http2.DATA, 0, 1, b"y"), http2.STREAM_CLOSED),
-    (headers(2), http2.PROTOCOL_ERROR),
-    (headers(1), http2.PROTOCOL_ERROR),
-    (frame(http2.HEADERS, http2.END_HEADERS | http2.PRIORITIZED, 3, b"abc"), http2.FRAME_SIZE_ERROR),
-    (frame(http2.HEADERS, http2.END_HEADERS, 3, b"\xff\xff\xff\xff\xff"), http2.COMPRESSION_ERROR),
-    (frame(http2.HEADERS, http2.END_HEADERS, 3, b"\x80"), http2.COMPRESSION_ERROR),
-    (headers(3, 0) + frame(http2.PING, 0, 0, b"12345678"), http2.PROTOCOL_ERROR),
-    (headers(3, 0) + frame(http2.CONTINUATION, http2.END_HEADERS, 5), http2.PROTOCOL_ERROR),
-    (frame(http2.CONTINUATION, http2.END_HEADERS, 1), http2.PROTOCOL_ERROR),
-    (headers(3, 0) + frame(http2.CONTINUATION, 0, 3) * 20_000, http2.ENHANCE_YOUR_CALM),
-    (headers(3, 0) + frame(http2.CONTINUATION, 0, 3, b"x" * 16_000) * 6, http2.ENHANCE_YOUR_CALM),
-    (frame(http2.PUSH_PROMISE, 0, 1, b"x"), http2.PROTOCOL_ERROR),
-    (frame(http2.PRIORITY, 0, 0, b"12345"), http2.PROTOCOL_ERROR),
-    (frame(http2.SETTINGS, 0, 1), http2.FRAME_SIZE_ERROR),
-    (frame(http2.SETTINGS, 0, 0, b"12345"), http2.FRAME_SIZE_ERROR),
-    (frame(http2.SETTINGS, http2.ACK, 0, b"123456"), http2.FRAME_SIZE_ERROR),
-    (frame(http2.SETTINGS, 0, 0, struct.pack(">HL", 4, 2**31)), http2.FLOW_CONTROL_ERROR),
-    (frame(http2.SETTINGS, 0, 0, struct.pack(">HL", 5, 100)), http2.PROTOCOL_ERROR),
-    (frame(http2.SETTINGS, 0, 0, struct.pack(">HL", 2, 7)), http2.PROTOCOL_ERROR),
-    (frame(http2.PING, 0, 0, b"1"), http2.FRAME_SIZE_ERROR),
-    (frame(http2.PING, 0, 1, b"12345678"), http2.FRAME_SIZE_ERROR),
-    (frame(http2.PING, 0, 0, b"12345678") * 20_000, http2.ENHANCE_YOUR_CALM),
-    (frame(http2.SETTINGS, 0, 0) * 20_000, http2.ENHANCE_YOUR_CALM),
-    (frame(http2.DATA, 0, 1) * 20_000, http2.ENHANCE_YOUR_CALM),
-    (frame(http2.WINDOW_UPDATE, 0, 0, b"1"), http2.FRAME_SIZE_ERROR),
-    (frame(http2.WINDOW_UPDATE, 0, 0, U32(0)), http2.PROTOCOL_ERROR),
-    (frame(http2.WINDOW_UPDATE, 0, 0, U32(2**31 - 1)), http2.FLOW_CONTROL_ERROR),
-    (frame(http2.WINDOW_UPDATE, 0, 9, U32(1)), http2.PROTOCOL_ERROR),
-    (frame(http2.RST_STREAM, 0, 1, b"1"), http2.FRAME_SIZE_ERROR),
-    (frame(http2.RST_STREAM, 0, 0, U32(8)), http2.PROTOCOL_ERROR),
-    (frame(http2.DATA, 0, 1, b"x" * 16_385), http2.FRAME_SIZE_ERROR),
+    (encode_frame(FrameType.DATA, 0, 0, b"x"), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.DATA, 0, 2, b"x"), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.DATA, 0, 5, b"x"), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.DATA, Flag.PADDED, 1, b""), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.DATA, Flag.PADDED, 1, b"\x05abc"), ErrorCode.PROTOCOL_ERROR),
+    (
+        encode_frame(FrameType.DATA, 1, 1, b"x") + encode_frame(FrameType.DATA, 0, 1, b"y"),
+        ErrorCode.STREAM_CLOSED,
+    ),
+    (headers(2), ErrorCode.PROTOCOL_ERROR),
+    (headers(1), ErrorCode.PROTOCOL_ERROR),
+    (
+        encode_frame(FrameType.HEADERS, Flag.END_HEADERS | Flag.PRIORITY, 3, b"abc"),
+        ErrorCode.FRAME_SIZE_ERROR,
+    ),
+    (
+        encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 3, b"\xff\xff\xff\xff\xff"),
+        ErrorCode.COMPRESSION_ERROR,
+    ),
+    (encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 3, b"\x80"), ErrorCode.COMPRESSION_ERROR),
+    (headers(3, 0) + encode_frame(FrameType.PING, 0, 0, b"12345678"), ErrorCode.PROTOCOL_ERROR),
+    (headers(3, 0) + encode_frame(FrameType.CONTINUATION, Flag.END_HEADERS, 5), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.CONTINUATION, Flag.END_HEADERS, 1), ErrorCode.PROTOCOL_ERROR),
+    (headers(3, 0) + encode_frame(FrameType.CONTINUATION, 0, 3) * 20_000, ErrorCode.ENHANCE_YOUR_CALM),
+    (
+        headers(3, 0) + encode_frame(FrameType.CONTINUATION, 0, 3, b"x" * 16_000) * 6,
+        ErrorCode.ENHANCE_YOUR_CALM,
+    ),
+    (encode_frame(FrameType.PUSH_PROMISE, 0, 1, b"x"), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.PRIORITY, 0, 0, b"12345"), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.SETTINGS, 0, 1), ErrorCode.FRAME_SIZE_ERROR),
+    (encode_frame(FrameType.SETTINGS, 0, 0, b"12345"), ErrorCode.FRAME_SIZE_ERROR),
+    (encode_frame(FrameType.SETTINGS, Flag.ACK, 0, b"123456"), ErrorCode.FRAME_SIZE_ERROR),
+    (encode_frame(FrameType.SETTINGS, 0, 0, struct.pack(">HL", 4, 2**31)), ErrorCode.FLOW_CONTROL_ERROR),
+    (encode_frame(FrameType.SETTINGS, 0, 0, struct.pack(">HL", 5, 100)), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.SETTINGS, 0, 0, struct.pack(">HL", 2, 7)), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.PING, 0, 0, b"1"), ErrorCode.FRAME_SIZE_ERROR),
+    (encode_frame(FrameType.PING, 0, 1, b"12345678"), ErrorCode.FRAME_SIZE_ERROR),
+    (encode_frame(FrameType.PING, 0, 0, b"12345678") * 20_000, ErrorCode.ENHANCE_YOUR_CALM),
+    (encode_frame(FrameType.SETTINGS, 0, 0) * 20_000, ErrorCode.ENHANCE_YOUR_CALM),
+    (encode_frame(FrameType.DATA, 0, 1) * 20_000, ErrorCode.ENHANCE_YOUR_CALM),
+    (encode_frame(FrameType.WINDOW_UPDATE, 0, 0, b"1"), ErrorCode.FRAME_SIZE_ERROR),
+    (encode_frame(FrameType.WINDOW_UPDATE, 0, 0, U32(0)), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.WINDOW_UPDATE, 0, 0, U32(2**31 - 1)), ErrorCode.FLOW_CONTROL_ERROR),
+    (encode_frame(FrameType.WINDOW_UPDATE, 0, 9, U32(1)), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.RST_STREAM, 0, 1, b"1"), ErrorCode.FRAME_SIZE_ERROR),
+    (encode_frame(FrameType.RST_STREAM, 0, 0, U32(8)), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.DATA, 0, 1, b"x" * 16_385), ErrorCode.FRAME_SIZE_ERROR),
 ]
 
 
@@ -264,34 +285,38 @@
 def test_another_protocol_is_turned_away(data: bytes) -> None:
     server = ServerConnection(Heard(), 10)
     server.receive(data)
-    assert code_of(server) == http2.PROTOCOL_ERROR
+    assert code_of(server) == ErrorCode.PROTOCOL_ERROR
 
 
 def test_what_concerns_one_stream_ends_one_stream() -> None:
     server = opened()
-    server.receive(frame(http2.WINDOW_UPDATE, 0, 1, U32(2**31 - 1)))
+    server.receive(encode_frame(FrameType.WINDOW_UPDATE, 0, 1, U32(2**31 - 1)))
     assert not server.over and 1 not in server.streams
-    server.receive(frame(http2.DATA, 0, 1, b"late") + frame(http2.WINDOW_UPDATE, 0, 1, U32(5)) + headers(3))
+    server.receive(
+        encode_frame(FrameType.DATA, 0, 1, b"late")
+        + encode_frame(FrameType.WINDOW_UPDATE, 0, 1, U32(5))
+        + headers(3)
+    )
     assert not server.over and 3 in server.streams
-    server.receive(frame(99, 0, 0, b"unknown") + frame(http2.PRIORITY, 0, 3, b"12345"))
+    server.receive(encode_frame(99, 0, 0, b"unknown") + encode_frame(FrameType.PRIORITY, 0, 3, b"12345"))
     assert not server.over
 
 
 def test_a_header_list_over_the_bound() -> None:
     server = opened()
     many = b"".join(hpack.Encoder().encode([(b"x-%d" % n, b"v" * 90)], huffman=False) for n in range(100))
-    bomb = block([(b"x", b"v" * 4000)] * 4)
-    server.receive(frame(http2.HEADERS, http2.END_HEADERS, 3, many))
+    bomb = encode_header_block([(b"x", b"v" * 4000)] * 4)
+    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 3, many))
     assert not server.over
     for stream in (5, 7):
-        server.receive(frame(http2.HEADERS, http2.END_HEADERS, stream, bomb))
+        server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, stream, bomb))
     assert not server.over
     indexed = hpack.Encoder()
     first = indexed.encode([(b"x-big", b"v" * 3000)], huffman=False)
     again = indexed.encode([(b"x-big", b"v" * 3000)] * 100, huffman=False)  # 100 bytes that mean 300 KB
-    server.receive(frame(http2.HEADERS, http2.END_HEADERS, 9, first))
-    server.receive(frame(http2.HEADERS, http2.END_HEADERS, 11, again))
-    assert code_of(server) == http2.ENHANCE_YOUR_CALM
+    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 9, first))
+    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 11, again))
+    assert code_of(server) == ErrorCode.ENHANCE_YOUR_CALM
 
 
 @given(st.binary(max_size=400), st.integers(1, 50))
@@ -300,7 +325,7 @@
     server = opened()
     for at in range(0, len(data), piece):
         server.receive(data[at : at + piece])
-    server.send_data(1, b"x" * 100_000, end=True)
+    server.send_data(1, b"x" * 100_000, end_stream=True)
     server.take()
 
 
@@ -312,6 +337,6 @@
 def test_no_frames_raise(frames: list[Any]) -> None:
     server = opened()
     for kind, flags, stream, payload in frames:
-        server.receive(frame(kind, flags, stream, payload))
-        server.send_data(stream, b"x" * 10, end=bool(flags & 1))
+        server.receive(encode_frame(kind, flags, stream, payload))
+        server.send_data(stream, b"x" * 10, end_stream=bool(flags & 1))
     assert len(server.take()) < 2_000_000
