--- a/quartzford/fronts/extproc/service_channel.py
+++ b/quartzford/fronts/extproc/service_channel.py
@@ -124,6 +124,7 @@
 
     def _open_stream(self, number: int) -> Stream:
         def send_reply(reply: Reply) -> None:
+            """Write the reply to the channel, under the stream's number."""
             self.send(REPLY_TAGS[type(reply)], number, *reply)
 
         stream = Stream(send_reply)
--- a/quartzford/membership/addresses.py
+++ b/quartzford/membership/addresses.py
@@ -88,6 +88,7 @@
     import hashlib  # only here: the platform's run has one address
 
     def weight(relay: Address) -> bytes:
+        """The hash by which a relay ranks for this balancer."""
         return hashlib.blake2b(f"{name}\0{relay[0]}:{relay[1]}".encode(), digest_size=8).digest()
 
     return tuple(sorted(relays, key=lambda relay: (weight(relay), relay), reverse=True))
--- a/quartzford/membership/list_watch.py
+++ b/quartzford/membership/list_watch.py
@@ -60,6 +60,7 @@
 
     @address.setter
     def address(self, address: Callable[[], Address]) -> None:
+        """Where the address comes from: it is read anew for each call."""
         self.addresses.address = address
 
     # ---- start and end
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -105,6 +105,7 @@
 
     @subset.setter
     def subset(self, subset: Subset | None) -> None:
+        """Use another subset, from the next list on."""
         self.control.subset = subset
 
     @property
@@ -114,6 +115,7 @@
 
     @snapshot_writer.setter
     def snapshot_writer(self, writer: SnapshotWriter | None) -> None:
+        """Set before the node starts: a start reads what was kept."""
         self.control.snapshot_writer = writer
 
     # ---- configuration
--- a/quartzford/settings/operator_checks.py
+++ b/quartzford/settings/operator_checks.py
@@ -40,6 +40,7 @@
     """A check for a finite number within the bounds, both included."""
 
     def check(key: str, value: Any) -> float:
+        """The number; OperatorError where the value is none, or out of bounds."""
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
             raise OperatorError(f"{key}: {value!r} is not a number")
         if not least <= value <= most:
@@ -53,6 +54,7 @@
     """A check for an integer within the bounds, both included."""
 
     def check(key: str, value: Any) -> int:
+        """The integer; OperatorError where the value is none, or out of bounds."""
         if type(value) is not int:
             raise OperatorError(f"{key}: {value!r} is not a whole number")
         if not least <= value <= most:
@@ -66,6 +68,7 @@
     """A check for one of the names."""
 
     def check(key: str, value: Any) -> str:
+        """The name; OperatorError where the value is none of them."""
         if value not in names:
             raise OperatorError(f"{key}: {value!r} is not one of {', '.join(names)}")
         return str(value)
