--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -1,7 +1,7 @@
 """The caller itself as the backend: it makes the attempt where the module says, and reports on it.
 
-Nothing here does I/O. The life of an attempt is the table in docs/extproc.md: decided (the module chose),
-told (the caller knows where to), lost (the caller's stream ended with nothing reported), over.
+Nothing here does I/O. The states of an attempt are in the table of docs/extproc.md: decided (the module
+chose), claimed (a caller gets the decision), lost (the caller's stream ended with nothing reported), over.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 class State(Enum):
     """Where a remote attempt stands."""
 
-    DECIDED = "decided"  # nobody was told: it surely has not run
-    TOLD = "told"  # it may run at any moment from here on
-    LOST = "lost"  # it may have run, and nobody will say
+    DECIDED = "decided"  # no caller has the decision: it surely has not run
+    CLAIMED = "claimed"  # it may run at any moment from here on
+    LOST = "lost"  # it may have run, and no report will come
     OVER = "over"
 
 
@@ -38,7 +38,7 @@
     deadline: float
 
     def decided(self, attempt: RemoteAttempt) -> None:
-        """The module has chosen; whoever waits for it may claim it now."""
+        """The module has chosen; a stream that waits for the decision may claim it now."""
 
 
 class CallerBackend:
@@ -70,7 +70,7 @@
 class RemoteAttempt(engine.Attempt):
     """One attempt that the caller makes."""
 
-    __slots__ = ("backend", "host", "state", "timer", "stands_until")
+    __slots__ = ("backend", "host", "state", "timer", "valid_until")
     pending: RemoteCall
 
     def __init__(
@@ -81,29 +81,29 @@
         self.host = backend.hosts.get(server)
         self.state = State.DECIDED
         self.timer: Handle | None = None
-        # The decision is neither told, written nor (by a caller that keeps to it) sent after this.
-        self.stands_until = sent + backend.valid_s
+        # After this the decision is not claimed, not written, and not sent by a caller that observes it.
+        self.valid_until = sent + backend.valid_s
 
     def start(self) -> None:
-        """Offer the decision to whoever waits for it; it is dropped where nobody claims it in time."""
+        """Offer the decision to a stream that waits for it; it is dropped if it is not claimed in time."""
         self.timer = self.backend.clock.call_later(self.due - self.sent, self.fail, outcomes.NOT_SENT)
         self.pending.decided(self)
 
     def claim(self) -> bool:
-        """A stream of the caller takes the decision; if it stands no more, the module is asked again.
+        """A stream of the caller takes the decision; False where it has expired: the module decides again.
 
-        Once this is true the attempt may run at any time: from here only an outcome proves that it did not.
+        After True the attempt may run at any time: from here only an outcome proves that it did not.
         """
         if self.state is not State.DECIDED:
             return False
         now = self.backend.clock.now()
         same = self.host is not None and self.backend.hosts.get(self.server) == self.host
-        stands_s = self.backend.engine.may_write_for(self)
-        if not same or now > self.stands_until or stands_s <= 0.0:
+        writable_s = self.backend.engine.may_write_for(self)
+        if not same or now > self.valid_until or writable_s <= 0.0:
             self.fail(outcomes.NOT_SENT)
             return False
-        self.stands_until = min(self.stands_until, now + stands_s)
-        self.state = State.TOLD
+        self.valid_until = min(self.valid_until, now + writable_s)
+        self.state = State.CLAIMED
         self.written = now
         self.backend.engine.request_counters.attempts += 1
         self._stop()
@@ -115,13 +115,13 @@
 
     def reported(self, code: str, report: io.Report = (), faulted: bool = False) -> None:
         """The caller says how it ended."""
-        if self.state is State.TOLD:
+        if self.state is State.CLAIMED:
             self._end()
             self.backend.engine.ended(self, code, None, report, faulted)
 
     def lose(self) -> None:
-        """The caller's stream ended with nothing reported; whether the request lives on is not known yet."""
-        if self.state is State.TOLD:
+        """The caller's stream ended with nothing reported; whether the request goes on is not known yet."""
+        if self.state is State.CLAIMED:
             self.state = State.LOST
 
     def lost(self) -> bool:
@@ -129,12 +129,12 @@
         return self.state is State.LOST
 
     def recall(self) -> None:
-        """What was told never left this machine: the attempt stands as if nobody had claimed it."""
-        if self.state is State.TOLD:
+        """The decision never left this machine: the attempt is as if it had not been claimed."""
+        if self.state is State.CLAIMED:
             self.state = State.DECIDED
 
     def fail(self, code: str) -> None:
-        """End it with this outcome; one that a caller was told of is never said not to have run."""
+        """End it with this outcome; one that was claimed is never reported as not sent."""
         if self.state is State.OVER:
             return
         if self.state is not State.DECIDED and code == outcomes.NOT_SENT:
--- a/quartzford/fronts/extproc/remote_request.py
+++ b/quartzford/fronts/extproc/remote_request.py
@@ -33,7 +33,7 @@
     due: float
 
     @property
-    def stands_until(self) -> float:
+    def valid_until(self) -> float:
         """The end of the decision's validity, seconds on the monotonic clock."""
         ...
 
@@ -283,7 +283,7 @@
         stream.attempt = attempt
         left_s = self.deadline - self.service.clock.now()
         server_deadline = min(attempt.due, self.deadline - min(TRANSIT_ALLOWANCE_S, left_s / 2))
-        valid_until = attempt.stands_until
+        valid_until = attempt.valid_until
         valid_for_ms = (valid_until - stream.requested_at) * 1000.0
         stream.send_reply(
             Decision(
--- a/quartzford/membership/subset.py
+++ b/quartzford/membership/subset.py
@@ -1,9 +1,9 @@
-"""A stable subset of the ready upstreams for each balancer, in whole blocks. No I/O.
+"""A stable subset of the ready upstreams for each balancer, in complete cells. No I/O.
 
-Rendezvous hashing (Thaler and Ravishankar, 1996) of the balancer's name with each block: the blocks of least
-hash are used, until every zone has its minimum and all together the size. A block is used whole or not at
+Rendezvous hashing (Thaler and Ravishankar, 1996) of the balancer's name with each cell: the cells of least
+hash are used, until every zone has its minimum and all together the size. A cell is used completely or not at
 all, so that a keyed request always finds all upstreams that drop its repeats. Balancers need not know of each
-other; an upstream's loss moves nobody but those that used it. docs/subsets.md has what was weighed.
+other; the loss of an upstream affects only those that used it. docs/subsets.md has the alternatives.
 """
 
 from __future__ import annotations
@@ -15,33 +15,35 @@
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
 
-# A subset may be so many times its size before blocks are left: else one upstream that flaps would move two.
+# A subset may be this multiple of its size before cells are dropped: else one that flaps moves others.
 SLACK = 1.25
 Row = tuple[io.Endpoint, tuple[str, int]]
 
 
-def score(name: str, block: int) -> int:
-    """The place of a block in a balancer's order."""
-    return int.from_bytes(blake2b(f"{name}/{block}".encode(), digest_size=8).digest())
+def score(name: str, cell: int) -> int:
+    """The hash of a cell with a balancer's name: its place in the balancer's order."""
+    return int.from_bytes(blake2b(f"{name}/{cell}".encode(), digest_size=8).digest())
 
 
 class Subset:
-    """Filters what discovery tells. size: ready upstreams wanted; per_zone: of each zone at least."""
+    """Filters the endpoint list. size: ready upstreams wanted; per_zone: of each zone at least."""
 
     def __init__(self, name: str, size: int, per_zone: int = 0) -> None:
-        self.name, self.size, self.per_zone = name, size, per_zone
+        self.name = name
+        self.size = size
+        self.per_zone = per_zone
         self.known: dict[str, Row] = {}  # rows of the last list, by name
-        self.blocks: dict[int, set[str]] = {}
-        self.order: list[tuple[int, int]] = []  # score and block, least first
-        self.ready: dict[int, Counter[str]] = {}  # ready upstreams of each block by zone
+        self.cells: dict[int, set[str]] = {}
+        self.order: list[tuple[int, int]] = []  # score and cell, least first
+        self.ready: dict[int, Counter[str]] = {}  # ready upstreams of each cell by zone
         self.zones: Counter[str] = Counter()  # ready upstreams of each zone
         self.chosen: set[int] = set()
         self.announced: dict[str, io.Endpoint] = {}  # as the decision module has them
 
     def filter(self, listing: Listing) -> Listing:
-        """What the balancer is told of a listing: upstreams of its blocks, and the end of those that it had.
+        """The part of a listing that concerns this balancer: its upstreams, and the end of those that it had.
 
-        An upstream that is left, since its block is, is told to be draining: what is out there finishes.
+        An upstream of a cell that is dropped is passed on as draining, so that its requests in flight finish.
         """
         touched: dict[str, None] = {}
         if listing.complete:
@@ -54,8 +56,8 @@
             self._remove(entry.server)
             if entry.state != "gone":
                 self._add(entry, address)
-        for block in self._choose():
-            touched |= dict.fromkeys(self.blocks.get(block, ()))
+        for cell in self._choose():
+            touched |= dict.fromkeys(self.cells.get(cell, ()))
         rows = [row for name in touched if (row := self._row(name)) is not None]
         first = not self.announced
         for entry, _ in rows:
@@ -63,12 +65,14 @@
                 self.announced.pop(entry.server, None)
             else:
                 self.announced[entry.server] = entry
-        entries, addresses = tuple(e for e, _ in rows), tuple(a for _, a in rows)
+        entries = tuple(entry for entry, _ in rows)
+        addresses = tuple(address for _, address in rows)
         return Listing(listing.version, listing.complete and first, entries, addresses)
 
     def _row(self, name: str) -> Row | None:
-        """What is to be told of an upstream now; None if nothing."""
-        row, announced = self.known.get(name), self.announced.get(name)
+        """The row of an upstream that is to be passed on now; None if none is."""
+        row = self.known.get(name)
+        announced = self.announced.get(name)
         if row is None:
             return (announced._replace(state="gone"), ("", 0)) if announced is not None else None
         entry, address = row
@@ -80,11 +84,11 @@
 
     def _add(self, entry: io.Endpoint, address: tuple[str, int]) -> None:
         self.known[entry.server] = (entry, address)
-        if entry.cell not in self.blocks:
-            self.blocks[entry.cell] = set()
+        if entry.cell not in self.cells:
+            self.cells[entry.cell] = set()
             self.ready[entry.cell] = Counter()
             insort(self.order, (score(self.name, entry.cell), entry.cell))
-        self.blocks[entry.cell].add(entry.server)
+        self.cells[entry.cell].add(entry.server)
         if entry.state == "ready":
             self.ready[entry.cell][entry.zone] += 1
             self.zones[entry.zone] += 1
@@ -94,46 +98,56 @@
         if row is None:
             return
         entry = row[0]
-        self.blocks[entry.cell].discard(name)
+        self.cells[entry.cell].discard(name)
         if entry.state == "ready":
             self.ready[entry.cell][entry.zone] -= 1
             self.zones[entry.zone] -= 1
 
     def _choose(self) -> set[int]:
-        """Choose anew; the blocks that were taken or left."""
+        """Choose anew; the cells that were added or dropped."""
         before = set(self.chosen)
-        have: Counter[str] = Counter()
-        for block in before:
-            have.update(self.ready[block])
-        total = sum(have.values())
+        covered: Counter[str] = Counter()
+        for cell in before:
+            covered.update(self.ready[cell])
         wanted = {zone: min(self.per_zone, count) for zone, count in self.zones.items() if count > 0}
-        for _, block in self.order:
-            if total >= self.size and all(have[zone] >= least for zone, least in wanted.items()):
+        self._add_cells(covered, wanted)
+        self._drop_cells(covered, wanted)
+        self._forget()
+        return before ^ self.chosen
+
+    def _add_cells(self, covered: Counter[str], wanted: dict[str, int]) -> None:
+        """Add cells in their order until size and zones are covered. Both maps: ready upstreams by zone."""
+        total = sum(covered.values())
+        for _, cell in self.order:
+            if total >= self.size and all(covered[zone] >= least for zone, least in wanted.items()):
                 break
-            here = self.ready[block]
-            of_use = total < self.size or any(here[z] and have[z] < least for z, least in wanted.items())
-            if block not in self.chosen and of_use and sum(here.values()) > 0:
-                self.chosen.add(block)
-                have.update(here)
-                total += sum(here.values())
-        for _, block in reversed(self.order):
+            members = self.ready[cell]
+            short_zones = (zone for zone, least in wanted.items() if covered[zone] < least)
+            useful = total < self.size or any(members[zone] for zone in short_zones)
+            if cell not in self.chosen and useful and sum(members.values()) > 0:
+                self.chosen.add(cell)
+                covered.update(members)
+                total += sum(members.values())
+
+    def _drop_cells(self, covered: Counter[str], wanted: dict[str, int]) -> None:
+        """Drop cells, the last of the order first, while the subset is over SLACK times its size."""
+        total = sum(covered.values())
+        for _, cell in reversed(self.order):
             if total <= SLACK * self.size:
                 break
-            here = self.ready[block]
-            count = sum(here.values())
-            spare = all(have[z] - here[z] >= least for z, least in wanted.items())
-            if block in self.chosen and spare and total - count >= self.size:
-                self.chosen.discard(block)
-                have.subtract(here)
+            members = self.ready[cell]
+            count = sum(members.values())
+            spare = all(covered[zone] - members[zone] >= least for zone, least in wanted.items())
+            if cell in self.chosen and spare and total - count >= self.size:
+                self.chosen.discard(cell)
+                covered.subtract(members)
                 total -= count
-        self._forget()
-        return before ^ self.chosen
 
     def _forget(self) -> None:
-        """Blocks that nobody belongs to any more."""
-        if len(self.blocks) > 2 * len(self.known) + 64:
-            empty = {block for block, names in self.blocks.items() if not names}
+        """Forget cells without upstreams, once they are many."""
+        if len(self.cells) > 2 * len(self.known) + 64:
+            empty = {cell for cell, names in self.cells.items() if not names}
             self.chosen -= empty
             self.order = [pair for pair in self.order if pair[1] not in empty]
-            for block in empty:
-                del self.blocks[block], self.ready[block]
+            for cell in empty:
+                del self.cells[cell], self.ready[cell]
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -164,7 +164,7 @@
     told = Told(subset)
     for start in range(0, 4000, 40):
         told.hear(listing(True, *(entry(n) for n in range(start, start + 40))))
-    assert len(subset.blocks) < 200 and len(subset.order) == len(subset.blocks)
+    assert len(subset.cells) < 200 and len(subset.order) == len(subset.cells)
 
 
 @run
