--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -12,7 +12,7 @@
 import hpack
 import pytest
 from hypothesis import given
-from hypothesis import settings as budget
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from quartzford.protocols.http2 import (
@@ -25,189 +25,193 @@
     encode_header_block,
 )
 
-ASK = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/p"), (b":authority", b"a")]
-OK = encode_header_block(((b":status", b"200"), (b"x-long", b"v" * 300)))
+REQUEST_HEADERS = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/p"), (b":authority", b"a")]
+RESPONSE_HEADERS = encode_header_block(((b":status", b"200"), (b"x-long", b"v" * 300)))
 
 
-class Heard:
-    """What the peer said, as events."""
+class RecordedEvents:
+    """The events of a connection."""
 
     def __init__(self) -> None:
         self.opened: dict[int, Any] = {}
-        self.got: dict[int, bytes] = {}
+        self.bodies: dict[int, bytes] = {}
         self.ended: list[int] = []
         self.resets: dict[int, int] = {}
 
-    def headers(self, stream: int, headers: Any, end: bool) -> None:
-        assert stream not in self.opened
-        self.opened[stream], self.got[stream] = headers, b""
-        if end:
-            self.ended.append(stream)
+    def headers(self, stream_id: int, headers: Any, end_stream: bool) -> None:
+        assert stream_id not in self.opened
+        self.opened[stream_id] = headers
+        self.bodies[stream_id] = b""
+        if end_stream:
+            self.ended.append(stream_id)
 
-    def data(self, stream: int, data: bytes, end: bool) -> None:
-        self.got[stream] += data
-        if end:
-            self.ended.append(stream)
+    def data(self, stream_id: int, data: bytes, end_stream: bool) -> None:
+        self.bodies[stream_id] += data
+        if end_stream:
+            self.ended.append(stream_id)
 
-    def reset(self, stream: int, code: int) -> None:
-        self.resets[stream] = code
+    def reset(self, stream_id: int, code: int) -> None:
+        self.resets[stream_id] = code
 
 
-class Pair:
-    """Our server and h2's client, joined."""
+class ClientAndServer:
+    """Our server and h2's client, connected in memory."""
 
-    def __init__(self, most: int = 100) -> None:
-        self.heard = Heard()
-        self.server = ServerConnection(self.heard, most)
+    def __init__(self, max_streams: int = 100) -> None:
+        self.recorded = RecordedEvents()
+        self.server = ServerConnection(self.recorded, max_streams)
         self.client = h2.connection.H2Connection(h2.config.H2Configuration(header_encoding=None))
         self.client.initiate_connection()
         self.events: list[Any] = []
-        self.move()
+        self.exchange()
 
-    def move(self, piece: int = 0) -> None:
-        """Carry bytes both ways until nobody has any; in pieces, if told to."""
+    def exchange(self, piece: int = 0) -> None:
+        """Carry bytes both ways until neither has any. piece: bytes at a time to the server; 0: all."""
         while True:
-            up = self.client.data_to_send()
-            for at in range(0, len(up), piece or max(1, len(up))):
-                self.server.receive(up[at : at + (piece or len(up))])
-            down = self.server.take()
-            if down:
-                self.events += self.client.receive_data(down)
-            if not up and not down:
+            from_client = self.client.data_to_send()
+            for at in range(0, len(from_client), piece or max(1, len(from_client))):
+                self.server.receive(from_client[at : at + (piece or len(from_client))])
+            from_server = self.server.take()
+            if from_server:
+                self.events += self.client.receive_data(from_server)
+            if not from_client and not from_server:
                 return
 
-    def of(self, kind: type[Any]) -> list[Any]:
+    def events_of(self, kind: type[Any]) -> list[Any]:
+        """The client's events of one kind."""
         return [e for e in self.events if isinstance(e, kind)]
 
 
 @pytest.mark.parametrize("piece", [0, 1, 7])
 def test_streams_with_h2_in_pieces_of_any_size(piece: int) -> None:
-    pair = Pair()
+    pair = ClientAndServer()
     for number in range(30):
-        stream = 2 * number + 1
-        pair.client.send_headers(stream, [*ASK, (b"x-n", str(number // 10).encode())])
-        pair.client.send_data(stream, b"up" * number, end_stream=True)
-        pair.move(piece)
-        assert pair.heard.opened[stream][:4] == ASK and pair.heard.got[stream] == b"up" * number
-        pair.server.send_headers(stream, OK)
-        pair.server.send_data(stream, b"down" * number)
-        pair.server.send_headers(stream, encode_header_block(((b"grpc-status", b"0"),)), end_stream=True)
-        pair.move(piece)
-    answers = pair.of(h2.events.ResponseReceived)
+        stream_id = 2 * number + 1
+        pair.client.send_headers(stream_id, [*REQUEST_HEADERS, (b"x-n", str(number // 10).encode())])
+        pair.client.send_data(stream_id, b"up" * number, end_stream=True)
+        pair.exchange(piece)
+        assert pair.recorded.opened[stream_id][:4] == REQUEST_HEADERS
+        assert pair.recorded.bodies[stream_id] == b"up" * number
+        pair.server.send_headers(stream_id, RESPONSE_HEADERS)
+        pair.server.send_data(stream_id, b"down" * number)
+        pair.server.send_headers(stream_id, encode_header_block(((b"grpc-status", b"0"),)), end_stream=True)
+        pair.exchange(piece)
+    answers = pair.events_of(h2.events.ResponseReceived)
     assert len(answers) == 30 and dict(answers[0].headers)[b"x-long"] == b"v" * 300
-    assert sum(len(e.data) for e in pair.of(h2.events.DataReceived)) == 4 * sum(range(30))
-    assert len(pair.of(h2.events.StreamEnded)) == 30 and not pair.server.streams and not pair.server.over
+    assert sum(len(e.data) for e in pair.events_of(h2.events.DataReceived)) == 4 * sum(range(30))
+    assert len(pair.events_of(h2.events.StreamEnded)) == 30
+    assert not pair.server.streams and not pair.server.over
 
 
 def test_the_cache_of_blocks_never_outlives_the_table() -> None:
     """The same bytes mean another thing once a literal has moved the table's indices."""
-    pair = Pair()
+    pair = ClientAndServer()
     rng = random.Random(5)
     wanted = {}
     for number in range(400):
-        stream = 2 * number + 1
-        headers = [*ASK, (b"x-a", b"%d" % rng.randrange(3)), (b"x-b", b"%d" % rng.randrange(2))]
+        stream_id = 2 * number + 1
+        headers = [*REQUEST_HEADERS, (b"x-a", b"%d" % rng.randrange(3)), (b"x-b", b"%d" % rng.randrange(2))]
         if rng.random() < 0.05:
             headers.append((b"x-new", b"%d" % number))
-        wanted[stream] = headers
-        pair.client.send_headers(stream, headers, end_stream=True)
-        pair.move()
-        pair.server.send_headers(stream, OK, end_stream=True)
-    assert pair.heard.opened == wanted and pair.server.decoder.cache
+        wanted[stream_id] = headers
+        pair.client.send_headers(stream_id, headers, end_stream=True)
+        pair.exchange()
+        pair.server.send_headers(stream_id, RESPONSE_HEADERS, end_stream=True)
+    assert pair.recorded.opened == wanted and pair.server.decoder.cache
 
 
 def test_windows_of_stream_and_connection_are_kept() -> None:
-    pair = Pair()
-    for stream in (1, 3):
-        pair.client.send_headers(stream, ASK, end_stream=True)
-    pair.move()
+    pair = ClientAndServer()
+    for stream_id in (1, 3):
+        pair.client.send_headers(stream_id, REQUEST_HEADERS, end_stream=True)
+    pair.exchange()
     body = random.Random(1).randbytes(300_000)
-    for stream in (1, 3):
-        pair.server.send_headers(stream, OK)
-        pair.server.send_data(stream, body)
-        pair.server.send_headers(stream, encode_header_block(((b"grpc-status", b"0"),)), end_stream=True)
-    got = {1: b"", 3: b""}
+    for stream_id in (1, 3):
+        pair.server.send_headers(stream_id, RESPONSE_HEADERS)
+        pair.server.send_data(stream_id, body)
+        pair.server.send_headers(stream_id, encode_header_block(((b"grpc-status", b"0"),)), end_stream=True)
+    bodies = {1: b"", 3: b""}
     for _ in range(60):
         pair.events = []
-        pair.move()
-        for event in pair.of(h2.events.DataReceived):  # h2 raises if a window is overrun
-            got[event.stream_id] += event.data
+        pair.exchange()
+        for event in pair.events_of(h2.events.DataReceived):  # h2 raises if a window is overrun
+            bodies[event.stream_id] += event.data
             pair.client.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
-    assert got == {1: body, 3: body} and not pair.server.streams and not pair.server.sender.blocked
+    assert bodies == {1: body, 3: body} and not pair.server.streams and not pair.server.sender.blocked
 
 
 def test_a_window_that_shrinks_under_what_was_sent() -> None:
-    pair = Pair()
-    pair.client.send_headers(1, ASK, end_stream=True)
-    pair.move()
-    pair.server.send_headers(1, OK)
+    pair = ClientAndServer()
+    pair.client.send_headers(1, REQUEST_HEADERS, end_stream=True)
+    pair.exchange()
+    pair.server.send_headers(1, RESPONSE_HEADERS)
     pair.server.send_data(1, b"x" * 40_000)
-    pair.move()
+    pair.exchange()
     pair.client.update_settings({4: 1000})
-    pair.move()
+    pair.exchange()
     assert pair.server.streams[1].window < 0
     pair.server.send_data(1, b"y" * 10, end_stream=True)
-    pair.move()
-    assert pair.server.streams and sum(len(e.data) for e in pair.of(h2.events.DataReceived)) == 40_000
+    pair.exchange()
+    assert pair.server.streams and sum(len(e.data) for e in pair.events_of(h2.events.DataReceived)) == 40_000
     pair.client.increment_flow_control_window(60_000, 1)
-    pair.move()
+    pair.exchange()
     assert not pair.server.streams
 
 
 def test_a_large_upload_is_let_through_and_one_over_the_window_is_not() -> None:
-    pair = Pair()
-    pair.client.send_headers(1, ASK)
+    pair = ClientAndServer()
+    pair.client.send_headers(1, REQUEST_HEADERS)
     sent = 0
     while sent < 1_000_000:
         size = min(pair.client.local_flow_control_window(1), 16_384)
         pair.client.send_data(1, b"u" * size)
         sent += size
-        pair.move()
-    assert len(pair.heard.got[1]) == sent
-    raw = opened()
+        pair.exchange()
+    assert len(pair.recorded.bodies[1]) == sent
+    raw = connection_with_stream()
     raw.receive_window.remaining = 100
     raw.receive(encode_frame(FrameType.DATA, 0, 1, b"x" * 101))
-    assert code_of(raw) == ErrorCode.FLOW_CONTROL_ERROR
+    assert goaway_code(raw) == ErrorCode.FLOW_CONTROL_ERROR
 
 
 def test_streams_over_the_bound_and_after_goaway_are_refused() -> None:
-    heard = Heard()
-    server = ServerConnection(heard, 2)
+    recorded = RecordedEvents()
+    server = ServerConnection(recorded, 2)
     server.receive(PREFACE + encode_frame(FrameType.SETTINGS, 0, 0))
     server.take()
-    for stream in (1, 3, 5):
-        server.receive(headers(stream))
-    assert sorted(heard.opened) == [1, 3]
+    for stream_id in (1, 3, 5):
+        server.receive(headers_frame(stream_id))
+    assert sorted(recorded.opened) == [1, 3]
     assert server.take() == encode_frame(
         FrameType.RST_STREAM, 0, 5, struct.pack(">L", ErrorCode.REFUSED_STREAM)
     )
     server.go_away()
     assert server.take() == encode_frame(FrameType.GOAWAY, 0, 0, struct.pack(">LL", 5, 0))
     server.receive(encode_frame(FrameType.RST_STREAM, 0, 1, struct.pack(">L", ErrorCode.CANCEL)))
-    assert heard.resets == {1: ErrorCode.CANCEL}
-    server.receive(headers(7))
-    assert 7 not in heard.opened and server.take().startswith(b"\0\0\4\3")
-    server.send_headers(3, OK, end_stream=True)  # what was open goes on
+    assert recorded.resets == {1: ErrorCode.CANCEL}
+    server.receive(headers_frame(7))
+    assert 7 not in recorded.opened and server.take().startswith(b"\0\0\4\3")
+    server.send_headers(3, RESPONSE_HEADERS, end_stream=True)  # open streams go on
     assert server.take() and not server.over
 
 
 # ---- peers that break the protocol
 
 
-def headers(stream: int, flags: int = Flag.END_HEADERS, extra: bytes = b"") -> bytes:
-    return encode_frame(FrameType.HEADERS, flags, stream, encode_header_block(ASK) + extra)
+def headers_frame(stream_id: int, flags: int = Flag.END_HEADERS, extra: bytes = b"") -> bytes:
+    return encode_frame(FrameType.HEADERS, flags, stream_id, encode_header_block(REQUEST_HEADERS) + extra)
 
 
-def opened(most: int = 10) -> ServerConnection:
+def connection_with_stream(max_streams: int = 10) -> ServerConnection:
     """A connection with stream 1 open."""
-    server = ServerConnection(Heard(), most)
-    server.receive(PREFACE + encode_frame(FrameType.SETTINGS, 0, 0) + headers(1))
+    server = ServerConnection(RecordedEvents(), max_streams)
+    server.receive(PREFACE + encode_frame(FrameType.SETTINGS, 0, 0) + headers_frame(1))
     server.take()
     assert not server.over
     return server
 
 
-def code_of(server: ServerConnection) -> int:
+def goaway_code(server: ServerConnection) -> int:
     """The code of the GOAWAY that a connection ended with."""
     assert server.over
     data = server.take()
@@ -219,8 +223,8 @@
     raise AssertionError("no GOAWAY")
 
 
-U32 = struct.Struct(">L").pack
-BROKEN = [
+uint32 = struct.Struct(">L").pack
+VIOLATIONS = [
     (encode_frame(FrameType.DATA, 0, 0, b"x"), ErrorCode.PROTOCOL_ERROR),
     (encode_frame(FrameType.DATA, 0, 2, b"x"), ErrorCode.PROTOCOL_ERROR),
     (encode_frame(FrameType.DATA, 0, 5, b"x"), ErrorCode.PROTOCOL_ERROR),
@@ -230,8 +234,8 @@
         encode_frame(FrameType.DATA, 1, 1, b"x") + encode_frame(FrameType.DATA, 0, 1, b"y"),
         ErrorCode.STREAM_CLOSED,
     ),
-    (headers(2), ErrorCode.PROTOCOL_ERROR),
-    (headers(1), ErrorCode.PROTOCOL_ERROR),
+    (headers_frame(2), ErrorCode.PROTOCOL_ERROR),
+    (headers_frame(1), ErrorCode.PROTOCOL_ERROR),
     (
         encode_frame(FrameType.HEADERS, Flag.END_HEADERS | Flag.PRIORITY, 3, b"abc"),
         ErrorCode.FRAME_SIZE_ERROR,
@@ -241,12 +245,15 @@
         ErrorCode.COMPRESSION_ERROR,
     ),
     (encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 3, b"\x80"), ErrorCode.COMPRESSION_ERROR),
-    (headers(3, 0) + encode_frame(FrameType.PING, 0, 0, b"12345678"), ErrorCode.PROTOCOL_ERROR),
-    (headers(3, 0) + encode_frame(FrameType.CONTINUATION, Flag.END_HEADERS, 5), ErrorCode.PROTOCOL_ERROR),
+    (headers_frame(3, 0) + encode_frame(FrameType.PING, 0, 0, b"12345678"), ErrorCode.PROTOCOL_ERROR),
+    (
+        headers_frame(3, 0) + encode_frame(FrameType.CONTINUATION, Flag.END_HEADERS, 5),
+        ErrorCode.PROTOCOL_ERROR,
+    ),
     (encode_frame(FrameType.CONTINUATION, Flag.END_HEADERS, 1), ErrorCode.PROTOCOL_ERROR),
-    (headers(3, 0) + encode_frame(FrameType.CONTINUATION, 0, 3) * 20_000, ErrorCode.ENHANCE_YOUR_CALM),
+    (headers_frame(3, 0) + encode_frame(FrameType.CONTINUATION, 0, 3) * 20_000, ErrorCode.ENHANCE_YOUR_CALM),
     (
-        headers(3, 0) + encode_frame(FrameType.CONTINUATION, 0, 3, b"x" * 16_000) * 6,
+        headers_frame(3, 0) + encode_frame(FrameType.CONTINUATION, 0, 3, b"x" * 16_000) * 6,
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (encode_frame(FrameType.PUSH_PROMISE, 0, 1, b"x"), ErrorCode.PROTOCOL_ERROR),
@@ -263,39 +270,39 @@
     (encode_frame(FrameType.SETTINGS, 0, 0) * 20_000, ErrorCode.ENHANCE_YOUR_CALM),
     (encode_frame(FrameType.DATA, 0, 1) * 20_000, ErrorCode.ENHANCE_YOUR_CALM),
     (encode_frame(FrameType.WINDOW_UPDATE, 0, 0, b"1"), ErrorCode.FRAME_SIZE_ERROR),
-    (encode_frame(FrameType.WINDOW_UPDATE, 0, 0, U32(0)), ErrorCode.PROTOCOL_ERROR),
-    (encode_frame(FrameType.WINDOW_UPDATE, 0, 0, U32(2**31 - 1)), ErrorCode.FLOW_CONTROL_ERROR),
-    (encode_frame(FrameType.WINDOW_UPDATE, 0, 9, U32(1)), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.WINDOW_UPDATE, 0, 0, uint32(0)), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.WINDOW_UPDATE, 0, 0, uint32(2**31 - 1)), ErrorCode.FLOW_CONTROL_ERROR),
+    (encode_frame(FrameType.WINDOW_UPDATE, 0, 9, uint32(1)), ErrorCode.PROTOCOL_ERROR),
     (encode_frame(FrameType.RST_STREAM, 0, 1, b"1"), ErrorCode.FRAME_SIZE_ERROR),
-    (encode_frame(FrameType.RST_STREAM, 0, 0, U32(8)), ErrorCode.PROTOCOL_ERROR),
+    (encode_frame(FrameType.RST_STREAM, 0, 0, uint32(8)), ErrorCode.PROTOCOL_ERROR),
     (encode_frame(FrameType.DATA, 0, 1, b"x" * 16_385), ErrorCode.FRAME_SIZE_ERROR),
 ]
 
 
-@pytest.mark.parametrize(("data", "code"), BROKEN, ids=[str(n) for n in range(len(BROKEN))])
+@pytest.mark.parametrize(("data", "code"), VIOLATIONS, ids=[str(n) for n in range(len(VIOLATIONS))])
 def test_what_breaks_the_protocol_ends_with_goaway_and_its_code(data: bytes, code: int) -> None:
-    server = opened()
+    server = connection_with_stream()
     server.receive(data)
-    assert code_of(server) == code
-    server.receive(headers(9))
+    assert goaway_code(server) == code
+    server.receive(headers_frame(9))
     assert not server.take()
 
 
 @pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"PRI * HTTP/1.1\r\n", b"\x16\x03\x01"])
 def test_another_protocol_is_turned_away(data: bytes) -> None:
-    server = ServerConnection(Heard(), 10)
+    server = ServerConnection(RecordedEvents(), 10)
     server.receive(data)
-    assert code_of(server) == ErrorCode.PROTOCOL_ERROR
+    assert goaway_code(server) == ErrorCode.PROTOCOL_ERROR
 
 
 def test_what_concerns_one_stream_ends_one_stream() -> None:
-    server = opened()
-    server.receive(encode_frame(FrameType.WINDOW_UPDATE, 0, 1, U32(2**31 - 1)))
+    server = connection_with_stream()
+    server.receive(encode_frame(FrameType.WINDOW_UPDATE, 0, 1, uint32(2**31 - 1)))
     assert not server.over and 1 not in server.streams
     server.receive(
         encode_frame(FrameType.DATA, 0, 1, b"late")
-        + encode_frame(FrameType.WINDOW_UPDATE, 0, 1, U32(5))
-        + headers(3)
+        + encode_frame(FrameType.WINDOW_UPDATE, 0, 1, uint32(5))
+        + headers_frame(3)
     )
     assert not server.over and 3 in server.streams
     server.receive(encode_frame(99, 0, 0, b"unknown") + encode_frame(FrameType.PRIORITY, 0, 3, b"12345"))
@@ -303,26 +310,26 @@
 
 
 def test_a_header_list_over_the_bound() -> None:
-    server = opened()
+    server = connection_with_stream()
     many = b"".join(hpack.Encoder().encode([(b"x-%d" % n, b"v" * 90)], huffman=False) for n in range(100))
     bomb = encode_header_block([(b"x", b"v" * 4000)] * 4)
     server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 3, many))
     assert not server.over
-    for stream in (5, 7):
-        server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, stream, bomb))
+    for stream_id in (5, 7):
+        server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, stream_id, bomb))
     assert not server.over
     indexed = hpack.Encoder()
     first = indexed.encode([(b"x-big", b"v" * 3000)], huffman=False)
     again = indexed.encode([(b"x-big", b"v" * 3000)] * 100, huffman=False)  # 100 bytes that mean 300 KB
     server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 9, first))
     server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 11, again))
-    assert code_of(server) == ErrorCode.ENHANCE_YOUR_CALM
+    assert goaway_code(server) == ErrorCode.ENHANCE_YOUR_CALM
 
 
 @given(st.binary(max_size=400), st.integers(1, 50))
-@budget(max_examples=300, deadline=None, derandomize=True, database=None)
+@hypothesis_settings(max_examples=300, deadline=None, derandomize=True, database=None)
 def test_no_bytes_raise(data: bytes, piece: int) -> None:
-    server = opened()
+    server = connection_with_stream()
     for at in range(0, len(data), piece):
         server.receive(data[at : at + piece])
     server.send_data(1, b"x" * 100_000, end_stream=True)
@@ -333,10 +340,10 @@
 
 
 @given(st.lists(FRAMES, max_size=30))
-@budget(max_examples=300, deadline=None, derandomize=True, database=None)
+@hypothesis_settings(max_examples=300, deadline=None, derandomize=True, database=None)
 def test_no_frames_raise(frames: list[Any]) -> None:
-    server = opened()
-    for kind, flags, stream, payload in frames:
-        server.receive(encode_frame(kind, flags, stream, payload))
-        server.send_data(stream, b"x" * 10, end_stream=bool(flags & 1))
+    server = connection_with_stream()
+    for kind, flags, stream_id, payload in frames:
+        server.receive(encode_frame(kind, flags, stream_id, payload))
+        server.send_data(stream_id, b"x" * 10, end_stream=bool(flags & 1))
     assert len(server.take()) < 2_000_000
