--- a/quartzford/backends/http_attempt.py
+++ b/quartzford/backends/http_attempt.py
@@ -255,7 +255,7 @@
             self._arm()
 
     def _refuse_long_body(self) -> None:
-        """Nobody reads the long body of a response that is not forwarded."""
+        """The long body of a response that is not forwarded is not read."""
         if self.size > MAX_BUFFERED_BYTES and not self.streaming:
             self.fail(outcomes.ERROR)
 
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -72,9 +72,7 @@
         self.clock = engine.clock
         self.log = engine.log
         self.lists_per_s = lists_per_s
-        self.polls_list = (
-            config.settings.polls_list
-        )  # one service for the whole fleet; else an agent's pushes
+        self.polls_list = config.settings.polls_list  # one service for the fleet; else an agent's pushes
         self.followers: list[Follower] = []
         self.pending = ListingQueue()
         self.registry = Registry()
@@ -101,7 +99,7 @@
         return RelayCallPolicy(addresses, *self._shared_service()), addresses
 
     def _shared_service(self) -> tuple[int, float, float, random.Random, Callable[[], float]]:
-        """What a policy needs to know of a list service that the whole fleet polls."""
+        """What a policy needs to know of a list service that all of the fleet poll."""
         settings = self.config.settings
         host, port = self.config.listen
         own_random = seeded_random(self.config.name, f"{host}:{port}", self.config.seed)
@@ -249,7 +247,7 @@
 ) -> ControlSide:
     """A control side, complete, that has not begun.
 
-    lists_per_s: calls a second that a list service answers which a whole fleet asks. relays: are asked in
+    lists_per_s: calls per second that a list service of the fleet answers. relays: are called in
     its place.
     """
     engine = Engine(config.settings, config.seed, clock, log)
--- a/quartzford/decision/admission.py
+++ b/quartzford/decision/admission.py
@@ -4,7 +4,7 @@
 rising while what was sent before it comes back late, and falls only as fast as lateness can undercut its
 target; forty balancers that do so together overload their servers for a second and starve them for ten.
 
-Lateness itself is known one latency objective too late. What is in flight tells sooner: by Little's law the
+Lateness itself is known one latency objective too late. What is in flight shows it sooner: by Little's law,
 attempts in flight, over the rate at which answers come, are the time that a request sent now will take.
 Work is counted in mean requests; times are milliseconds on the caller's clock.
 """
@@ -129,7 +129,7 @@
         """Rank the latest offer among those that are remembered.
 
         By what classes take now: remembered with each offer, a rising latency would rank what comes next
-        under its equals of before, and shed a whole class where a part was meant.
+        under its equals of before, and shed an entire class where a part was meant.
         """
         work_of = {name: typical_latency(name) for name in {name for _, name in self.offers}}
         offers = [(weight, work_of[name]) for weight, name in self.offers]
--- a/quartzford/decision/endpoint_set.py
+++ b/quartzford/decision/endpoint_set.py
@@ -152,7 +152,7 @@
         return changed
 
     def _not_ejected(self, name: str) -> bool:
-        """Cold ones count: to do without them takes what nobody here knows yet, all at once."""
+        """Cold ones count: without them, servers that are not known here yet would be used all at once."""
         return self.now >= self.servers[name].ejected_until
 
     def _apply_row(self, entry: io.Endpoint, started_ms: float | None) -> None:
@@ -177,7 +177,7 @@
         return None
 
     def _incarnation(self, entry: io.Endpoint) -> Server:
-        """The server that a row tells of: the one that is known, or a new one."""
+        """The server of a row: the one that is known, or a new one."""
         server = self.servers.get(entry.server)
         if server is not None and entry.started_ms != server.entry.started_ms:
             self._remove(entry.server)  # what is out at another incarnation says nothing of this one
@@ -277,7 +277,7 @@
         self.ejection.record_rejection(self.now, server, service_class)
 
     def record_result(self, server: Server, failed: bool, unreachable: bool = False) -> None:
-        """An attempt has succeeded or failed. unreachable: nobody took the connection in time."""
+        """An attempt has succeeded or failed. unreachable: the connection was not accepted in time."""
         if self.ejection.record_result(self.now, server, failed, unreachable):
             self.refresh_working_set(at_once=True)
 
--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -25,7 +25,7 @@
     """How an attempt ended: the codes of AttemptEnded."""
 
     OK = "ok"  # a complete good answer
-    ERROR = "error"  # an answer that tells of an error
+    ERROR = "error"  # an answer that is an error
     FULL = "full"  # rejected by the server, and not run
     CONNECT_FAILED = "connect_failed"  # no connection, so it was not run
     RESET = "reset"  # the connection broke
@@ -172,7 +172,7 @@
     polls_list: bool = False  # the list must be polled
     report_fields: tuple[str, ...] = ()
     report_by_probe: bool = False
-    sized: bool = False  # the list's sizes tell servers apart
+    sized: bool = False  # servers differ by the list's sizes
     over_quota_weight: float = 1.0
     weight_by_work: bool = False
     warm_keys: bool = False
--- a/quartzford/decision/list_polling.py
+++ b/quartzford/decision/list_polling.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is to be asked for: once at the start, and after failures with a growing backoff."""
+"""When the endpoint list is to be polled: once at the start, and after failures with a growing backoff."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from quartzford.decision import interface as io
 
-FIRST_CALL_SPREAD = 0.3  # of the poll interval: a whole fleet may start at once
+FIRST_CALL_SPREAD = 0.3  # of the poll interval: all of a fleet may start at once
 BACKOFF_MS = 500.0  # doubles with each failure ...
 MAX_BACKOFF_DOUBLINGS = 6
 MAX_BACKOFF_SHARE = 0.5  # ... up to this part of the poll interval
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -141,7 +141,7 @@
         return state
 
     def take_back(self, now_ms: float) -> None:
-        """The successor has died: cold servers' budgets begin anew, as nobody knows what it sent."""
+        """The successor has died: cold servers' budgets begin anew, as it is not known what it sent."""
         self._advance(now_ms)
         self.endpoints.slow_start.handed_over = False
         self.endpoints.slow_start.reset_budgets(self.now)
@@ -290,7 +290,7 @@
     # ---- what is learnt from attempts
 
     def _observe(self, event: io.AttemptEnded) -> None:
-        """Learn what an attempt's end tells of the server, in the incarnation that it was sent to."""
+        """Learn what an attempt's end shows of the server, in the incarnation that it was sent to."""
         attempt = self._take_back_attempt(event)
         if attempt is None:
             self._record_in_flight(answered=False)
--- a/quartzford/decision/outlier_ejection.py
+++ b/quartzford/decision/outlier_ejection.py
@@ -1,6 +1,6 @@
 """Outlier ejection: servers that fail more than the others take nothing for a while.
 
-After an ejection a server gets one trial at a time: only a success can clear it. What the whole fleet fails
+After an ejection a server gets one trial at a time: only a success can clear it. What all of the fleet fails
 is no server's fault, so a server's failures are held against those of the others.
 """
 
@@ -13,7 +13,7 @@
 from quartzford.decision.server import Server
 
 FAIL_WEIGHT = 0.4  # of one result in a server's failing share
-EJECT_ABOVE = 0.35  # failing share that ejects, above what the whole fleet fails
+EJECT_ABOVE = 0.35  # failing share that ejects, above what all of the fleet fails
 EJECT_MS = 1_000.0  # first ejection at the least; doubles while the server goes on failing
 EJECT_MAX_MS = 8_000.0
 EJECT_MAX_VISITS = 8  # an ejection lasts at most so many times as long as from one send to the next
@@ -47,8 +47,8 @@
     def record_result(self, now: float, server: Server, failed: bool, unreachable: bool) -> bool:
         """An attempt has succeeded or failed; whether the server is ejected for it.
 
-        unreachable: nobody took the connection in the time that one may take. Load doesn't do that, so what
-        others fail is no excuse: the servers of a lost zone would excuse each other.
+        unreachable: the connection was not accepted in the time that one may take. Load doesn't do that, so
+        failures of others are no excuse: the servers of a lost zone would excuse each other.
         """
         self.set_failing(server, server.failing + FAIL_WEIGHT * (failed - server.failing))
         if server.failing > EJECT_ABOVE:
--- a/quartzford/decision/slow_start.py
+++ b/quartzford/decision/slow_start.py
@@ -43,7 +43,7 @@
         self._total_units = None
 
     def join(self, now: float, server: Server) -> None:
-        """Take in a server. Its budget begins at a random phase: all balancers may hear of it at once."""
+        """Take in a server. Its budget begins at a random phase: all balancers may get it at once."""
         server.tokens = self.rng.random()
         server.tokens_ms = now
 
--- a/quartzford/decision/workingset.py
+++ b/quartzford/decision/workingset.py
@@ -23,7 +23,7 @@
 MEET_MS = 1_500.0  # a server in use is met about this often
 LEAST = 16  # servers in use at the least
 PART = LEAST // 2  # larger cells are used in part: so the least are of two cells, and a retry has others
-SLACK = 1.5  # of what is wanted, that may be in use before cells are left: what flaps moves nobody
+SLACK = 1.5  # of what is wanted, that may be in use before cells are left: one that flaps moves no others
 
 Able = Callable[[str], bool]  # whether a server counts, by its name (it is not ejected, say)
 
--- a/quartzford/engine/budget.py
+++ b/quartzford/engine/budget.py
@@ -4,7 +4,7 @@
 
 
 class Budget:
-    """Bytes held over all connections; whoever reads more asks `full` first."""
+    """Bytes held over all connections; `full` is checked before more is read."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -240,7 +240,7 @@
 
         code: one of io.Outcome. answer: a complete one, for the front. report: the server's load report.
         faulted: the server puts its error down to the request itself. stage: how far the attempt had come,
-        for counts. Not retryable: the request ends with it, for nobody could send it again.
+        for counts. Not retryable: the request ends with it, as it could not be sent again.
         """
         pending = attempt.pending
         spent = self._spent_ms(attempt)
--- a/quartzford/fronts/__init__.py
+++ b/quartzford/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Who asks."""
+"""Sources of requests: HTTP clients, operators, and calling proxies (extproc)."""
--- a/quartzford/fronts/client_connection.py
+++ b/quartzford/fronts/client_connection.py
@@ -115,7 +115,7 @@
         )
 
     def connected(self) -> bool:
-        """Whether neither a FIN nor a reset has come, also one behind bytes that nobody has read yet."""
+        """Whether neither a FIN nor a reset has come, also one behind bytes that were not read yet."""
         if self.transport.is_closing():
             return False
         poll = select.poll()
@@ -310,7 +310,7 @@
         self._answered(exchange)
 
     def reject(self, status: int) -> None:
-        """Answer what is no request, and close: no upstream hears of it."""
+        """Answer what is no request, and close: nothing is forwarded."""
         if self.closing or self.transport.is_closing():
             return
         self._drop_body()
--- a/quartzford/fronts/extproc/decision_messages.py
+++ b/quartzford/fronts/extproc/decision_messages.py
@@ -32,7 +32,7 @@
 class Decision(NamedTuple):
     """Forward the attempt to `address`, now.
 
-    due: when the caller gives the attempt up. server_deadline: until when the server is told that it has.
+    due: when the caller gives the attempt up. server_deadline: the deadline that is passed on to the server.
     valid_until: a decision not written by then is given back (`DecisionService.decision_expired`). These are
     seconds on the machine's monotonic clock; who writes them as spans reads the clock at that moment.
     valid_for_ms: the validity for a caller on any clock, counted from its request for the decision.
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -34,7 +34,7 @@
 BACKLOG = 1024
 MAX_MESSAGE_BYTES = 256 * 1024
 MAX_READ_AHEAD = 16  # messages of one stream that came ahead of a reply
-STREAM_GRACE_S = 2.0  # a stream lives for the longest deadline and so much more, whatever its caller does
+STREAM_GRACE_S = 2.0  # a stream is open for the longest deadline and so much more, whatever its caller does
 SWEEP_INTERVAL_S = 0.25
 MIN_REMAINING_S = 0.001  # time-outs are written in whole ms, and 0 of them would mean none
 FRAME_HEADER_BYTES = 5  # of a gRPC message: whether it is compressed, and its length
@@ -247,7 +247,7 @@
             extproc_stream.over = True
 
     def finish(self, extproc_stream: ExtprocStream, status: int, why: str) -> None:
-        """Trailers end the stream; a caller that still writes to it is told to stop."""
+        """Trailers end the stream; where the caller still writes to it, it is reset."""
         if self.extproc_streams.pop(extproc_stream.number, None) is None:
             return
         self._trailers(extproc_stream.number, extproc_stream.answered, status, why)
--- a/quartzford/fronts/extproc/token.py
+++ b/quartzford/fronts/extproc/token.py
@@ -1,4 +1,4 @@
-"""Attempt tokens: they bind each stream of a retried request to it, and nobody else can make one."""
+"""Attempt tokens: they bind each stream of a retried request to it, and only this balancer can make one."""
 
 from __future__ import annotations
 
--- a/quartzford/fronts/http_front.py
+++ b/quartzford/fronts/http_front.py
@@ -22,9 +22,9 @@
     """Accepts client connections and bounds how many there are.
 
     clients: the longest unused first. draining: connections are closed behind their responses. rejecting: the
-    process exits, nothing more is read as a request. listener: stays open while nobody accepts, which keeps
-    its queue. transfer_to_successor: takes descriptors of idle connections. unread: clients whose bytes are
-    left with the system for now.
+    process exits, nothing more is read as a request. listener: stays open while nothing is accepted, which
+    keeps its queue. transfer_to_successor: takes descriptors of idle connections. unread: clients whose bytes
+    are left with the system for now.
     """
 
     def __init__(
--- a/quartzford/fronts/listener.py
+++ b/quartzford/fronts/listener.py
@@ -126,7 +126,7 @@
 
     @property
     def opening(self) -> int:
-        """How many connections were accepted whose protocols have not heard of them yet."""
+        """How many connections were accepted whose protocols have not been called yet."""
         return len(self._opening)
 
     def start(self) -> None:
@@ -156,7 +156,7 @@
             sock.close()
 
     async def opened(self) -> None:
-        """Wait until the protocols of all accepted connections have heard of them."""
+        """Wait until the protocols of all accepted connections have been called."""
         if self._opening:
             await asyncio.wait(self._opening)
 
--- a/quartzford/fronts/request_reader.py
+++ b/quartzford/fronts/request_reader.py
@@ -61,7 +61,7 @@
         """A head without an error is complete, and its client waits for a 100 response."""
 
     def upgrade_requested(self) -> None:
-        """The request that was read asks for another protocol; nothing behind it can be read."""
+        """The request that was read requests another protocol; nothing after it can be read."""
 
     def body_received(self, size: int) -> None:
         """So many bytes of the body have been added to those that are held."""
--- a/quartzford/fronts/responses.py
+++ b/quartzford/fronts/responses.py
@@ -53,7 +53,7 @@
 
 
 def retry_after(pause_ms: float) -> bytes:
-    """The field that asks for a pause, in seconds with three decimals."""
+    """The Retry-After field, in seconds with three decimals."""
     return b"Retry-After: %.3f\r\n" % (pause_ms / 1000.0)
 
 
--- a/quartzford/membership/call_policy.py
+++ b/quartzford/membership/call_policy.py
@@ -7,7 +7,7 @@
 makes delays longer is capped by this bound.
 
 There are two policies. `AgentCallPolicy` is for lists that are pushed: the address is an agent on this
-machine, a call costs nobody anything, and the sooner the better. `SharedServiceCallPolicy` is for one list
+machine, a call costs nothing, and the sooner the better. `SharedServiceCallPolicy` is for one list
 service that all balancers of a fleet poll. It bounds the fleet's rate of calls, though no balancer knows what
 another does:
 
@@ -23,7 +23,7 @@
 - A call that was accepted and is late is kept open beside the next one for LATE_CALL_KEPT_S: a service that
   works through a long queue answers it in its turn, and to close it would make that work useless.
 
-Times are in seconds. docs/coldstart.md holds what was weighed, with figures, and what the bound costs.
+Times are in seconds. docs/coldstart.md holds the alternatives, with figures, and the cost of the bound.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
         """Delay before the first call after a start, or to a new address."""
 
     def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        """Delay before the next call. retry_after: what the service asked for, or 0.
+        """Delay before the next call. retry_after: as the service sent it, or 0.
 
         took: by the call that has ended; of a watch that had brought something, since its last complete line.
         """
@@ -179,7 +179,7 @@
         return self.rng.random() * min(self.spread_interval, NOTIFY_BOUND_S - QUEUE_S)
 
     def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        """About a spread interval, under the bound of NOTIFY_BOUND_S on the whole cycle."""
+        """About a spread interval, under the bound of NOTIFY_BOUND_S on the cycle."""
         if outcome is CallOutcome.DONE:
             return 0.0
         if outcome is CallOutcome.UNREAD and self.now() >= self.unread_until:  # repeated, it is a failure
@@ -205,7 +205,7 @@
         most *= self.rng.uniform(*WAIT_BOUND)
         delay = max(alone, interval * self.rng.uniform(*WAIT_SPREAD))
         if retry_after > 0:
-            # The whole fleet gets the same value: who came together would come back together.
+            # All of the fleet get the same value: calls that came together would come back together.
             delay = max(delay, retry_after + self.rng.random() * interval)
         return min(delay, most)
 
@@ -231,7 +231,7 @@
 
 
 def retry_after(value: str, date: str) -> float:
-    """Seconds that a Retry-After field asks for; 0 of what can't be read. RFC 9110, section 10.2.3.
+    """Seconds in a Retry-After field; 0 for a value that can't be read. RFC 9110, section 10.2.3.
 
     Decimals are read too, as the platform's peers write them. A date is taken against the Date field of the
     same answer: both are readings of the service's clock, which ours need not agree with.
--- a/quartzford/membership/list_call.py
+++ b/quartzford/membership/list_call.py
@@ -34,7 +34,7 @@
 
 
 class CallOwner(Protocol):
-    """Who makes calls, and is told what they bring and how they end."""
+    """The owner of calls, which is notified of what they bring and how they end."""
 
     clock: Clock
     loop: asyncio.AbstractEventLoop
@@ -52,7 +52,7 @@
         """A line could not be parsed; False, as the call has to end."""
 
     def forget_version(self, call: ListCall) -> None:
-        """What came can't be followed by changes: the next call asks for everything."""
+        """What came can't be followed by changes: the next call requests the complete list."""
 
     def call_answered(self, call: ListCall) -> None:
         """A first list, or first changes, have come."""
@@ -97,7 +97,7 @@
         self.task = self.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        """Connect. An error of this machine blames nobody: it is tried again for as long as it may take."""
+        """Connect. An error of this machine is not the peer's: it is retried for as long as it may take."""
         host, port = self.target.address
         while True:
             try:
--- a/quartzford/membership/list_watch.py
+++ b/quartzford/membership/list_watch.py
@@ -21,7 +21,7 @@
 class ListWatch:
     """Keeps one watch open, and knows which version of the list this balancer has.
 
-    resync: the version is forgotten with each watch that ends, so that the next call asks for everything.
+    resync: the version is forgotten with each watch that ends: the next call requests the complete list.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         return self.call is not None and self.call.answered
 
     def follow_address(self) -> None:
-        """The address has changed: the new one is asked for everything, as its versions may be its own."""
+        """The address has changed: the complete list is requested there, as its versions may be its own."""
         if not self.addresses.follows_configuration():
             return
         self._cancel_timer()
@@ -116,7 +116,7 @@
         if self.stopped or self.call is not None:
             return
         complete_list_by_watch = self.addresses.complete_list_by_watch
-        # A version of 0 is that of a configuration that knows nobody.
+        # A version of 0 is that of a configuration without upstreams.
         known = bool(self.version) if complete_list_by_watch else self.version is not None
         target = self.addresses.choose(known)
         self.counts["asked" if target.kind is RequestKind.COMPLETE_LIST else "watched"] += 1
@@ -153,13 +153,13 @@
         return self.take(listing, call)
 
     def reject_line(self, error: Exception, call: ListCall) -> bool:
-        """Log a line that can't be parsed; the next call asks for everything. Always False."""
+        """Log a line that can't be parsed; the next call requests the complete list. Always False."""
         self.log.line("discovery", f"a bad line: {error}")
         self.forget_version(call)
         return False
 
     def forget_version(self, call: ListCall) -> None:
-        """The next call asks for everything; what a candidate brings is no reason to."""
+        """The next call requests the complete list; what a candidate brings is no reason to."""
         if call is not self.candidate:
             self.version = None
 
@@ -183,8 +183,8 @@
     def _outdated(self, listing: Listing, call: ListCall) -> bool:
         """Older than what is held, and no sign that the service has been started anew.
 
-        A candidate that is behind the watch that stands says nothing new; and a complete list that was asked
-        for while a version is held is one of a relay that has lost the service.
+        A candidate that is behind the established watch brings nothing new; and a complete list that was
+        requested while a version is held is one of a relay that has lost the service.
         """
         older = self.version is not None and listing.version < self.version
         return older and (call is self.candidate or not call.watch)
--- a/quartzford/membership/registry.py
+++ b/quartzford/membership/registry.py
@@ -1,7 +1,7 @@
 """Registry of upstreams: the rows of the last list, and the view without what operators took out. No I/O.
 
-The decision module hears the list as it is; who makes attempts (backends) hears of an upstream that is out by
-hand as draining, and of its row in the list again when it is put back.
+The decision module gets the list as it is; the backends get an upstream in maintenance as draining, and its
+row in the list again when maintenance ends.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
         self.version = 0
 
     def apply(self, listing: Listing) -> None:
-        """Apply a listing: a whole one replaces all rows, changes replace or remove the rows they name."""
+        """Apply a listing: a complete one replaces all rows, changes replace or remove the rows they name."""
         self.version = listing.version
         if listing.complete:
             self.rows.clear()
@@ -34,7 +34,7 @@
                 self.rows[row[0].server] = row
 
     def masked(self, listing: Listing, taken_out: Collection[str]) -> Listing:
-        """The listing as backends are to hear it."""
+        """The listing for the backends: upstreams in maintenance are draining."""
         if not taken_out:
             return listing
         entries = tuple(
@@ -51,7 +51,7 @@
         return self.masked(Listing(self.version, False, (row[0],), (row[1],)), (name,) if out else ())
 
     def table(self) -> dict[str, Any]:
-        """The whole list in discovery's form, to be read again by `read_listing`."""
+        """The complete list in discovery's form, to be read again by `read_listing`."""
         hosts = [
             {
                 "host": e.server,
--- a/quartzford/membership/relay_call_policy.py
+++ b/quartzford/membership/relay_call_policy.py
@@ -1,28 +1,28 @@
 """When the relays of a list service are called, and when the service itself. No I/O.
 
-The bound of six seconds holds as in call_policy.py. A relay that says nothing is noticed 2.75 s after its
+The bound of six seconds holds as in call_policy.py. An unresponsive relay is noticed 2.75 s after its
 last line, and up to two more may be dead or stopped in a row: 2.75 + 0.5 (spread) + 2 * (1.0 + 0.2) = 5.65 s,
 and the fourth answers by index at once. So a connection has 0.6 s, the first line by index 1.0 s, and the
-next relay is asked within 0.2 s. A call that was accepted and is late is kept beside the next (a whole list
-takes longer).
+next relay is called within 0.2 s. A call that was accepted and is late is kept beside the next (a complete
+list takes longer).
 
-- Where each relay has failed and one of them has turned a call away, it lives and has lost the source: the
-  list in use stays, and calls go round so that each relay is asked again within the six seconds.
-- Where all are gone the source is asked directly, at a moment drawn evenly from the fleet's spread interval
+- Where each relay has failed and one of them has rejected a call, it is up and has lost the source: the list
+  in use stays, and calls go round so that each relay is called again within the six seconds.
+- Where all are down the source is called directly, at a moment drawn evenly from the fleet's spread interval
   (the time in which it can answer one call of each balancer) and one interval later again, not cut at six
-  seconds: the fleet asks it no more often than it can bear. The relays go on being tried meanwhile.
-- Who stands elsewhere than at its first relay tries a better place after a time drawn from RETURN_S, beside
-  the watch that stands.
+  seconds: the fleet calls it no more often than it can answer. The relays are still called meanwhile.
+- A balancer with a watch elsewhere than at its first relay calls a better one after a time drawn from
+  RETURN_S, beside the established watch.
 
-Versions are the source's own, and a balancer goes on by index at any relay; a relay that is behind lets an
-index ahead of its own wait for the source's next line, and sends a whole list of a lower version only where
-the source has begun again. What remains, each until the relay's next line from the source:
+Versions are the source's own, and a balancer continues by index at any relay; a relay that is behind lets an
+index ahead of its own wait for the source's next line, and sends a complete list of a lower version only
+where the source has restarted. What remains, each until the relay's next line from the source:
 
 - The source's empty line to a relay is overtaken by a change's way over another relay and a balancer: the
-  index is taken for one of another life, and an older list comes just before the changes to it.
-- The source has begun again and a relay has not noticed: a balancer that comes from one that has gets the
-  earlier life's changes, until the relay sends the new life's list.
-- A balancer that could not read a line asks a relay for everything, and that is behind.
+  index is taken for one of another incarnation, and an older list comes just before the changes to it.
+- The source has restarted and a relay has not noticed: a balancer that comes from one that has gets the
+  earlier incarnation's changes, until the relay sends the new one's list.
+- A balancer that could not read a line requests the complete list of a relay, and that is behind.
 """
 
 from __future__ import annotations
@@ -48,14 +48,14 @@
     backoff,
 )
 
-RELAY_CONNECT_S = 0.6  # nobody at a relay took the connection for so long
+RELAY_CONNECT_S = 0.6  # within which a relay accepts a connection
 RELAY_LINE_S = 1.0  # a relay's first line by index, from the connection on
 FLOW_S = 1.0  # more, where a long list is under way: another relay would only send it once more
 JITTER_S = 0.2  # at most, from a failed call to the next relay's
 LOST_SPREAD_S = 0.5  # all watches of a relay end in one moment: its balancers' next calls
-RETURN_S = (30.0, 90.0)  # from the moment a watch stands to the next try of a better place
+RETURN_S = (30.0, 90.0)  # from the moment a watch is established to the next call of a better relay
 RELAY_CALLS_PER_S = 200.0  # that a relay answers, for the spread of a start
-LATER = (1.0, 1.25)  # of the time after which a relay wants to be asked again
+LATER = (1.0, 1.25)  # of the time in a relay's Retry-After
 
 
 class RelayCallPolicy(SharedServiceCallPolicy):
@@ -75,7 +75,7 @@
     ) -> None:
         self.relays = relays
         self.costs: deque[float] = deque(maxlen=len(relays.order))  # what the last round's calls took
-        self.direct_at: float | None = None  # the list service is asked
+        self.direct_at: float | None = None  # when the list service is called
         self.direct_free = -math.inf  # not before
         super().__init__(balancers, per_s, most_wait, rng, now)
 
@@ -94,11 +94,11 @@
         return CONNECT_S if self.relays.last_call_direct else RELAY_CONNECT_S
 
     def first_line_timeout(self) -> float:
-        """As long as the place that was chosen last may take; longer for a whole list."""
+        """As long as the place that was chosen last may take; longer for a complete list."""
         return RELAY_LINE_S if self.relays.version_was_known and not self.relays.last_call_direct else QUEUE_S
 
     def long_line_extra_time(self) -> float:
-        """From a relay, as long again as its patience by index."""
+        """From a relay, as long again as a first line by index may take."""
         return 0.0 if self.relays.last_call_direct else FLOW_S
 
     def answered(self) -> None:
@@ -127,14 +127,14 @@
         return self._direct_first(self._next_relay(retry_after))
 
     def _next_relay(self, retry_after: float) -> float:
-        """Wait before the next relay is asked."""
+        """Wait before the next relay is called."""
         relays, count = self.relays, len(self.relays.order)
         later = retry_after * self.rng.uniform(*LATER)
-        if not relays.version_was_known and later > 0:  # a whole list, in turn: the others have no less to do
+        if not relays.version_was_known and later > 0:  # a complete list, in turn: others have no less to do
             return min(later, NOTIFY_BOUND_S - QUEUE_S)
         if not relays.all_failed():
             return self.rng.random() * JITTER_S
-        # Each relay is asked again within the six seconds, as far as those that say nothing leave them.
+        # Each relay is called again within the six seconds, less what unresponsive ones have taken of them.
         left = max(0.0, NOTIFY_BOUND_S - RELAY_LINE_S - sum(self.costs))
         pace = left / count * self.rng.uniform(*WAIT_BOUND)
         alone = backoff(self.failed_calls, self.rng)
@@ -146,7 +146,7 @@
             self.stretch = min(STRETCH_MOST, self.stretch * STRETCH)
 
     def _direct_first(self, wait: float) -> float:
-        """The wait, or a shorter one after which the list service is asked."""
+        """The wait, or a shorter one after which the list service is called."""
         if not self.relays.all_failed() or self.relays.any_relay_alive():
             self.direct_at = None
             return wait
--- a/quartzford/membership/snapshot.py
+++ b/quartzford/membership/snapshot.py
@@ -22,7 +22,7 @@
 
 
 class Snapshot(NamedTuple):
-    """A list as it was last heard, and when (Unix ms), from which service ("host:port")."""
+    """A list as it was last received, and when (Unix ms), from which service ("host:port")."""
 
     service: str
     taken_ms: float
@@ -30,12 +30,12 @@
 
 
 class Rule(NamedTuple):
-    """What a list of what age is good for. Ages in seconds.
+    """How lists are used by their age, in seconds.
 
     most_age: an older one is not used at all. fresh_age: up to it the list counts as the platform's `known`
-    does, as last heard. Between the two every upstream of it counts as having started when the balancer did:
-    it may have been replaced since, so it is sent what a cold one is sent, until the service has spoken. So
-    does every upstream of a list from the future: the clock was stepped, and its age is unknown.
+    does, as last received. Between the two every upstream of it counts as having started when the balancer
+    did: it may have been replaced since, so it is in slow start until the service has answered. So does every
+    upstream of a list from the future: the clock was stepped, and its age is unknown.
     """
 
     most_age: float
--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -2,10 +2,10 @@
 
 A row's `born_ms` is a reading of the list service's wall clock. It names an incarnation: another value is
 another incarnation. As a moment it is believed only between two bounds that this process has measured itself:
-an incarnation that is first heard of started no later than now, and no earlier than the last moment at which
+an incarnation that is new in the list started no later than now, and no earlier than the last moment at which
 the list was known without it. While a watch stands that is a moment ago, and the start is now. Where the
 value lies outside of the bounds, a clock is wrong, and the start is now as well: an upstream that is taken
-for younger than it is costs a little of its capacity for a while, one that is taken for older is pushed over.
+for younger than it is costs a little of its capacity for a while, one that is taken for older is overloaded.
 At the process's own start the earlier bound is missing. 0 is no reading of a clock: it says "long ago".
 
 All moments are milliseconds on the engine's clock, which no step of the wall clock moves.
@@ -30,7 +30,7 @@
 
 
 class Incarnation(NamedTuple):
-    """One life of an upstream. presumed: started_ms was not derived from born_ms, which may replace it."""
+    """An upstream's incarnation. presumed: started_ms was not derived from born_ms, which may replace it."""
 
     born_ms: float
     started_ms: float
@@ -46,7 +46,7 @@
 
 
 class StartTimes:
-    """Dates incarnations once, when they are first heard of, and keeps the dates."""
+    """Dates incarnations once, when they are new in the list, and keeps the dates."""
 
     def __init__(self) -> None:
         self._current: dict[str, Incarnation] = {}
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -47,7 +47,7 @@
     ) -> None:
         """folder: where this process and its successor find each other; "": they don't.
 
-        lists_per_s: calls a second that a whole fleet's list service answers. relays: polled in its place.
+        lists_per_s: calls per second that a list service of the fleet answers. relays: polled in its place.
         """
         self.loop = loop
         self.clock = clock = LoopClock(loop)
--- a/quartzford/protocols/http2/connection.py
+++ b/quartzford/protocols/http2/connection.py
@@ -288,7 +288,7 @@
         self.sender.send_headers(stream_id, header_block, end_stream)
 
     def send_data(self, stream_id: int, data: bytes, end_stream: bool = False) -> None:
-        """Send data; it waits as long as the peer's windows ask for it (6.9)."""
+        """Send data; it waits as long as the peer's windows require (6.9)."""
         self.sender.send_data(stream_id, data, end_stream)
 
     def reset(self, stream_id: int, code: ErrorCode) -> None:
--- a/quartzford/protocols/http2/flow_control.py
+++ b/quartzford/protocols/http2/flow_control.py
@@ -1,6 +1,6 @@
 """Streams and flow control (RFC 9113, sections 5.1, 5.2 and 6.9): what is sent within the peer's windows.
 
-A stream lives until both sides have ended it, or either has reset it.
+A stream is open until both sides have ended it, or either has reset it.
 """
 
 from __future__ import annotations
--- a/quartzford/protocols/lingering.py
+++ b/quartzford/protocols/lingering.py
@@ -1,6 +1,6 @@
 """The end of a connection behind its last answer: half-close, read on for a moment, then close.
 
-To close over bytes that nobody has read resets the connection, and what the peer has not read of its answer
+To close over bytes that were not read resets the connection, and what the peer has not read of its answer
 may be gone with it (RFC 9112, 9.6). What the peer still sends is not acted on: it can tell by the half-close
 that it was not.
 """
--- a/quartzford/protocols/socketerrors.py
+++ b/quartzford/protocols/socketerrors.py
@@ -1,4 +1,4 @@
-"""Errors of socket calls that tell of this machine alone."""
+"""Errors of socket calls whose cause is this machine alone."""
 
 from __future__ import annotations
 
--- a/quartzford/relay/catalog.py
+++ b/quartzford/relay/catalog.py
@@ -162,7 +162,7 @@
         return incoming
 
     def _begin_incarnation(self, version: int) -> None:
-        """The source has restarted, or is heard for the first time."""
+        """The source has restarted, or has answered for the first time."""
         if self.version is not None:
             self.untrusted_up_to = max(self.untrusted_up_to, self.version)
         self.incarnation += 1
@@ -207,7 +207,7 @@
     def update_for(self, position: Position | None, index: int = 0) -> WatcherUpdate:
         """The update for a watcher by its position, or for one that comes from elsewhere by its index.
 
-        While no list is held everybody is ahead.
+        While no list is held all are ahead.
         """
         if self.version is None:
             return WatcherUpdate(UpdateKind.AHEAD)
--- a/quartzford/relay/list_transfer.py
+++ b/quartzford/relay/list_transfer.py
@@ -21,7 +21,7 @@
 
     @property
     def length(self) -> int:
-        """The length of the whole line in bytes."""
+        """The length of the complete line in bytes."""
         return len(self._list.line)
 
     @property
--- a/quartzford/relay/server.py
+++ b/quartzford/relay/server.py
@@ -42,7 +42,7 @@
 
 
 class Server:
-    """Accepts connections and tells them of changes, of the source's state and of the time."""
+    """Accepts connections, and notifies them of changes, of the source's state and of the time."""
 
     def __init__(
         self,
--- a/quartzford/relay/source_monitor.py
+++ b/quartzford/relay/source_monitor.py
@@ -1,4 +1,4 @@
-"""Whether a relay hears from its source, the list service. No I/O. Times are in seconds."""
+"""Whether a relay's source, the list service, is current. No I/O. Times are in seconds."""
 
 from __future__ import annotations
 
--- a/quartzford/relay/transfer_schedule.py
+++ b/quartzford/relay/transfer_schedule.py
@@ -1,7 +1,7 @@
 """When complete lists are sent, at no more than a rate in bytes a second. No I/O. Times are in seconds.
 
 Each list takes the rate for as long as its bytes last at it, and begins when those before it have had theirs.
-So few are under way at a time, and a client that reads slowly delays nobody else. A call that would wait for
+So few are under way at a time, and a client that reads slowly delays no other. A call that would wait for
 longer than MAX_WAIT_S gets a time after which to retry: each the next free slot, and from the first one again
 past MAX_RETRY_S, where a balancer cuts the time that it was given, so that many calls come back evenly.
 """
--- a/quartzford/replacement/channel.py
+++ b/quartzford/replacement/channel.py
@@ -147,7 +147,7 @@
 
 
 def _ignore_close(_channel: Channel, _reason: str) -> None:
-    """In place of `on_close` where nobody is left who wants to know."""
+    """In place of `on_close` once the owner needs no notice."""
 
 
 def read_message(data: bytes, flags: int) -> Message:
--- a/quartzford/replacement/handover.py
+++ b/quartzford/replacement/handover.py
@@ -57,7 +57,7 @@
         return self.successor_side.channel is not None or self.predecessor_side.channel is not None
 
     def publish_maintenance(self, endpoint: str, in_maintenance: bool, all_endpoints: Set[str]) -> None:
-        """An operator took an endpoint out here, or put it back: tell the other process, write it to file.
+        """An operator took an endpoint out here, or put it back: notify the other process, write it to file.
 
         all_endpoints: all that are in maintenance now.
         """
--- a/quartzford/replacement/maintenance_file.py
+++ b/quartzford/replacement/maintenance_file.py
@@ -1,4 +1,4 @@
-"""The endpoints that operators took out for maintenance, on file for a successor that nobody can tell.
+"""The endpoints that operators took out for maintenance, on file for a successor without a predecessor.
 
 An endpoint stays out until an operator puts it back, over an upgrade too, also where the predecessor hangs or
 is killed while its successor starts. The file lies under $TMPDIR, which the platform empties at each start
--- a/quartzford/replacement/predecessor_side.py
+++ b/quartzford/replacement/predecessor_side.py
@@ -48,7 +48,7 @@
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         """socket_path: where a successor looks for this process."""
-        self.channel: Channel | None = None  # to the successor, while it lives
+        self.channel: Channel | None = None  # to the successor, while it is alive
         self.listener: socket.socket | None = None
         self._balancer = balancer
         self._socket_path = socket_path
--- a/quartzford/replacement/successor_side.py
+++ b/quartzford/replacement/successor_side.py
@@ -78,7 +78,7 @@
 
 
 class SuccessorSide:
-    """Connects to the predecessor, takes over what it gives, and shows it that this process lives."""
+    """Connects to the predecessor, takes over what it gives, and sends heartbeats."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         """socket_path: where a predecessor listens."""
-        self.channel: Channel | None = None  # to the predecessor, while it lives
+        self.channel: Channel | None = None  # to the predecessor, while it is alive
         self._balancer = balancer
         self._socket_path = socket_path
         self._clock = clock
@@ -124,7 +124,7 @@
             return None
 
     def announce_serving(self) -> None:
-        """Tell the predecessor that this process accepts connections: it gives its clients from now on."""
+        """Notify the predecessor that this process accepts connections: it hands over clients from now on."""
         if self.channel is not None:
             self.channel.send(Serving())
             self._send_heartbeat()
--- a/quartzford/settings/operator_settings.py
+++ b/quartzford/settings/operator_settings.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListsSettings:
-    """Section [lists]: a list service that a whole fleet polls. docs/operators/coldstart.md"""
+    """Section [lists]: a list service that all of a fleet poll. docs/operators/coldstart.md"""
 
     calls_per_s: float = 50.0  # that it answers
     snapshot: str = ""  # a file on a lasting disk
@@ -66,7 +66,7 @@
 
     listen: str  # host:port; port 0: the kernel's choice
     source: str  # host:port of the list service
-    balancers: int  # of the whole fleet
+    balancers: int  # of the fleet
     relays: int = 1  # that share the fleet
     list_bytes_per_s: float = 50_000_000.0  # complete lists are sent at no higher rate
     most_watchers: int = 0  # open watches; 0: derived from the fleet and the relays
