--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -226,7 +226,7 @@
 
     # ---- what operators set
 
-    def by_hand(self, name: str, out: bool) -> None:
+    def set_maintenance(self, name: str, out: bool) -> None:
         """An upstream is taken out by an operator, or put back; nothing if it is so already."""
         if out == (name in self.engine.balancer.in_maintenance):
             return
--- a/quartzford/decision/endpoint_set.py
+++ b/quartzford/decision/endpoint_set.py
@@ -173,7 +173,7 @@
                 self._join(server)
         elif server.slot >= 0 and (changed or dated):
             self.shares.move(server.slot, self._place(entry))
-            self.slow_start.begin_again(server, self._cold_from(server))
+            self.slow_start.begin_again(server, self._slow_start_from_ms(server))
         return None
 
     def _incarnation(self, entry: io.Endpoint) -> Server:
@@ -187,7 +187,7 @@
             self.servers[entry.server] = server
         return server
 
-    def _cold_from(self, server: Server) -> float:
+    def _slow_start_from_ms(self, server: Server) -> float:
         """When slow start began: at its start, or its return from maintenance.
 
         What was in maintenance was restarted meanwhile, whether the list knows or not.
@@ -207,7 +207,7 @@
         self.slow_start.join(self.now, server)
         server.slot = self.shares.join(self._place(server.entry), len(server.in_flight))
         self.ready.append(server)
-        self.slow_start.begin(server, self._cold_from(server))
+        self.slow_start.begin(server, self._slow_start_from_ms(server))
 
     def _leave(self, server: Server) -> None:
         """Send a server nothing new, if it is in use."""
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -89,12 +89,12 @@
 
 def _recall_server(endpoints: EndpointSet, server: Server, learned: io.LearnedEndpoint, now: float) -> None:
     ejection = endpoints.ejection
-    ejection.set_failing(server, learned.failure_rate)
+    ejection.set_failure_rate(server, learned.failure_rate)
     server.ejections = learned.ejections
     server.ejected_until = learned.ejected_until
     if learned.suspect:  # what is in flight stays with the predecessor: passed over for a while
         server.ejected_until = max(server.ejected_until, now + EJECT_MS)
-    if server.failing > EJECT_ABOVE or server.ejected_until > now:
+    if server.failure_rate > EJECT_ABOVE or server.ejected_until > now:
         ejection.unhealthy[server] = None
     server.tokens = learned.tokens
     server.tokens_ms = min(learned.tokens_ms, now)
@@ -159,13 +159,13 @@
         cost=float(shares.cost[slot]) if shares.known else 0.0,
         latency=float(shares.latency[slot]),
         report=float(shares.report[slot]),
-        failure_rate=min(1.0, max(0.0, server.failing)),
+        failure_rate=min(1.0, max(0.0, server.failure_rate)),
         ejections=server.ejections,
         ejected_until=max(0.0, server.ejected_until),
         suspect=endpoints.responsiveness.is_suspect(endpoints.now, server),
         tokens=server.tokens,
         tokens_ms=max(0.0, server.tokens_ms),
-        slow_start_from_ms=server.cold_from,
+        slow_start_from_ms=server.slow_start_from_ms,
     )
 
 
--- a/quartzford/decision/outlier_ejection.py
+++ b/quartzford/decision/outlier_ejection.py
@@ -12,8 +12,8 @@
 from quartzford.decision.estimates import Traffic
 from quartzford.decision.server import Server
 
-FAIL_WEIGHT = 0.4  # of one result in a server's failing share
-EJECT_ABOVE = 0.35  # failing share that ejects, above what all of the fleet fails
+FAIL_WEIGHT = 0.4  # of one result in a server's failure rate
+EJECT_ABOVE = 0.35  # failure rate that ejects, above what all of the fleet fails
 EJECT_MS = 1_000.0  # first ejection at the least; doubles while the server goes on failing
 EJECT_MAX_MS = 8_000.0
 EJECT_MAX_VISITS = 8  # an ejection lasts at most so many times as long as from one send to the next
@@ -25,7 +25,7 @@
 
 
 class OutlierEjection:
-    """The failing shares of the servers, and which of them are ejected. ready: the servers in use."""
+    """The failure rates of the servers, and which of them are ejected. ready: the servers in use."""
 
     def __init__(self, ready: list[Server], traffic: Traffic, rng: random.Random) -> None:
         self.ready = ready
@@ -33,7 +33,7 @@
         self.rng = rng
         self.slow_start_ms = 0.0
         self.unhealthy: dict[Server, None] = {}  # failing, ejected or rejecting; checked before it counts
-        self.failing = 0.0  # sum over the servers in use
+        self.failure_rate_sum = 0.0  # over the servers in use
 
     def configure(self, settings: io.Settings) -> None:
         """Take the settings from now on; what was learnt stays."""
@@ -50,18 +50,18 @@
         unreachable: the connection was not accepted in the time that one may take. Load doesn't do that, so
         failures of others are no excuse: the servers of a lost zone would excuse each other.
         """
-        self.set_failing(server, server.failing + FAIL_WEIGHT * (failed - server.failing))
-        if server.failing > EJECT_ABOVE:
+        self.set_failure_rate(server, server.failure_rate + FAIL_WEIGHT * (failed - server.failure_rate))
+        if server.failure_rate > EJECT_ABOVE:
             self.unhealthy[server] = None
         if not failed:
-            if server.failing < EJECT_ABOVE:
+            if server.failure_rate < EJECT_ABOVE:
                 server.ejections = 0
             return False
-        if now < server.ejected_until or server.failing <= EJECT_ABOVE:
+        if now < server.ejected_until or server.failure_rate <= EJECT_ABOVE:
             return False
         send_interval = max(1, len(self.ready)) / max(MIN_RATE, self.traffic.arrivals.read(now))
-        allowance = 0.0 if unreachable else FLEET_FACTOR * self._failing_of_others(server, send_interval)
-        if server.failing <= EJECT_ABOVE + allowance or not self._may_eject_one_more(now):
+        allowance = 0.0 if unreachable else FLEET_FACTOR * self._others_failure_rate(server, send_interval)
+        if server.failure_rate <= EJECT_ABOVE + allowance or not self._may_eject_one_more(now):
             return False
         self._eject(now, server, send_interval)
         return True
@@ -78,32 +78,34 @@
         server.ejected_until = now + duration * self.rng.uniform(*EJECT_JITTER)
         server.ejections += 1
 
-    def set_failing(self, server: Server, failing: float) -> None:
-        """Set a server's failing share, 0 to 1."""
+    def set_failure_rate(self, server: Server, failure_rate: float) -> None:
+        """Set a server's failure rate, 0 to 1."""
         if server.slot >= 0:
-            self.failing += failing - server.failing
-        server.failing = failing
+            self.failure_rate_sum += failure_rate - server.failure_rate
+        server.failure_rate = failure_rate
 
     def leave_use(self, server: Server) -> None:
         """The server is about to leave use: its failures count no more among those of the fleet."""
-        self.failing -= server.failing
+        self.failure_rate_sum -= server.failure_rate
 
     def forget(self, server: Server) -> None:
         """The server has left the list."""
         self.unhealthy.pop(server, None)
 
-    def _failing_of_others(self, server: Server, send_interval: float) -> float:
-        """The mean failing share of the others.
+    def _others_failure_rate(self, server: Server, send_interval: float) -> float:
+        """The mean failure rate of the others.
 
         Each counts once: by attempts, the one that fails fastest would count most.
         What is ejected counts by the sends that the shortest ejection spares it. Where these are many, an
         overload would put out one server after the other if those that are out excused nothing. Where it is
         one at most, to be wrong costs that send, and what failed long ago says little of now.
         """
-        ejected = sum(s.failing for s in self.unhealthy if s.ejections and s.slot >= 0 and s is not server)
-        own = server.failing if server.slot >= 0 else 0.0
+        ejected = sum(
+            s.failure_rate for s in self.unhealthy if s.ejections and s.slot >= 0 and s is not server
+        )
+        own = server.failure_rate if server.slot >= 0 else 0.0
         ejected *= 1.0 - min(1.0, max(MIN_EXCUSED, EJECT_MS / send_interval))
-        return max(0.0, self.failing - own - ejected) / max(1, len(self.ready) - 1)
+        return max(0.0, self.failure_rate_sum - own - ejected) / max(1, len(self.ready) - 1)
 
     def ejected(self, now: float) -> list[Server]:
         """The servers in use that are ejected now."""
@@ -114,7 +116,7 @@
         slots = []
         for server in list(self.unhealthy):
             # Past its ejection, one that has failed gets one trial at a time: only a success can clear it.
-            on_trial = server.failing > EJECT_ABOVE
+            on_trial = server.failure_rate > EJECT_ABOVE
             until = max(server.ejected_until, server.rejecting_until.get(service_class, 0.0))
             if server.slot >= 0 and (now < until or (on_trial and server.in_flight)):
                 slots.append(server.slot)
--- a/quartzford/decision/server.py
+++ b/quartzford/decision/server.py
@@ -45,8 +45,8 @@
     owner: HoldsShares
     slot: int = NO_SLOT
     started_ms: float = 0.0  # when this incarnation started, on our clock; 0 for long ago
-    cold_from: float = 0.0  # slow start counts from here; 0 for long ago
-    failing: float = 0.0  # smoothed share of its attempts that failed
+    slow_start_from_ms: float = 0.0  # slow start counts from here; 0 for long ago
+    failure_rate: float = 0.0  # smoothed share of its attempts that failed
     ejections: int = 0  # in a row
     ejected_until: float = -math.inf
     tokens: float = 1.0  # slow-start budget, in requests
@@ -83,6 +83,6 @@
 
     def clear_health(self) -> None:
         """Forget failures and ejections: the server begins anew."""
-        self.failing = 0.0
+        self.failure_rate = 0.0
         self.ejections = 0
         self.ejected_until = -math.inf
--- a/quartzford/decision/slow_start.py
+++ b/quartzford/decision/slow_start.py
@@ -47,15 +47,15 @@
         server.tokens = self.rng.random()
         server.tokens_ms = now
 
-    def begin(self, server: Server, cold_from: float) -> None:
+    def begin(self, server: Server, slow_start_from_ms: float) -> None:
         """A server warms up from this moment on, in ms; 0: it did so long ago."""
-        server.cold_from = cold_from
-        if cold_from > 0:
+        server.slow_start_from_ms = slow_start_from_ms
+        if slow_start_from_ms > 0:
             self.cold[server] = None
 
-    def begin_again(self, server: Server, cold_from: float) -> None:
+    def begin_again(self, server: Server, slow_start_from_ms: float) -> None:
         """A server in use has another row: it may be warming up, or not any more."""
-        server.cold_from = cold_from
+        server.slow_start_from_ms = slow_start_from_ms
         self.cold[server] = None
 
     def leave_use(self, server: Server) -> None:
@@ -82,7 +82,7 @@
     def exhausted_slots(self, now: float) -> list[int]:
         """Slots of the cold servers that have no budget left; what has warmed up is forgotten."""
         since = now - self.rules.slow_start_ms
-        for server in [s for s in self.cold if not 0 < s.cold_from > since]:
+        for server in [s for s in self.cold if not 0 < s.slow_start_from_ms > since]:
             del self.cold[server]
         if not self.cold:
             return []
@@ -111,7 +111,7 @@
     def _rate(self, now: float, server: Server, full_rate: float) -> float:
         """Requests per ms that a cold server may get; full_rate: what a warm one of its size takes."""
         rules = self.rules
-        age = max(0.0, now - server.cold_from) / rules.slow_start_ms
+        age = max(0.0, now - server.slow_start_from_ms) / rules.slow_start_ms
         rate = (rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age) * full_rate
         # What it answers well it can do, and as much again does not overload it: it warms as fast as it can.
         proven = server.proven * math.exp((server.proven_ms - now) / PROVEN_MS) / PROVEN_MS
--- a/quartzford/fronts/operations.py
+++ b/quartzford/fronts/operations.py
@@ -30,7 +30,7 @@
     def figures(self, prefix: str) -> str:
         """The page of figures."""
 
-    def by_hand(self, name: str, out: bool) -> bool:
+    def set_maintenance(self, name: str, out: bool) -> bool:
         """Take an upstream out, or put it back, from this moment on; False: no such upstream."""
 
 
@@ -57,7 +57,7 @@
     name = call.body.decode("utf-8", "replace").strip()
     if not name:
         return answer(400, "the body names no upstream\n")
-    if not node.by_hand(name, call.path == "/maintenance/enter"):
+    if not node.set_maintenance(name, call.path == "/maintenance/enter"):
         return answer(404, "no such upstream\n")
     return answer(200, "done\n")
 
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -231,12 +231,12 @@
 
     # ---- operators' calls
 
-    def by_hand(self, name: str, out: bool) -> bool:
+    def set_maintenance(self, name: str, out: bool) -> bool:
         """Take an upstream out for maintenance, or put it back; False: no such upstream."""
         balancer = self.engine.balancer
         if name not in balancer.servers and name not in balancer.in_maintenance:
             return False
-        self.control.by_hand(name, out)
+        self.control.set_maintenance(name, out)
         if self.handover is not None:
             self.handover.publish_maintenance(name, out, balancer.in_maintenance)
         return True
--- a/quartzford/replaceable_node.py
+++ b/quartzford/replaceable_node.py
@@ -146,4 +146,4 @@
 
     def apply_maintenance(self, endpoint: str, in_maintenance: bool) -> None:
         """An endpoint was taken out at the other process, or put back."""
-        self.control.by_hand(endpoint, in_maintenance)
+        self.control.set_maintenance(endpoint, in_maintenance)
--- a/tests/streams_of_events.py
+++ b/tests/streams_of_events.py
@@ -38,7 +38,7 @@
     servers: int = 20
     events: int = 400
     churn: float = 0.02
-    failing: float = 0.1  # of outcomes
+    failure_rate: float = 0.1  # of outcomes
     reports: bool = True
     tenants: bool = False
     slow: float = 0.05  # of outcomes that take several times the usual
@@ -98,7 +98,7 @@
             number = attempts.get(action.request, 0)
             attempts[action.request] = number + 1
             bad = plan.bad if int(action.server[1:]) % 7 == 0 else 0.0
-            code = rng.choice(CODES) if rng.random() < max(bad, plan.failing) else "ok"
+            code = rng.choice(CODES) if rng.random() < max(bad, plan.failure_rate) else "ok"
             spent = rng.expovariate(1 / 20.0) * (8.0 if rng.random() < plan.slow else 1.0) + 1.0
             if code == "timeout":
                 spent = action.time_out_ms
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -52,11 +52,11 @@
     async with World(1) as world:
         world.upstreams[0].script = says(reply(b"", "500 Bad"))
         assert (await world.submit(request("pay", b""))).status == 502
-        assert world.node.engine.balancer.servers["s0"].failing > 0
+        assert world.node.engine.balancer.servers["s0"].failure_rate > 0
         world.update(world.host(0, host="s9"), complete=True)
         await until(lambda: ready(world) == {"s9"})
         await until(lambda: world.upstreams[0].left == len(world.upstreams[0].writers))
-        assert world.node.engine.balancer.servers["s9"].failing == 0.0
+        assert world.node.engine.balancer.servers["s9"].failure_rate == 0.0
         world.upstreams[0].script = says(reply())
         assert (await world.submit(request("pay", b""))).status == 200
         assert len(world.upstreams[0].writers) == 2
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -193,7 +193,7 @@
             assert sum(len(up.received) for up in world.upstreams) <= before + 1
         for up in world.upstreams:
             assert all(0 < seconds(message) <= 0.02 for message in up.received)
-        assert not any(server.failing for server in world.node.engine.balancer.ready)
+        assert not any(server.failure_rate for server in world.node.engine.balancer.ready)
 
 
 @run
@@ -250,7 +250,7 @@
         (send,) = sends(submit(balancer, 0.0, number, UNSAFE.name, budget))
         spent = budget if code != "reset" else 1.0
         balancer.handle(budget, outcome(send, 0, code, spent))
-        blamed = balancer.servers[send.server].failing > 0
+        blamed = balancer.servers[send.server].failure_rate > 0
         assert blamed == (budget > UNSAFE.latency_objective_ms)
 
 
@@ -311,4 +311,4 @@
             else:
                 assert min(told_by(raw)) >= 0.001
                 raw.drop()
-        assert not any(nodo.failing for nodo in site.node.engine.balancer.ready)
+        assert not any(nodo.failure_rate for nodo in site.node.engine.balancer.ready)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -144,4 +144,4 @@
     balancer.handle(310.0, io.EndpointListUpdate("changes", (entry(0, "draining"),)))
     for send in attempts:
         balancer.handle(320.0, io.AttemptEnded(send.request, 0, send.server, "reset", 20.0, True))
-    assert not balancer.ready and balancer.servers["s0"].failing > 0.35
+    assert not balancer.ready and balancer.servers["s0"].failure_rate > 0.35
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -416,7 +416,7 @@
             assert (await loop.sock_recv(client, 4096)).startswith(b"HTTP/1.1 503")
             client.close()
         assert loop.time() - before < 1.0 and set(world.outcomes()) == {"moot"}
-        assert not any(server.failing for server in world.node.engine.balancer.ready)
+        assert not any(server.failure_rate for server in world.node.engine.balancer.ready)
         assert (await world.submit(request("pay", b""))).status == 200
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -110,7 +110,7 @@
     )
     late = outcome(send, 0, "reset", 2_000.0)._replace(report=(90.0,))
     assert finals(balancer.handle(2_000.0, late)) == [io.Fail(1)]  # the request still gets its answer
-    assert (server.failing, reported(server), server.ejections) == (0.0, 0.0, 0)
+    assert (server.failure_rate, reported(server), server.ejections) == (0.0, 0.0, 0)
     now = sends(submit(balancer, 2_010.0, 2))[0]
     balancer.handle(2_020.0, outcome(now, 0, "ok", 10.0)._replace(report=(4.0,)))
     assert reported(balancer.servers[now.server]) == 4.0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -93,9 +93,11 @@
     balancer.handle(1_000.0, io.MaintenanceChange("s0", False))
     assert balancer.endpoints.excluded_count() == 0
     back = balancer.servers["s0"]
-    assert back.cold_from == 1_000.0 and 0 < picks(balancer, 1_100.0, range(200, 300)).count("s0") <= 1
+    assert (
+        back.slow_start_from_ms == 1_000.0 and 0 < picks(balancer, 1_100.0, range(200, 300)).count("s0") <= 1
+    )
     balancer.handle(1_200.0, io.MaintenanceChange("s0", False))  # a second call back: no second newcomer
-    assert back.cold_from == 1_000.0 and sum(s.p for s in balancer.ready) == pytest.approx(1.0)
+    assert back.slow_start_from_ms == 1_000.0 and sum(s.p for s in balancer.ready) == pytest.approx(1.0)
 
 
 def test_the_last_ready_server_out_by_hand_leaves_requests_to_their_end() -> None:
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -89,7 +89,7 @@
             balancer.handle(now + n + 0.5, outcome(send, 0, "ok", 0.5))
     assert len(trials) == 1
     balancer.handle(now + 201.0, outcome(trials[0], 0, "ok", 10.0))
-    assert balancer.servers[bad].failing < 0.35
+    assert balancer.servers[bad].failure_rate < 0.35
     assert bad in [serve(balancer, now + 300.0 + n * 20, 2_000 + n, latency=10.0) for n in range(400)]
 
 
@@ -150,7 +150,7 @@
     """In an overload connections come up late too: a small pool lost sound servers to it by the second."""
     balancer = started(10)
     for server in balancer.ready:  # the others fail as much
-        balancer.endpoints.ejection.set_failing(server, 0.4)
+        balancer.endpoints.ejection.set_failure_rate(server, 0.4)
     (send,) = sends(submit(balancer, 0.0, 1, "pay", 150.0))
     assert send.time_out_ms == approx(150.0, abs=1.0)
     balancer.handle(spent, outcome(send, 0, "connect_failed", spent))
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -102,7 +102,7 @@
 
 def test_a_successor_goes_on_where_its_predecessor_stopped() -> None:
     old, now = learned_balancer(), 2_100.0
-    before = {s.entry.server: (s.p, s.cost, s.failing, max(0.0, s.ejected_until)) for s in old.ready}
+    before = {s.entry.server: (s.p, s.cost, s.failure_rate, max(0.0, s.ejected_until)) for s in old.ready}
     budget = old.retry_budget
     memory = wire.decode_state(
         b"".join(
@@ -114,7 +114,7 @@
     new = Balancer(settings(), 99)
     new.handle(now, io.EndpointListUpdate("stale", tuple(s.entry for s in old.servers.values())))
     new.inherit(now, memory)
-    after = {s.entry.server: (s.p, s.cost, s.failing, max(0.0, s.ejected_until)) for s in new.ready}
+    after = {s.entry.server: (s.p, s.cost, s.failure_rate, max(0.0, s.ejected_until)) for s in new.ready}
     assert set(after) == set(before) and "s5" not in after and new.in_maintenance == {"s5"}
     for name, values in after.items():
         assert values == pytest.approx(before[name], abs=1e-9), name
@@ -137,7 +137,7 @@
     new = Balancer(settings(), 1)
     new.handle(2_100.0, io.EndpointListUpdate("stale", (entry(0, started=2_000.0), entry(1), entry(9))))
     new.inherit(2_100.0, memory)
-    assert new.servers["s0"].failing == 0.0 and sum(s.p for s in new.ready) == pytest.approx(1.0)
+    assert new.servers["s0"].failure_rate == 0.0 and sum(s.p for s in new.ready) == pytest.approx(1.0)
     assert new.servers["s9"].p > 0 and new.servers["s9"].cost == pytest.approx(new.servers["s1"].cost)
     assert sends(submit(new, 2_101.0, 1))
 
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -48,9 +48,11 @@
     "across the arrays' bound": Plan(servers=50, events=400, churn=0.3),
     "arrays": Plan(servers=97, events=400),
     "wide": Plan(servers=300, events=200, churn=0.1),
-    "failing": Plan(servers=20, events=500, failing=0.6),
-    "some failing": Plan(servers=21, events=800, failing=0.02, bad=0.95, churn=0.01),
-    "some failing of many": Plan(servers=70, events=800, failing=0.02, bad=0.95, churn=0.01, step_ms=0.5),
+    "failing": Plan(servers=20, events=500, failure_rate=0.6),
+    "some failing": Plan(servers=21, events=800, failure_rate=0.02, bad=0.95, churn=0.01),
+    "some failing of many": Plan(
+        servers=70, events=800, failure_rate=0.02, bad=0.95, churn=0.01, step_ms=0.5
+    ),
     "overload": Plan(servers=8, events=800, slow=0.6, step_ms=0.5),
     "tenants": Plan(servers=20, events=500, tenants=True, step_ms=0.7, slow=0.4),
     "sized and cold": Plan(servers=60, events=400, sized=True, cold=0.9, churn=0.1),
@@ -85,10 +87,12 @@
         oldest = next(iter(server.in_flight.values()), None)
         mute = server.silent_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
         out = now < max(server.ejected_until, server.rejecting_until.get(kind.name, 0.0))
-        trial = server.failing > EJECT_ABOVE and oldest is not None
+        trial = server.failure_rate > EJECT_ABOVE and oldest is not None
         return out or trial or mute or (oldest is not None and oldest.due < now)
 
-    cold = [s for s in endpoints.ready if 0 < s.cold_from > now - balancer.settings.rules.slow_start_ms]
+    cold = [
+        s for s in endpoints.ready if 0 < s.slow_start_from_ms > now - balancer.settings.rules.slow_start_ms
+    ]
     group = [s for s in endpoints.ready if here(s) and (s not in cold or s.tokens >= 1.0)]
     fresh = [s for s in group if s.entry.server not in tried]
     sound = [s for s in fresh if not doubtful(s)]
@@ -131,7 +135,11 @@
     assert [s.entry for s in old.ready] == [s.entry for s in new.ready]
     for a, b in zip(old.ready, new.ready, strict=True):
         assert close(a.p, b.p) and close(a.cost, b.cost) and close(reported(a), reported(b))
-        assert (a.failing, a.ejections, len(a.in_flight)) == (b.failing, b.ejections, len(b.in_flight))
+        assert (a.failure_rate, a.ejections, len(a.in_flight)) == (
+            b.failure_rate,
+            b.ejections,
+            len(b.in_flight),
+        )
     for module in (old, new):
         assert module.endpoints.shares.out == sum(len(s.in_flight) for s in module.ready)
         assert not module.ready or sum(s.p for s in module.ready) == pytest.approx(1.0)
@@ -207,9 +215,9 @@
 )
 @budget(max_examples=60, deadline=None, derandomize=True, database=None)
 def test_both_forms_decide_alike_in_drawn_streams(
-    seed: int, servers: int, churn: float, failing: float, step_ms: float, flag: bool
+    seed: int, servers: int, churn: float, failure_rate: float, step_ms: float, flag: bool
 ) -> None:
-    both(Plan(servers, 120, churn, failing, flag, flag, 0.2, step_ms, not flag), seed)
+    both(Plan(servers, 120, churn, failure_rate, flag, flag, 0.2, step_ms, not flag), seed)
 
 
 def test_lists_serve_all_sizes_where_arrays_are_not_installed(monkeypatch: Any) -> None:
@@ -323,7 +331,7 @@
     actions = balancer.handle(1_001.0, io.Request(1, "pay", 800.0))
     assert isinstance(actions[0], io.Send | io.SetTimer)
     for server in balancer.ready:
-        server.ejected_until, server.failing = 5_000.0, 0.9
+        server.ejected_until, server.failure_rate = 5_000.0, 0.9
         balancer.endpoints.ejection.unhealthy[server] = None
         server.tokens = 1.0
     # Where all are doubtful, a sound one can't be had: the draw is over them all.
@@ -350,13 +358,13 @@
 
 def test_sets_of_the_unusual_are_emptied_again() -> None:
     """What was failing, late or cold once must not be looked at for good."""
-    plan = Plan(servers=30, events=600, failing=0.5, churn=0.1)
+    plan = Plan(servers=30, events=600, failure_rate=0.5, churn=0.1)
     balancer = Balancer(settings_of(plan), 3)
     play(plan, 3, [balancer], lambda answers: None)
     now = 60_000.0
     for server in list(balancer.servers.values()):
         server.in_flight.clear()
-        server.failing = 0.0
+        server.failure_rate = 0.0
     balancer.handle(now, io.Request(10**6, "read", 800.0))
     endpoints = balancer.endpoints
     assert (
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -417,15 +417,15 @@
             assert sum(len(up.received) for up in world.upstreams) == number + 1
         assert set(world.outcomes()) == {"error"}
         servers = world.node.engine.balancer.servers.values()
-        assert [(s.failing, s.ejections, len(s.in_flight)) for s in servers] == [(0.0, 0, 0)] * 3
+        assert [(s.failure_rate, s.ejections, len(s.in_flight)) for s in servers] == [(0.0, 0, 0)] * 3
         assert (
-            world.node.engine.balancer.endpoints.ejection.failing == 0.0
+            world.node.engine.balancer.endpoints.ejection.failure_rate_sum == 0.0
             and not world.node.engine.pending_requests
         )
         for up in world.upstreams:
             up.script = says(reply(b"", "500 Oops"))
         await world.submit(request("pay", b""))
-        assert max(s.failing for s in servers) > 0.0
+        assert max(s.failure_rate for s in servers) > 0.0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -109,7 +109,7 @@
 
     def age_ms(self, name: str) -> float:
         """How long ago slow start began."""
-        return self.clock.unix_ms() - self.balancer.servers[name].cold_from
+        return self.clock.unix_ms() - self.balancer.servers[name].slow_start_from_ms
 
 
 def serving(skew_ms: float = 0.0) -> Site:
@@ -368,7 +368,9 @@
         step_machine_clock(monkeypatch, skew_ms)
         nodes.append(Node(config, loop, folder=str(tmp_path)))
         await nodes[1].start()
-        ages = [node.clock.unix_ms() - node.engine.balancer.servers["s2"].cold_from for node in nodes]
+        ages = [
+            node.clock.unix_ms() - node.engine.balancer.servers["s2"].slow_start_from_ms for node in nodes
+        ]
         assert ages[1] == pytest.approx(ages[0], abs=100.0) and 0.0 <= ages[1] < COLD_MS
         await until(lambda: len(world.watches) > 1)
         world.update(world.host(3, born=time.time() * 1000.0 - HOUR_MS))
