--- a/bench/fleetlog.py
+++ b/bench/fleetlog.py
@@ -164,7 +164,7 @@
         print("\n".join(found := follow(options.folder, options.id)))
         return 0 if found else 1
     if options.cold:
-        most = cold(options.folder, options.cold, options.slow_start_ms)
+        most = cold(options.folder, options.cold, options.cold_ms)
         for name, (number, age) in sorted(most.items(), key=lambda item: -item[1][0]):
             print(f"{name}: {number} sends, {age / 1000.0:.1f} s after its start")
         return 0 if most else 1
