--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -2,8 +2,9 @@
 
 1 to 200 modules on one virtual clock with the upstreams of bench.fleetmodel, whose assumptions stand there:
 calm, one upstream in eight that answers nothing, a zone lost, six in ten replaced, most balancers killed;
-the code as it is and as it was at a revision (before the full fleet's causes, unless --old names one), the
-same seeds. At 200 traffic is thin: a third, ten requests a second and balancer. Then forty modules and
+the code as it is and as it was at a revision (the one that bench.decisions compares with, unless --old names
+one), the same seeds. Each checkout brings its own names of events and settings, so its own bench.fleetmodel
+drives its module. At 200 traffic is thin: a third, ten requests a second and balancer. Then forty modules and
 three cold upstreams, two hundred seeds. Exit 0 only if the rules that the model can see held for the code
 as it is: no unsafe request twice, no two attempts at once, none served twice, no cold upstream pushed over.
 """
@@ -24,19 +25,34 @@
 from bench.common import ROOT, checkout, report
 from bench.fleetmodel import TIP
 
-OLD = "c5bc1c6886e475539588eee6b90d0610b179f7a5"
+OLD = "7c461993f9af943d4dd20f34cddc62e4819d15a2"
+MODEL = "bench/fleetmodel.py"
 SIZES = ((1, 8), (16, 24), (40, 60), (97, 97), (200, 200))  # balancers and upstreams
 EVENTS = ("calm", "bad", "zone", "join", "restart")
 THIN = {200: 0.33}  # part of the usual traffic, by the number of balancers
 CORES = os.cpu_count() or 1
 
 
+class RevisionError(ValueError):
+    """A revision that does not exist, or that has no model to drive its decision module."""
+
+
+def check_out_earlier(revision: str, folder: Path) -> None:
+    """Decision module and model as they were at a revision, under a folder. RevisionError: it has none."""
+    found = subprocess.run(
+        ["git", "cat-file", "-e", f"{revision}:{MODEL}"], cwd=ROOT, stderr=subprocess.DEVNULL
+    )
+    if found.returncode != 0:
+        raise RevisionError(f"{revision} does not exist or has no {MODEL}")
+    checkout(revision, folder, "quartzford", "bench")
+
+
 def play(folder: Path, plan: dict[str, Any]) -> dict[str, Any]:
-    """One plan with the decision module that the folder holds, in a process of its own."""
+    """One plan with the decision module and the model that the folder holds, in a process of its own."""
     done = subprocess.run(
         [sys.executable, "-m", "bench.fleetmodel", json.dumps(plan)],
         cwd=folder,
-        env={**os.environ, "PYTHONPATH": str(ROOT)},
+        env={**os.environ, "PYTHONPATH": str(folder)},
         stdout=subprocess.PIPE,
         check=True,
     )
@@ -93,7 +109,10 @@
     sizes, seeds = ((SIZES[0], SIZES[2]), (1,)) if options.quick else (SIZES, (1, 2, 3))
     with tempfile.TemporaryDirectory() as name, ThreadPoolExecutor(CORES) as pool:
         old = Path(name)
-        checkout(options.old, old, "quartzford")
+        try:
+            check_out_earlier(options.old, old)
+        except RevisionError as error:
+            parser.error(f"argument --old: {error}")
         jobs = {
             (event, more.get("asked", False), size, code): [
                 pool.submit(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,8 +2,14 @@
 
 from __future__ import annotations
 
+import subprocess
+import sys
+from pathlib import Path
+
 import pytest
 
+from bench import fleet
+from bench.common import ROOT
 from bench.fleetmodel import START, TIP, Plan, World
 
 
@@ -76,3 +82,23 @@
         late = sum(world.got[7:10]) / sum(world.offered[7:10])
         soon = sum(world.got[:4]) / sum(world.offered[:4])
         assert late > 0.3 and late > 2 * soon
+
+
+def test_the_earlier_module_is_driven_by_the_model_of_its_own_checkout(tmp_path: Path) -> None:
+    """Its names of events and settings are others than today's."""
+    if subprocess.run(["git", "cat-file", "-e", fleet.OLD], cwd=ROOT, capture_output=True).returncode != 0:
+        pytest.skip(f"commit {fleet.OLD} is not in this repository: no earlier module is played")
+    fleet.check_out_earlier(fleet.OLD, tmp_path)
+    found = fleet.play(tmp_path, {"balancers": 1, "upstreams": 8, "event": "calm", "seconds": 5.0})
+    assert found["worth"] > 0.95 and found["tries"] > 50 and not found["broken"]
+
+
+def test_a_revision_without_a_model_is_refused_by_name(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    without = "c5bc1c6886e475539588eee6b90d0610b179f7a5"
+    monkeypatch.setattr(sys, "argv", ["fleet", "--quick", "--old", without])
+    with pytest.raises(SystemExit) as ended:
+        fleet.main()
+    assert ended.value.code == 2
+    assert f"{without} does not exist or has no bench/fleetmodel.py" in capsys.readouterr().err
