--- a/bench/fit.py
+++ b/bench/fit.py
@@ -1,9 +1,9 @@
-"""Lines and curves through measured figures, judged by a size that was kept out of the fit. No I/O.
+"""Lines and curves through measured figures, validated on a size that was held out of the fit. No I/O.
 
-A line is fitted by least squares to all sizes but one, and foretells that one. Where it is over LINE_ERROR
-off, the figure is not a line, and the curve is named that lies closest to all sizes, that one included, by
-the mean of their relative errors: a power of the size, n log n, or a constant. Its own error is told with
-it: over LINE_ERROR too, no curve of these is one to reckon with.
+A line is fitted by least squares to all sizes but one and predicts that one. Where it is over LINE_ERROR
+off, the figure is not linear, and the curve is taken that lies closest to all sizes, that one included, by
+the mean of their relative errors: a power of the size, n log n, or a constant. Its own error is reported as
+well: where that is over LINE_ERROR too, none of these curves is a usable model.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from statistics import fmean, median
 from typing import Any
 
-LINE_ERROR = 0.2  # of the value that was kept out; over it, the figure is not a line
+LINE_ERROR = 0.2  # relative to the held-out value; over it, the figure is not linear
 LINE, POWER, N_LOG_N, CONSTANT = "line", "power", "n log n", "constant"
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A curve: intercept + slope * g(size), g by its kind.
+    """A fitted curve: intercept + slope * g(size), where the kind decides on g.
 
-    residual: root of the mean square, in the figure's unit. exponent: of a power; 1 of all others.
+    residual: root mean square, in the figure's unit. exponent: of a power; 1 for all other kinds.
     """
 
     kind: str
@@ -32,7 +32,7 @@
     exponent: float = 1.0
 
     def at(self, size: float) -> float:
-        """The value at a size."""
+        """The fitted value at a size."""
         if self.kind == CONSTANT:
             return self.intercept
         if self.kind == N_LOG_N:
@@ -41,8 +41,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptOut:
-    """The size that the fit did not see. error: relative to the value; line_error: the straight line's."""
+class HeldOut:
+    """How well the fit predicts the size that it did not see.
+
+    error: relative to the measured value; line_error: that of the straight line.
+    """
 
     size: float
     value: float
@@ -58,16 +61,18 @@
 def _least_squares(xs: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
     """Intercept and slope of values over xs."""
     mean_x, mean_value = fmean(xs), fmean(values)
-    spread = sum((x - mean_x) ** 2 for x in xs)
-    if spread == 0:
+    squares = sum((x - mean_x) ** 2 for x in xs)
+    if squares == 0:
         return mean_value, 0.0
-    slope = sum((x - mean_x) * (v - mean_value) for x, v in zip(xs, values, strict=True)) / spread
+    products = sum((x - mean_x) * (value - mean_value) for x, value in zip(xs, values, strict=True))
+    slope = products / squares
     return mean_value - slope * mean_x, slope
 
 
 def residual(fit: Fit, sizes: Sequence[float], values: Sequence[float]) -> float:
-    """Root of the mean squared distance of values from a fit."""
-    return math.sqrt(fmean((fit.at(s) - v) ** 2 for s, v in zip(sizes, values, strict=True)))
+    """Root mean square distance of the values from a fit."""
+    pairs = zip(sizes, values, strict=True)
+    return math.sqrt(fmean((fit.at(size) - value) ** 2 for size, value in pairs))
 
 
 def _with_residual(fit: Fit, sizes: Sequence[float], values: Sequence[float]) -> Fit:
@@ -75,69 +80,107 @@
 
 
 def line(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The straight line of least squares."""
+    """The straight line by least squares."""
     return _with_residual(Fit(LINE, *_least_squares(sizes, values)), sizes, values)
 
 
 def n_log_n(sizes: Sequence[float], values: Sequence[float]) -> Fit:
     """Least squares over n log2 n."""
-    return _with_residual(Fit(N_LOG_N, *_least_squares([_n_log_n(s) for s in sizes], values)), sizes, values)
+    scaled = [_n_log_n(size) for size in sizes]
+    return _with_residual(Fit(N_LOG_N, *_least_squares(scaled, values)), sizes, values)
 
 
 def constant(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The median: one size that was disturbed does not move it."""
+    """The median, which one disturbed measurement does not move."""
     return _with_residual(Fit(CONSTANT, median(values), 0.0), sizes, values)
 
 
 def power(sizes: Sequence[float], values: Sequence[float]) -> Fit | None:
-    """Least squares over logarithms; None where a size or a value has none."""
+    """Least squares over logarithms; None where a size or a value is not positive."""
     if min(*sizes, *values) <= 0:
         return None
-    level, exponent = _least_squares([math.log(s) for s in sizes], [math.log(v) for v in values])
-    return _with_residual(Fit(POWER, 0.0, math.exp(level), 0.0, exponent), sizes, values)
+    log_sizes = [math.log(size) for size in sizes]
+    log_values = [math.log(value) for value in values]
+    log_factor, exponent = _least_squares(log_sizes, log_values)
+    return _with_residual(Fit(POWER, 0.0, math.exp(log_factor), 0.0, exponent), sizes, values)
 
 
-CURVES: tuple[Callable[[Sequence[float], Sequence[float]], Fit | None], ...] = (power, n_log_n, constant)
+Curve = Callable[[Sequence[float], Sequence[float]], Fit | None]
+CURVES: tuple[Curve, ...] = (power, n_log_n, constant)
 
 
 def relative_error(predicted: float, value: float) -> float:
-    """How far off a forecast was, by the value; of a value of 0 by the forecast."""
+    """Distance of a prediction from the value, relative to the value, or to the prediction of a 0."""
     if predicted == value:
         return 0.0
     return abs(predicted - value) / abs(value or predicted)
 
 
-def best_fit(points: Mapping[float, float], kept: float) -> tuple[Fit, KeptOut]:
-    """The fit of all points but the one of size `kept`, and how well it foretells that one."""
-    sizes = [size for size in sorted(points) if size != kept]
+def _closest_curve(points: Mapping[float, float], sizes: Sequence[float], values: Sequence[float]) -> Fit:
+    """Of the curves through the sizes, the one with the least mean relative error over all points."""
+    fits = [fit for curve in CURVES if (fit := curve(sizes, values)) is not None]
+
+    def mean_error(fit: Fit) -> float:
+        return fmean(relative_error(fit.at(size), value) for size, value in points.items())
+
+    return min(fits, key=mean_error)
+
+
+def best_fit(points: Mapping[float, float], held_out: float) -> tuple[Fit, HeldOut]:
+    """The fit of all points but the one of size `held_out`, and how well it predicts that one.
+
+    ValueError: there are fewer than four points, or none of that size.
+    """
+    sizes = [size for size in sorted(points) if size != held_out]
     values = [points[size] for size in sizes]
-    if kept not in points or len(sizes) < 3:
+    if held_out not in points or len(sizes) < 3:
         raise ValueError("four sizes at least are wanted, one of them kept out")
-    value, best = points[kept], line(sizes, values)
-    line_error = relative_error(best.at(kept), value)
+    value, best = points[held_out], line(sizes, values)
+    line_error = relative_error(best.at(held_out), value)
     if line_error > LINE_ERROR:
-        curves = [fit for curve in CURVES if (fit := curve(sizes, values)) is not None]
-        best = min(curves, key=lambda fit: fmean(relative_error(fit.at(s), v) for s, v in points.items()))
-    return best, KeptOut(kept, value, best.at(kept), relative_error(best.at(kept), value), line_error)
+        best = _closest_curve(points, sizes, values)
+    predicted = best.at(held_out)
+    return best, HeldOut(held_out, value, predicted, relative_error(predicted, value), line_error)
 
 
 def _rounded(value: float) -> float:
-    """Six digits that count: more are not measured."""
+    """To six significant digits: more are not measured."""
     return float(f"{value:.6g}")
 
 
+def _fit_row(fit: Fit) -> dict[str, Any]:
+    """A fit as a result has it."""
+    row: dict[str, Any] = {
+        "kind": fit.kind,
+        "intercept": _rounded(fit.intercept),
+        "slope": _rounded(fit.slope),
+        "residual": _rounded(fit.residual),
+    }
+    if fit.kind == POWER:
+        row["exponent"] = _rounded(fit.exponent)
+    return row
+
+
+def _held_out_row(held_out: HeldOut) -> dict[str, Any]:
+    """The validation as a result has it."""
+    return {
+        "size": held_out.size,
+        "value": _rounded(held_out.value),
+        "foretold": _rounded(held_out.predicted),
+        "error": round(held_out.error, 4),
+        "line_error": round(held_out.line_error, 4),
+    }
+
+
 def figure(
-    role: str, name: str, unit: str, by: str, points: Mapping[float, float], kept: float, target: float
+    role: str, name: str, unit: str, by: str, points: Mapping[float, float], held_out: float, target: float
 ) -> dict[str, Any]:
-    """One figure of a result: what was measured, its fit, and its value at the target's size."""
-    fit, out = best_fit(points, kept)
+    """One figure of a result: the measured points, their fit, and the value at the target size.
+
+    by: what the sizes count. held_out: the size that validates the fit. ValueError: as of best_fit.
+    """
+    fit, validation = best_fit(points, held_out)
     sizes = sorted(points)
-    told: dict[str, Any] = {"kind": fit.kind} | {
-        key: _rounded(value)
-        for key, value in (("intercept", fit.intercept), ("slope", fit.slope), ("residual", fit.residual))
-    }
-    if fit.kind == POWER:
-        told["exponent"] = _rounded(fit.exponent)
     measured = target in points
     return {
         "role": role,
@@ -146,14 +189,8 @@
         "by": by,
         "sizes": sizes,
         "values": [_rounded(points[size]) for size in sizes],
-        "kept_out": {
-            "size": out.size,
-            "value": _rounded(out.value),
-            "foretold": _rounded(out.predicted),
-            "error": round(out.error, 4),
-            "line_error": round(out.line_error, 4),
-        },
-        "fit": told,
+        "kept_out": _held_out_row(validation),
+        "fit": _fit_row(fit),
         "at_target": {
             "size": target,
             "value": _rounded(points[target] if measured else fit.at(target)),
