--- a/bench/coldbudget.py
+++ b/bench/coldbudget.py
@@ -1,19 +1,19 @@
-"""What a cold upstream may be sent in any span of the length that the settings name. No I/O."""
+"""How many requests a cold upstream may get within any window of the length in the settings. No I/O."""
 
 from __future__ import annotations
 
 import math
 
-FEW = 30.0  # below so many requests chance weighs more
-CHANCE_OF_FEW, CHANCE = 3.0, 2.0
+FEW_REQUESTS = 30.0  # below so many, random arrivals weigh more
+DEVIATIONS_OF_FEW, DEVIATIONS = 3.0, 2.0  # standard deviations that random arrivals are allowed
 
 
 def cold_budget(allowed: float) -> float:
-    """The most requests of mean work that a cold upstream may get in the span from all balancers together.
+    """The most requests of mean work that a cold upstream may get in a window from all balancers together.
 
-    allowed: N, the requests of mean work that the settings allow it then, which is the tip multiple times its
-    present capacity times the span. Requests come at random, so the budget is N + 2 * sqrt(N) + 2, and for an
+    allowed: N, the requests of mean work that the settings allow it then: the overload multiple times its
+    present capacity times the window. Arrivals are random, so the budget is N + 2 * sqrt(N) + 2, and for an
     N under 30 it is N + 3 * sqrt(N) + 3. ValueError: allowed is negative.
     """
-    chance = CHANCE_OF_FEW if allowed < FEW else CHANCE
-    return allowed + chance * math.sqrt(allowed) + chance
+    deviations = DEVIATIONS_OF_FEW if allowed < FEW_REQUESTS else DEVIATIONS
+    return allowed + deviations * math.sqrt(allowed) + deviations
--- a/bench/module_process.py
+++ b/bench/module_process.py
@@ -1,6 +1,6 @@
-"""A decision module of some checkout in a process of its own, whose costs are measured on request.
+"""The decision module of a checkout in a process of its own, which measures its costs on request.
 
-Each checkout brings its own names of events and settings, so its own bench.decisions drives its module here.
+Each checkout has its own names of events and settings, so its own bench.decisions drives its module here.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 
 from bench.common import ROOT
 
+# It also runs in earlier checkouts: what it names in bench.decisions stays as it is there.
 DRIVER = """
 import json, sys
 from bench import decisions
@@ -29,21 +30,24 @@
     request_us = sum(site.request() for _ in range(count)) / count
     print(json.dumps([request_us, site.change()]), flush=True)
 """
-WARM_UP = 120  # requests: from there on each comes with an answer
+WARM_UP = 120  # requests; from there on each comes with an answer
 
 
 class Cost(NamedTuple):
-    """What one request, with an answer, and one list change cost; in microseconds of the module's time."""
+    """What one request, with an answer, and one list change cost: the module's own time in microseconds."""
 
     request_us: float
     change_us: float
 
 
 class ModuleProcess:
-    """A context: the module of a checkout before so many servers."""
+    """A context manager: a checkout's module with so many servers in its list.
+
+    first_list_ms: the module's time for its first list.
+    """
 
     def __init__(self, checkout: Path, make: str, servers: int) -> None:
-        """make: "Balancer", or "old_module()" for the first module, which a checkout's bench can load."""
+        """Start the process. make: "Balancer", or "old_module()" for the first module, if the bench has it."""
         environment = {**os.environ, "PYTHONPATH": str(checkout), "GIT_DIR": str(ROOT / ".git")}
         self._process = subprocess.Popen(
             [sys.executable, "-c", DRIVER, make, str(servers), str(WARM_UP)],
@@ -64,7 +68,10 @@
         self._process.wait()
 
     def measure(self, requests: int) -> Cost:
-        """The mean cost of so many requests, and of one list change behind them."""
+        """The mean cost of so many requests, and of one list change after them.
+
+        RuntimeError: the process has ended.
+        """
         assert self._process.stdin is not None
         self._process.stdin.write(f"{requests}\n")
         self._process.stdin.flush()
