--- a/bench/module_process.py
+++ b/bench/module_process.py
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, checkout: Path, make: str, servers: int) -> None:
-        """Start the process. make: "Balancer", or "old_module()" for the first module, if the bench has it."""
+        """Start the process. make: "Balancer", or "old_module()" for the first module, as bench has it."""
         environment = {**os.environ, "PYTHONPATH": str(checkout), "GIT_DIR": str(ROOT / ".git")}
         self._process = subprocess.Popen(
             [sys.executable, "-c", DRIVER, make, str(servers), str(WARM_UP)],
