--- a/bench/growth.py
+++ b/bench/growth.py
@@ -1,10 +1,10 @@
-"""Sixteen times the upstreams: python -m bench.growth [--quick] [--json FILE].
+"""Resource use at sixteen times the upstreams: python -m bench.growth [--quick] [--json FILE].
 
 One balancer process on loopback, with the same traffic before 200 and before 3,200 upstreams, a twelfth of
-which is replaced, once with more cells and once with larger ones. What the balancer needs may grow only so
-far: BOUNDS. An upstream's share of the balancer's traffic sinks as its number grows, as in a fleet whose
-balancers grow in number too. The quick form plays two of the four days, up to 1,600 upstreams.
-Exit status: 0 all bounds hold, 1 one is broken, 130 interrupted. docs/spread.md tells what the figures mean.
+which is replaced, once with more cells and once with larger ones. The balancer's resource use may grow only
+as far as BOUNDS say. An upstream's share of the balancer's traffic sinks as their number grows, as in a fleet
+whose balancers grow in number too. The quick form plays two of the four days, up to 1,600 upstreams.
+Exit status: 0 all bounds hold, 1 one is broken, 130 interrupted. docs/spread.md explains the figures.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 RATE = 40.0  # requests a second
 REPLACED = 12  # one upstream in so many
-CLIENTS = 8  # connections of clients that stand
-SAMPLE_S = 0.02  # between two looks at the process's descriptors
+CLIENTS = 8  # connections that clients keep open
+SAMPLE_S = 0.02  # between two counts of the process's descriptors
 KB = 1_000.0
 
 
-class Needs(NamedTuple):
-    """What a balancer needed over a day."""
+class ResourceUse(NamedTuple):
+    """What a balancer used over a day: processor seconds, MB, numbers, KB."""
 
     cpu_s: float
     peak_mb: float
@@ -47,23 +47,26 @@
 
 
 class Bound(NamedTuple):
-    """A figure may be so many times that of the usual size, plus a constant and so much for each thousand."""
+    """A limit on a figure: so many times that at the usual size, plus a constant and a part by upstreams.
+
+    field: of ResourceUse. per_thousand: for each thousand upstreams.
+    """
 
     name: str
     field: str
-    times: float
-    plus: float
+    factor: float
+    constant: float
     per_thousand: float
-    least: bool = False  # it bounds from below
+    is_minimum: bool = False
 
     def limit(self, usual: float, upstreams: int) -> float:
-        """The bound at so many upstreams, from the figure at the usual size."""
-        return self.times * usual + self.plus + self.per_thousand * upstreams / 1_000
+        """The limit at so many upstreams, from the figure at the usual size."""
+        return self.factor * usual + self.constant + self.per_thousand * upstreams / 1_000
 
     def holds(self, usual: float, large: float, upstreams: int) -> bool:
-        """Whether the figure at so many upstreams keeps it."""
+        """Whether the figure at so many upstreams is within the limit."""
         limit = self.limit(usual, upstreams)
-        return large >= limit if self.least else large <= limit
+        return large >= limit if self.is_minimum else large <= limit
 
 
 BOUNDS = (
@@ -72,12 +75,12 @@
     Bound("descriptors", "descriptors", 2.0, 40.0, 0.0),
     Bound("connections made to upstreams", "connections", 2.5, 40.0, 0.0),
     Bound("lists while changes are told (KB)", "list_kb", 2.0, 64.0, 500.0),
-    Bound("share served", "served", 0.85, 0.0, 0.0, least=True),
+    Bound("share served", "served", 0.85, 0.0, 0.0, is_minimum=True),
 )
 
 
 class Sizes(NamedTuple):
-    """One run: the two sizes, and the day's times in seconds."""
+    """One run: two numbers of upstreams, and the days' times in seconds. The fields are keys of results."""
 
     usual: int
     large: int
@@ -92,7 +95,7 @@
 
 
 class Descriptors:
-    """The most descriptors that a process has held, looked at all the time by a thread."""
+    """The most descriptors that a process has held, sampled by a thread. most: so far."""
 
     def __init__(self, pid: int) -> None:
         self.folder = Path(f"/proc/{pid}/fd")
@@ -100,26 +103,26 @@
         self.ended = threading.Event()
 
     def watch(self) -> None:
-        """Look until the end."""
+        """Sample until `ended` is set."""
         while not self.ended.wait(SAMPLE_S):
             self.most = max(self.most, len(os.listdir(self.folder)))
 
 
 @contextmanager
 def descriptors(pid: int) -> Iterator[Descriptors]:
-    """Descriptors of a process, watched within the block."""
-    watched = Descriptors(pid)
-    thread = threading.Thread(target=watched.watch, daemon=True)
+    """The descriptors of a process, sampled within the block."""
+    sampler = Descriptors(pid)
+    thread = threading.Thread(target=sampler.watch, daemon=True)
     thread.start()
     try:
-        yield watched
+        yield sampler
     finally:
-        watched.ended.set()
+        sampler.ended.set()
         thread.join()
 
 
 def traffic(port: int, day: Day, begun: Callable[[], None]) -> float:
-    """Play the day's requests; the share that was served."""
+    """Play the day's requests; the share that was served. begun: called as the first is sent."""
     load = LoadOptions(
         Target("127.0.0.1", port, initial_connections=CLIENTS),
         shape=f"constant:{day.rate:g}",
@@ -132,26 +135,26 @@
     result = play(load, begun)
     if result["interrupted"]:
         raise KeyboardInterrupt
-    ends: dict[str, int] = result["ends"]
-    served = sum(count for name, count in ends.items() if name.endswith(f" {SERVED}"))
+    outcomes: dict[str, int] = result["ends"]
+    served = sum(count for name, count in outcomes.items() if name.endswith(f" {SERVED}"))
     ended: int = result["ended"]
     return served / max(1, ended)
 
 
-def needs(day: Day) -> Needs:
-    """Play a day, and tell what the balancer needed."""
+def measure_day(day: Day) -> ResourceUse:
+    """Play a day on a site and a balancer of its own; what the balancer used."""
     with site(day) as running, balancer_process(running.port, running.known) as (port, pid):
-        return _needs(day, running, port, pid)
+        return _measure(day, running, port, pid)
 
 
-def _needs(day: Day, running: RunningSite, port: int, pid: int) -> Needs:
-    with descriptors(pid) as watched:
+def _measure(day: Day, running: RunningSite, port: int, pid: int) -> ResourceUse:
+    with descriptors(pid) as sampler:
         served = traffic(port, day, running.begin)
     counts = running.counts()
-    return Needs(
+    return ResourceUse(
         round(processor_s(pid), 2),
         round(resident_mb(pid, peak=True), 1),
-        watched.most,
+        sampler.most,
         counts.connections,
         round(counts.list_bytes / KB, 1),
         round(served, 4),
@@ -164,8 +167,8 @@
     return Day(churn, layout, upstreams, RATE, sizes.seconds, sizes.churn_from, sizes.churn_s, replaced)
 
 
-def compared(day: str, usual: Needs, large: Needs, upstreams: int) -> list[dict[str, Any]]:
-    """A row for each bound."""
+def compare(day: str, usual: ResourceUse, large: ResourceUse, upstreams: int) -> list[dict[str, Any]]:
+    """A row for each bound: the figure at the usual size and at so many upstreams, and whether it holds."""
     rows = []
     for bound in BOUNDS:
         before, after = getattr(usual, bound.field), getattr(large, bound.field)
@@ -192,14 +195,15 @@
 
 
 def measure(sizes: Sizes) -> dict[str, Any]:
-    """All rows of all days."""
+    """Play all days, printing their rows; the result."""
     rows = []
     for churn, layout in sizes.days:
-        usual, large = (needs(day_of(churn, layout, size, sizes)) for size in (sizes.usual, sizes.large))
-        found = compared(f"{churn}, {layout}", usual, large, sizes.large)
-        for row in found:
+        usual = measure_day(day_of(churn, layout, sizes.usual, sizes))
+        large = measure_day(day_of(churn, layout, sizes.large, sizes))
+        day_rows = compare(f"{churn}, {layout}", usual, large, sizes.large)
+        for row in day_rows:
             print(line(row), flush=True)
-        rows += found
+        rows += day_rows
     return {"sizes": sizes._asdict(), "rate": RATE, "load": os.getloadavg()[0], "rows": rows}
 
 
--- a/bench/growth_site.py
+++ b/bench/growth_site.py
@@ -1,7 +1,8 @@
 """The upstreams and the list service of bench.growth in a process of their own; a part is replaced.
 
-An upstream is as strong at every size. It stands for one of a fleet whose balancers grow in number with its
-upstreams, so that a balancer's share of all capacity stays the same; the other balancers are not played.
+An upstream has the same capacity at every size. It stands for one of a fleet whose balancers grow in number
+with its upstreams, so that a balancer's share of all capacity stays the same; the other balancers are not
+simulated.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from standins.upstream import Connection as UpstreamConnection
 from standins.upstream import ExecutionJournal, StandInUpstream
 
-# Thousands of listeners at 127.0.0.1 would take ports that other programs choose, and be called by mistake.
+# At 127.0.0.1, thousands of listeners would take ports that other programs choose, and be called by mistake.
 ADDRESS = "127.77.0.1"
 CELL = 4  # upstreams of one cell, where their number grows with the upstreams
 LARGE_CELLS = 8  # cells, where these grow
@@ -33,13 +34,13 @@
 IDLE_S = 15.0
 MOST_CONNECTIONS = 180
 DRAIN_S = 1.0  # from the notice that an upstream drains until it is gone
-STEPS = 4  # batches of a roll
+ROLL_BATCHES = 4
 CHURNS = ("roll", "join")
 LAYOUTS = ("more cells", "larger cells")
 
 
 class Day(NamedTuple):
-    """What is played; times in seconds from the first request.
+    """What is simulated; times in seconds from the first request.
 
     churn: "roll" (batches that drain, are gone, and are followed by successors in the same cells) or "join"
     (newcomers one after the other, each as another begins to drain; small cells are their own).
@@ -65,7 +66,7 @@
     """What the site has seen so far."""
 
     connections: int  # made to upstreams
-    list_bytes: int  # of lists and changes told since the churn began
+    list_bytes: int  # of lists and changes sent since the churn began
 
 
 class CountingUpstream(StandInUpstream):
@@ -81,11 +82,11 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """This upstream as discovery tells of it."""
+        """This upstream's row of the list, with these fields changed."""
         return super().entry(**{"dial": f"{ADDRESS}:{self.port}"} | changes)
 
     def spend(self, now: float, seconds: float) -> None:
-        """Count the handshake, and do its work."""
+        """Count a handshake, which takes so many seconds of a core from `now` on."""
         self.connections_made += 1
         super().spend(now, seconds)
 
@@ -140,15 +141,15 @@
     # ---- churn
 
     def begin(self) -> None:
-        """The first request is sent now."""
+        """The first request is sent now: schedule the churn."""
         asyncio.get_running_loop().call_later(self.day.churn_from, self._begin_churn)
 
     def _begin_churn(self) -> None:
         self.bytes_before = self.service.bytes
         leaving = random.Random(self.day.seed).sample(self.upstreams, self.day.replaced)
         if self.day.churn == "roll":
-            batches = [leaving[first::STEPS] for first in range(STEPS)]
-            self._spread(batches, self.day.churn_s / STEPS, self._roll)
+            batches = [leaving[first::ROLL_BATCHES] for first in range(ROLL_BATCHES)]
+            self._spread(batches, self.day.churn_s / ROLL_BATCHES, self._roll)
         else:
             self._spread(list(enumerate(leaving)), self.day.churn_s / len(leaving), self._join)
 
@@ -168,12 +169,12 @@
     async def _roll(self, batch: Sequence[CountingUpstream]) -> None:
         """A batch drains, is gone, and its successors join, cold."""
         await self._drain(batch)
-        self._tell([await self._newcomer(upstream.name, upstream.block) for upstream in batch])
+        self._publish([await self._newcomer(upstream.name, upstream.block) for upstream in batch])
 
     async def _join(self, numbered: tuple[int, CountingUpstream]) -> None:
         """A newcomer joins, cold, while another upstream drains."""
         number, upstream = numbered
-        self._tell([await self._newcomer(upstream.name, self.day.cell(self.day.upstreams + number))])
+        self._publish([await self._newcomer(upstream.name, self.day.cell(self.day.upstreams + number))])
         await self._drain([upstream])
 
     async def _newcomer(self, predecessor: str, cell: int) -> CountingUpstream:
@@ -184,13 +185,13 @@
     async def _drain(self, batch: Sequence[StandInUpstream]) -> None:
         for upstream in batch:
             upstream.health = "draining"
-        self._tell(batch)
+        self._publish(batch)
         await asyncio.sleep(DRAIN_S)
         for upstream in batch:
             await upstream.stop()
-        self._tell(batch, health="gone")
+        self._publish(batch, health="gone")
 
-    def _tell(self, upstreams: Sequence[StandInUpstream], **changes: Any) -> None:
+    def _publish(self, upstreams: Sequence[StandInUpstream], **changes: Any) -> None:
         self.service.change_rows([upstream.entry(**changes) for upstream in upstreams])
 
 
@@ -210,14 +211,14 @@
 
 
 class RunningSite:
-    """The site's process, from outside. port: the list service's; known: the list at the start."""
+    """A proxy of the site's process. port: the list service's; known: the list at the start."""
 
     def __init__(self, pipe: Connection) -> None:
         self.pipe = pipe
         self.port, self.known = receive(pipe)
 
     def begin(self) -> None:
-        """The first request is sent now: the churn counts from here."""
+        """The first request is sent now: the churn's times count from here."""
         self.pipe.send("begin")
 
     def counts(self) -> Counts:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import outcome, sends, settings, submit
 
-from bench.growth import BOUNDS, Needs, compared, needs
+from bench.growth import BOUNDS, ResourceUse, compare, measure_day
 from bench.growth_site import ADDRESS, Day, site
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
@@ -18,7 +18,7 @@
 LATENCY_MS = 20.0
 
 
-def able(_: str) -> bool:
+def always_usable(_: str) -> bool:
     return True
 
 
@@ -71,10 +71,10 @@
     salts, used = 600, Counter[str]()
     for salt in range(salts):
         working = filled(salt, 200)
-        working.choose(LEAST, able)
+        working.choose(LEAST, always_usable)
         for number in range(200, 216):
             working.put(f"s{number}", number % CELLS)
-        working.choose(LEAST, able)
+        working.choose(LEAST, always_usable)
         assert LEAST <= working.size <= SLACK * LEAST
         used.update(name for names in working.used.values() for name in names)
     mean = sum(used.values()) / 216
@@ -122,25 +122,25 @@
 
 def test_a_successor_uses_what_the_process_before_used_of_large_cells() -> None:
     before, after = filled(1, 400), filled(2, 400)
-    before.choose(LEAST, able)
+    before.choose(LEAST, always_usable)
     names = [name for used in before.used.values() for name in used]
     assert after.take(names) == names and after.size == len(names)
     assert after.take(["unknown"]) == []
 
 
 def test_the_bounds_are_those_of_the_standing_table() -> None:
-    usual = Needs(1.53, 26.6, 90, 83, 100.0, 0.98)
+    usual = ResourceUse(1.53, 26.6, 90, 83, 100.0, 0.98)
     limits = [round(bound.limit(getattr(usual, bound.field), 3_200), 2) for bound in BOUNDS]
     assert limits == [2.55, 60.7, 220.0, 247.5, 1_864.0, 0.83]
-    rows = compared("day", usual, Needs(2.29, 46.7, 259, 490, 1_000.0, 0.98), 3_200)
+    rows = compare("day", usual, ResourceUse(2.29, 46.7, 259, 490, 1_000.0, 0.98), 3_200)
     assert [row["holds"] for row in rows] == [True, True, False, False, True, True]
-    assert not compared("day", usual, usual._replace(served=0.8), 3_200)[-1]["holds"]
+    assert not compare("day", usual, usual._replace(served=0.8), 3_200)[-1]["holds"]
 
 
 def test_a_short_day_on_sockets_gives_all_figures() -> None:
     day = Day("join", "larger cells", 24, 40.0, seconds=2.0, churn_from=0.5, churn_s=0.5, replaced=2)
     with site(day) as running:  # at an address of their own: other programs' calls would be counted
         assert all(row["dial"].startswith(f"{ADDRESS}:") for row in running.known["hosts"])
-    found = needs(day)
+    found = measure_day(day)
     assert found.served > 0.9 and found.connections >= 10 and found.list_kb > 0
     assert found.descriptors >= 10 and found.peak_mb > 10 and found.cpu_s > 0
