--- a/bench/fleetlog.py
+++ b/bench/fleetlog.py
@@ -3,9 +3,9 @@
 Reads the lines that `QUARTZFORD_COUNTS_S=1` makes a balancer write (quartzford/metrics.py) out of every file
 *.log in the folder, and nothing else of what the files hold. --zone Z: of the balancers of that zone alone.
 
-Where the balancers wrote ways too (`QUARTZFORD_WAYS=1`): --id ID follows one request, with the news that its
-balancer had of the servers that it was sent to; --cold S is the most that each cold server was sent by all
-balancers in any S seconds.
+Where the balancers wrote traces too (`QUARTZFORD_WAYS=1`): --id ID follows one request, with the list updates
+that its balancer had of the servers that it was sent to; --cold S is the most that each cold server was sent
+by all balancers in any S seconds.
 """
 
 from __future__ import annotations
@@ -15,20 +15,43 @@
 import sys
 from bisect import bisect_left
 from collections import Counter
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator, Sequence
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
+COUNTS, TRACE, LIST_UPDATE = "counts", "way", "news"  # topics of lines
+ADDED_UP = ("list", "ends", "causes", "sends", "classes", "process")  # counts by name
+ADDED_UP_BY_SERVER = ("opened", "cold", "held_at")
 SUMS = ("held", "idle", "out")
 MEANS = ("ready", "cold_now", "report", "ejected", "suspect", "shed", "late", "retry_budget", "entropy")
 
+Row = dict[str, Any]  # a line's JSON; quartzford/metrics.py documents its keys
 
-def lines(folder: Path, mark: str) -> Iterator[tuple[str, dict[str, Any]]]:
+
+class ListedServer(NamedTuple):
+    """The columns of a list update's row that are used here."""
+
+    name: str
+    state: str
+    started_ms: float  # 0: unknown or long ago
+
+
+class TracedAttempt(NamedTuple):
+    """An attempt of a trace; times as the balancer's clock has them, in ms; None: it did not happen."""
+
+    server: str
+    sent: float
+    written: float | None
+    ended: float | None
+    outcome: str
+
+
+def read_topic(folder: Path, topic: str) -> Iterator[tuple[str, Row]]:
     """Lines of one topic with their file's name; broken ones (a process killed half way) are left out."""
     for path in sorted(folder.glob("*.log")):
         with path.open(errors="replace") as file:
             for line in file:
-                _, found, text = line.partition(mark + ": ")
+                _, found, text = line.partition(topic + ": ")
                 try:
                     row = json.loads(text) if found else None
                 except ValueError:
@@ -37,119 +60,184 @@
                     yield path.stem, row
 
 
-def read(folder: Path, zone: str = "") -> list[dict[str, Any]]:
+def read_counts(folder: Path, zone: str = "") -> list[Row]:
     """Every count line, oldest first; of one zone's balancers, if one is named."""
-    found = [row for _, row in lines(folder, "counts") if zone in ("", row.get("zone"))]
+    found = [row for _, row in read_topic(folder, COUNTS) if zone in ("", row.get("zone"))]
     return sorted(found, key=lambda row: int(row["at"]))
 
 
+def attempts_of(trace: Row) -> list[TracedAttempt]:
+    """The attempts of a trace, in order."""
+    attempts = []
+    for server, sent, *rest in trace["tries"]:
+        written, ended, outcome = rest or (None, None, "out")
+        attempts.append(TracedAttempt(server, sent, written, ended, outcome))
+    return attempts
+
+
+def listed_servers(update: Row) -> list[ListedServer]:
+    """The servers that a list update names, without those that are gone."""
+    return [ListedServer(row[0], row[4], row[6]) for row in update["rows"]]
+
+
+# ---- one request
+
+
+def attempt_text(attempt: TracedAttempt) -> str:
+    """An attempt in words."""
+    sent, written, ended = attempt.sent, attempt.written, attempt.ended
+    late = f"written after {written - sent:.1f} ms" if written is not None else "never written"
+    after = f", {attempt.outcome} after {ended - sent:.1f} ms" if ended is not None else ", still out"
+    return f"sent to {attempt.server}, {late}{after}"
+
+
+def update_texts(update: Row, servers: set[str]) -> list[str]:
+    """What a list update says of these servers, in words."""
+    listed = [
+        f"hears that {server.name} is {server.state}, started {server.started_ms:.0f}"
+        for server in listed_servers(update)
+        if server.name in servers
+    ]
+    return listed + [f"hears that {gone} is gone" for gone in servers & {*update["missing"]}]
+
+
 def follow(folder: Path, wanted: str) -> list[str]:
-    """One request through every balancer that ended it, and what these knew of the servers it was sent to."""
-    told = []
-    for name, way in lines(folder, "way"):
-        if way["id"] != wanted:
+    """One request through every balancer that ended it, and the list updates these had of its servers."""
+    events: list[tuple[float, str]] = []
+    for name, trace in read_topic(folder, TRACE):
+        if trace["id"] != wanted:
             continue
-        told.append(
-            (way["at"], f"{name}: {way['how']}, class {way['class']}, {way['left'] - way['at']:.0f} ms left")
-        )
-        for server, sent, *rest in way["tries"]:
-            written, ended, code = rest or (None, None, "out")
-            late = f"written after {written - sent:.1f} ms" if written is not None else "never written"
-            after = f", {code} after {ended - sent:.1f} ms" if ended is not None else ", still out"
-            told.append((sent, f"{name}: sent to {server}, {late}{after}"))
-        servers = {row[0] for row in way["tries"]}
-        for other, news in lines(folder, "news"):
-            if other != name:
-                continue
-            for row in news["rows"]:
-                if row[0] in servers:
-                    told.append(
-                        (news["at"], f"{name}: hears that {row[0]} is {row[4]}, started {row[6]:.0f}")
-                    )
-            told += [
-                (news["at"], f"{name}: hears that {gone} is gone") for gone in servers & {*news["missing"]}
-            ]
-    return [f"{at:.1f} {text}" for at, text in sorted(told)]
+        left_ms = trace["left"] - trace["at"]
+        end = f"{name}: {trace['how']}, class {trace['class']}, {left_ms:.0f} ms left"
+        events.append((trace["at"], end))
+        attempts = attempts_of(trace)
+        events += [(attempt.sent, f"{name}: {attempt_text(attempt)}") for attempt in attempts]
+        servers = {attempt.server for attempt in attempts}
+        for other, update in read_topic(folder, LIST_UPDATE):
+            if other == name:
+                events += [(update["at"], f"{name}: {text}") for text in update_texts(update, servers)]
+    return [f"{at:.1f} {text}" for at, text in sorted(events)]
 
 
-def cold(folder: Path, span_s: float, slow_start_ms: float) -> dict[str, tuple[int, float]]:
-    """By server that started in the run: the most sends written in any such span, and its age then, in ms.
+# ---- cold servers
 
-    A window begins with a send: no other holds more.
-    """
+
+class ColdPeak(NamedTuple):
+    """The most sends to a cold server in any window, and its age as that window began."""
+
+    sends: int
+    age_ms: float
+
+
+def started_servers(folder: Path) -> dict[str, float]:
+    """Servers that started in the run: when the latest life of each began, in ms."""
     started: dict[str, float] = {}
-    for _, news in lines(folder, "news"):
-        started.update({row[0]: max(row[6], started.get(row[0], 0.0)) for row in news["rows"] if row[6] > 0})
+    for _, update in read_topic(folder, LIST_UPDATE):
+        for server in listed_servers(update):
+            if server.started_ms > 0:
+                started[server.name] = max(server.started_ms, started.get(server.name, 0.0))
+    return started
+
+
+def cold_sends(folder: Path, started: dict[str, float], slow_start_ms: float) -> dict[str, list[float]]:
+    """When each of the servers was sent something within so long after its start; in order."""
     sends: dict[str, list[float]] = {name: [] for name in started}
-    for _, way in lines(folder, "way"):
-        for server, _, *rest in way["tries"]:
-            if (
-                rest
-                and rest[0] is not None
-                and 0 <= rest[0] - started.get(server, rest[0] + 1) < slow_start_ms
-            ):
-                sends[server].append(rest[0])
-    most: dict[str, tuple[int, float]] = {}
-    for name, times in sends.items():
+    for _, trace in read_topic(folder, TRACE):
+        for attempt in attempts_of(trace):
+            if attempt.written is None or attempt.server not in started:
+                continue
+            if 0 <= attempt.written - started[attempt.server] < slow_start_ms:
+                sends[attempt.server].append(attempt.written)
+    for times in sends.values():
         times.sort()
-        counts = [(bisect_left(times, at + span_s * 1000.0) - i, at) for i, at in enumerate(times)]
+    return sends
+
+
+def cold_peaks(folder: Path, window_s: float, slow_start_ms: float) -> dict[str, ColdPeak]:
+    """The peak of each server that started in the run and got something within slow_start_ms.
+
+    Windows begin with a send: no other holds more.
+    """
+    started = started_servers(folder)
+    peaks: dict[str, ColdPeak] = {}
+    for name, times in cold_sends(folder, started, slow_start_ms).items():
+        counts = [(bisect_left(times, at + window_s * 1000.0) - i, at) for i, at in enumerate(times)]
         if counts:
             number, at = max(counts, key=lambda pair: pair[0])
-            most[name] = (number, at - started[name])
-    return most
+            peaks[name] = ColdPeak(number, at - started[name])
+    return peaks
+
+
+# ---- all counts
+
+
+def added_up(rows: Iterable[Row], name: str) -> Counter[str]:
+    """The sum of one group of counts over rows; a row may lack it."""
+    total: Counter[str] = Counter()
+    for row in rows:
+        total.update(row.get(name, {}))
+    return total
+
+
+def usual_latencies(rows: Sequence[Row]) -> dict[str, int]:
+    """By class the mean over the balancers that have one."""
+    sums: Counter[str] = Counter()
+    for row in rows:
+        sums.update(row["usual"])
+    balancers = {name: sum(name in row["usual"] for row in rows) for name in sums}
+    return {name: round(sums[name] / balancers[name]) for name in sums}
 
 
-def merge(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def merge_second(second: int, rows: Sequence[Row]) -> Row:
+    """The row of the whole fleet for one second, from those of the balancers that wrote in it."""
+    out: Row = {"second": second, "balancers": len(rows)}
+    for name in ADDED_UP:
+        out[name] = dict(sorted(added_up(rows, name).items()))
+    for name in ADDED_UP_BY_SERVER:
+        counts = added_up(rows, name)
+        out[name], out[f"{name}_most"] = sum(counts.values()), max(counts.values(), default=0)
+    out.update({name: sum(row[name] for row in rows) for name in SUMS})
+    out.update({name: round(sum(row[name] for row in rows) / len(rows), 2) for name in MEANS})
+    for name in ("shed", "memory_kb"):
+        out[f"{name}_most"] = max(row.get(name, 0) for row in rows)
+    out["cpu_us_most"] = max(row.get("process", {}).get("cpu_us", 0) for row in rows)
+    out["usual"] = usual_latencies(rows)
+    return out
+
+
+def merge(rows: list[Row]) -> list[Row]:
     """One row a second over the fleet: counts added up, gauges summed or averaged over those that wrote."""
-    seconds: dict[int, list[dict[str, Any]]] = {}
+    seconds: dict[int, list[Row]] = {}
     for row in rows:
         seconds.setdefault((row["at"] - rows[0]["at"]) // 1000, []).append(row)
-    table = []
-    for second, part in sorted(seconds.items()):
-        out: dict[str, Any] = {"second": second, "balancers": len(part)}
-        for name in ("list", "ends", "causes", "sends", "classes", "process"):
-            total: Counter[str] = Counter()
-            for row in part:
-                total.update(row.get(name, {}))
-            out[name] = dict(sorted(total.items()))
-        for name in ("opened", "cold", "held_at"):
-            by: Counter[str] = Counter()
-            for row in part:
-                by.update(row.get(name, {}))
-            out[name], out[f"{name}_most"] = sum(by.values()), max(by.values(), default=0)
-        out.update({name: sum(row[name] for row in part) for name in SUMS})
-        out.update({name: round(sum(row[name] for row in part) / len(part), 2) for name in MEANS})
-        for name in ("shed", "memory_kb"):
-            out[f"{name}_most"] = max(row.get(name, 0) for row in part)
-        out["cpu_us_most"] = max(row.get("process", {}).get("cpu_us", 0) for row in part)
-        usual: Counter[str] = Counter()
-        for row in part:
-            usual.update(row["usual"])
-        knowing = {name: sum(name in row["usual"] for row in part) for name in usual}
-        out["usual"] = {name: round(usual[name] / knowing[name]) for name in usual}
-        table.append(out)
-    return table
-
-
-def show(table: list[dict[str, Any]]) -> None:
-    def said(counts: dict[str, int]) -> str:
-        return ", ".join(f"{name} {count}" for name, count in counts.items()) or "-"
+    return [merge_second(second, part) for second, part in sorted(seconds.items())]
 
-    for row in table:
-        gauges = {name: row[name] for name in ("shed_most", *MEANS)}
-        print(f"{row['second']:3} s  {row['balancers']} balancers; list: {said(row['list'])}")
-        print(f"       sends: {said(row['sends'])}; cold {row['cold']} (at one {row['cold_most']}); ", end="")
-        print(f"opened {row['opened']} (at one {row['opened_most']}), ", end="")
-        print(f"held {row['held']} (at one {row['held_at_most']}), idle {row['idle']}, out {row['out']}")
-        print(f"       ends: {said(row['ends'])}")
-        print(f"       by class: {said(row['classes'])}")
-        each = {name: round(count / row["balancers"]) for name, count in row["process"].items()}
-        most = f"{row['cpu_us_most']} us, {row['memory_kb_most']} kB"
-        print(f"       a balancer: {said(each)}, at the most {most}")
-        print(f"       given up: {said(row['causes'])}; usual {said(row['usual'])}; {said(gauges)}")
 
+def counts_text(counts: dict[str, Any]) -> str:
+    """Names with their counts."""
+    return ", ".join(f"{name} {count}" for name, count in counts.items()) or "-"
 
-def main() -> int:
+
+def show_second(row: Row) -> None:
+    """Print the row of one second."""
+    gauges = {name: row[name] for name in ("shed_most", *MEANS)}
+    each = {name: round(count / row["balancers"]) for name, count in row["process"].items()}
+    most = f"{row['cpu_us_most']} us, {row['memory_kb_most']} kB"
+    print(f"{row['second']:3} s  {row['balancers']} balancers; list: {counts_text(row['list'])}")
+    print(
+        f"       sends: {counts_text(row['sends'])}; cold {row['cold']} (at one {row['cold_most']}); "
+        f"opened {row['opened']} (at one {row['opened_most']}), "
+        f"held {row['held']} (at one {row['held_at_most']}), idle {row['idle']}, out {row['out']}"
+    )
+    print(f"       ends: {counts_text(row['ends'])}")
+    print(f"       by class: {counts_text(row['classes'])}")
+    print(f"       a balancer: {counts_text(each)}, at the most {most}")
+    causes, usual = counts_text(row["causes"]), counts_text(row["usual"])
+    print(f"       given up: {causes}; usual {usual}; {counts_text(gauges)}")
+
+
+def read_options() -> argparse.Namespace:
+    """The command line's options."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder", type=Path)
     parser.add_argument("--json", type=Path)
@@ -159,21 +247,38 @@
         "--cold", type=float, metavar="S", help="the most sent to each cold server in so long"
     )
     parser.add_argument("--cold-ms", type=float, default=24_000.0, help="how long a server counts as cold")
-    options = parser.parse_args()
+    return parser.parse_args()
+
+
+def show_request(folder: Path, wanted: str) -> int:
+    """Print the way of a request; the exit status is 1 where no line has it."""
+    found = follow(folder, wanted)
+    print("\n".join(found))
+    return 0 if found else 1
+
+
+def show_cold(folder: Path, window_s: float, slow_start_ms: float) -> int:
+    """Print the peaks of cold servers; the exit status is 1 where there are none."""
+    peaks = cold_peaks(folder, window_s, slow_start_ms)
+    for name, peak in sorted(peaks.items(), key=lambda item: -item[1].sends):
+        print(f"{name}: {peak.sends} sends, {peak.age_ms / 1000.0:.1f} s after its start")
+    return 0 if peaks else 1
+
+
+def main() -> int:
+    """Read, add up, print and report; the exit status is 1 where nothing was found."""
+    options = read_options()
     if options.id:
-        print("\n".join(found := follow(options.folder, options.id)))
-        return 0 if found else 1
+        return show_request(options.folder, options.id)
     if options.cold:
-        most = cold(options.folder, options.cold, options.cold_ms)
-        for name, (number, age) in sorted(most.items(), key=lambda item: -item[1][0]):
-            print(f"{name}: {number} sends, {age / 1000.0:.1f} s after its start")
-        return 0 if most else 1
-    rows = read(options.folder, options.zone)
+        return show_cold(options.folder, options.cold, options.cold_ms)
+    rows = read_counts(options.folder, options.zone)
     if not rows:
         print(f"{options.folder}: no count lines", file=sys.stderr)
         return 1
     table = merge(rows)
-    show(table)
+    for row in table:
+        show_second(row)
     if options.json:
         options.json.write_text(json.dumps(table, indent=1) + "\n")
     return 0
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -106,11 +106,11 @@
         text = line(ends={"ok": 2}, held_at={"s1": 3}, held=3, zone="ab"[number % 2], shed=number / 200)
         text += line(at=2_000, ends={"ok": 1}) + line(at=2_500)[:60] + "\nnot a line\n"
         (tmp_path / f"n{number}.log").write_text(text)
-    first, second = fleetlog.merge(fleetlog.read(tmp_path))
+    first, second = fleetlog.merge(fleetlog.read_counts(tmp_path))
     assert first["balancers"] == second["balancers"] == 200
     assert first["ends"] == {"ok": 400} and second["ends"] == {"ok": 200}
     assert first["held"] == 600 and first["held_at_most"] == 600 and first["shed_most"] == 0.995
-    assert fleetlog.merge(fleetlog.read(tmp_path, "b"))[0]["balancers"] == 100
+    assert fleetlog.merge(fleetlog.read_counts(tmp_path, "b"))[0]["balancers"] == 100
 
 
 def test_what_a_cold_server_is_sent_in_any_window_is_added_over_the_fleet(tmp_path: Path) -> None:
@@ -127,5 +127,5 @@
         (tmp_path / f"n{number}.log").write_text(f"1.0 news: {json.dumps(update)}\n{text}")
     times = sorted([11_000.0 + 100.0 * n for n in range(10)] + [12_450.0 + 1_000.0 * n for n in range(10)])
     want = max(sum(at <= other < at + 2_000.0 for other in times) for at in times)
-    assert fleetlog.cold(tmp_path, 2.0, 24_000.0) == {"s1": (want, 1_000.0)}
-    assert fleetlog.cold(tmp_path, 2.0, 1_000.0) == {}
+    assert fleetlog.cold_peaks(tmp_path, 2.0, 24_000.0) == {"s1": (want, 1_000.0)}
+    assert fleetlog.cold_peaks(tmp_path, 2.0, 1_000.0) == {}
