--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,12 +1,13 @@
 """Mass events over fleets of decision modules: python -m bench.fleet [--quick] [--json FILE] [--chart FILE].
 
-1 to 200 modules on one virtual clock with the upstreams of bench.fleetmodel, whose assumptions stand there:
+1 to 200 modules on one virtual clock with the upstreams of bench.fleetmodel, whose assumptions are there:
 calm, one upstream in eight that answers nothing, a zone lost, six in ten replaced, most balancers killed;
 the code as it is and as it was at a revision (the one that bench.decisions compares with, unless --old names
 one), the same seeds. Each checkout brings its own names of events and settings, so its own bench.fleetmodel
 drives its module. At 200 traffic is thin: a third, ten requests a second and balancer. Then forty modules and
-three cold upstreams, two hundred seeds. Exit 0 only if the rules that the model can see held for the code
-as it is: no unsafe request twice, no two attempts at once, none served twice, no cold upstream pushed over.
+three cold upstreams, two hundred seeds. Exit status 0 only if the rules that the model can see held for the
+code as it is: no unsafe request twice, no two attempts at once, none served twice, no cold upstream pushed
+over.
 """
 
 from __future__ import annotations
@@ -17,10 +18,11 @@
 import subprocess
 import sys
 import tempfile
+from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from statistics import mean
-from typing import Any
+from typing import Any, NamedTuple
 
 from bench.common import ROOT, checkout, report
 from bench.fleetmodel import TIP
@@ -28,9 +30,25 @@
 OLD = "7c461993f9af943d4dd20f34cddc62e4819d15a2"
 MODEL = "bench/fleetmodel.py"
 SIZES = ((1, 8), (16, 24), (40, 60), (97, 97), (200, 200))  # balancers and upstreams
+QUICK_SIZES = (SIZES[0], SIZES[2])
+SEEDS, QUICK_SEEDS = (1, 2, 3), (1,)
+COLD_SEEDS, QUICK_COLD_SEEDS = 200, 24
 EVENTS = ("calm", "bad", "zone", "join", "restart")
 THIN = {200: 0.33}  # part of the usual traffic, by the number of balancers
 CORES = os.cpu_count() or 1
+MEANS = (
+    "worth",
+    "worst_second",
+    "back_s",
+    "tries",
+    "calls",
+    "opened",
+    "held_most",
+    "refused",
+    "us_a_try",
+)  # keys of results
+
+Result = dict[str, Any]  # of a play, with the keys of bench.fleetmodel's World.result
 
 
 class RevisionError(ValueError):
@@ -47,7 +65,7 @@
     checkout(revision, folder, "quartzford", "bench")
 
 
-def play(folder: Path, plan: dict[str, Any]) -> dict[str, Any]:
+def play(folder: Path, plan: dict[str, Any]) -> Result:
     """One plan with the decision module and the model that the folder holds, in a process of its own."""
     done = subprocess.run(
         [sys.executable, "-m", "bench.fleetmodel", json.dumps(plan)],
@@ -56,32 +74,90 @@
         stdout=subprocess.PIPE,
         check=True,
     )
-    result: dict[str, Any] = json.loads(done.stdout)
+    result: Result = json.loads(done.stdout)
     return result
 
 
-def row_of(results: list[dict[str, Any]]) -> dict[str, Any]:
-    """What several seeds come to: means, and the worst of what must not be."""
-    names = (
-        "worth",
-        "worst_second",
-        "back_s",
-        "tries",
-        "calls",
-        "opened",
-        "held_most",
-        "refused",
-        "us_a_try",
-    )
-    row: dict[str, Any] = {name: round(mean(r[name] for r in results), 3) for name in names}
-    row["cold_multiple"] = max(r["cold_multiple"] for r in results)
-    row["fallen"] = sum(r["fallen"] for r in results)
-    row["broken"] = sum(sum(r["broken"].values()) for r in results)
+class Case(NamedTuple):
+    """One row: an event at one size, played by one code with several seeds."""
+
+    event: str
+    polls_list: bool
+    balancers: int
+    upstreams: int
+    code: str  # "old" or "new"
+
+    def plan(self, seed: int) -> dict[str, Any]:
+        """The model's plan with a seed."""
+        plan = {
+            "balancers": self.balancers,
+            "upstreams": self.upstreams,
+            "event": self.event,
+            "seed": seed,
+            "rate": THIN.get(self.balancers, 1.0),
+        }
+        return {**plan, "asked": True} if self.polls_list else plan
+
+    def row(self, results: list[Result]) -> dict[str, Any]:
+        """The row of the results of all seeds."""
+        title = f"{self.event}, list asked" if self.polls_list else self.event
+        sizes = {"balancers": self.balancers, "upstreams": self.upstreams}
+        return {"event": title, **sizes, "code": self.code, **summary(results)}
+
+
+def cases(sizes: Sequence[tuple[int, int]]) -> list[Case]:
+    """All events at all sizes, by the old code and the new; restarts with a polled list, too."""
+    events = (*((event, False) for event in EVENTS), ("restart", True))
+    return [
+        Case(event, polls_list, balancers, upstreams, code)
+        for balancers, upstreams in sizes
+        for event, polls_list in events
+        for code in ("old", "new")
+    ]
+
+
+def summary(results: list[Result]) -> dict[str, Any]:
+    """Means over several seeds; of falls and broken rules the sums, and the largest cold multiple."""
+    row: dict[str, Any] = {name: round(mean(result[name] for result in results), 3) for name in MEANS}
+    row["cold_multiple"] = max(result["cold_multiple"] for result in results)
+    row["fallen"] = sum(result["fallen"] for result in results)
+    row["broken"] = sum(sum(result["broken"].values()) for result in results)
     return row
 
 
+def play_all(
+    pool: ThreadPoolExecutor, folders: dict[str, Path], quick: bool
+) -> tuple[list[dict[str, Any]], list[Result]]:
+    """The rows of all cases, each printed as it is complete, and the results of the cold fleets.
+
+    folders: by code, the checkout with its module and model.
+    """
+    seeds = QUICK_SEEDS if quick else SEEDS
+    jobs = {
+        case: [pool.submit(play, folders[case.code], case.plan(seed)) for seed in seeds]
+        for case in cases(QUICK_SIZES if quick else SIZES)
+    }
+    cold_plan = {"balancers": 40, "upstreams": 6, "event": "join", "seconds": 11.0}
+    cold_jobs = [
+        pool.submit(play, folders["new"], {**cold_plan, "seed": seed})
+        for seed in range(QUICK_COLD_SEEDS if quick else COLD_SEEDS)
+    ]
+    rows = []
+    for case, futures in jobs.items():
+        rows.append(case.row([future.result() for future in futures]))
+        print("  " + ", ".join(f"{key} {value}" for key, value in rows[-1].items()), flush=True)
+    return rows, [future.result() for future in cold_jobs]
+
+
+def goodput(rows: list[dict[str, Any]], event: str, code: str, balancers: int) -> float:
+    """The priority weight served in time over that offered, of one row."""
+    wanted = (event, code, balancers)
+    found = [row["worth"] for row in rows if (row["event"], row["code"], row["balancers"]) == wanted]
+    return float(found[0])
+
+
 def chart(rows: list[dict[str, Any]], path: str) -> None:
-    """Worth in time by size, old beside new, one panel an event. Needs the extra `charts`."""
+    """Goodput by size, old beside new, a panel for each event. Needs the extra `charts`."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -99,78 +175,48 @@
     figure.savefig(path, dpi=110)
 
 
-def main() -> int:
+def show_verdict(rows: list[dict[str, Any]], balancers: int, kept: bool) -> None:
+    """Print the goodput at one size, old and new, and whether the rules were kept."""
+    gains = [
+        f"{event} {goodput(rows, event, 'old', balancers)} to {goodput(rows, event, 'new', balancers)}"
+        for event in EVENTS
+    ]
+    verdict = "held" if kept else "BROKEN"
+    print(f"{balancers} balancers, worth in time, old to new: {', '.join(gains)}; rules {verdict}")
+
+
+def read_options() -> argparse.Namespace:
+    """The command line's options."""
     parser = argparse.ArgumentParser(prog="python -m bench.fleet")
     parser.add_argument("--quick", action="store_true", help="1 and 40 balancers, one seed")
     parser.add_argument("--old", default=OLD, metavar="REVISION")
     parser.add_argument("--json", metavar="FILE")
     parser.add_argument("--chart", metavar="FILE")
-    options = parser.parse_args()
-    sizes, seeds = ((SIZES[0], SIZES[2]), (1,)) if options.quick else (SIZES, (1, 2, 3))
+    return parser.parse_args()
+
+
+def main() -> int:
+    """Play, print and report; the exit status is 1 where a rule was broken, 2 where --old can't be played."""
+    options = read_options()
     with tempfile.TemporaryDirectory() as name, ThreadPoolExecutor(CORES) as pool:
-        old = Path(name)
         try:
-            check_out_earlier(options.old, old)
+            check_out_earlier(options.old, Path(name))
         except RevisionError as error:
-            parser.error(f"argument --old: {error}")
-        jobs = {
-            (event, more.get("asked", False), size, code): [
-                pool.submit(
-                    play,
-                    folder,
-                    {
-                        "balancers": size[0],
-                        "upstreams": size[1],
-                        "event": event,
-                        "seed": seed,
-                        "rate": THIN.get(size[0], 1.0),
-                        **more,
-                    },
-                )
-                for seed in seeds
-            ]
-            for size in sizes
-            for event, more in (*((event, {}) for event in EVENTS), ("restart", {"asked": True}))
-            for code, folder in (("old", old), ("new", ROOT))
-        }
-        cold = [
-            pool.submit(
-                play, ROOT, {"balancers": 40, "upstreams": 6, "event": "join", "seconds": 11.0, "seed": seed}
-            )
-            for seed in range(24 if options.quick else 200)
-        ]
-        rows = []
-        for (event, by_call, (balancers, upstreams), code), futures in jobs.items():
-            found = row_of([future.result() for future in futures])
-            title = f"{event}, list asked" if by_call else event
-            rows.append(
-                {"event": title, "balancers": balancers, "upstreams": upstreams, "code": code, **found}
-            )
-            print("  " + ", ".join(f"{key} {value}" for key, value in rows[-1].items()), flush=True)
-        over = [future.result() for future in cold]
-    highest = max(result["cold_multiple"] for result in over)
-    print(f"  forty modules, three cold upstreams: {highest} times what one can do, in {len(over)} seeds")
-    found = {
-        "old": options.old,
-        "seeds": list(seeds),
-        "rows": rows,
-        "cold": [r["cold_multiple"] for r in over],
-    }
-    report(found, options.json)
+            print(f"python -m bench.fleet: error: argument --old: {error}", file=sys.stderr)
+            return 2
+        rows, cold = play_all(pool, {"old": Path(name), "new": ROOT}, options.quick)
+    multiples = [result["cold_multiple"] for result in cold]
+    print(
+        f"  forty modules, three cold upstreams: {max(multiples)} times what one can do, in {len(cold)} seeds"
+    )
+    seeds = QUICK_SEEDS if options.quick else SEEDS
+    report({"old": options.old, "seeds": list(seeds), "rows": rows, "cold": multiples}, options.json)
     if options.chart:
         chart(rows, options.chart)
-    new = [r for r in rows if r["code"] == "new"]
-    held = not any(r["fallen"] or r["broken"] or r["cold_multiple"] > TIP for r in (*new, *over))
-    size = 40 if options.quick else 200
-    gains = [f"{e} {_worth(rows, e, 'old', size)} to {_worth(rows, e, 'new', size)}" for e in EVENTS]
-    verdict = "held" if held else "BROKEN"
-    print(f"{size} balancers, worth in time, old to new: {', '.join(gains)}; rules {verdict}")
-    return 0 if held else 1
-
-
-def _worth(rows: list[dict[str, Any]], event: str, code: str, size: int) -> float:
-    found = [r["worth"] for r in rows if (r["event"], r["code"], r["balancers"]) == (event, code, size)]
-    return float(found[0])
+    new = [row for row in rows if row["code"] == "new"]
+    kept = not any(row["fallen"] or row["broken"] or row["cold_multiple"] > TIP for row in (*new, *cold))
+    show_verdict(rows, 40 if options.quick else 200, kept)
+    return 0 if kept else 1
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -98,7 +98,5 @@
 ) -> None:
     without = "c5bc1c6886e475539588eee6b90d0610b179f7a5"
     monkeypatch.setattr(sys, "argv", ["fleet", "--quick", "--old", without])
-    with pytest.raises(SystemExit) as ended:
-        fleet.main()
-    assert ended.value.code == 2
+    assert fleet.main() == 2
     assert f"{without} does not exist or has no bench/fleetmodel.py" in capsys.readouterr().err
