--- a/bench/common.py
+++ b/bench/common.py
@@ -1,4 +1,4 @@
-"""What measurements share: quantiles, processes' CPU time, free ports, settings of a made-up site."""
+"""What measurements share: quantiles, CPU time, stand-in fleets, runs of the balancer, saturation."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 from standins.upstream import ExecutionJournal, StandInUpstream, start_upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")  # a second
+START_S, END_TIMEOUT_S = 1.5, 20.0
+FLEET_END_TIMEOUT_S = 5.0
+CAPACITY, LATENCY_S = 1e6, 0.0005  # of an upstream of a healthy fleet
 
 
 def quantile(values: Sequence[float], q: float) -> float:
@@ -45,54 +48,64 @@
     except OSError:
         return 0.0
     fields = text.rpartition(")")[2].split()
-    return sum(int(value) for value in fields[11:15]) / TICKS
+    return sum(int(value) for value in fields[11:15]) / CLOCK_TICKS
 
 
 def children(pid: int) -> list[int]:
+    """The ids of a process's children; none if it has gone."""
     try:
-        return [int(n) for n in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
+        text = Path(f"/proc/{pid}/task/{pid}/children").read_text()
     except OSError:
         return []
+    return [int(number) for number in text.split()]
 
 
-async def _fleet(nodos: int, pipe: Connection) -> None:
-    def make(number: int, journal: ExecutionJournal) -> StandInUpstream:
-        return StandInUpstream(
-            f"s{number}", journal, capacity=1e6, latency_s=0.0005, rng=random.Random(number)
-        )
+def _healthy_upstream(number: int, journal: ExecutionJournal) -> StandInUpstream:
+    rng = random.Random(number)
+    return StandInUpstream(f"s{number}", journal, capacity=CAPACITY, latency_s=LATENCY_S, rng=rng)
+
 
-    _, _, registry = await start_upstreams(nodos, make)
+async def _serve_fleet(upstreams: int, pipe: Connection) -> None:
+    _, _, registry = await start_upstreams(upstreams, _healthy_upstream)
     pipe.send((registry.port, registry.complete()))
     await asyncio.get_running_loop().run_in_executor(None, pipe.recv)
 
 
-def _fleet_main(nodos: int, pipe: Connection) -> None:
-    uvloop.run(_fleet(nodos, pipe))
+def _fleet_main(upstreams: int, pipe: Connection) -> None:
+    uvloop.run(_serve_fleet(upstreams, pipe))
 
 
 @contextmanager
-def healthy_fleet(nodos: int) -> Iterator[tuple[int, Any]]:
-    """So many nodos without trouble, in a process of their own: their padron's port, and its list."""
+def healthy_fleet(upstreams: int) -> Iterator[tuple[int, Any]]:
+    """So many upstreams without faults in a process of their own: the list service's port, and its list."""
     context = mp.get_context("spawn")
     ours, theirs = context.Pipe()
-    process = context.Process(target=_fleet_main, args=(nodos, theirs), daemon=True)
+    process = context.Process(target=_fleet_main, args=(upstreams, theirs), daemon=True)
     process.start()
     try:
         yield ours.recv()
     finally:
         ours.send("stop")
-        process.join(5)
+        process.join(FLEET_END_TIMEOUT_S)
 
 
 def checkout(revision: str, folder: Path, *paths: str) -> None:
-    """These paths as they were at a revision of this repository, under a folder."""
-    text = subprocess.run(["git", "archive", revision, *paths], cwd=ROOT, check=True, stdout=subprocess.PIPE)
-    subprocess.run(["tar", "-x", "-C", str(folder)], input=text.stdout, check=True)
+    """Put these paths as they were at a revision of this repository under a folder.
+
+    CalledProcessError: the revision or one of the paths does not exist.
+    """
+    archive = subprocess.run(
+        ["git", "archive", revision, *paths], cwd=ROOT, check=True, stdout=subprocess.PIPE
+    )
+    subprocess.run(["tar", "-x", "-C", str(folder)], input=archive.stdout, check=True)
 
 
 @contextmanager
 def platform_run(checkout: Path, discovery: int, known: Any) -> Iterator[tuple[int, int]]:
-    """The platform's run of a checkout, ready: the port for clients, and its process id."""
+    """A checkout's balancer, started as the platform does it: the port for clients, and its process id.
+
+    discovery: the list service's port; known: the list that the balancer starts with.
+    """
     port = free_port()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
@@ -104,17 +117,17 @@
             env={**os.environ, "EDGE_CONFIG": str(path)},
         )
         try:
-            time.sleep(1.5)
+            time.sleep(START_S)
             yield port, running.pid
         finally:
             running.terminate()
-            running.wait(20)
+            running.wait(END_TIMEOUT_S)
 
 
 def saturate(target: Target, seconds: float, workers: int = 3, clients: int = 24) -> dict[str, float]:
-    """What a server answers to closed-loop clients of several processes: its own bound, not theirs.
+    """Load a server with closed-loop clients of several processes, so that the bound is its own.
 
-    rate: answers 200 a second; others: requests that ended otherwise; p99_ms.
+    clients: of each worker. rate: answers 200 a second; others: requests that ended otherwise; p99_ms.
     """
     load = LoadOptions(
         target,
@@ -126,14 +139,15 @@
         max_lateness_ms=math.inf,
     )
     result = play(load)
-    good = result["ends"].get("consulta served", 0)
+    served = result["ends"].get("consulta served", 0)
     return {
-        "rate": good / seconds,
-        "others": result["ended"] - good,
+        "rate": served / seconds,
+        "others": result["ended"] - served,
         "p99_ms": result["latency_ms"]["all"]["p99"],
     }
 
 
 def report(result: dict[str, Any], path: str | None) -> None:
+    """Write a result as JSON, if a path was given."""
     if path:
         Path(path).write_text(json.dumps(result, indent=1) + "\n")
