--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -25,7 +25,7 @@
 from typing import Any, NamedTuple
 
 from bench.common import ROOT, checkout, report
-from bench.fleetmodel import TIP
+from bench.fleetmodel_settings import TIP
 
 OLD = "7c461993f9af943d4dd20f34cddc62e4819d15a2"
 MODEL = "bench/fleetmodel.py"
--- a/tests/test_coldbound.py
+++ b/tests/test_coldbound.py
@@ -8,7 +8,9 @@
 
 from bench.coldbound import SIZES
 from bench.coldbudget import cold_budget
-from bench.fleetmodel import EPOCH_MS, FALL_MS, MEAN_MS, START, TIP, Plan, Upstream, World
+from bench.fleetmodel import World
+from bench.fleetmodel_settings import EPOCH_MS, FALL_MS, MEAN_MS, START, TIP, Plan
+from bench.fleetmodel_upstream import Upstream
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,8 @@
 
 from bench import fleet
 from bench.common import ROOT
-from bench.fleetmodel import START, TIP, Plan, World
+from bench.fleetmodel import World
+from bench.fleetmodel_settings import START, TIP, Plan
 
 
 def cold_batch(seed: int) -> World:
