--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -25,7 +25,7 @@
 from typing import Any, NamedTuple
 
 from bench.common import ROOT, checkout, report
-from bench.fleetmodel_settings import TIP
+from bench.fleetmodel_settings import OVERLOAD_MULTIPLE
 
 OLD = "7c461993f9af943d4dd20f34cddc62e4819d15a2"
 MODEL = "bench/fleetmodel.py"
@@ -214,7 +214,9 @@
     if options.chart:
         chart(rows, options.chart)
     new = [row for row in rows if row["code"] == "new"]
-    kept = not any(row["fallen"] or row["broken"] or row["cold_multiple"] > TIP for row in (*new, *cold))
+    kept = not any(
+        row["fallen"] or row["broken"] or row["cold_multiple"] > OVERLOAD_MULTIPLE for row in (*new, *cold)
+    )
     show_verdict(rows, 40 if options.quick else 200, kept)
     return 0 if kept else 1
 
--- a/bench/fleetmodel_balancer.py
+++ b/bench/fleetmodel_balancer.py
@@ -5,188 +5,219 @@
 import random
 import time
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from bench.fleetmodel_settings import (
-    CALL_MS,
-    CAP,
     CLASSES,
-    CONNECT_MS,
+    CLIENT_TIMEOUT_MS,
+    CONNECT_TIMEOUT_MS,
     DEADLINE_MS,
     HANDSHAKE_MS,
-    WAIT,
+    LIST_CALL_MS,
+    MAX_CALL_PAUSE_S,
+    MAX_CONNECTIONS,
+    WORK_LOG_DEVIATION,
+    WORK_LOG_MEAN,
     WORK_MS,
     ZONES,
-    Plan,
     settings,
 )
-from bench.fleetmodel_upstream import Job, Upstream
+from bench.fleetmodel_upstream import Attempt, Upstream
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
+from quartzford.membership.call_policy import SharedServiceCallPolicy
 
 if TYPE_CHECKING:
     from bench.fleetmodel import World
 
+States = Sequence[tuple[Upstream, str]]  # upstreams with their states in the list
 
-def policy_of_calls(world: World, plan: Plan, seed: int) -> Any:
-    """The network code's; None in code of before there was one, where the module alone says when it asks."""
-    try:
-        from quartzford.membership.call_policy import SharedServiceCallPolicy
-    except ImportError:
-        return None
+
+def call_policy(world: World, seed: int) -> SharedServiceCallPolicy:
+    """When a balancer of the world calls the list service."""
     rng = random.Random(seed ^ 1)
-    return SharedServiceCallPolicy(plan.balancers, 1000.0 / CALL_MS, 10.0, rng, lambda: world.now / 1000.0)
+    calls_per_s = 1000.0 / LIST_CALL_MS
+    balancers = world.plan.balancers
+    return SharedServiceCallPolicy(balancers, calls_per_s, MAX_CALL_PAUSE_S, rng, lambda: world.now / 1000.0)
 
 
 @dataclass(eq=False)
-class Ask:
-    """A client's wish: its tries are one request after another."""
+class Wish:
+    """What a client wants: it sends one request after another until one is served or it gives up."""
 
-    kind: int
-    first: float
-    tries: int = 1
+    class_index: int
+    begun_ms: float
+    requests: int = 1
     served: bool = False
 
 
-class Node:
-    """A balancer: the module, its idle connections, and the requests that it holds."""
+class ModelBalancer:
+    """A balancer: its decision module, its idle connections, and the requests that it holds.
+
+    Several processes follow each other where it is restarted: `incarnation` counts them.
+    """
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number, self.zone = world, number, ZONES[number % len(ZONES)]
         self.up = True
         self.leaving = False  # another process has its place: nothing new comes here
-        self.lives = 0
-        self.begin()
+        self.incarnation = 0
+        self.start_process()
 
-    def begin(self) -> None:
+    def start_process(self) -> None:
+        """Begin anew, with nothing known."""
         plan = self.world.plan
-        self.lives += 1
-        seed = plan.seed * 10_007 + self.number * 101 + self.lives
+        self.incarnation += 1
+        seed = plan.seed * 10_007 + self.number * 101 + self.incarnation
         self.module = Balancer(settings(self.zone, plan.balancers, plan.asked), seed)
-        self.idle: Counter[Upstream] = Counter()
-        self.asks: dict[int, Ask] = {}
-        self.sends: Counter[int] = Counter()
-        self.jobs: dict[int, Job] = {}
+        self.idle: Counter[Upstream] = Counter()  # connections
+        self.wishes: dict[int, Wish] = {}  # by request, until it is answered or its client has left
+        self.attempts_begun: Counter[int] = Counter()  # by request
+        self.attempts: dict[int, Attempt] = {}  # those on their way, by request
         self.known: dict[str, Upstream] = {}
-        self.calls: Any = policy_of_calls(self.world, plan, seed) if plan.asked else None
+        self.call_policy = call_policy(self.world, seed) if plan.asked else None
 
-    def later(self, after: float, what: Callable[[], object]) -> None:
-        """Then, unless this process has ended by then."""
-        life = self.lives
+    def later(self, after_ms: float, action: Callable[[], object]) -> None:
+        """Do something then, unless this process has ended by then."""
+        incarnation = self.incarnation
 
-        def alive() -> None:
-            if self.up and self.lives == life:
-                what()
+        def act_if_alive() -> None:
+            if self.up and self.incarnation == incarnation:
+                action()
 
-        self.world.later(after, alive)
+        self.world.later(after_ms, act_if_alive)
 
-    def tell(self, how: str, upstreams: list[tuple[Upstream, str]]) -> None:
-        self.known.update({u.name: u for u, _ in upstreams})
-        self.feed(io.EndpointListUpdate(how, tuple(u.entry(state) for u, state in upstreams)))
-        if how == "stale" and self.calls is not None:  # it has just started
-            self.later(1000.0 * self.calls.initial_delay(), lambda: self.world.call(self))
+    def notify(self, kind: io.ListUpdateKind, states: States) -> None:
+        """A list update arrives; STALE is the list that a process starts with."""
+        self.known.update({upstream.name: upstream for upstream, _ in states})
+        entries = tuple(upstream.endpoint(state) for upstream, state in states)
+        self.handle(io.EndpointListUpdate(kind, entries))
+        if kind is io.ListUpdateKind.STALE and self.call_policy is not None:
+            delay_ms = 1000.0 * self.call_policy.initial_delay()
+            self.later(delay_ms, lambda: self.world.call_list_service(self))
 
-    def feed(self, event: io.Event) -> None:
+    def handle(self, event: io.Event) -> None:
+        """Give the module an event, and do what it decides."""
         begun = time.perf_counter()
         actions = self.module.handle(self.world.now, event)
-        self.world.spent += time.perf_counter() - begun
+        self.world.records.module_s += time.perf_counter() - begun
         for action in actions:
-            self.act(action)
+            self.perform(action)
 
-    def act(self, action: io.Action) -> None:
+    def perform(self, action: io.Action) -> None:
+        """Do what the module has decided."""
         match action:
             case io.Send():
-                self.start(action)
-            case io.SetTimer(after, token):
-                self.later(after, lambda: self.feed(io.Timer(token)))
-            case io.Shed(request, pause, _):
-                self.done(request, "refused", pause)
+                self.begin_attempt(action)
+            case io.SetTimer(after_ms, token):
+                self.later(after_ms, lambda: self.handle(io.Timer(token)))
+            case io.Shed(request, pause_ms, _):
+                self.answer(request, "refused", pause_ms)
             case io.Fail(request):
-                self.done(request, "failed", 0.0)
+                self.answer(request, "failed", 0.0)
             case io.Watch():
-                if self.calls is None:
-                    self.world.call(self)
+                if self.call_policy is None:
+                    self.world.call_list_service(self)
 
     # ---- requests
 
-    def arrive(self, ask: Ask) -> None:
-        world = self.world
-        number = world.next_number()
-        self.asks[number] = ask
-        world.tries += 1
-        self.later(WAIT * DEADLINE_MS, lambda: self.leave(number))
-        self.feed(io.Request(number, CLASSES[ask.kind].name, DEADLINE_MS, "", str(number)))
-
-    def leave(self, number: int) -> None:
-        if (ask := self.asks.pop(number, None)) is None:
+    def receive(self, wish: Wish) -> None:
+        """A client's request arrives."""
+        number = self.world.next_request_number()
+        self.wishes[number] = wish
+        self.world.records.requests += 1
+        self.later(CLIENT_TIMEOUT_MS, lambda: self.client_leaves(number))
+        self.handle(io.Request(number, CLASSES[wish.class_index].name, DEADLINE_MS, "", str(number)))
+
+    def client_leaves(self, number: int) -> None:
+        """The client of a request has waited long enough, if it still waits."""
+        if (wish := self.wishes.pop(number, None)) is None:
             return
-        if (job := self.jobs.get(number)) is not None:
-            self.end(job, "cancelled", final=True)
-        self.feed(io.ClientDisconnected(number))
-        self.world.again(ask, 0.0)
+        if (attempt := self.attempts.get(number)) is not None:
+            self.end_attempt(attempt, io.Outcome.CANCELLED, final=True)
+        self.handle(io.ClientDisconnected(number))
+        self.world.retry(wish, 0.0)
 
-    def done(self, number: int, how: str, pause: float) -> None:
-        self.world.counts[how] += 1
-        if (ask := self.asks.pop(number, None)) is not None:
-            self.world.again(ask, pause)
+    def answer(self, number: int, how: str, pause_ms: float) -> None:
+        """A final answer that is not an upstream's. pause_ms: when to retry; 0: no advice."""
+        self.world.records.rejections[how] += 1
+        if (wish := self.wishes.pop(number, None)) is not None:
+            self.world.retry(wish, pause_ms)
 
     # ---- attempts
 
-    def start(self, send: io.Send) -> None:
+    def begin_attempt(self, send: io.Send) -> None:
+        """Send a request to an upstream."""
         world, upstream = self.world, self.known[send.server]
-        number = self.sends[send.request]
-        self.sends[send.request] += 1
-        kind = self.asks[send.request].kind if send.request in self.asks else 0
-        work = WORK_MS[kind] * world.rng.lognormvariate(-0.1, 0.45)
-        job = Job(self, send, number, upstream, world.now, work)
-        if send.request in self.jobs:
-            world.broken["two attempts of one request at once"] += 1
-        if number and CLASSES[kind].effect == "unsafe" and send.request in world.may_have_run:
-            world.broken["an unsafe request sent again"] += 1
-        self.jobs[send.request] = job
-        world.attempts += 1
-        world.sent[world.second(world.now)] += 1
-        net = world.net(self.zone, upstream.zone)
-        patience = send.time_out_ms or DEADLINE_MS
-        world.later(patience, lambda: self.end(job, "timeout" if job.linked else "connect_failed"))
+        number = self.attempts_begun[send.request]
+        self.attempts_begun[send.request] += 1
+        wish = self.wishes.get(send.request)
+        class_index = wish.class_index if wish is not None else 0
+        work = WORK_MS[class_index] * world.rng.lognormvariate(WORK_LOG_MEAN, WORK_LOG_DEVIATION)
+        attempt = Attempt(self, send, number, upstream, world.now, work)
+        if send.request in self.attempts:
+            world.records.broken["two attempts of one request at once"] += 1
+        unsafe = CLASSES[class_index].effect == "unsafe"
+        if number and unsafe and send.request in world.records.may_have_run:
+            world.records.broken["an unsafe request sent again"] += 1
+        self.attempts[send.request] = attempt
+        world.records.attempt_begins(world.now)
+        network_ms = world.network_ms(self.zone, upstream.zone)
+        world.later(send.time_out_ms or DEADLINE_MS, lambda: self.time_out(attempt))
+        self.connect(attempt, network_ms)
+
+    def connect(self, attempt: Attempt, network_ms: float) -> None:
+        """Send an attempt over an idle connection, or over a new one, which takes two round trips."""
+        world, upstream = self.world, attempt.upstream
         if self.idle[upstream]:
             self.idle[upstream] -= 1
-            job.kept = job.linked = True
-            return world.later(net, lambda: world.reach(job, net))
-        world.opened[upstream.name] += 1
+            attempt.on_kept_connection = attempt.has_connection = True
+            return world.later(network_ms, lambda: world.attempt_arrives(attempt, network_ms))
+        world.records.connections_opened += 1
         if upstream.dead:
-            world.later(2 * net, lambda: self.end(job, "connect_failed"))
-        elif upstream.silent:
-            world.later(CONNECT_MS, lambda: self.end(job, "connect_failed"))
-        elif upstream.held >= CAP:
-            world.later(2 * net, lambda: self.end(job, "full"))
+            self.fail_later(attempt, 2 * network_ms, io.Outcome.CONNECT_FAILED)
+        elif upstream.unreachable:
+            self.fail_later(attempt, CONNECT_TIMEOUT_MS, io.Outcome.CONNECT_FAILED)
+        elif upstream.connections >= MAX_CONNECTIONS:
+            self.fail_later(attempt, 2 * network_ms, io.Outcome.FULL)
         else:
-            upstream.held += 1
-            world.held_most = max(world.held_most, upstream.held)
-            job.linked, job.work = True, job.work + HANDSHAKE_MS * upstream.speed
-            world.later(3 * net, lambda: world.reach(job, net))
-
-    def end(self, job: Job, code: str, report: float = 0.0, final: bool = False) -> None:
-        if job.over:
+            upstream.connections += 1
+            world.records.connections_at(upstream.connections)
+            attempt.has_connection = True
+            attempt.work += HANDSHAKE_MS * upstream.speed
+            world.later(3 * network_ms, lambda: world.attempt_arrives(attempt, network_ms))
+
+    def fail_later(self, attempt: Attempt, after_ms: float, outcome: io.Outcome) -> None:
+        """An attempt fails then, unless it has ended by then."""
+        self.world.later(after_ms, lambda: self.end_attempt(attempt, outcome))
+
+    def time_out(self, attempt: Attempt) -> None:
+        """An attempt has taken too long, if it has not ended."""
+        connected = attempt.has_connection
+        self.end_attempt(attempt, io.Outcome.TIMEOUT if connected else io.Outcome.CONNECT_FAILED)
+
+    def end_attempt(
+        self, attempt: Attempt, outcome: io.Outcome, load_report: float = 0.0, final: bool = False
+    ) -> None:
+        """An attempt has ended; later ends of it count for nothing."""
+        if attempt.ended:
             return
-        job.over = True
-        world, request = self.world, job.send.request
-        self.jobs.pop(request, None)
-        if code in ("timeout", "cancelled"):
-            world.may_have_run.add(request)
-        if job.linked:
-            if code == "ok":
-                self.idle[job.upstream] += 1
-            else:
-                job.upstream.held -= 1
-        world.outcomes[code] += 1
-        world.timeouts[world.second(job.begun)] += code == "timeout"
-        spent = max(0.01, world.now - job.begun)
-        if code == "ok" and (ask := self.asks.pop(request, None)) is not None:
-            world.serve(ask)
-        said = (report,) if code == "ok" else ()
-        self.feed(
-            io.AttemptEnded(request, job.number, job.upstream.name, code, spent, final or code == "ok", said)
-        )
+        attempt.ended = True
+        world, request = self.world, attempt.send.request
+        self.attempts.pop(request, None)
+        if outcome in (io.Outcome.TIMEOUT, io.Outcome.CANCELLED):
+            world.records.may_have_run.add(request)
+        answered = outcome is io.Outcome.OK
+        if attempt.has_connection and answered:
+            self.idle[attempt.upstream] += 1
+        elif attempt.has_connection:
+            attempt.upstream.connections -= 1
+        world.records.attempt_ends(attempt.begun_ms, outcome)
+        spent_ms = max(0.01, world.now - attempt.begun_ms)
+        if answered and (wish := self.wishes.pop(request, None)) is not None:
+            world.records.serve(wish, world.now)
+        report = (load_report,) if answered else ()
+        name, finished = attempt.upstream.name, final or answered
+        self.handle(io.AttemptEnded(request, attempt.number, name, outcome, spent_ms, finished, report))
--- a/bench/fleetmodel_events.py
+++ b/bench/fleetmodel_events.py
@@ -3,25 +3,36 @@
 from __future__ import annotations
 
 import functools
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
-from bench.fleetmodel_balancer import Node
-from bench.fleetmodel_settings import DEPLOY_MS, DEPLOY_STEPS, DEPLOYED, NOTICE_MS, ZONES
+from bench.fleetmodel_balancer import ModelBalancer
+from bench.fleetmodel_settings import NOTIFICATION_MS, ZONES
 from bench.fleetmodel_upstream import Upstream
+from quartzford.decision.interface import ListUpdateKind
 
 if TYPE_CHECKING:
     from bench.fleetmodel import World
 
+NOTICED_MS, DRAIN_NOTICED_MS = 1_000.0, 500.0  # until balancers hear of what is announced, and of a drain
+DRAIN_MS = 4_000.0  # from a replacement to the old upstreams' end
+UNRESPONSIVE_EVERY, UNREACHABLE_EVERY = 8, 10  # one upstream in so many
+NEWCOMER = 900  # the number of its name
+HANDOVER_MS, HANDOVERS_MS = 1_500.0, 3_000.0  # until the first one, and within which all begin
+ZONE_NOTICED_MS, ZONE_LOST_MS = 5_000.0, 6_000.0
+JOIN_SHARE, JOIN_BATCHES, JOIN_EVERY_MS = 0.6, 3, 2_300.0
+DEPLOY_SHARE, DEPLOY_BATCHES, DEPLOY_MS = 0.85, 5, 20_000.0
+RESTART_MS, RESTART_SPREAD_MS = 300.0, 100.0
+
 
 def calm(world: World) -> None:
-    return None
+    """Nothing happens."""
 
 
 def bad(world: World) -> None:
     """One upstream in eight takes requests and answers none, until the end; the list knows nothing."""
-    for upstream in world.upstreams[::8]:
-        upstream.mute = True
+    for upstream in world.upstreams[::UNRESPONSIVE_EVERY]:
+        upstream.unresponsive = True
 
 
 def cold_start(world: World) -> None:
@@ -29,118 +40,127 @@
 
 
 def newcomer(world: World) -> None:
-    """A tenth of the upstreams falls silent, and one newcomer is told."""
-    for upstream in world.upstreams[::10]:
-        upstream.silent = True
-    fresh = world.make(900, world.now)
+    """A tenth of the upstreams becomes unreachable, and one newcomer is announced."""
+    for upstream in world.upstreams[::UNREACHABLE_EVERY]:
+        upstream.unreachable = True
+    fresh = world.make_upstream(NEWCOMER, world.now)
     world.upstreams.append(fresh)
-    world.announce([(fresh, "ready")], 1_000.0)
+    world.announce([(fresh, "ready")], NOTICED_MS)
 
 
 def handover(world: World) -> None:
     """Half of the upstreams have just been replaced, and each balancer by a process that follows it."""
     replace(world, world.upstreams[::2], 0)
-    for n, node in enumerate(list(world.nodes)):
-        world.later(1_500.0 + 3_000.0 * n / len(world.nodes), functools.partial(follow, world, node))
-
-
-def follow(world: World, old: Node) -> None:
-    """A second process: it has what the first knew, and the first ends what it has."""
-    new = Node(world, old.number)
-    new.known = dict(old.known)
+    balancers = list(world.balancers)
+    for number, balancer in enumerate(balancers):
+        after_ms = HANDOVER_MS + HANDOVERS_MS * number / len(balancers)
+        world.later(after_ms, functools.partial(succeed, world, balancer))
+
+
+def succeed(world: World, predecessor: ModelBalancer) -> None:
+    """A second process gets what the first has learnt, and the first ends the requests that it has."""
+    successor = ModelBalancer(world, predecessor.number)
+    successor.known = dict(predecessor.known)
+    module = predecessor.module
+    ready = {server.entry.server for server in module.ready}
     listed = [
-        (upstream, "ready" if upstream.name in {s.entry.server for s in old.module.ready} else "draining")
-        for upstream in old.known.values()
-        if upstream.name in old.module.servers
+        (upstream, "ready" if upstream.name in ready else "draining")
+        for upstream in predecessor.known.values()
+        if upstream.name in module.servers
     ]
-    memory = old.module.hand_over(world.now)
-    new.tell("stale", listed)
-    new.module.inherit(world.now, memory)
-    old.leaving = True
-    world.nodes.append(new)
+    learned = module.hand_over(world.now)
+    successor.notify(ListUpdateKind.STALE, listed)
+    successor.module.inherit(world.now, learned)
+    predecessor.leaving = True
+    world.balancers.append(successor)
 
 
 def cold_restart(world: World) -> None:
     """Half of the upstreams have just been replaced, and three quarters of the balancers die."""
     replace(world, world.upstreams[::2], 0)
-    world.later(NOTICE_MS - 1_500.0, functools.partial(restart, world))
+    world.later(NOTIFICATION_MS - 1_500.0, functools.partial(restart, world))
 
 
 def zone(world: World) -> None:
-    """A zone falls silent, is told gone late, and comes back cold after 6 s under the same names."""
-    lost = [u for u in world.upstreams if u.zone == ZONES[0]]
+    """A zone becomes unreachable, is announced gone late, and comes back cold after 6 s by the same names."""
+    lost = [upstream for upstream in world.upstreams if upstream.zone == ZONES[0]]
     for upstream in lost:
-        upstream.silent = True
-    world.announce([(u, "gone") for u in lost], 5_000.0)
+        upstream.unreachable = True
+    world.announce([(upstream, "gone") for upstream in lost], ZONE_NOTICED_MS)
+    world.later(ZONE_LOST_MS, functools.partial(restore, world, lost))
 
-    def back() -> None:
-        fresh = []
-        for upstream in lost:
-            cores = upstream.cores
-            new = Upstream(upstream.name, upstream.zone, upstream.cell, upstream.speed, world.now, cores)
-            world.upstreams[world.upstreams.index(upstream)] = new
-            world.kill(upstream)
-            fresh.append((new, "ready"))
-        world.announce(fresh, 1_000.0)
 
-    world.later(6_000.0, back)
+def restore(world: World, lost: Sequence[Upstream]) -> None:
+    """New incarnations of lost upstreams start."""
+    fresh = []
+    for old in lost:
+        new = Upstream(old.name, old.zone, old.cell, old.speed, world.now, old.cores)
+        world.upstreams[world.upstreams.index(old)] = new
+        world.kill(old)
+        fresh.append((new, "ready"))
+    world.announce(fresh, NOTICED_MS)
 
 
 def join(world: World) -> None:
     """Six in ten are replaced within 7 s, in three batches: new ones start, old ones drain, then end."""
-    part = world.upstreams[: int(0.6 * len(world.upstreams))]
-    for step in range(3):
-        batch = part[step::3]
-        world.later(2_300.0 * step, functools.partial(replace, world, batch, step))
+    part = world.upstreams[: int(JOIN_SHARE * len(world.upstreams))]
+    for step in range(JOIN_BATCHES):
+        batch = part[step::JOIN_BATCHES]
+        world.later(JOIN_EVERY_MS * step, functools.partial(replace, world, batch, step))
 
 
 def deploy(world: World) -> None:
     """All but fifteen in a hundred are replaced in twenty seconds, a fifth of them at a time."""
-    part = world.upstreams[: round(DEPLOYED * len(world.upstreams))]
-    for step in range(DEPLOY_STEPS):
-        batch = part[step::DEPLOY_STEPS]
-        world.later(DEPLOY_MS * step / DEPLOY_STEPS, functools.partial(replace, world, batch, step))
-
-
-def replace(world: World, batch: list[Upstream], step: int) -> None:
-    fresh: list[Upstream] = []
-    for n, old in enumerate(batch):
-        new = world.make(1_000 * (step + 1) + n, world.now, old.zone)
+    part = world.upstreams[: round(DEPLOY_SHARE * len(world.upstreams))]
+    for step in range(DEPLOY_BATCHES):
+        batch = part[step::DEPLOY_BATCHES]
+        after_ms = DEPLOY_MS * step / DEPLOY_BATCHES
+        world.later(after_ms, functools.partial(replace, world, batch, step))
+
+
+def replace(world: World, batch: Sequence[Upstream], step: int) -> None:
+    """Start a successor for each upstream of a batch; the old ones drain, then end."""
+    fresh = []
+    for number, old in enumerate(batch):
+        new = world.make_upstream(1_000 * (step + 1) + number, world.now, old.zone)
         new.cell = old.cell
         fresh.append(new)
     world.upstreams += fresh
-    world.announce([(u, "ready") for u in fresh], 1_000.0)
-    world.announce([(u, "draining") for u in batch], 500.0)
+    world.announce([(upstream, "ready") for upstream in fresh], NOTICED_MS)
+    world.announce([(upstream, "draining") for upstream in batch], DRAIN_NOTICED_MS)
+    world.later(DRAIN_MS, functools.partial(end, world, batch))
 
-    def gone() -> None:
-        for old in batch:
-            world.kill(old)
-            world.upstreams.remove(old)
-        world.announce([(u, "gone") for u in batch], 1_000.0)
 
-    world.later(4_000.0, gone)
+def end(world: World, batch: Sequence[Upstream]) -> None:
+    """Upstreams that have drained end."""
+    for upstream in batch:
+        world.kill(upstream)
+        world.upstreams.remove(upstream)
+    world.announce([(upstream, "gone") for upstream in batch], NOTICED_MS)
 
 
 def restart(world: World) -> None:
     """Three quarters of the balancers die at once, and are back after 0.3 s with the list they had."""
-    for node in world.nodes[: max(1, 3 * len(world.nodes) // 4)]:
-        lost = list(node.asks.values())
-        for job in list(node.jobs.values()):
-            job.over = True
-            job.upstream.held -= job.linked
-        for upstream, count in node.idle.items():
-            upstream.held -= count
-        known = list(node.known.values())
-        node.up = False
-        node.begin()
-        for ask in lost:
-            world.again(ask, 0.0)
-
-        def back(node: Node = node, known: list[Upstream] = known) -> None:
-            node.up = True
-            node.tell("stale", [(u, "ready") for u in known])
-
-        world.later(300.0 + world.rng.random() * 100.0, back)
+    for balancer in world.balancers[: max(1, 3 * len(world.balancers) // 4)]:
+        lost = list(balancer.wishes.values())
+        for attempt in list(balancer.attempts.values()):
+            attempt.ended = True
+            attempt.upstream.connections -= attempt.has_connection
+        for upstream, count in balancer.idle.items():
+            upstream.connections -= count
+        known = list(balancer.known.values())
+        balancer.up = False
+        balancer.start_process()
+        for wish in lost:
+            world.retry(wish, 0.0)
+        after_ms = RESTART_MS + world.rng.random() * RESTART_SPREAD_MS
+        world.later(after_ms, functools.partial(come_back, balancer, known))
+
+
+def come_back(balancer: ModelBalancer, known: Sequence[Upstream]) -> None:
+    """A restarted balancer is up, with the list that it had."""
+    balancer.up = True
+    balancer.notify(ListUpdateKind.STALE, [(upstream, "ready") for upstream in known])
 
 
 EVENTS: dict[str, Callable[[World], None]] = {
--- a/tests/test_coldbound.py
+++ b/tests/test_coldbound.py
@@ -9,7 +9,14 @@
 from bench.coldbound import SIZES
 from bench.coldbudget import cold_budget
 from bench.fleetmodel import World
-from bench.fleetmodel_settings import EPOCH_MS, FALL_MS, MEAN_MS, START, TIP, Plan
+from bench.fleetmodel_settings import (
+    EPOCH_MS,
+    MEAN_WORK_MS,
+    OVERLOAD_MULTIPLE,
+    OVERLOAD_WINDOW_MS,
+    SLOW_START_CAPACITY,
+    Plan,
+)
 from bench.fleetmodel_upstream import Upstream
 
 
@@ -29,11 +36,11 @@
 
 @pytest.mark.parametrize("cores", [1, 4])
 def test_an_upstream_of_the_model_falls_past_its_budget_and_not_before(cores: int) -> None:
-    upstream = Upstream("s0", "north", 0, speed=1.0, born=EPOCH_MS, cores=cores)
-    allowed = TIP * START * cores * FALL_MS / MEAN_MS
+    upstream = Upstream("s0", "north", 0, speed=1.0, started_ms=EPOCH_MS, cores=cores)
+    allowed = OVERLOAD_MULTIPLE * SLOW_START_CAPACITY * cores * OVERLOAD_WINDOW_MS / MEAN_WORK_MS
     assert (allowed < 30.0) == (cores == 1)
-    borne = [upstream.take(EPOCH_MS, MEAN_MS) for _ in range(200)]
-    assert sum(borne) == math.floor(cold_budget(allowed)) and borne == sorted(borne, reverse=True)
+    withstood = [upstream.withstands(EPOCH_MS, MEAN_WORK_MS) for _ in range(200)]
+    assert sum(withstood) == math.floor(cold_budget(allowed)) and withstood == sorted(withstood, reverse=True)
 
 
 @pytest.mark.parametrize(("event", "seconds"), [("cold start", 5.0), ("join", 10.0)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 from bench import fleet
 from bench.common import ROOT
 from bench.fleetmodel import World
-from bench.fleetmodel_settings import START, TIP, Plan
+from bench.fleetmodel_settings import OVERLOAD_MULTIPLE, SLOW_START_CAPACITY, Plan
 
 
 def cold_batch(seed: int) -> World:
@@ -23,42 +23,43 @@
     multiples, used = [], []
     for seed in range(40):  # bench.fleet plays two hundred
         world = cold_batch(seed)
-        fresh = [u for u in world.upstreams if u.born]
-        assert len(fresh) >= 2 and not world.fallen and not world.broken, seed
-        multiples.append(max(u.highest for u in fresh))
+        fresh = [u for u in world.upstreams if u.started_ms]
+        assert len(fresh) >= 2 and not world.records.overloaded and not world.records.broken, seed
+        multiples.append(max(u.largest_multiple for u in fresh))
         used.append(
-            sum(u.window for u in fresh) / sum(2e3 * 4 * u.speed * u.warmth(world.now) for u in fresh)
+            sum(u.window_work for u in fresh)
+            / sum(2e3 * 4 * u.speed * u.capacity_share(world.now) for u in fresh)
         )
-    assert max(multiples) <= TIP
+    assert max(multiples) <= OVERLOAD_MULTIPLE
     assert sum(used) / len(used) > 0.4, sum(used) / len(used)  # of what the cold could do in the last 2 s
-    assert 0 < START < min(multiples)
+    assert 0 < SLOW_START_CAPACITY < min(multiples)
 
 
 @pytest.mark.parametrize("event", ["calm", "bad", "zone", "join", "deploy", "restart"])
 def test_the_model_keeps_the_rules_and_its_own_books(event: str) -> None:
     world = World(Plan(6, 12, event, 10.0, 3)).run()
     found = world.result()
-    assert not found["broken"] and not found["fallen"] and found["cold_multiple"] <= TIP
+    assert not found["broken"] and not found["fallen"] and found["cold_multiple"] <= OVERLOAD_MULTIPLE
     assert found["calm"] > 0.95 and 0 < found["worth"] <= 1.0
-    ended = sum(world.outcomes.values())
-    out = sum(len(node.jobs) for node in world.nodes)
-    lost = world.attempts - ended - out  # with the balancers that were killed
+    ended = sum(world.records.outcomes.values())
+    out = sum(len(balancer.attempts) for balancer in world.balancers)
+    lost = world.records.attempts - ended - out  # with the balancers that were killed
     assert lost == 0 if event != "restart" else 0 <= lost < 60
-    assert all(0 <= u.held <= 180 and u.busy <= 4 for u in world.upstreams)
+    assert all(0 <= u.connections <= 180 and u.busy_cores <= 4 for u in world.upstreams)
 
 
 def test_asked_lists_are_spread_and_calls_that_were_turned_away_are_made_again() -> None:
     world = World(Plan(60, 12, "restart", 16.0, 1, True)).run()
-    assert world.calls >= 60 + 45
-    assert all(len(node.module.servers) == 12 for node in world.nodes)
+    assert world.records.list_calls >= 60 + 45
+    assert all(len(balancer.module.servers) == 12 for balancer in world.balancers)
 
 
 def test_two_hundred_modules_restarted_at_once_push_no_cold_upstream_over() -> None:
     """Every budget begins anew at a random phase beside upstreams that are cold: the sum over all counts."""
     for seed in range(2):
         world = World(Plan(200, 12, "cold restart", 9.0, seed)).run()
-        assert not world.fallen and not world.broken, seed
-        assert 0 < max(u.highest for u in world.upstreams if u.born) <= TIP
+        assert not world.records.overloaded and not world.records.broken, seed
+        assert 0 < max(u.largest_multiple for u in world.upstreams if u.started_ms) <= OVERLOAD_MULTIPLE
 
 
 def test_upstreams_that_answer_nothing_get_less_the_longer_it_lasts() -> None:
@@ -69,8 +70,8 @@
     for seed in range(2):
         world = World(Plan(100, 64, "bad", 17.0, seed, rate=0.2)).run()
         early, late = slice(5, 9), slice(11, 16)
-        before = sum(world.timeouts[early]) / sum(world.sent[early])
-        ratio += sum(world.timeouts[late]) / sum(world.sent[late]) / before
+        before = sum(world.records.timeouts[early]) / sum(world.records.sent[early])
+        ratio += sum(world.records.timeouts[late]) / sum(world.records.sent[late]) / before
     assert ratio / 2 < 0.8, ratio / 2
 
 
@@ -79,9 +80,9 @@
     for seed in range(3):
         world = World(Plan(16, 12, "cold start", 11.0, seed, rate=0.3)).run()
         found = world.result()
-        assert not found["fallen"] and not found["broken"] and found["cold_multiple"] <= TIP
-        late = sum(world.got[7:10]) / sum(world.offered[7:10])
-        soon = sum(world.got[:4]) / sum(world.offered[:4])
+        assert not found["fallen"] and not found["broken"] and found["cold_multiple"] <= OVERLOAD_MULTIPLE
+        late = sum(world.records.served[7:10]) / sum(world.records.offered[7:10])
+        soon = sum(world.records.served[:4]) / sum(world.records.offered[:4])
         assert late > 0.3 and late > 2 * soon
 
 
