--- a/bench/extproc.py
+++ b/bench/extproc.py
@@ -1,6 +1,6 @@
 """The external processor under load: python -m bench.extproc [--quick] [--rate 2600] [--json FILE].
 
-Stand-in calling proxies ask it for every attempt at an open-loop rate and send to stand-in upstreams, which
+Stand-in calling proxies query it for each attempt at an open-loop rate and send to stand-in upstreams, which
 die, drain, fall silent and come back cold meanwhile; a part of the callers' streams is dropped on the way.
 All peers log on the machine's one monotonic clock, and the four rules are checked on these records alone
 (bench.extproc_figures).
--- a/bench/upgrade_clients.py
+++ b/bench/upgrade_clients.py
@@ -24,7 +24,7 @@
 
 
 class ClientRequest(NamedTuple):
-    """A request's bytes. is_long: it asks for a long answer, which is read slowly."""
+    """A request's bytes. is_long: its answer is long, and read slowly."""
 
     data: bytes
     is_long: bool
