--- a/bench/scale.py
+++ b/bench/scale.py
@@ -20,9 +20,9 @@
 from typing import Any, NamedTuple
 
 from bench.common import report
-from bench.scale_events import Books
+from bench.scale_events import ScaleReport
 from rig.hollow import SHARES
-from rig.scale import RACK, Moment, ScalePlan, play_scale
+from rig.scale import RACK_ROWS, ScaleEvent, ScalePlan, play_scale
 from rig.scenario import TooManyError
 
 PER_S = 50.0
@@ -56,30 +56,30 @@
 FULL = (*QUICK, Size("4600", 20, 4_600, 30.0, hollow_processes=8, cut=True))
 
 
-def moments(size: Size, rows: int, relays: int, window: float = 6.0) -> tuple[Moment, ...]:
+def planned_events(size: Size, rows: int, relays: int, window: float = 6.0) -> tuple[ScaleEvent, ...]:
     """The events in their order, each behind the one before."""
     spread_interval = 0.0 if relays else 1.25 * (size.real + size.hollow) / PER_S
     zone = max(1, rows // 15)
     listed = [
-        Moment(0.0, "all start", window=START_S + spread_interval),
-        Moment(0.0, "quiet"),
-        Moment(0.0, "one upstream gone", "change", rows=1, gone=True),
-        Moment(0.0, "one upstream replaced", "change", rows=1),
-        Moment(0.0, "rack", "change", rows=min(RACK, rows), gone=True),
-        Moment(0.0, "rack back", "change", rows=min(RACK, rows)),
-        Moment(0.0, "zone", "change", rows=zone, first=rows // 3, gone=True),
-        Moment(0.0, "zone back", "change", rows=zone, first=rows // 3),
-        Moment(0.0, "source down", "down", window=size.down_s + 8.0 + spread_interval, span=size.down_s),
+        ScaleEvent(0.0, "all start", window=START_S + spread_interval),
+        ScaleEvent(0.0, "quiet"),
+        ScaleEvent(0.0, "one upstream gone", "change", rows=1, gone=True),
+        ScaleEvent(0.0, "one upstream replaced", "change", rows=1),
+        ScaleEvent(0.0, "rack", "change", rows=min(RACK_ROWS, rows), gone=True),
+        ScaleEvent(0.0, "rack back", "change", rows=min(RACK_ROWS, rows)),
+        ScaleEvent(0.0, "zone", "change", rows=zone, first=rows // 3, gone=True),
+        ScaleEvent(0.0, "zone back", "change", rows=zone, first=rows // 3),
+        ScaleEvent(0.0, "source down", "down", window=size.down_s + 8.0 + spread_interval, span=size.down_s),
     ]
     if relays:
-        listed.append(Moment(0.0, "relay killed", "kill", window=8.0, rows=RACK, count=1))
+        listed.append(ScaleEvent(0.0, "relay killed", "kill", window=8.0, rows=RACK_ROWS, count=1))
     if relays > 4:
-        listed.append(Moment(0.0, "three relays killed", "kill", window=8.0, rows=RACK, count=3))
+        listed.append(ScaleEvent(0.0, "three relays killed", "kill", window=8.0, rows=RACK_ROWS, count=3))
     if size.cut:
-        listed.append(Moment(0.0, "cut off", "cut", window=68.0 + spread_interval, span=60.0))
+        listed.append(ScaleEvent(0.0, "cut off", "cut", window=68.0 + spread_interval, span=60.0))
     if relays:  # and now the list service is asked by all, over their spread interval
         own = 1.25 * (size.real + size.hollow) / PER_S
-        listed.append(Moment(0.0, ALL_KILLED, "kill", window=12.0 + own, rows=RACK, count=relays))
+        listed.append(ScaleEvent(0.0, ALL_KILLED, "kill", window=12.0 + own, rows=RACK_ROWS, count=relays))
     placed, at = [], 0.0
     for one in listed:
         span = window if one.what in ("change", "quiet") and one.window == 6.0 else one.window
@@ -90,7 +90,7 @@
 
 def plan_of(size: Size, after: bool, seed: int, share: str = "", rows: int = 2_000) -> ScalePlan:
     """A run of one size, with relays or without."""
-    events = moments(size, rows, size.relays if after else 0, 3.0 if size.name == "small" else 6.0)
+    events = planned_events(size, rows, size.relays if after else 0, 3.0 if size.name == "small" else 6.0)
     chosen = share or ("rows" if size.hollow <= OWN_MODULES else "module")
     return ScalePlan(
         size.real,
@@ -111,8 +111,8 @@
 def long_plan(seed: int) -> ScalePlan:
     """418 hollow balancers behind one relay, a list of 63,000 rows, and changes while it goes out."""
     events = (
-        Moment(0.0, "all start, a change a second", "drip", window=LONG_S, span=1.0),
-        Moment(LONG_S, "quiet", window=8.0),
+        ScaleEvent(0.0, "all start, a change a second", "drip", window=LONG_S, span=1.0),
+        ScaleEvent(LONG_S, "quiet", window=8.0),
     )
     return ScalePlan(
         2,
@@ -276,7 +276,7 @@
     except TooManyError as error:
         print(f"    not run: {error}", flush=True)
         return None
-    run = {"run": name, "hides": SHARES[plan.share], **Books(result).summary()}
+    run = {"run": name, "hides": SHARES[plan.share], **ScaleReport(result).summary()}
     run["took_s"] = round(time.monotonic() - began, 1)
     show(run)
     return run
--- a/bench/scale_events.py
+++ b/bench/scale_events.py
@@ -9,7 +9,7 @@
 from bench.common import quantile
 from quartzford.load.record import quantile_ms
 from rig.relays import relay_address
-from rig.scale import FIRST_VERSION, Look, ScalePlan, Seen
+from rig.scale import FIRST_VERSION, ObservedEvent, Sample, ScalePlan
 
 Moments = list[tuple[float, int]]  # when, which version
 RELAYS = "127.11"
@@ -34,14 +34,14 @@
     }
 
 
-class Books:
+class ScaleReport:
     """A scale run's result, by event."""
 
     def __init__(self, result: dict[str, Any]) -> None:
         self.result = result
         self.plan: ScalePlan = result["plan"]
         self.began: float = result["began"]
-        self.seen: list[Seen] = result["seen"]
+        self.seen: list[ObservedEvent] = result["seen"]
         self.readings = result["readings"]
         self.first = self._first()
         self.rest = self._rest()
@@ -50,7 +50,7 @@
         """When each hollow balancer first had the list in force."""
         first: list[float | None] = [None] * self.plan.hollow
         for seen in self.seen:
-            for number, moments in enumerate(seen.after.sight.in_force):
+            for number, moments in enumerate(seen.after.hollow.in_force):
                 if first[number] is None:
                     first[number] = first_at(moments, FIRST_VERSION)
         return first
@@ -58,36 +58,36 @@
     def _rest(self) -> float:
         """Bytes a second that a hollow balancer hears while nothing happens."""
         for seen in self.seen:
-            if seen.moment.what == "quiet" and seen.moment.at > 0:
+            if seen.event.what == "quiet" and seen.event.at > 0:
                 grown = grown_by(seen.before, seen.after, 1)
                 return sum(grown) / max(1, len(grown)) / (seen.after.at - seen.before.at)
         return 0.0
 
     # ---- one event
 
-    def told(self, seen: Seen) -> list[tuple[int, float]]:
+    def told(self, seen: ObservedEvent) -> list[tuple[int, float]]:
         """Versions and when they were told; the list itself at the start."""
-        if seen.moment.at == 0 and not seen.told:
+        if seen.event.at == 0 and not seen.notified:
             return [(FIRST_VERSION, self.began)]
-        return seen.told
+        return seen.notified
 
-    def hollow_times(self, seen: Seen, heard: bool = False) -> list[float | None]:
+    def hollow_times(self, seen: ObservedEvent, heard: bool = False) -> list[float | None]:
         """Seconds from a change to in force, or heard, for those that had a list.
 
         Of those that were cut off, from the cut's end.
         """
-        sight = seen.after.sight
+        sight = seen.after.hollow
         times: list[float | None] = []
-        cut = self.plan.hollow // 3 if seen.moment.what == "cut" else 0
+        cut = self.plan.hollow // 3 if seen.event.what == "cut" else 0
         for version, at in self.told(seen):
             for number, moments in enumerate(sight.heard if heard else sight.in_force):
-                first, since = self.first[number], seen.back_at if number < cut else at
+                first, since = self.first[number], seen.restored_at if number < cut else at
                 if version == FIRST_VERSION or (first is not None and first < at):
                     found = first_at(moments, version)
                     times.append(None if found is None else max(0.0, found - since))
         return times
 
-    def real_times(self, seen: Seen) -> list[float | None]:
+    def real_times(self, seen: ObservedEvent) -> list[float | None]:
         """The same of real balancers."""
         times: list[float | None] = []
         for reading in self.readings:
@@ -95,7 +95,7 @@
             times += self._since_told(seen, moments, first_at(moments, FIRST_VERSION))
         return times
 
-    def _since_told(self, seen: Seen, moments: Moments, first: float | None) -> list[float | None]:
+    def _since_told(self, seen: ObservedEvent, moments: Moments, first: float | None) -> list[float | None]:
         """Of one balancer, for what was told after it first had the list."""
         times: list[float | None] = []
         for version, at in self.told(seen):
@@ -104,7 +104,7 @@
                 times.append(None if found is None else max(0.0, found - at))
         return times
 
-    def lone_times(self, seen: Seen) -> list[float | None]:
+    def lone_times(self, seen: ObservedEvent) -> list[float | None]:
         """The same of the hollow balancer that has a process of its own."""
         if seen.after.lone is None:
             return []
@@ -120,9 +120,9 @@
         )
         return calls, bytes_in, bytes_out
 
-    def requests(self, seen: Seen) -> dict[str, Any]:
+    def requests(self, seen: ObservedEvent) -> dict[str, Any]:
         """What became of the requests due in an event's time."""
-        moment = seen.moment
+        moment = seen.event
         seconds = range(int(moment.at), int(moment.at + moment.window))
         steps: Counter[int] = Counter()
         unserved: Counter[str] = Counter()
@@ -136,7 +136,7 @@
             "p99_ms": quantile_ms(steps, 0.99),
         }
 
-    def source_calls(self, seen: Seen, since: float | None = None) -> dict[str, int]:
+    def source_calls(self, seen: ObservedEvent, since: float | None = None) -> dict[str, int]:
         """Calls at the list service in an event's time, by who made them."""
         begin = seen.before.at if since is None else since
         calls = Counter(
@@ -146,7 +146,7 @@
         )
         return {"relays": calls["relays"], "balancers": calls["balancers"]}
 
-    def event(self, seen: Seen) -> dict[str, Any]:
+    def event(self, seen: ObservedEvent) -> dict[str, Any]:
         """All figures of one event."""
         before, after, plan = seen.before, seen.after, self.plan
         hollow, idle = max(1, plan.hollow), max(1, plan.idle)
@@ -155,16 +155,16 @@
         cpu = {role: round(after.cpu[role] - before.cpu[role], 3) for role in after.cpu}
         times = self.hollow_times(seen)
         first = [None if at is None else at - self.began for at in self.first]
-        heard = [len(moments) for moments in after.sight.heard]
+        heard = [len(moments) for moments in after.hollow.heard]
         return {
-            "event": seen.moment.name,
-            "what": seen.moment.what,
+            "event": seen.event.name,
+            "what": seen.event.what,
             "seconds": round(after.at - before.at, 2),
             "hollow": spread(times),
             "real": spread(self.real_times(seen)),
             "hollow_heard": spread(self.hollow_times(seen, heard=True)),
             "hollow_lone": spread(self.lone_times(seen)),
-            "first_list": spread(first) if seen.moment.at == 0 else None,
+            "first_list": spread(first) if seen.event.at == 0 else None,
             "hollow_each": {
                 "calls": round(calls, 3),
                 "lines": round(sum(heard) / hollow, 3),
@@ -183,32 +183,32 @@
                 "cpu_s": cpu["source"],
                 "bytes": by_role(before.source["bytes"], after.source["bytes"]),
                 "lines": by_role(before.source["lines"], after.source["lines"]),
-                "calls_after_return": self.source_calls(seen, seen.back_at) if seen.back_at else None,
+                "calls_after_return": self.source_calls(seen, seen.restored_at) if seen.restored_at else None,
             },
             "cpu_s": cpu,
             "memory_mb": after.memory_mb,
             "relay_peak_mb": round(after.relay_peak_mb, 1),
             "bytes_over_change": self.over_change(seen, bytes_in),
-            "hollow_stall_s": after.sight.stall_s,
+            "hollow_stall_s": after.hollow.stall_s,
             "requests": self.requests(seen),
         }
 
-    def over_change(self, seen: Seen, bytes_in: float) -> float | None:
+    def over_change(self, seen: ObservedEvent, bytes_in: float) -> float | None:
         """Bytes that a balancer heard, less what it hears at rest, over the bytes of what changed.
 
         These are what the same change took while nothing else happened, where the run has that: whoever
         tells it may write it shorter than the list service does.
         """
-        if not seen.told_bytes:
+        if not seen.notified_bytes:
             return None
-        usual = seen.told_bytes
+        usual = seen.notified_bytes
         for other in self.seen:
-            one = other.moment
-            if one.what == "change" and (one.rows, one.gone) == (seen.moment.rows, seen.moment.gone):
+            one = other.event
+            if one.what == "change" and (one.rows, one.gone) == (seen.event.rows, seen.event.gone):
                 usual = self._news(other, sum(grown_by(other.before, other.after, 1)) / self.plan.hollow)
         return round(self._news(seen, bytes_in) / usual, 3)
 
-    def _news(self, seen: Seen, bytes_in: float) -> int:
+    def _news(self, seen: ObservedEvent, bytes_in: float) -> int:
         return max(1, round(bytes_in - self.rest * (seen.after.at - seen.before.at)))
 
     # ---- real against hollow
@@ -220,13 +220,13 @@
         """
         if len(self.seen) < 2 or not self.plan.idle or not self.plan.hollow:
             return {}
-        cuts = [number for number, seen in enumerate(self.seen) if seen.moment.what == "cut"]
+        cuts = [number for number, seen in enumerate(self.seen) if seen.event.what == "cut"]
         before, after = self.seen[1].before, self.seen[min(cuts, default=len(self.seen)) - 1].after
         hollow = [sum(grown_by(before, after, k)) / self.plan.hollow for k in range(3)]
         real = self.real_counts(before.at, after.at)
         complete = self.real_counts(0.0, after.at)
-        whole_hollow = [sum(side[k] for side in after.sight.sides) / self.plan.hollow for k in range(3)]
-        changes = [seen for seen in self.seen if seen.moment.what == "change"]
+        whole_hollow = [sum(side[k] for side in after.hollow.sides) / self.plan.hollow for k in range(3)]
+        changes = [seen for seen in self.seen if seen.event.what == "change"]
         every = (self.hollow_times, self.real_times, self.lone_times)
         times = [
             1000 * quantile([t for seen in changes for t in of(seen) if t is not None], 0.5) for of in every
@@ -272,9 +272,9 @@
         }
 
 
-def grown_by(before: Look, after: Look, which: int) -> list[int]:
+def grown_by(before: Sample, after: Sample, which: int) -> list[int]:
     """How much a count of each hollow balancer grew: 0 calls, 1 bytes in, 2 bytes out."""
-    pairs = zip(before.sight.sides, after.sight.sides, strict=True)
+    pairs = zip(before.hollow.sides, after.hollow.sides, strict=True)
     return [one[which] - other[which] for other, one in pairs]
 
 
--- a/rig/capacity.py
+++ b/rig/capacity.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-PROCESS_MB = 45  # of one balancer under load, with its part of what the kernel keeps for it
+BALANCER_MB = 45  # of one balancer under load, with its part of what the kernel keeps for it
 START_CPU_S = 0.45  # imports, before the release
 IDLE_CORES = 0.004  # of a balancer that serves some few requests a second
 REQUEST_CPU_S = 0.0012  # balancer, fault proxy, upstream and client together
 RIG_MB = 600
-SPARE = 0.75  # of the machine's memory and cores are for the fleet
-HALF = 0.5  # of all of the machine's memory is what a scale run may take
-MOST_PROCESSES = 300  # of a scale run
+USABLE_SHARE = 0.75  # of the machine's memory and cores are for the fleet
+SCALE_MEMORY_SHARE = 0.5  # of all of the machine's memory is what a scale run may take
+MAX_SCALE_PROCESSES = 300  # of a scale run
 RELAY_MB = 60.0  # of one, besides its rows
 HOLLOW_PROCESS_MB = 45.0
 HOLLOW_MB = 0.06  # of one hollow balancer, besides its rows
@@ -35,7 +35,7 @@
     total_mb: float = math.inf  # of memory, in use or not
 
 
-def read() -> Machine:
+def read_machine() -> Machine:
     """This machine, now."""
     memory, total = 0.0, math.inf
     for line in Path("/proc/meminfo").read_text().splitlines():
@@ -52,11 +52,11 @@
     return Machine(memory, cores, resource.getrlimit(resource.RLIMIT_NOFILE)[0], processes, total)
 
 
-def most_processes(machine: Machine, rate: float = 0.0) -> dict[str, int]:
+def process_limits(machine: Machine, rate: float = 0.0) -> dict[str, int]:
     """Balancers that each bound alone would allow; rate: requests a second over the fleet."""
-    cores = machine.cores * SPARE - rate * REQUEST_CPU_S
+    cores = machine.cores * USABLE_SHARE - rate * REQUEST_CPU_S
     return {
-        "memory": int((machine.memory_mb * SPARE - RIG_MB) / PROCESS_MB),
+        "memory": int((machine.memory_mb * USABLE_SHARE - RIG_MB) / BALANCER_MB),
         "cores": int(max(0.0, cores) / IDLE_CORES),
         "descriptors": (machine.descriptors - 200) // 4,  # a link's ends, a process's pipes
         "processes": machine.processes - 100,
@@ -65,14 +65,14 @@
 
 def refusal(machine: Machine, balancers: int, rate: float = 0.0) -> str:
     """Why so many can't be run here; "" if they can."""
-    for name, most in most_processes(machine, rate).items():
+    for name, most in process_limits(machine, rate).items():
         if balancers > most:
             return f"{balancers} balancers are too many here: {name} are enough for {max(0, most)}"
     return ""
 
 
 @dataclass(frozen=True)
-class Scale:
+class ScaleDemand:
     """What a scale run is to consist of. rate: requests a second; share: what hollow ones share."""
 
     real: int
@@ -89,7 +89,7 @@
         complete = (self.real + 2 * self.relays + 2 * self.hollow_processes) * self.rows * REAL_ROW_KB
         return (
             RIG_MB
-            + self.real * PROCESS_MB
+            + self.real * BALANCER_MB
             + self.relays * RELAY_MB
             + self.hollow_processes * HOLLOW_PROCESS_MB
             + self.hollow * HOLLOW_MB
@@ -101,14 +101,18 @@
         return self.real * IDLE_CORES + self.hollow * HOLLOW_CORES + self.rate * REQUEST_CPU_S
 
 
-def scale_refusal(machine: Machine, scale: Scale) -> str:
+def scale_refusal(machine: Machine, scale: ScaleDemand) -> str:
     """Why such a scale run can't be made here, with the bound; "" if it can."""
     balancers = scale.real + scale.hollow
     processes = scale.real + scale.relays + scale.hollow_processes + 4
     bounds = (
-        ("MB of memory", scale.memory_mb(), min(machine.total_mb * HALF, machine.memory_mb * SPARE)),
-        ("processes", processes, min(MOST_PROCESSES, machine.processes - 100)),
-        ("cores", scale.cores(), machine.cores * SPARE),
+        (
+            "MB of memory",
+            scale.memory_mb(),
+            min(machine.total_mb * SCALE_MEMORY_SHARE, machine.memory_mb * USABLE_SHARE),
+        ),
+        ("processes", processes, min(MAX_SCALE_PROCESSES, machine.processes - 100)),
+        ("cores", scale.cores(), machine.cores * USABLE_SHARE),
         ("descriptors at the list service", balancers + 200, machine.descriptors),
         ("descriptors of the rig", 4 * scale.real + 4 * scale.relays + 200, machine.descriptors),
     )
--- a/rig/fault_proxy.py
+++ b/rig/fault_proxy.py
@@ -26,7 +26,7 @@
 
 import uvloop
 
-from rig.faults import Link, Script, datagram, lag, read_script
+from rig.faults import Link, Script, datagram_delays, read_script, stream_delay
 
 HIGH_WATER = 1 << 20
 
@@ -212,7 +212,7 @@
         """Queue bytes, each piece with the moment at which it may pass."""
         proxy = self.connection.proxy
         conditions = proxy.script.conditions(self.connection.link, proxy.now(), self.outbound)
-        self.free_at = max(monotonic(), self.free_at) + lag(conditions, len(data), proxy.rng)
+        self.free_at = max(monotonic(), self.free_at) + stream_delay(conditions, len(data), proxy.rng)
         if conditions.rate and len(data) > conditions.rate / 10:
             self._slowly(data, conditions.rate)
         else:
@@ -286,7 +286,7 @@
         """Send as many copies as the script says, each after its delay."""
         proxy = self.proxy
         conditions = proxy.script.conditions(self.link, proxy.now(), True)
-        arrivals = datagram(conditions, proxy.rng)
+        arrivals = datagram_delays(conditions, proxy.rng)
         proxy.counts["datagrams" if arrivals else "datagrams lost"] += 1
         for wait in arrivals:
             proxy.loop.call_later(wait, self._send, data)
--- a/rig/faults.py
+++ b/rig/faults.py
@@ -22,7 +22,7 @@
 from typing import NamedTuple
 
 KINDS = ("cut", "silent", "refuse", "delay", "loss", "double", "reorder", "trickle", "reset")
-WITH_FIGURE = ("delay", "loss", "double", "reorder", "trickle")
+KINDS_WITH_VALUE = ("delay", "loss", "double", "reorder", "trickle")
 MEMBERS = re.compile(r"(\w+)(?:\[(-?\d*)(:?)(-?\d*)\])?\Z")
 REORDER_S = 0.05  # how far a reordered datagram falls behind
 
@@ -40,8 +40,8 @@
     first: frozenset[str]
     second: frozenset[str]
     until: float = float("inf")
-    figure: float = 0.0
-    more: float = 0.0
+    value: float = 0.0
+    jitter: float = 0.0
 
 
 class Conditions(NamedTuple):
@@ -63,7 +63,7 @@
     second: str
 
 
-def members(text: str, groups: Mapping[str, int]) -> frozenset[str]:
+def group_members(text: str, groups: Mapping[str, int]) -> frozenset[str]:
     """The names that a word of the script stands for."""
     found = MEMBERS.match(text)
     if found is None or found[1] not in groups:
@@ -99,24 +99,24 @@
         raise ScriptError(f"{line!r}: a time, a fault and who is meant are wanted") from None
     if kind not in KINDS:
         raise ScriptError(f"{line!r}: no fault {kind!r}; there are {', '.join(KINDS)}")
-    figure, more = 0.0, 0.0
-    if kind in WITH_FIGURE:
+    value, jitter = 0.0, 0.0
+    if kind in KINDS_WITH_VALUE:
         if not rest:
             raise ScriptError(f"{line!r}: {kind} wants a figure")
         first, _, second = rest.pop(0).partition("~")
-        figure, more = _number(first, line), _number(second or "0", line)
-        if kind in ("loss", "double", "reorder") and figure > 1.0:
-            raise ScriptError(f"{line!r}: {figure} is not a share")
+        value, jitter = _number(first, line), _number(second or "0", line)
+        if kind in ("loss", "double", "reorder") and value > 1.0:
+            raise ScriptError(f"{line!r}: {value} is not a share")
     until = float("inf")
     if len(rest) == 4 and rest[2] == "until":
         until = _number(rest[3], line)
         del rest[2:]
     if len(rest) != 2:
         raise ScriptError(f"{line!r}: two groups are wanted, and `until` a time or nothing")
-    one, other = (members(word, groups) for word in rest)
+    one, other = (group_members(word, groups) for word in rest)
     if until <= _number(at, line):
         raise ScriptError(f"{line!r}: it ends before it begins")
-    return Fault(_number(at, line), kind, one, other, until, figure, more)
+    return Fault(_number(at, line), kind, one, other, until, value, jitter)
 
 
 def read_script(text: str, groups: Mapping[str, int]) -> tuple[Fault, ...]:
@@ -131,7 +131,7 @@
     def __init__(self, faults: Sequence[Fault]) -> None:
         self.faults = tuple(faults)
 
-    def touches(self, link: Link) -> bool:
+    def affects(self, link: Link) -> bool:
         """Whether any line is about this link, so that it has to go through the fault proxy."""
         return any(True for _ in self._of(link))
 
@@ -155,15 +155,17 @@
                 case "silent" if same_direction == outbound:
                     found = found._replace(passes=False)
                 case "delay":
-                    found = found._replace(delay=found.delay + fault.figure, jitter=found.jitter + fault.more)
+                    found = found._replace(
+                        delay=found.delay + fault.value, jitter=found.jitter + fault.jitter
+                    )
                 case "loss":
-                    found = found._replace(loss=1.0 - (1.0 - found.loss) * (1.0 - fault.figure))
+                    found = found._replace(loss=1.0 - (1.0 - found.loss) * (1.0 - fault.value))
                 case "double":
-                    found = found._replace(double=max(found.double, fault.figure))
+                    found = found._replace(double=max(found.double, fault.value))
                 case "reorder":
-                    found = found._replace(reorder=max(found.reorder, fault.figure))
+                    found = found._replace(reorder=max(found.reorder, fault.value))
                 case "trickle":
-                    found = found._replace(rate=min(found.rate or float("inf"), fault.figure))
+                    found = found._replace(rate=min(found.rate or float("inf"), fault.value))
         return found
 
     def opens(self, link: Link, now: float) -> str:
@@ -181,7 +183,7 @@
         return sorted({fault.at for fault in self.faults} | set(ends))
 
 
-def datagram(conditions: Conditions, rng: random.Random) -> list[float]:
+def datagram_delays(conditions: Conditions, rng: random.Random) -> list[float]:
     """When copies of a datagram arrive, in seconds from now; none where it is lost."""
     if not conditions.passes or rng.random() < conditions.loss:
         return []
@@ -190,7 +192,7 @@
     return [at + (REORDER_S if rng.random() < conditions.reorder else 0.0) for at in late]
 
 
-def lag(conditions: Conditions, size: int, rng: random.Random, round_trip: float = 0.2) -> float:
+def stream_delay(conditions: Conditions, size: int, rng: random.Random, round_trip: float = 0.2) -> float:
     """How long a piece of a stream takes more: delay, what its length costs, and a loss's retransmission."""
     sending = size / conditions.rate if conditions.rate else 0.0
     wait = conditions.delay + conditions.jitter * rng.random() + sending
--- a/rig/hollow.py
+++ b/rig/hollow.py
@@ -40,12 +40,12 @@
 from quartzford.settings.configuration import Config, read_config
 from quartzford.settings.operator_checks import split_address
 from rig.meter import Meter, install
-from rig.processes import address
+from rig.processes import balancer_address
 from standins.site import config
 
-NOTHING = {"seq": 0, "whole": True, "hosts": []}
-KEPT_TEXTS = 32
-PROBE_S = 0.05  # between two looks at how late the loop is
+EMPTY_LIST = {"seq": 0, "whole": True, "hosts": []}
+MAX_CACHED_TEXTS = 32
+STALL_PROBE_S = 0.05  # between two looks at how late the loop is
 LISTEN_PORT = 9  # nobody listens; the address goes into a balancer's draws
 SHARES = {
     "nothing": "nothing is shared but the interpreter and its libraries",
@@ -73,12 +73,12 @@
             found = self.listings.get(digest)
             if found is None:
                 found = self.listings[digest] = read_listing(text)
-                if len(self.listings) > KEPT_TEXTS:
+                if len(self.listings) > MAX_CACHED_TEXTS:
                     self.listings.popitem(last=False)
         return found
 
 
-class Way:
+class PartitionableLoop:
     """The event loop as one hollow balancer has it: its own source address, and a link that can be cut.
 
     A cut is as the rig's others: what stands holds its bytes back, what is new hangs until the cut ends.
@@ -108,7 +108,7 @@
             if not one.is_closing() and one.is_reading():
                 one.pause_reading()
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """All passes again."""
         self._open.set()
         for one in self._transports:
@@ -123,7 +123,7 @@
         self.side: ControlSide = side
         self.version = 0
         self.waiting: list[tuple[int, Meter]] = []
-        side.meter = Adoptions(self)
+        side.meter = SharedModuleMeter(self)
 
     def heard(self, listing: Listing, meter: Meter) -> None:
         """A hollow balancer has heard of this; the first one's news are taken in."""
@@ -141,7 +141,7 @@
             meter.adopted(version)
 
 
-class Adoptions(Meter):
+class SharedModuleMeter(Meter):
     """The meter of the control side that is shared."""
 
     def __init__(self, module: SharedModule) -> None:
@@ -153,7 +153,7 @@
         self.module.adopted()
 
 
-class Ear:
+class SharedModuleSink:
     """The sink of one hollow balancer whose module is shared."""
 
     def __init__(self, module: SharedModule, meter: Meter) -> None:
@@ -165,22 +165,22 @@
         self.module.heard(listing, self.meter)
 
 
-class Hollow:
+class HollowBalancer:
     """One hollow balancer."""
 
-    def __init__(self, side: ControlSide, way: Way, module: SharedModule | None) -> None:
-        self.side, self.way, self.module = side, way, module
+    def __init__(self, side: ControlSide, network: PartitionableLoop, module: SharedModule | None) -> None:
+        self.side, self.network, self.module = side, network, module
         self.meter: Meter = cast(Any, side).meter
         if module is not None:
-            side.watch.sink = Ear(module, self.meter)
+            side.watch.sink = SharedModuleSink(module, self.meter)
 
     def begin(self) -> None:
         """As a balancer that knows nothing yet."""
         if self.module is None:
-            self.side.begin(read_listing(NOTHING))
+            self.side.begin(read_listing(EMPTY_LIST))
             self.side.engine.start()
         else:
-            self.side.watch.version = NOTHING["seq"]  # type: ignore[assignment]
+            self.side.watch.version = EMPTY_LIST["seq"]  # type: ignore[assignment]
             self.side.watch.start()
 
     def figures(self) -> list[Any]:
@@ -191,7 +191,7 @@
         return [meter.calls, meter.bytes_in, meter.bytes_out, heard, in_force]
 
 
-class Hollows:
+class HollowBalancers:
     """All of a process."""
 
     def __init__(self, plan: dict[str, Any]) -> None:
@@ -215,7 +215,7 @@
 
     def _config(self) -> Config:
         """What all have alike: the settings are one object."""
-        table = config(LISTEN_PORT, 1, NOTHING)
+        table = config(LISTEN_PORT, 1, EMPTY_LIST)
         table["discovery"] = self.plan["discovery"]
         table["settings"] |= {"nInstances": self.plan["balancers"], "registryMode": "subscribe"}
         return read_config(json.dumps(table))
@@ -224,11 +224,11 @@
         relays = [split_address(text) for text in self.plan["relays"]]
         return assemble(one, loop, self.clock, self.log, relays=relays)
 
-    def _hollow(self, number: int, module: SharedModule | None) -> Hollow:
-        own, way = address(number), Way(self.loop, address(number))
+    def _hollow(self, number: int, module: SharedModule | None) -> HollowBalancer:
+        own, network = balancer_address(number), PartitionableLoop(self.loop, balancer_address(number))
         seed = self.plan["seed"] * 1_000_003 + number * 101
         one = replace(self.base, name=f"n{number}", listen=(own, LISTEN_PORT), seed=seed)
-        return Hollow(self._side(one, way), way, module)
+        return HollowBalancer(self._side(one, network), network, module)
 
     def begin(self, at: float) -> None:
         """All at that moment, as far as one process can."""
@@ -242,15 +242,15 @@
 
     def _probe(self) -> None:
         now = monotonic()
-        self.stall, self.probed = max(self.stall, now - self.probed - PROBE_S), now
-        self.loop.call_later(PROBE_S, self._probe)
+        self.stall, self.probed = max(self.stall, now - self.probed - STALL_PROBE_S), now
+        self.loop.call_later(STALL_PROBE_S, self._probe)
 
     def cut(self, first: int, last: int, until: float) -> None:
         """These of the fleet's numbers, as far as they are here."""
         begin = self.plan["first"]
         for one in self.members[max(0, first - begin) : max(0, last - begin)]:
-            one.way.cut()
-            self.loop.call_later(max(0.0, until - monotonic()), one.way.mend)
+            one.network.cut()
+            self.loop.call_later(max(0.0, until - monotonic()), one.network.restore)
 
     def read(self) -> dict[str, Any]:
         """What all did since the last time."""
@@ -273,7 +273,7 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # who started it says when
     loop.add_signal_handler(signal.SIGTERM, reader.feed_eof)
     load_arrays()
-    hollows = Hollows(json.loads(await reader.readline()))
+    hollows = HollowBalancers(json.loads(await reader.readline()))
     gc.freeze()  # what stands for the whole run isn't looked through again
     print(json.dumps({"ready": len(hollows.members)}), flush=True)
     while line := await reader.readline():
--- a/rig/hollow_fleet.py
+++ b/rig/hollow_fleet.py
@@ -7,10 +7,10 @@
 from contextlib import ExitStack
 from typing import Any, NamedTuple
 
-from rig.processes import helper
+from rig.processes import helper_process
 
 
-class Share(NamedTuple):
+class HollowProcess(NamedTuple):
     """A process, and the numbers of its first balancer and the one behind its last."""
 
     process: subprocess.Popen[bytes]
@@ -18,7 +18,7 @@
     last: int
 
 
-class Sight(NamedTuple):
+class HollowReading(NamedTuple):
     """What all hollow balancers had done at a moment, in the order of their numbers.
 
     sides: calls, bytes in, bytes out up to then; heard and in_force: moments and versions since the last.
@@ -39,24 +39,26 @@
         self, first: int, count: int, processes: int, plan: dict[str, Any], stack: ExitStack
     ) -> None:
         self.count = count
-        self.shares: list[Share] = []
+        self.processes: list[HollowProcess] = []
         for n in range(processes if count else 0):
             begin, end = (first + count * k // processes for k in (n, n + 1))
             if end > begin:
-                self.shares.append(Share(stack.enter_context(helper("rig.hollow")), begin, end))
-        for share in self.shares:
-            self._tell(share, plan | {"first": share.first, "count": share.last - share.first})
-        for share in self.shares:
-            self._answer(share)
+                self.processes.append(
+                    HollowProcess(stack.enter_context(helper_process("rig.hollow")), begin, end)
+                )
+        for share in self.processes:
+            self._send_command(share, plan | {"first": share.first, "count": share.last - share.first})
+        for share in self.processes:
+            self._read_reply(share)
 
     @staticmethod
-    def _tell(share: Share, what: dict[str, Any]) -> None:
+    def _send_command(share: HollowProcess, what: dict[str, Any]) -> None:
         assert share.process.stdin is not None
         share.process.stdin.write(json.dumps(what).encode() + b"\n")
         share.process.stdin.flush()
 
     @staticmethod
-    def _answer(share: Share) -> dict[str, Any]:
+    def _read_reply(share: HollowProcess) -> dict[str, Any]:
         assert share.process.stdout is not None
         line = share.process.stdout.readline()
         if not line:
@@ -66,21 +68,21 @@
 
     def begin(self, at: float) -> None:
         """All begin at that moment."""
-        for share in self.shares:
-            self._tell(share, {"begin": at})
+        for share in self.processes:
+            self._send_command(share, {"begin": at})
 
     def cut(self, first: int, last: int, until: float) -> None:
         """Cut balancers off from everything, by their numbers in the fleet."""
-        for share in self.shares:
-            self._tell(share, {"cut": [first, last], "until": until})
+        for share in self.processes:
+            self._send_command(share, {"cut": [first, last], "until": until})
 
-    def read(self) -> Sight:
+    def read(self) -> HollowReading:
         """What all have done; the processes are asked together."""
-        for share in self.shares:
-            self._tell(share, {"read": 1})
-        answers = [self._answer(share) for share in self.shares]
+        for share in self.processes:
+            self._send_command(share, {"read": 1})
+        answers = [self._read_reply(share) for share in self.processes]
         sides = [side for answer in answers for side in answer["sides"]]
-        return Sight(
+        return HollowReading(
             [(side[0], side[1], side[2]) for side in sides],
             [side[3] for side in sides],
             [side[4] for side in sides],
@@ -91,4 +93,4 @@
 
     def pids(self) -> list[int]:
         """Of the processes."""
-        return [share.process.pid for share in self.shares]
+        return [share.process.pid for share in self.processes]
--- a/rig/meter.py
+++ b/rig/meter.py
@@ -19,7 +19,7 @@
 from quartzford.membership import list_call
 from quartzford.membership.listing import Listing
 
-VARIABLE = "QUARTZFORD_RIG_METER"  # read by the gate
+METER_VARIABLE = "QUARTZFORD_RIG_METER"  # read by the gate
 
 
 class Meter:
@@ -141,7 +141,7 @@
     install(lambda: Meter(file.write))
 
 
-class Reading:
+class MeterLog:
     """What a real balancer's meter wrote: counts over time, versions heard and in force."""
 
     def __init__(self, path: Path) -> None:
--- a/rig/processes.py
+++ b/rig/processes.py
@@ -28,7 +28,7 @@
 }
 
 
-def address(number: int) -> str:
+def balancer_address(number: int) -> str:
     """A balancer's own loopback address: 127.10.0.1 and on."""
     return f"127.10.{number // 250}.{number % 250 + 1}"
 
@@ -43,18 +43,18 @@
     checkout: Path = ROOT
     arguments: tuple[str, ...] = ()
     running: subprocess.Popen[bytes] | None = None
-    lives: int = 0
-    wanted_end: bool = False
+    start_count: int = 0
+    end_requested: bool = False
     crashes: list[str] = field(default_factory=list)
 
-    def start_at_gate(self) -> None:
+    def start_to_barrier(self) -> None:
         """Start it up to the gate."""
         self.note_end()
-        self.lives += 1
-        self.wanted_end = False
+        self.start_count += 1
+        self.end_requested = False
         with self.log.open("ab") as out:
             self.running = subprocess.Popen(
-                [sys.executable, str(ROOT / "rig" / "gate.py"), str(self.checkout), *self.arguments],
+                [sys.executable, str(ROOT / "rig" / "start_barrier.py"), str(self.checkout), *self.arguments],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=out,
@@ -66,7 +66,7 @@
         """At the gate; RuntimeError if it never came."""
         assert self.running is not None and self.running.stdout is not None
         if self.running.stdout.readline() != b"ready\n" or time.monotonic() > until:
-            raise RuntimeError(f"{self.name} did not start: {self.last_words()}")
+            raise RuntimeError(f"{self.name} did not start: {self.last_log_line()}")
 
     def release(self) -> None:
         """Let it pass the gate."""
@@ -78,15 +78,15 @@
     def signal(self, what: str) -> None:
         """Send a signal by its name in SIGNALS; nothing where no process is running."""
         if self.running is not None and self.running.poll() is None:
-            self.wanted_end = self.wanted_end or what in ("kill", "term")
+            self.end_requested = self.end_requested or what in ("kill", "term")
             self.running.send_signal(SIGNALS[what])
 
     def note_end(self) -> None:
         """Whether the life that has ended did so unasked."""
         if self.running is None or self.running.poll() is None:
             return
-        if not self.wanted_end or self.running.returncode not in (0, -signal.SIGKILL):
-            self.crashes.append(f"{self.name}: exit {self.running.returncode}: {self.last_words()}")
+        if not self.end_requested or self.running.returncode not in (0, -signal.SIGKILL):
+            self.crashes.append(f"{self.name}: exit {self.running.returncode}: {self.last_log_line()}")
         self.close_pipes()
         self.running = None
 
@@ -98,7 +98,7 @@
                 with contextlib.suppress(OSError):
                     pipe.close()
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """The last line of its log, at most 200 characters; "" if there is none."""
         try:
             lines = self.log.read_text(errors="replace").splitlines()
@@ -117,13 +117,13 @@
         return pages * 4096 / 1e6
 
 
-class Processes:
+class ProcessGroup:
     """All of a run's."""
 
     def __init__(self, members: Iterable[Process]) -> None:
         self.members = list(members)
 
-    def __enter__(self) -> Processes:
+    def __enter__(self) -> ProcessGroup:
         return self
 
     def __exit__(
@@ -131,14 +131,14 @@
     ) -> None:
         self.end()
 
-    def start_at_gate(self, members: Iterable[Process] | None = None) -> None:
+    def start_to_barrier(self, members: Iterable[Process] | None = None) -> None:
         """Start them up to the gate, some at a time: a start costs half a second of a core."""
         chosen = list(self.members if members is None else members)
         at_once, until = 2 * (os.cpu_count() or 1), time.monotonic() + START_S
         for first in range(0, len(chosen), at_once):
             part = chosen[first : first + at_once]
             for one in part:
-                one.start_at_gate()
+                one.start_to_barrier()
             for one in part:
                 one.wait_ready(until)
 
@@ -174,7 +174,7 @@
 
 
 @contextlib.contextmanager
-def helper(*arguments: str, **options: Any) -> Iterator[subprocess.Popen[bytes]]:
+def helper_process(*arguments: str, **options: Any) -> Iterator[subprocess.Popen[bytes]]:
     """A stand-in or a fault proxy, ended with the block."""
     process = subprocess.Popen(
         [sys.executable, "-m", *arguments], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, **options
--- a/rig/relays.py
+++ b/rig/relays.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from rig.processes import Process, Processes
+from rig.processes import Process, ProcessGroup
 
 
 def relay_address(number: int) -> str:
@@ -12,7 +12,7 @@
     return f"127.11.{number // 250}.{number % 250 + 1}"
 
 
-def settings(listen: str, source: str, relays: int, balancers: int, source_calls_per_s: float) -> str:
+def relay_settings(listen: str, source: str, relays: int, balancers: int, source_calls_per_s: float) -> str:
     """An operator's file for one relay."""
     return (
         f'[relay]\nlisten = "{listen}"\nsource = "{source}"\nrelays = {relays}\nbalancers = {balancers}\n'
@@ -22,18 +22,18 @@
 
 def relay_processes(
     addresses: list[str], sources: list[str], balancers: int, calls_per_s: float, folder: Path
-) -> Processes:
+) -> ProcessGroup:
     """So many relays, not yet started. sources: where each finds the list service."""
     members = []
     for number, (listen, source) in enumerate(zip(addresses, sources, strict=True)):
         path = folder / f"relay{number}.toml"
-        path.write_text(settings(listen, source, len(addresses), balancers, calls_per_s))
+        path.write_text(relay_settings(listen, source, len(addresses), balancers, calls_per_s))
         arguments = ("relay", "--operator", str(path))
         members.append(Process(f"relay{number}", {}, folder / f"relay{number}.log", arguments=arguments))
-    return Processes(members)
+    return ProcessGroup(members)
 
 
-def peak_mb(one: Process) -> float:
+def peak_resident_mb(one: Process) -> float:
     """The most resident memory that a process has had so far; 0 if it has gone."""
     if one.running is None:
         return 0.0
--- a/rig/scale.py
+++ b/rig/scale.py
@@ -20,20 +20,20 @@
 from typing import IO, Any
 
 from rig import capacity
-from rig.hollow_fleet import HollowFleet, Sight
-from rig.meter import VARIABLE, Reading
-from rig.processes import Process, Processes
-from rig.relays import peak_mb, relay_address, relay_processes
+from rig.hollow_fleet import HollowFleet, HollowReading
+from rig.meter import METER_VARIABLE, MeterLog
+from rig.processes import Process, ProcessGroup
+from rig.relays import peak_resident_mb, relay_address, relay_processes
 from rig.scenario import Run, Scenario, TooManyError, free_port_at
 
-WHATS = ("quiet", "change", "down", "kill", "cut", "drip")
-BEFORE_S = 0.1  # a change follows the loss that it is to be told through
-RACK = 40
+EVENT_KINDS = ("quiet", "change", "down", "kill", "cut", "drip")
+CHANGE_DELAY_S = 0.1  # a change follows the loss that it is to be told through
+RACK_ROWS = 40
 FIRST_VERSION = 2  # of the list as it is at the release
 
 
 @dataclass(frozen=True)
-class Moment:
+class ScaleEvent:
     """Something that happens `at` seconds from the release, and is looked at for `window` seconds.
 
     change: `rows` rows go in one instant, or come back. down: the list service is down for `span` seconds,
@@ -60,7 +60,7 @@
 
     real: int
     hollow: int
-    moments: tuple[Moment, ...]
+    events: tuple[ScaleEvent, ...]
     relays: int = 0
     rows: int = 2_000
     upstreams: int = 40
@@ -77,9 +77,9 @@
         """All balancers together."""
         return self.real + self.hollow + self.lone
 
-    def scale(self) -> capacity.Scale:
+    def demand(self) -> capacity.ScaleDemand:
         """What it asks of the machine."""
-        return capacity.Scale(
+        return capacity.ScaleDemand(
             self.real,
             self.hollow,
             self.rows,
@@ -91,28 +91,28 @@
 
 
 @dataclass
-class Look:
+class Sample:
     """Counts of all roles at one moment of the machine's clock."""
 
     at: float
-    sight: Sight
+    hollow: HollowReading
     source: dict[str, Any]
     cpu: dict[str, float]
     memory_mb: dict[str, float]
     relay_peak_mb: float
-    lone: Sight | None  # of the hollow balancer that has a process of its own
+    lone: HollowReading | None  # of the hollow balancer that has a process of its own
 
 
 @dataclass
-class Seen:
+class ObservedEvent:
     """One moment as it went: what was told when (version and time), and the looks around it."""
 
-    moment: Moment
-    before: Look
-    after: Look
-    told: list[tuple[int, float]] = field(default_factory=list)
-    told_bytes: int = 0  # to one watcher
-    back_at: float = 0.0  # when the service or the link was there again
+    event: ScaleEvent
+    before: Sample
+    after: Sample
+    notified: list[tuple[int, float]] = field(default_factory=list)
+    notified_bytes: int = 0  # to one watcher
+    restored_at: float = 0.0  # when the service or the link was there again
 
 
 def cpu_seconds(pids: Iterable[int]) -> float:
@@ -143,9 +143,9 @@
         self.addresses = [f"{relay_address(n)}:{free_port_at(relay_address(n))}" for n in range(plan.relays)]
         self.version = FIRST_VERSION - 1
         self.listed: list[dict[str, Any]] = []
-        self.relay_fleet = Processes([])
+        self.relay_fleet = ProcessGroup([])
         self.dead: set[str] = set()
-        self.seen: list[Seen] = []
+        self.seen: list[ObservedEvent] = []
 
     # ---- putting it together
 
@@ -163,7 +163,7 @@
 
     def _fault_proxy(self) -> None:
         super()._fault_proxy()
-        self.relay_ways = self.proxy_ports
+        self.relay_proxy_ports = self.proxy_ports
         self.proxy_ports = [self.service_port] * self.plan.real  # no proxy: hollow ones have none either
 
     def _config(self, number: int, life: int = 0) -> dict[str, Any]:
@@ -178,7 +178,7 @@
     def _balancers(self) -> None:
         super()._balancers()
         for one in self.processes.members:
-            one.environment[VARIABLE] = str(self._meter(one))
+            one.environment[METER_VARIABLE] = str(self._meter(one))
             if self.plan.relays:
                 path = self.folder / f"{one.name}.toml"
                 names = ", ".join(f'"{address}"' for address in self.addresses)
@@ -192,23 +192,23 @@
 
     def _start_relays(self) -> None:
         plan = self.plan
-        sources = [f"{relay_address(n)}:{way}" for n, way in enumerate(self.relay_ways)]
+        sources = [f"{relay_address(n)}:{way}" for n, way in enumerate(self.relay_proxy_ports)]
         self.relay_fleet = relay_processes(self.addresses, sources, plan.fleet(), plan.per_s, self.folder)
         self.stack.enter_context(self.relay_fleet)
-        self.relay_fleet.start_at_gate()
+        self.relay_fleet.start_to_barrier()
 
     def _start_hollow(self) -> None:
         plan = self.plan
-        told = {
+        notified = {
             "balancers": plan.fleet(),
             "discovery": f"127.0.0.1:{self.service_port}",
             "relays": self.addresses,
             "seed": plan.seed,
             "share": plan.share,
         }
-        self.hollow = HollowFleet(plan.real, plan.hollow, plan.hollow_processes, told, self.stack)
+        self.hollow = HollowFleet(plan.real, plan.hollow, plan.hollow_processes, notified, self.stack)
         # One more alone, with nothing shared: what a process costs is told from what a balancer costs.
-        alone = told | {"share": "nothing"}
+        alone = notified | {"share": "nothing"}
         self.lone = HollowFleet(plan.real + plan.hollow, int(plan.lone), 1, alone, self.stack)
 
     # ---- playing
@@ -218,9 +218,9 @@
         self.hollow.begin(at)
         self.lone.begin(at)
         self.relay_fleet.release()  # they stand before the balancers ask
-        self.start = self._look()
+        self.start = self._sample()
 
-    def _look(self) -> Look:
+    def _sample(self) -> Sample:
         self._tell(self.service, {"count": 1})
         source = json.loads(self.service.stdout.readline())
         loaded = self.processes.members[: self.plan.real - self.plan.idle]
@@ -237,75 +237,75 @@
             "clients": [self.clients.pid],
         }
         cpu = {role: cpu_seconds(numbers) for role, numbers in roles.items()}
-        sight = self.hollow.read()
+        hollow = self.hollow.read()
         memory = {
-            "hollow, all": round(sight.rss_mb, 1),
+            "hollow, all": round(hollow.rss_mb, 1),
             "real, most": max((one.resident_mb() for one in self.processes.members), default=0.0),
             "relay, most": max((one.resident_mb() for one in self.relay_fleet.members), default=0.0),
         }
-        peak = max((peak_mb(one) for one in self.relay_fleet.members), default=0.0)
+        peak = max((peak_resident_mb(one) for one in self.relay_fleet.members), default=0.0)
         lone = self.lone.read() if self.plan.lone else None
-        return Look(time.monotonic(), sight, source, cpu, memory, peak, lone)
+        return Sample(time.monotonic(), hollow, source, cpu, memory, peak, lone)
 
     def _carry_out(self) -> None:
         """The moments in their order; the first look of each is the last one's last where they touch."""
-        look = self.start
-        for moment in self.plan.moments:
-            time.sleep(max(0.0, self.began + moment.at - time.monotonic()))
-            if time.monotonic() > look.at + 1.0 and moment.at > 0:
-                look = self._look()
-            seen = Seen(moment, look, look)
-            self.say(moment.name)
-            self._happen(moment, seen)
-            time.sleep(max(0.0, self.began + moment.at + moment.window - time.monotonic()))
-            look = seen.after = self._look()
+        sample = self.start
+        for event in self.plan.events:
+            time.sleep(max(0.0, self.began + event.at - time.monotonic()))
+            if time.monotonic() > sample.at + 1.0 and event.at > 0:
+                sample = self._sample()
+            seen = ObservedEvent(event, sample, sample)
+            self.say(event.name)
+            self._happen(event, seen)
+            time.sleep(max(0.0, self.began + event.at + event.window - time.monotonic()))
+            sample = seen.after = self._sample()
             self.seen.append(seen)
 
-    def _happen(self, moment: Moment, seen: Seen) -> None:
+    def _happen(self, event: ScaleEvent, seen: ObservedEvent) -> None:
         """Do what the moment says, and note what was told when."""
-        if moment.what == "change":
-            self._change(moment, seen)
-        elif moment.what == "down":
-            self._tell(self.service, {"down": moment.span})
-            time.sleep(moment.span + BEFORE_S)
-            seen.back_at = time.monotonic()
+        if event.what == "change":
+            self._change(event, seen)
+        elif event.what == "down":
+            self._tell(self.service, {"down": event.span})
+            time.sleep(event.span + CHANGE_DELAY_S)
+            seen.restored_at = time.monotonic()
             self._touch(seen)
-        elif moment.what == "kill":
-            for one in self._victims(moment.count):
+        elif event.what == "kill":
+            for one in self._victims(event.count):
                 one.signal("kill")
                 self.dead.add(one.name)
-            time.sleep(BEFORE_S)
-            self._touch(seen, moment.rows)
-        elif moment.what == "cut":
+            time.sleep(CHANGE_DELAY_S)
+            self._touch(seen, event.rows)
+        elif event.what == "cut":
             first = self.plan.real
-            seen.back_at = time.monotonic() + moment.span
-            self.hollow.cut(first, first + self.plan.hollow // 3, seen.back_at)
-            time.sleep(BEFORE_S)
+            seen.restored_at = time.monotonic() + event.span
+            self.hollow.cut(first, first + self.plan.hollow // 3, seen.restored_at)
+            time.sleep(CHANGE_DELAY_S)
             self._touch(seen)
-        elif moment.what == "drip":
-            while time.monotonic() < self.began + moment.at + moment.window - 2 * moment.span:
-                time.sleep(moment.span)
+        elif event.what == "drip":
+            while time.monotonic() < self.began + event.at + event.window - 2 * event.span:
+                time.sleep(event.span)
                 self._touch(seen)
 
     def _victims(self, count: int) -> list[Process]:
         alive = [one for one in self.relay_fleet.members if one.name not in self.dead]
         return alive[:count]
 
-    def _change(self, moment: Moment, seen: Seen) -> None:
-        rows = self.listed[moment.first : moment.first + moment.rows]
-        state: dict[str, Any] = {"health": "gone"} if moment.gone else {"born_ms": round(time.time() * 1000)}
+    def _change(self, event: ScaleEvent, seen: ObservedEvent) -> None:
+        rows = self.listed[event.first : event.first + event.rows]
+        state: dict[str, Any] = {"health": "gone"} if event.gone else {"born_ms": round(time.time() * 1000)}
         self._send([row | state for row in rows], seen)
 
-    def _touch(self, seen: Seen, rows: int = 1) -> None:
+    def _touch(self, seen: ObservedEvent, rows: int = 1) -> None:
         """Some rows start anew."""
         first, born = self.version % len(self.listed), round(time.time() * 1000)
         self._send([row | {"born_ms": born} for row in self.listed[first : first + rows]], seen)
 
-    def _send(self, rows: list[dict[str, Any]], seen: Seen) -> None:
+    def _send(self, rows: list[dict[str, Any]], seen: ObservedEvent) -> None:
         self.version += 1
-        seen.told.append((self.version, time.monotonic()))
+        seen.notified.append((self.version, time.monotonic()))
         text = json.dumps({"seq": self.version, "whole": False, "hosts": rows})
-        seen.told_bytes += len(text) + 1 + len(f"{len(text) + 1:x}") + 4
+        seen.notified_bytes += len(text) + 1 + len(f"{len(text) + 1:x}") + 4
         self._tell(self.service, {"change": rows})
 
     # ---- what it came to
@@ -328,7 +328,7 @@
             "steps": steps,
             "unserved": unserved,
             "source_calls": service.get("calls", []),
-            "readings": [Reading(self._meter(one)) for one in self.processes.members],
+            "readings": [MeterLog(self._meter(one)) for one in self.processes.members],
         }
 
 
@@ -339,7 +339,7 @@
 
 def play_scale(plan: ScalePlan, log: IO[str] | None = None) -> dict[str, Any]:
     """One scale run; TooManyError with the bound where the machine can't bear it."""
-    why = capacity.scale_refusal(capacity.read(), plan.scale())
+    why = capacity.scale_refusal(capacity.read_machine(), plan.demand())
     if why:
         raise TooManyError(why)
     scenario = Scenario(
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -26,8 +26,8 @@
 from quartzford.load.clients import DEFAULT_CLASSES, LOST
 from quartzford.load.reconciliation import check_rules
 from rig import capacity
-from rig.faults import Link, Script, ScriptError, members, read_script
-from rig.processes import ROOT, Process, Processes, address, helper
+from rig.faults import Link, Script, ScriptError, group_members, read_script
+from rig.processes import ROOT, Process, ProcessGroup, balancer_address, helper_process
 from standins.site import config, free_port
 
 EVENTS = ("kill", "term", "stop", "cont", "move", "loop")
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Event:
+class ProcessEvent:
     """Something done to processes."""
 
     at: float
@@ -91,19 +91,19 @@
     released_s: float  # from the release of all
 
 
-def read_events(text: str, groups: dict[str, int]) -> list[Event]:
+def read_events(text: str, groups: dict[str, int]) -> list[ProcessEvent]:
     """The events of a script, in order of time; ScriptError names a line that is wrong."""
     events = []
     for line in filter(None, (line.partition("#")[0].strip() for line in text.splitlines())):
         words = line.split()
         try:
-            at, what, who, rest = float(words[0]), words[1], members(words[2], groups), words[3:]
+            at, what, who, rest = float(words[0]), words[1], group_members(words[2], groups), words[3:]
             options = {rest[n]: float(rest[n + 1]) for n in range(0, len(rest), 2)}
             if what not in EVENTS or set(options) - {"back", "every", "until"}:
                 raise ScriptError(f"no such event; there are {', '.join(EVENTS)}")
         except (IndexError, ValueError) as error:
             raise ScriptError(f"{line!r}: {error}") from None
-        events.append(Event(at, what, who, **options))
+        events.append(ProcessEvent(at, what, who, **options))
     return sorted(events, key=lambda event: event.at)
 
 
@@ -141,7 +141,7 @@
             self._balancers()
             self._clients()
             with self.processes:
-                self.processes.start_at_gate()
+                self.processes.start_to_barrier()
                 self._release()
                 self._carry_out()
                 report = json.loads(self.clients.stdout.readline() or b"{}")
@@ -153,19 +153,19 @@
                 crashes = self.processes.crashes()
             return self._result(report, books, service, memory, crashes)
 
-    def _helper(self, *arguments: str) -> Any:
-        return self.stack.enter_context(helper(*arguments))
+    def _start_helper(self, *arguments: str) -> Any:
+        return self.stack.enter_context(helper_process(*arguments))
 
     def _stand_ins(self) -> None:
         scenario = self.scenario
         plan = dict(scenario.upstream_plan)
         if scenario.cold:
             plan["fresh"] = plan.get("nodos", 12)
-        self.upstreams = self._helper("standins.fleet", json.dumps(plan))
+        self.upstreams = self._start_helper("standins.fleet", json.dumps(plan))
         announced = json.loads(self.upstreams.stdout.readline())
         self.upstreams_port = announced["port"]
         self.hosts: list[dict[str, Any]] = announced["list"]["hosts"]
-        self.service = self._helper("standins.listservice", json.dumps(scenario.service))
+        self.service = self._start_helper("standins.listservice", json.dumps(scenario.service))
         self.service_port = json.loads(self.service.stdout.readline())["port"]
         self._tell(self.service, {"hosts": self._rows()})
 
@@ -182,24 +182,24 @@
     def _fault_proxy(self) -> None:
         """Every balancer's own link to the list service, under its own address there."""
         rows = self._links()
-        self.proxy = self._helper("rig.fault_proxy")
+        self.proxy = self._start_helper("rig.fault_proxy")
         plan = {"script": self.scenario.faults, "groups": self.groups, "seed": self.scenario.seed}
         self._tell(self.proxy, plan | {"links": rows})
         self.proxy_ports = json.loads(self.proxy.stdout.readline())["ports"]
-        self.touched = sum(self.script.touches(Link(row[0], row[1])) for row in rows)
+        self.affected_links = sum(self.script.affects(Link(row[0], row[1])) for row in rows)
 
     def _links(self) -> list[Any]:
         service = ["127.0.0.1", self.service_port]
         return [
-            [f"nodes[{n}]", "lists[0]", "tcp", [address(n), 0], service, address(n)]
+            [f"nodes[{n}]", "lists[0]", "tcp", [balancer_address(n), 0], service, balancer_address(n)]
             for n in range(self.scenario.balancers)
         ]
 
     def _config(self, number: int, life: int = 0) -> dict[str, Any]:
         scenario = self.scenario
         table = config(0, 0, self._known())
-        table["listen"] = f"{address(number)}:{self.ports[number]}"
-        table["discovery"] = f"{address(number)}:{self.proxy_ports[number]}"
+        table["listen"] = f"{balancer_address(number)}:{self.ports[number]}"
+        table["discovery"] = f"{balancer_address(number)}:{self.proxy_ports[number]}"
         table["name"] = "n" if scenario.names == "one" else f"n{number}"
         own = 7 if scenario.names == "one" else scenario.seed * 1_000_003 + number * 101 + life
         table["seed"] = f"{own:x}"
@@ -214,8 +214,8 @@
 
     def _balancers(self) -> None:
         scenario = self.scenario
-        self.ports = [free_port_at(address(n)) for n in range(scenario.balancers)]
-        members_ = []
+        self.ports = [free_port_at(balancer_address(n)) for n in range(scenario.balancers)]
+        balancers = []
         for n in range(scenario.balancers):
             path = self.folder / f"n{n}.json"
             path.write_text(json.dumps(self._config(n)))
@@ -225,15 +225,15 @@
                 operator.write_text(scenario.operator.replace("{folder}", str(self.folder / f"n{n}")))
                 arguments = ("serve", "--operator", str(operator))
             environment = {"EDGE_CONFIG": str(path)}
-            members_.append(
+            balancers.append(
                 Process(f"n{n}", environment, self.folder / f"n{n}.log", scenario.checkout, arguments)
             )
-        self.processes = Processes(members_)
+        self.processes = ProcessGroup(balancers)
 
     def _clients(self) -> None:
         scenario, rng = self.scenario, random.Random(self.scenario.seed)
-        rows = [[address(n), self.ports[n], self._weight(n, rng)] for n in range(scenario.balancers)]
-        self.clients = self._helper("rig.clients")
+        rows = [[balancer_address(n), self.ports[n], self._weight(n, rng)] for n in range(scenario.balancers)]
+        self.clients = self._start_helper("rig.clients")
         plan = {"balancers": rows, "rate": scenario.rate, "seconds": scenario.seconds, "seed": scenario.seed}
         self._tell(self.clients, plan)
         self.clients.stdout.readline()
@@ -267,7 +267,7 @@
         for one in self.processes.members:
             self._note_start(one, 0.0)
         self.processes.release()
-        self.say("release", balancers=self.scenario.balancers, links_with_faults=self.touched)
+        self.say("release", balancers=self.scenario.balancers, links_with_faults=self.affected_links)
 
     def _reborn(self) -> list[dict[str, Any]]:
         """The list, once all upstreams have started anew."""
@@ -280,7 +280,7 @@
 
     def _carry_out(self) -> None:
         """Events, and starts again, each at its moment."""
-        agenda: list[tuple[float, str, frozenset[str], Event]] = [
+        agenda: list[tuple[float, str, frozenset[str], ProcessEvent]] = [
             (event.at, event.what, event.who, event) for event in self.events
         ]
         while agenda:
@@ -307,9 +307,9 @@
         if one.running is not None:
             one.running.wait(10)
         number = int(one.name[1:])
-        (self.folder / f"{one.name}.json").write_text(json.dumps(self._config(number, one.lives)))
+        (self.folder / f"{one.name}.json").write_text(json.dumps(self._config(number, one.start_count)))
         self.begun.append((number, time.monotonic()))
-        one.start_at_gate()
+        one.start_to_barrier()
         self._note_start(one, time.monotonic() - self.began)
         one.release()
 
@@ -450,11 +450,11 @@
 
 def play(scenario: Scenario, log: IO[str] | None = None) -> dict[str, Any]:
     """One scenario, from its processes' start to their end; TooManyError where the machine can't bear it."""
-    why = capacity.refusal(capacity.read(), scenario.balancers, scenario.rate)
+    why = capacity.refusal(capacity.read_machine(), scenario.balancers, scenario.rate)
     if why:
         raise TooManyError(why)
     with tempfile.TemporaryDirectory(prefix="quartzford-rig-") as folder:
         return Run(scenario, Path(folder), log).play()
 
 
-__all__ = ["Event", "Run", "Scenario", "TooManyError", "free_port", "play", "read_events"]
+__all__ = ["ProcessEvent", "Run", "Scenario", "TooManyError", "free_port", "play", "read_events"]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -18,8 +18,17 @@
 import pytest
 import uvloop
 
-from rig.capacity import Machine, most_processes, refusal
-from rig.faults import Conditions, Link, Script, ScriptError, datagram, lag, members, read_script
+from rig.capacity import Machine, process_limits, refusal
+from rig.faults import (
+    Conditions,
+    Link,
+    Script,
+    ScriptError,
+    datagram_delays,
+    group_members,
+    read_script,
+    stream_delay,
+)
 from rig.processes import ROOT
 from rig.scenario import Scenario, TooManyError, most_in, play, read_events
 
@@ -42,7 +51,7 @@
 )
 def test_members_are_named_by_group_and_span(word: str, numbers: Any) -> None:
     group = word.partition("[")[0]
-    assert members(word, GROUPS) == {f"{group}[{n}]" for n in numbers}
+    assert group_members(word, GROUPS) == {f"{group}[{n}]" for n in numbers}
 
 
 @pytest.mark.parametrize(
@@ -118,21 +127,24 @@
     ]
     assert script.resets(LINK) == [5.0] and script.changes() == [1.0, 2.0, 3.0, 4.0, 5.0]
     one = Script(read_script("1 cut nodes[0] lists", GROUPS))
-    assert one.touches(Link("lists[0]", "nodes[0]")) and not one.touches(LINK)
+    assert one.affects(Link("lists[0]", "nodes[0]")) and not one.affects(LINK)
 
 
 def test_datagrams_are_lost_doubled_and_late_by_the_shares_told() -> None:
     rng = random.Random(1)
     conditions = Conditions(loss=0.2, double=0.1, reorder=0.3, delay=1.0)
-    got = [datagram(conditions, rng) for _ in range(20_000)]
+    got = [datagram_delays(conditions, rng) for _ in range(20_000)]
     assert 0.18 < sum(not copies for copies in got) / len(got) < 0.22
     assert 0.07 < sum(len(copies) == 2 for copies in got) / len(got) < 0.09
     late = [at for copies in got for at in copies]
     assert min(late) == 1.0 and 0.28 < sum(at > 1.0 for at in late) / len(late) < 0.32
-    assert 1.2 < max(datagram(Conditions(delay=1.0, jitter=0.25), rng)[0] for _ in range(500)) <= 1.25
-    assert datagram(Conditions(passes=False), rng) == []
-    assert [lag(Conditions(rate=100.0), 50, rng), lag(Conditions(delay=0.5), 50, rng)] == [0.5, 0.5]
-    assert 0.05 < sum(lag(Conditions(loss=0.2), 9, rng) for _ in range(9_000)) / 9_000 < 0.09
+    assert 1.2 < max(datagram_delays(Conditions(delay=1.0, jitter=0.25), rng)[0] for _ in range(500)) <= 1.25
+    assert datagram_delays(Conditions(passes=False), rng) == []
+    assert [stream_delay(Conditions(rate=100.0), 50, rng), stream_delay(Conditions(delay=0.5), 50, rng)] == [
+        0.5,
+        0.5,
+    ]
+    assert 0.05 < sum(stream_delay(Conditions(loss=0.2), 9, rng) for _ in range(9_000)) / 9_000 < 0.09
 
 
 class Echo(asyncio.Protocol):
@@ -263,7 +275,7 @@
 
 def test_the_machine_says_how_many_it_bears() -> None:
     small = Machine(memory_mb=4_000.0, cores=2.0, descriptors=1_024, processes=4_096)
-    most = most_processes(small)
+    most = process_limits(small)
     assert most["memory"] == 53 and most["descriptors"] == 206
     assert refusal(small, 50) == ""
     assert refusal(small, 60).startswith("60 balancers are too many here: memory are enough for 53")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,13 +20,13 @@
 
 from bench.capacity_inputs import read_scale
 from bench.scale import FULL, Check, checks, differences, long_plan, page_rows, plan_of
-from bench.scale_events import Books, first_at, spread
-from rig.capacity import Machine, Scale, scale_refusal
-from rig.hollow import Hollows, SharedReader
-from rig.meter import Reading
+from bench.scale_events import ScaleReport, first_at, spread
+from rig.capacity import Machine, ScaleDemand, scale_refusal
+from rig.hollow import HollowBalancers, SharedReader
+from rig.meter import MeterLog
 from rig.processes import ROOT
-from rig.relays import relay_address, settings
-from rig.scale import Moment, ScalePlan, alias_rows, play_scale
+from rig.relays import relay_address, relay_settings
+from rig.scale import ScaleEvent, ScalePlan, alias_rows, play_scale
 from rig.scenario import TooManyError
 from standins.listservice import Plan, Service
 
@@ -45,13 +45,13 @@
     for n in range(8)
 ]
 SMALL = (
-    Moment(0.0, "all start", window=4.0),
-    Moment(4.0, "quiet", window=1.0),
-    Moment(5.0, "rack", "change", window=1.5, rows=40, gone=True),
-    Moment(6.5, "rack back", "change", window=1.5, rows=40),
-    Moment(8.0, "source down", "down", window=7.0, span=1.5),
+    ScaleEvent(0.0, "all start", window=4.0),
+    ScaleEvent(4.0, "quiet", window=1.0),
+    ScaleEvent(5.0, "rack", "change", window=1.5, rows=40, gone=True),
+    ScaleEvent(6.5, "rack back", "change", window=1.5, rows=40),
+    ScaleEvent(8.0, "source down", "down", window=7.0, span=1.5),
 )
-KILLED = Moment(15.0, "relay killed", "kill", window=5.0, rows=40, count=1)
+KILLED = ScaleEvent(15.0, "relay killed", "kill", window=5.0, rows=40, count=1)
 
 
 # ---- bounds
@@ -62,7 +62,7 @@
 def test_all_sizes_of_the_bench_are_within_the_bounds_of_a_machine_of_eight_cores(
     size: Any, after: bool
 ) -> None:
-    assert scale_refusal(MACHINE, plan_of(size, after, 1).scale()) == ""
+    assert scale_refusal(MACHINE, plan_of(size, after, 1).demand()) == ""
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
     ],
 )
 def test_more_than_the_machine_bears_is_refused_with_the_bound(change: dict[str, Any], name: str) -> None:
-    scale = Scale(real=20, hollow=4_600, rows=2_000, relays=11, hollow_processes=8, share="module")
+    scale = ScaleDemand(real=20, hollow=4_600, rows=2_000, relays=11, hollow_processes=8, share="module")
     assert scale_refusal(MACHINE, scale) == ""
     roomy = replace(MACHINE, memory_mb=80_000.0, total_mb=90_000.0)
     said = scale_refusal(roomy if name == "processes" else MACHINE, replace(scale, **change))
@@ -88,7 +88,7 @@
 
 def test_a_run_that_is_too_large_starts_nothing() -> None:
     with pytest.raises(TooManyError, match="the bound is"):
-        play_scale(ScalePlan(real=1_000_000, hollow=0, moments=SMALL))
+        play_scale(ScalePlan(real=1_000_000, hollow=0, events=SMALL))
 
 
 # ---- parts
@@ -158,7 +158,7 @@
 def test_a_plan_that_shares_something_unknown_is_refused() -> None:
     async def test() -> None:
         with pytest.raises(ValueError, match="share"):
-            Hollows({"share": "everything"})
+            HollowBalancers({"share": "everything"})
 
     uvloop.run(test())
 
@@ -166,10 +166,10 @@
 def test_what_a_meter_wrote_is_read_by_moment(tmp_path: Path) -> None:
     path = tmp_path / "n0.meter"
     path.write_text("counts 1.0 1 0 73\nheard 1.5 2\ncounts 2.0 1 500 73\nin_force 2.1 2\n")
-    one = Reading(path)
+    one = MeterLog(path)
     assert one.counts_at(0.5) == (0, 0, 0) and one.counts_at(1.2) == (1, 0, 73)
     assert one.counts_at(9.0) == (1, 500, 73) and one.in_force == [(2.1, 2)] and one.heard == [(1.5, 2)]
-    assert Reading(tmp_path / "none").counts == []
+    assert MeterLog(tmp_path / "none").counts == []
 
 
 def test_times_until_in_force() -> None:
@@ -187,7 +187,7 @@
         "calls: hollow 2, real 1"
     ]
     assert long_plan(1).rows == 63_000
-    text = settings(f"{relay_address(0)}:9301", "127.0.0.1:8500", 11, 4_600, 50.0)
+    text = relay_settings(f"{relay_address(0)}:9301", "127.0.0.1:8500", 11, 4_600, 50.0)
     assert 'listen = "127.11.0.1:9301"' in text and "balancers = 4600" in text
 
 
@@ -198,7 +198,7 @@
     moments = (*SMALL, KILLED) if relays else SMALL
     seconds = moments[-1].at + moments[-1].window
     plan = ScalePlan(4, 40, moments, relays, rows=1_000, hollow_processes=2, seconds=seconds, rate=24.0)
-    return Books(play_scale(plan)).summary()
+    return ScaleReport(play_scale(plan)).summary()
 
 
 def broken(run: dict[str, Any]) -> list[Check]:
@@ -241,9 +241,9 @@
         "import signal, sys\n"
         "signal.signal(signal.SIGINT, signal.default_int_handler)\n"  # it may be ignored where tests run
         "import bench.scale as bench\n"
-        "from rig.scale import Moment, ScalePlan, play_scale\n"
-        "moments = (Moment(0.0, 'all start', window=60.0),)\n"
-        "plan = ScalePlan(2, 6, moments, 1, rows=40, upstreams=2, hollow_processes=2, seconds=60)\n"
+        "from rig.scale import ScaleEvent, ScalePlan, play_scale\n"
+        "events = (ScaleEvent(0.0, 'all start', window=60.0),)\n"
+        "plan = ScalePlan(2, 6, events, 1, rows=40, upstreams=2, hollow_processes=2, seconds=60)\n"
         "bench.runs = lambda options: [('one', plan)]\n"
         "bench.play_scale = lambda plan: play_scale(plan, sys.stdout)\n"
         "sys.argv = ['bench.scale']\n"
