--- a/rig/__init__.py
+++ b/rig/__init__.py
@@ -1,5 +1,6 @@
-"""Hundreds of real processes of the program on one machine, between stand-ins, with faults on their links.
+"""Test rig: hundreds of real balancer processes on one machine, with scripted faults on their links.
 
-All on loopback. A balancer has an address of its own in 127.0.0.0/8, so a link is a pair of addresses;
-a fault proxy stands between the two where a script has faults for them. docs/rig.md
+Everything runs on loopback. Each balancer has its own address in 127.0.0.0/8, so a link is identified by
+a pair of addresses; a fault proxy stands between the two ends wherever a script has faults for the link. See
+docs/rig.md.
 """
--- a/rig/processes.py
+++ b/rig/processes.py
@@ -1,6 +1,6 @@
-"""Processes of the program: started and held, released together, stopped, started again, read, and ended.
+"""Processes of the program: start up to a barrier, release together, signal, restart, measure and end.
 
-Whatever the rig started it ends, by its own handle, also when it is interrupted; it ends nothing else.
+The rig ends whatever it started, by its own handle and also when it is interrupted; it ends nothing else.
 """
 
 from __future__ import annotations
@@ -18,7 +18,10 @@
 from typing import IO, Any
 
 ROOT = Path(__file__).resolve().parent.parent
-START_S = 120.0
+START_TIMEOUT_S = 120.0
+END_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL
+MAX_LOG_LINE = 200  # characters of a log line that an error quotes
+PAGE_BYTES = 4096
 SIGNALS = {
     "kill": signal.SIGKILL,
     "term": signal.SIGTERM,
@@ -29,13 +32,13 @@
 
 
 def balancer_address(number: int) -> str:
-    """A balancer's own loopback address: 127.10.0.1 and on."""
+    """Return a balancer's own loopback address: 127.10.0.1 and on."""
     return f"127.10.{number // 250}.{number % 250 + 1}"
 
 
 @dataclass(eq=False)
 class Process:
-    """One balancer's processes, one after the other. arguments: after the program's name."""
+    """One balancer, over all its restarts. arguments: what follows the program's name."""
 
     name: str
     environment: dict[str, str]
@@ -48,7 +51,7 @@
     crashes: list[str] = field(default_factory=list)
 
     def start_to_barrier(self) -> None:
-        """Start it up to the gate."""
+        """Start the process up to the barrier."""
         self.note_end()
         self.start_count += 1
         self.end_requested = False
@@ -63,26 +66,26 @@
             )
 
     def wait_ready(self, until: float) -> None:
-        """At the gate; RuntimeError if it never came."""
+        """Wait until the process is at the barrier; RuntimeError if it never gets there."""
         assert self.running is not None and self.running.stdout is not None
         if self.running.stdout.readline() != b"ready\n" or time.monotonic() > until:
             raise RuntimeError(f"{self.name} did not start: {self.last_log_line()}")
 
     def release(self) -> None:
-        """Let it pass the gate."""
+        """Let the process pass the barrier."""
         assert self.running is not None and self.running.stdin is not None
         with contextlib.suppress(BrokenPipeError):
             self.running.stdin.write(b"go\n")
             self.running.stdin.flush()
 
-    def signal(self, what: str) -> None:
-        """Send a signal by its name in SIGNALS; nothing where no process is running."""
+    def signal(self, name: str) -> None:
+        """Send a signal by its name in SIGNALS, if the process is running."""
         if self.running is not None and self.running.poll() is None:
-            self.end_requested = self.end_requested or what in ("kill", "term")
-            self.running.send_signal(SIGNALS[what])
+            self.end_requested = self.end_requested or name in ("kill", "term")
+            self.running.send_signal(SIGNALS[name])
 
     def note_end(self) -> None:
-        """Whether the life that has ended did so unasked."""
+        """Record a crash if the process has ended without having been told to."""
         if self.running is None or self.running.poll() is None:
             return
         if not self.end_requested or self.running.returncode not in (0, -signal.SIGKILL):
@@ -91,7 +94,7 @@
         self.running = None
 
     def close_pipes(self) -> None:
-        """Close its standard input and output on this side."""
+        """Close this side of the pipes to its standard input and output."""
         pipes: list[IO[bytes] | None] = [self.running.stdin, self.running.stdout] if self.running else []
         for pipe in pipes:
             if pipe is not None:
@@ -99,26 +102,26 @@
                     pipe.close()
 
     def last_log_line(self) -> str:
-        """The last line of its log, at most 200 characters; "" if there is none."""
+        """Return the last line of its log, at most MAX_LOG_LINE characters; "" if there is none."""
         try:
             lines = self.log.read_text(errors="replace").splitlines()
         except OSError:
             return ""
-        return lines[-1][:200] if lines else ""
+        return lines[-1][:MAX_LOG_LINE] if lines else ""
 
     def resident_mb(self) -> float:
-        """Resident memory in MB (10^6 bytes); 0 where it is not running."""
+        """Return its resident memory in MB (10^6 bytes); 0 if it is not running."""
         if self.running is None:
             return 0.0
         try:
             pages = int(Path(f"/proc/{self.running.pid}/statm").read_text().split()[1])
         except (OSError, IndexError, ValueError):
             return 0.0
-        return pages * 4096 / 1e6
+        return pages * PAGE_BYTES / 1e6
 
 
 class ProcessGroup:
-    """All of a run's."""
+    """The processes of a run; leaving the context ends them."""
 
     def __init__(self, members: Iterable[Process]) -> None:
         self.members = list(members)
@@ -132,59 +135,58 @@
         self.end()
 
     def start_to_barrier(self, members: Iterable[Process] | None = None) -> None:
-        """Start them up to the gate, some at a time: a start costs half a second of a core."""
+        """Start them up to the barrier, a batch at a time: a start costs half a second of a core."""
         chosen = list(self.members if members is None else members)
-        at_once, until = 2 * (os.cpu_count() or 1), time.monotonic() + START_S
-        for first in range(0, len(chosen), at_once):
-            part = chosen[first : first + at_once]
-            for one in part:
-                one.start_to_barrier()
-            for one in part:
-                one.wait_ready(until)
+        batch_size, until = 2 * (os.cpu_count() or 1), time.monotonic() + START_TIMEOUT_S
+        for first in range(0, len(chosen), batch_size):
+            batch = chosen[first : first + batch_size]
+            for process in batch:
+                process.start_to_barrier()
+            for process in batch:
+                process.wait_ready(until)
 
     def release(self, members: Iterable[Process] | None = None) -> float:
-        """Let them all go; the moment, on the machine's monotonic clock."""
+        """Release them all; return the moment on the monotonic clock in seconds."""
         moment = time.monotonic()
-        for one in self.members if members is None else members:
-            one.release()
+        for process in self.members if members is None else members:
+            process.release()
         return moment
 
     def end(self) -> None:
-        """SIGTERM, and SIGKILL for what is still there after five seconds."""
-        for one in self.members:
-            one.signal("cont")
-            one.signal("term")
-        until = time.monotonic() + 5.0
-        for one in self.members:
-            if one.running is None:
+        """Send SIGTERM, and SIGKILL to what is still running END_TIMEOUT_S later."""
+        for process in self.members:
+            process.signal("cont")
+            process.signal("term")
+        until = time.monotonic() + END_TIMEOUT_S
+        for process in self.members:
+            if process.running is None:
                 continue
             with contextlib.suppress(subprocess.TimeoutExpired):
-                one.running.wait(max(0.01, until - time.monotonic()))
-            if one.running.poll() is None:
-                one.running.kill()
-                one.running.wait()
-            one.note_end()
-            one.close_pipes()
+                process.running.wait(max(0.01, until - time.monotonic()))
+            if process.running.poll() is None:
+                process.running.kill()
+                process.running.wait()
+            process.note_end()
+            process.close_pipes()
 
     def crashes(self) -> list[str]:
-        """What ended unasked, a line each."""
-        for one in self.members:
-            one.note_end()
-        return [text for one in self.members for text in one.crashes]
+        """Describe each process that ended without having been told to, one line each."""
+        for process in self.members:
+            process.note_end()
+        return [text for process in self.members for text in process.crashes]
 
 
 @contextlib.contextmanager
 def helper_process(*arguments: str, **options: Any) -> Iterator[subprocess.Popen[bytes]]:
-    """A stand-in or a fault proxy, ended with the block."""
-    process = subprocess.Popen(
-        [sys.executable, "-m", *arguments], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, **options
-    )
+    """Run a module, such as a stand-in, as a process that ends with the context."""
+    command = [sys.executable, "-m", *arguments]
+    process = subprocess.Popen(command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, **options)
     try:
         yield process
     finally:
         process.terminate()
         try:
-            process.wait(5)
+            process.wait(END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
--- a/rig/start_barrier.py
+++ b/rig/start_barrier.py
@@ -1,7 +1,8 @@
-"""One balancer, that waits at a gate: python gate.py CHECKOUT, then a line on standard input releases it.
+"""Run one balancer behind a start barrier: python start_barrier.py CHECKOUT [ARGUMENT ...].
 
-All that it imports is imported before, so that hundreds are released together; from there on it is the
-program as it is in that checkout. A closed standard input before the release ends it.
+Everything the program imports is imported before the barrier, so that hundreds of processes can be released
+at the same moment by a line on standard input. From there on it is the program as it is in that checkout. If
+standard input is closed before the release, the process exits.
 """
 
 import importlib
@@ -10,7 +11,7 @@
 
 
 def main() -> int:
-    """Import the checkout's program, wait for the release, run it; its exit status."""
+    """Import the checkout's program, wait for the release and run it; return its exit status."""
     checkout = sys.argv[1]
     sys.path[0] = checkout
     sys.argv = ["quartzford", *sys.argv[2:]]
