--- a/rig/hollow_fleet.py
+++ b/rig/hollow_fleet.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-import json
 import subprocess
 from contextlib import ExitStack
 from typing import Any, NamedTuple
 
-from rig.processes import helper_process
+from rig.meter import Counts, VersionTime
+from rig.processes import helper_process, receive_json, send_json
 
 
 class HollowProcess(NamedTuple):
@@ -17,21 +17,33 @@
     first: int
     last: int
 
+    def read_reply(self) -> dict[str, Any]:
+        """Read the reply to one command; RuntimeError if the process has ended."""
+        reply: dict[str, Any] | None = receive_json(self.process)
+        if reply is None:
+            raise RuntimeError(f"hollow balancers {self.first} to {self.last - 1} have ended")
+        return reply
+
 
 class HollowReading(NamedTuple):
-    """What all hollow balancers had done at a moment, in the order of their numbers.
+    """What all hollow balancers have done, in the order of their numbers.
 
-    sides: calls, bytes in, bytes out up to then; heard and in_force: moments and versions since the last.
+    counts: up to this reading; received and applied: versions since the reading before. cpu_s and rss_mb are
+    sums over the processes, stall_s is the longest delay of an event loop in seconds.
     """
 
-    sides: list[tuple[int, int, int]]
-    heard: list[list[tuple[float, int]]]
-    in_force: list[list[tuple[float, int]]]
+    counts: list[Counts]
+    received: list[list[VersionTime]]
+    applied: list[list[VersionTime]]
     cpu_s: float
     rss_mb: float
     stall_s: float
 
 
+def _versions(rows: list[list[Any]]) -> list[VersionTime]:
+    return [VersionTime(at, version) for at, version in rows]
+
+
 class HollowFleet:
     """All hollow balancers of a run. plan: as rig.hollow takes it, without first and count."""
 
@@ -43,54 +55,38 @@
         for n in range(processes if count else 0):
             begin, end = (first + count * k // processes for k in (n, n + 1))
             if end > begin:
-                self.processes.append(
-                    HollowProcess(stack.enter_context(helper_process("rig.hollow")), begin, end)
-                )
-        for share in self.processes:
-            self._send_command(share, plan | {"first": share.first, "count": share.last - share.first})
-        for share in self.processes:
-            self._read_reply(share)
-
-    @staticmethod
-    def _send_command(share: HollowProcess, what: dict[str, Any]) -> None:
-        assert share.process.stdin is not None
-        share.process.stdin.write(json.dumps(what).encode() + b"\n")
-        share.process.stdin.flush()
-
-    @staticmethod
-    def _read_reply(share: HollowProcess) -> dict[str, Any]:
-        assert share.process.stdout is not None
-        line = share.process.stdout.readline()
-        if not line:
-            raise RuntimeError(f"hollow balancers {share.first} to {share.last - 1} have ended")
-        told: dict[str, Any] = json.loads(line)
-        return told
+                process = stack.enter_context(helper_process("rig.hollow"))
+                self.processes.append(HollowProcess(process, begin, end))
+        for one in self.processes:
+            send_json(one.process, plan | {"first": one.first, "count": one.last - one.first})
+        for one in self.processes:
+            one.read_reply()
 
     def begin(self, at: float) -> None:
-        """All begin at that moment."""
-        for share in self.processes:
-            self._send_command(share, {"begin": at})
+        """Start all of them at that time of the monotonic clock."""
+        for one in self.processes:
+            send_json(one.process, {"begin": at})
 
     def cut(self, first: int, last: int, until: float) -> None:
         """Cut balancers off from everything, by their numbers in the fleet."""
-        for share in self.processes:
-            self._send_command(share, {"cut": [first, last], "until": until})
+        for one in self.processes:
+            send_json(one.process, {"cut": [first, last], "until": until})
 
     def read(self) -> HollowReading:
-        """What all have done; the processes are asked together."""
-        for share in self.processes:
-            self._send_command(share, {"read": 1})
-        answers = [self._read_reply(share) for share in self.processes]
-        sides = [side for answer in answers for side in answer["sides"]]
+        """Return what all have done; the processes are read at the same time."""
+        for one in self.processes:
+            send_json(one.process, {"read": 1})
+        replies = [one.read_reply() for one in self.processes]
+        sides = [side for reply in replies for side in reply["sides"]]
         return HollowReading(
-            [(side[0], side[1], side[2]) for side in sides],
-            [side[3] for side in sides],
-            [side[4] for side in sides],
-            sum(answer["cpu_s"] for answer in answers),
-            sum(answer["rss_mb"] for answer in answers),
-            max((answer["stall_s"] for answer in answers), default=0.0),
+            counts=[Counts(calls, bytes_in, bytes_out) for calls, bytes_in, bytes_out, _, _ in sides],
+            received=[_versions(received) for _, _, _, received, _ in sides],
+            applied=[_versions(applied) for _, _, _, _, applied in sides],
+            cpu_s=sum(reply["cpu_s"] for reply in replies),
+            rss_mb=sum(reply["rss_mb"] for reply in replies),
+            stall_s=max((reply["stall_s"] for reply in replies), default=0.0),
         )
 
     def pids(self) -> list[int]:
-        """Of the processes."""
-        return [share.process.pid for share in self.processes]
+        """Return the process identifiers."""
+        return [one.process.pid for one in self.processes]
--- a/rig/processes.py
+++ b/rig/processes.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import contextlib
+import json
 import os
 import signal
 import subprocess
@@ -176,6 +177,20 @@
         return [text for process in self.members for text in process.crashes]
 
 
+def send_json(process: subprocess.Popen[bytes], message: dict[str, Any]) -> None:
+    """Write one line of JSON to a process's standard input."""
+    assert process.stdin is not None
+    process.stdin.write(json.dumps(message).encode() + b"\n")
+    process.stdin.flush()
+
+
+def receive_json(process: subprocess.Popen[bytes]) -> Any:
+    """Read one line of JSON from a process's standard output; None if it has ended."""
+    assert process.stdout is not None
+    line = process.stdout.readline()
+    return json.loads(line) if line else None
+
+
 @contextlib.contextmanager
 def helper_process(*arguments: str, **options: Any) -> Iterator[subprocess.Popen[bytes]]:
     """Run a module, such as a stand-in, as a process that ends with the context."""
--- a/rig/scale.py
+++ b/rig/scale.py
@@ -1,11 +1,12 @@
-"""A scale run: real balancers under load beside hollow ones, one list service, relays or none, and events.
+"""A scale run: real balancers under load beside hollow ones, one list service, perhaps relays, and events.
 
-    result = play_scale(ScalePlan(real=4, hollow=40, relays=2, moments=(Moment(6.0, "quiet"), ...)))
+    result = play_scale(ScalePlan(real=4, hollow=40, relays=2, events=(ScaleEvent(6.0, "quiet"), ...)))
 
-The list has many rows for each real upstream: every row is ready, and leads to one that answers. Around
-each moment counts, bytes and processor time of each role are read; bench/scale_events.py works with them.
-Real balancers come first in the fleet's numbers, and the last of them (`idle`) get no requests: these are
-what hollow ones are to be compared with. All that was started is ended with the run, also an interrupted one.
+The endpoint list has many rows for each real upstream: every row is ready, and leads to one that answers.
+Around each event counts, bytes and processor time of each role are sampled; bench/scale_events.py works with
+them. Real balancers come first in the fleet's numbers, and the last of them (`idle`) get no requests: hollow
+balancers are to be compared with these. Everything that was started is ended with the run, also with an
+interrupted one.
 """
 
 from __future__ import annotations
@@ -17,82 +18,29 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import IO, Any
+from typing import IO, Any, NamedTuple
 
 from rig import capacity
 from rig.hollow_fleet import HollowFleet, HollowReading
 from rig.meter import METER_VARIABLE, MeterLog
-from rig.processes import Process, ProcessGroup
+from rig.processes import Process, ProcessGroup, receive_json, send_json
 from rig.relays import peak_resident_mb, relay_address, relay_processes
+from rig.scale_plan import FIRST_VERSION, ScaleEvent, ScaleEventKind, ScalePlan
 from rig.scenario import Run, Scenario, TooManyError, free_port_at
+from rig.scenario_result import Reports
 
-EVENT_KINDS = ("quiet", "change", "down", "kill", "cut", "drip")
-CHANGE_DELAY_S = 0.1  # a change follows the loss that it is to be told through
-RACK_ROWS = 40
-FIRST_VERSION = 2  # of the list as it is at the release
-
-
-@dataclass(frozen=True)
-class ScaleEvent:
-    """Something that happens `at` seconds from the release, and is looked at for `window` seconds.
-
-    change: `rows` rows go in one instant, or come back. down: the list service is down for `span` seconds,
-    and changes a row when it is back. kill: so many relays (`count`), SIGKILL, and changed `rows`. cut: a
-    third of the hollow balancers for `span` seconds, and a changed row. drip: a row changes every `span`
-    seconds.
-    """
-
-    at: float
-    name: str
-    what: str = "quiet"
-    window: float = 6.0
-    rows: int = 1
-    first: int = 0  # row
-    gone: bool = False
-    count: int = 0
-    span: float = 0.0
-
-
-@dataclass(frozen=True)
-class ScalePlan:
-    """A scale run. rows: of the list; upstreams: real ones, behind these rows; idle: real balancers
-    without requests."""
-
-    real: int
-    hollow: int
-    events: tuple[ScaleEvent, ...]
-    relays: int = 0
-    rows: int = 2_000
-    upstreams: int = 40
-    idle: int = 1
-    hollow_processes: int = 4
-    share: str = "rows"
-    rate: float = 40.0
-    seconds: float = 30.0
-    per_s: float = 50.0
-    seed: int = 1
-    lone: bool = True  # one more hollow balancer, in a process of its own
-
-    def fleet(self) -> int:
-        """All balancers together."""
-        return self.real + self.hollow + self.lone
-
-    def demand(self) -> capacity.ScaleDemand:
-        """What it asks of the machine."""
-        return capacity.ScaleDemand(
-            self.real,
-            self.hollow,
-            self.rows,
-            self.relays,
-            self.hollow_processes + self.lone,
-            self.share,
-            self.rate,
-        )
+CHANGE_DELAY_S = 0.1  # from a failure to the change that is to be notified in spite of it
+MAX_SAMPLE_AGE_S = 1.0  # of a sample that serves as the one before the next event
+TICKS_PER_S = 100.0  # of the kernel's processor times
 
 
 @dataclass
 class Sample:
-    """Counts of all roles at one moment of the machine's clock."""
+    """Counts of all roles at one time of the monotonic clock.
+
+    source: the list service's counts. cpu: processor seconds by role. memory_mb: by role, as named there.
+    lone: the reading of the hollow balancer that has a process of its own.
+    """
 
     at: float
     hollow: HollowReading
@@ -100,37 +48,48 @@
     cpu: dict[str, float]
     memory_mb: dict[str, float]
     relay_peak_mb: float
-    lone: HollowReading | None  # of the hollow balancer that has a process of its own
+    lone: HollowReading | None
+
+
+class Notification(NamedTuple):
+    """A version of the endpoint list, and when the list service was given it."""
+
+    version: int
+    at: float
 
 
 @dataclass
 class ObservedEvent:
-    """One moment as it went: what was told when (version and time), and the looks around it."""
+    """One event as it went: the changes made in it, and the samples around it.
+
+    notified_bytes: length of the changes as one watcher gets them. restored_at: when the service or the link
+    was there again; 0 where neither was away.
+    """
 
     event: ScaleEvent
     before: Sample
     after: Sample
-    notified: list[tuple[int, float]] = field(default_factory=list)
-    notified_bytes: int = 0  # to one watcher
-    restored_at: float = 0.0  # when the service or the link was there again
+    notified: list[Notification] = field(default_factory=list)
+    notified_bytes: int = 0
+    restored_at: float = 0.0
 
 
 def cpu_seconds(pids: Iterable[int]) -> float:
-    """User and system time of processes, in seconds; those that have gone count nothing."""
+    """Return the user and system time of processes in seconds; those that have ended count nothing."""
     total = 0.0
     for pid in pids:
         try:
             fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         except OSError:
             continue
-        total += (int(fields[11]) + int(fields[12])) / 100.0
+        total += (int(fields[11]) + int(fields[12])) / TICKS_PER_S
     return total
 
 
 def alias_rows(hosts: list[dict[str, Any]], rows: int) -> list[dict[str, Any]]:
-    """So many ready rows over these upstreams, each in the block and zone of the one that it leads to."""
-    leads = [hosts[n % len(hosts)] for n in range(rows)]
-    return [host | {"host": f"{host['host']}.{n:05}"} for n, host in enumerate(leads)]
+    """Return so many ready rows over these upstreams, each in the cell and zone of the one it leads to."""
+    targets = [hosts[n % len(hosts)] for n in range(rows)]
+    return [host | {"host": f"{host['host']}.{n:05}"} for n, host in enumerate(targets)]
 
 
 class ScaleRun(Run):
@@ -144,10 +103,10 @@
         self.version = FIRST_VERSION - 1
         self.listed: list[dict[str, Any]] = []
         self.relay_fleet = ProcessGroup([])
-        self.dead: set[str] = set()
-        self.seen: list[ObservedEvent] = []
+        self.killed_relays: set[str] = set()
+        self.observed: list[ObservedEvent] = []
 
-    # ---- putting it together
+    # ---- preparation
 
     def _rows(self) -> list[dict[str, Any]]:
         self.listed = alias_rows(self.hosts, self.plan.rows)
@@ -161,82 +120,86 @@
             for n in range(self.plan.relays)
         ]
 
-    def _fault_proxy(self) -> None:
-        super()._fault_proxy()
+    def _start_fault_proxy(self) -> None:
+        super()._start_fault_proxy()
         self.relay_proxy_ports = self.proxy_ports
-        self.proxy_ports = [self.service_port] * self.plan.real  # no proxy: hollow ones have none either
+        # Real balancers call the service without a proxy, as hollow ones do.
+        self.proxy_ports = [self.service_port] * self.plan.real
 
-    def _config(self, number: int, life: int = 0) -> dict[str, Any]:
-        table = super()._config(number, life)
+    def _config(self, number: int, start: int = 0) -> dict[str, Any]:
+        table = super()._config(number, start)
         table["discovery"] = f"127.0.0.1:{self.service_port}"
         table["settings"]["nInstances"] = self.plan.fleet()
         return table
 
     def _weight(self, number: int, rng: random.Random) -> float:
-        return 0.0 if number >= self.plan.real - self.plan.idle else super()._weight(number, rng)
-
-    def _balancers(self) -> None:
-        super()._balancers()
-        for one in self.processes.members:
-            one.environment[METER_VARIABLE] = str(self._meter(one))
+        if number >= self.plan.real - self.plan.idle:
+            return 0.0
+        return super()._weight(number, rng)
+
+    def _prepare_balancers(self) -> None:
+        super()._prepare_balancers()
+        for process in self.processes.members:
+            process.environment[METER_VARIABLE] = str(self._meter_path(process))
             if self.plan.relays:
-                path = self.folder / f"{one.name}.toml"
-                names = ", ".join(f'"{address}"' for address in self.addresses)
-                path.write_text(f"[lists]\ncalls_per_s = {self.plan.per_s:g}\nrelays = [{names}]\n")
-                one.arguments = ("serve", "--operator", str(path))
+                path = self.folder / f"{process.name}.toml"
+                relays = ", ".join(f'"{address}"' for address in self.addresses)
+                path.write_text(f"[lists]\ncalls_per_s = {self.plan.per_s:g}\nrelays = [{relays}]\n")
+                process.arguments = ("serve", "--operator", str(path))
         self._start_relays()
-        self._start_hollow()
+        self._start_hollow_balancers()
 
-    def _meter(self, one: Process) -> Path:
-        return self.folder / f"{one.name}.meter"
+    def _meter_path(self, process: Process) -> Path:
+        return self.folder / f"{process.name}.meter"
 
     def _start_relays(self) -> None:
         plan = self.plan
-        sources = [f"{relay_address(n)}:{way}" for n, way in enumerate(self.relay_proxy_ports)]
+        sources = [f"{relay_address(n)}:{port}" for n, port in enumerate(self.relay_proxy_ports)]
         self.relay_fleet = relay_processes(self.addresses, sources, plan.fleet(), plan.per_s, self.folder)
         self.stack.enter_context(self.relay_fleet)
         self.relay_fleet.start_to_barrier()
 
-    def _start_hollow(self) -> None:
+    def _start_hollow_balancers(self) -> None:
         plan = self.plan
-        notified = {
+        hollow_plan = {
             "balancers": plan.fleet(),
             "discovery": f"127.0.0.1:{self.service_port}",
             "relays": self.addresses,
             "seed": plan.seed,
             "share": plan.share,
         }
-        self.hollow = HollowFleet(plan.real, plan.hollow, plan.hollow_processes, notified, self.stack)
-        # One more alone, with nothing shared: what a process costs is told from what a balancer costs.
-        alone = notified | {"share": "nothing"}
-        self.lone = HollowFleet(plan.real + plan.hollow, int(plan.lone), 1, alone, self.stack)
+        self.hollow = HollowFleet(plan.real, plan.hollow, plan.hollow_processes, hollow_plan, self.stack)
+        # The lone one shares nothing: the cost of a process is told apart from the cost of a balancer.
+        lone_plan = hollow_plan | {"share": "nothing"}
+        self.lone = HollowFleet(plan.real + plan.hollow, int(plan.lone), 1, lone_plan, self.stack)
 
     # ---- playing
 
-    def _begin(self, at: float) -> None:
-        super()._begin(at)
+    def _set_release(self, at: float) -> None:
+        super()._set_release(at)
         self.hollow.begin(at)
         self.lone.begin(at)
-        self.relay_fleet.release()  # they stand before the balancers ask
-        self.start = self._sample()
+        self.relay_fleet.release()  # relays have to be there before the balancers call them
+        self.first_sample = self._sample()
 
-    def _sample(self) -> Sample:
-        self._tell(self.service, {"count": 1})
-        source = json.loads(self.service.stdout.readline())
-        loaded = self.processes.members[: self.plan.real - self.plan.idle]
-        idle = self.processes.members[self.plan.real - self.plan.idle :]
-        roles: dict[str, list[int]] = {
+    def _pids_by_role(self) -> dict[str, list[int]]:
+        first_idle = self.plan.real - self.plan.idle
+        return {
             "source": [self.service.pid],
             "hollow": self.hollow.pids(),
             "proxy": [self.proxy.pid],
             "hollow lone": self.lone.pids(),
-            "real under load": pids(loaded),
-            "real idle": pids(idle),
+            "real under load": pids(self.processes.members[:first_idle]),
+            "real idle": pids(self.processes.members[first_idle:]),
             "relays": pids(self.relay_fleet.members),
             "upstreams": [self.upstreams.pid],
             "clients": [self.clients.pid],
         }
-        cpu = {role: cpu_seconds(numbers) for role, numbers in roles.items()}
+
+    def _sample(self) -> Sample:
+        send_json(self.service, {"count": 1})
+        source = receive_json(self.service)
+        cpu = {role: cpu_seconds(numbers) for role, numbers in self._pids_by_role().items()}
         hollow = self.hollow.read()
         memory = {
             "hollow, all": round(hollow.rss_mb, 1),
@@ -247,101 +210,115 @@
         lone = self.lone.read() if self.plan.lone else None
         return Sample(time.monotonic(), hollow, source, cpu, memory, peak, lone)
 
-    def _carry_out(self) -> None:
-        """The moments in their order; the first look of each is the last one's last where they touch."""
-        sample = self.start
+    def _sleep_until(self, at: float) -> None:
+        time.sleep(max(0.0, self.timeline.released_at + at - time.monotonic()))
+
+    def _play_events(self) -> None:
+        """Play the events in their order; where two follow at once, they share the sample between them."""
+        sample = self.first_sample
         for event in self.plan.events:
-            time.sleep(max(0.0, self.began + event.at - time.monotonic()))
-            if time.monotonic() > sample.at + 1.0 and event.at > 0:
+            self._sleep_until(event.at)
+            if time.monotonic() > sample.at + MAX_SAMPLE_AGE_S and event.at > 0:
                 sample = self._sample()
-            seen = ObservedEvent(event, sample, sample)
-            self.say(event.name)
-            self._happen(event, seen)
-            time.sleep(max(0.0, self.began + event.at + event.window - time.monotonic()))
-            sample = seen.after = self._sample()
-            self.seen.append(seen)
-
-    def _happen(self, event: ScaleEvent, seen: ObservedEvent) -> None:
-        """Do what the moment says, and note what was told when."""
-        if event.what == "change":
-            self._change(event, seen)
-        elif event.what == "down":
-            self._tell(self.service, {"down": event.span})
-            time.sleep(event.span + CHANGE_DELAY_S)
-            seen.restored_at = time.monotonic()
-            self._touch(seen)
-        elif event.what == "kill":
-            for one in self._victims(event.count):
-                one.signal("kill")
-                self.dead.add(one.name)
-            time.sleep(CHANGE_DELAY_S)
-            self._touch(seen, event.rows)
-        elif event.what == "cut":
-            first = self.plan.real
-            seen.restored_at = time.monotonic() + event.span
-            self.hollow.cut(first, first + self.plan.hollow // 3, seen.restored_at)
-            time.sleep(CHANGE_DELAY_S)
-            self._touch(seen)
-        elif event.what == "drip":
-            while time.monotonic() < self.began + event.at + event.window - 2 * event.span:
-                time.sleep(event.span)
-                self._touch(seen)
-
-    def _victims(self, count: int) -> list[Process]:
-        alive = [one for one in self.relay_fleet.members if one.name not in self.dead]
-        return alive[:count]
-
-    def _change(self, event: ScaleEvent, seen: ObservedEvent) -> None:
+            observed = ObservedEvent(event, sample, sample)
+            self.record(event.name)
+            self._play_event(event, observed)
+            self._sleep_until(event.at + event.window)
+            sample = observed.after = self._sample()
+            self.observed.append(observed)
+
+    def _play_event(self, event: ScaleEvent, observed: ObservedEvent) -> None:
+        """Do what the event says, and record the changes made in it."""
+        match event.what:
+            case ScaleEventKind.CHANGE:
+                self._change(event, observed)
+            case ScaleEventKind.DOWN:
+                send_json(self.service, {"down": event.span})
+                time.sleep(event.span + CHANGE_DELAY_S)
+                observed.restored_at = time.monotonic()
+                self._restart_rows(observed)
+            case ScaleEventKind.KILL:
+                self._kill_relays(event.count)
+                time.sleep(CHANGE_DELAY_S)
+                self._restart_rows(observed, event.rows)
+            case ScaleEventKind.CUT:
+                first = self.plan.real
+                observed.restored_at = time.monotonic() + event.span
+                self.hollow.cut(first, first + self.plan.hollow // 3, observed.restored_at)
+                time.sleep(CHANGE_DELAY_S)
+                self._restart_rows(observed)
+            case ScaleEventKind.DRIP:
+                self._drip(event, observed)
+
+    def _drip(self, event: ScaleEvent, observed: ObservedEvent) -> None:
+        last = self.timeline.released_at + event.at + event.window - 2 * event.span
+        while time.monotonic() < last:
+            time.sleep(event.span)
+            self._restart_rows(observed)
+
+    def _kill_relays(self, count: int) -> None:
+        alive = [one for one in self.relay_fleet.members if one.name not in self.killed_relays]
+        for process in alive[:count]:
+            process.signal("kill")
+            self.killed_relays.add(process.name)
+
+    def _change(self, event: ScaleEvent, observed: ObservedEvent) -> None:
         rows = self.listed[event.first : event.first + event.rows]
-        state: dict[str, Any] = {"health": "gone"} if event.gone else {"born_ms": round(time.time() * 1000)}
-        self._send([row | state for row in rows], seen)
+        state: dict[str, Any] = {"health": "gone"} if event.gone else {"born_ms": _now_ms()}
+        self._send_change([row | state for row in rows], observed)
 
-    def _touch(self, seen: ObservedEvent, rows: int = 1) -> None:
-        """Some rows start anew."""
-        first, born = self.version % len(self.listed), round(time.time() * 1000)
-        self._send([row | {"born_ms": born} for row in self.listed[first : first + rows]], seen)
+    def _restart_rows(self, observed: ObservedEvent, rows: int = 1) -> None:
+        """Give some rows a new start time; which ones follows from the version."""
+        first, born_ms = self.version % len(self.listed), _now_ms()
+        changed = [row | {"born_ms": born_ms} for row in self.listed[first : first + rows]]
+        self._send_change(changed, observed)
 
-    def _send(self, rows: list[dict[str, Any]], seen: ObservedEvent) -> None:
+    def _send_change(self, rows: list[dict[str, Any]], observed: ObservedEvent) -> None:
         self.version += 1
-        seen.notified.append((self.version, time.monotonic()))
+        observed.notified.append(Notification(self.version, time.monotonic()))
         text = json.dumps({"seq": self.version, "whole": False, "hosts": rows})
-        seen.notified_bytes += len(text) + 1 + len(f"{len(text) + 1:x}") + 4
-        self._tell(self.service, {"change": rows})
-
-    # ---- what it came to
-
-    def _result(
-        self, report: dict[str, Any], books: Any, service: Any, memory: float, crashes: list[str]
-    ) -> dict[str, Any]:
-        result = super()._result(report, books, service, memory, crashes)
-        for one in self.relay_fleet.members:
-            one.note_end()
-        crashed = [text for one in self.relay_fleet.members for text in one.crashes]
-        result["crashes"] += crashed
-        result["kept"] = result["kept"] and not crashed
-        steps = {int(second): counts for second, counts in report["steps"].items()}
-        unserved = {int(second): counts for second, counts in report["unserved"].items()}
+        chunk_head = f"{len(text) + 1:x}"
+        observed.notified_bytes += len(text) + 1 + len(chunk_head) + 4  # a newline, and two line ends
+        send_json(self.service, {"change": rows})
+
+    # ---- results
+
+    def _result(self, reports: Reports) -> dict[str, Any]:
+        result = super()._result(reports)
+        for process in self.relay_fleet.members:
+            process.note_end()
+        crashes = [text for process in self.relay_fleet.members for text in process.crashes]
+        result["crashes"] += crashes
+        result["kept"] = result["kept"] and not crashes
         return result | {
             "plan": self.plan,
-            "began": self.began,
-            "seen": self.seen,
-            "steps": steps,
-            "unserved": unserved,
-            "source_calls": service.get("calls", []),
-            "readings": [MeterLog(self._meter(one)) for one in self.processes.members],
+            "began": self.timeline.released_at,
+            "observed": self.observed,
+            "steps": _by_second(reports.clients["steps"]),
+            "unserved": _by_second(reports.clients["unserved"]),
+            "source_calls": reports.service.get("calls", []),
+            "meter_logs": [MeterLog(self._meter_path(one)) for one in self.processes.members],
         }
 
 
+def _now_ms() -> int:
+    return round(time.time() * 1000)
+
+
+def _by_second(counts: dict[str, Any]) -> dict[int, Any]:
+    return {int(second): values for second, values in counts.items()}
+
+
 def pids(members: Iterable[Process]) -> list[int]:
-    """Of those that run."""
+    """Return the identifiers of those processes that run."""
     return [one.running.pid for one in members if one.running is not None]
 
 
 def play_scale(plan: ScalePlan, log: IO[str] | None = None) -> dict[str, Any]:
-    """One scale run; TooManyError with the bound where the machine can't bear it."""
-    why = capacity.scale_refusal(capacity.read_machine(), plan.demand())
-    if why:
-        raise TooManyError(why)
+    """Play one scale run and return its result; TooManyError with the bound if this machine cannot run it."""
+    reason = capacity.scale_refusal(capacity.read_machine(), plan.demand())
+    if reason:
+        raise TooManyError(reason)
     scenario = Scenario(
         balancers=plan.real,
         service={"per_s": plan.per_s, "line": "queues"},
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -1,53 +1,73 @@
-"""A scenario: a fleet of real processes between stand-ins, a script of faults and of signals, and the books.
+"""A scenario: a fleet of real processes between stand-ins, with scripts of faults and of events.
 
     result = play(Scenario(balancers=12, service={"per_s": 50, "line": "queues"}, rate=40, seconds=8,
                            faults="2 cut nodes[:6] lists until 5", events="1 kill nodes[:4] back 0.5"))
 
-Events are lines such as `1 kill nodes[:4] back 0.5` (started again so many seconds later), `2 term nodes[3]`,
-`2 stop nodes[0]`, `4 cont nodes[0]`, `3 move nodes` (SIGHUP with discovery at another address), or
-`0 loop nodes[:3] every 1 until 8`. Times count from the release. Each thing done is one line of JSON where a
-log is given. At the end the four rules are judged over the books of clients and upstreams.
+rig.faults describes scripts of faults, rig.process_events those of events. Times count from the release. Each
+thing done is one line of JSON where a log is given. At the end the four rules are checked over what clients
+and upstreams recorded: rig.scenario_result.
 """
 
 from __future__ import annotations
 
 import json
-import math
 import random
+import socket
 import tempfile
 import time
 import urllib.request
-from collections import Counter
 from contextlib import ExitStack
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import IO, Any, NamedTuple
 
-from quartzford.load.clients import DEFAULT_CLASSES, LOST
-from quartzford.load.reconciliation import check_rules
 from rig import capacity
-from rig.faults import Link, Script, ScriptError, group_members, read_script
-from rig.processes import ROOT, Process, ProcessGroup, balancer_address, helper_process
-from standins.site import config, free_port
-
-EVENTS = ("kill", "term", "stop", "cont", "move", "loop")
-KILLED_S = 3.0  # so soon after a kill its connections' ends have been noticed, also on a busy machine
-SETTLE_S = 0.4  # from the release of the stand-ins' clocks to the balancers' own
+from rig.faults import Link, Script, read_script
+from rig.process_events import EventKind, ProcessEvent, read_events
+from rig.processes import (
+    ROOT,
+    Process,
+    ProcessGroup,
+    balancer_address,
+    helper_process,
+    receive_json,
+    send_json,
+)
+from rig.scenario_result import (
+    ProcessTime,
+    ProxyConnection,
+    Reports,
+    Start,
+    Timeline,
+    scenario_result,
+)
+from standins.site import config
+
+SETTLE_S = 0.4  # from setting the helpers' release time to the release
+REBIRTH_TIMEOUT_S = 5.0  # for all upstreams to have started anew
+REBIRTH_POLL_S = 0.02
+RESTART_TIMEOUT_S = 10.0  # for a process to end before its next start
+FETCH_TIMEOUT_S = 30.0
+MAX_LOGGED_NAMES = 20
+DEFAULT_UPSTREAMS = 12  # as in standins.fleet
+SHARED_SEED = 7  # where all balancers have the same name and seed
 
 
 class TooManyError(RuntimeError):
-    """The machine does not bear so many processes; the text says why."""
+    """The machine cannot run so many processes; the text says why."""
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """What is played. service: standins.listservice.Plan; nodos: standins.fleet.Plan.
+    """What is played. service: standins.listservice.Plan; upstream_plan: standins.fleet's plan.
 
     cold: the upstreams start with the release. known: what balancers know of the list at their start:
-    "nothing", or "before". automatic: the platform's way, an agent that pushes, though one service does it.
-    checkout: the program's; settings: of the platform's form, over those of standins.site. weights: how
-    uneven the balancers' traffic is (sigma of a lognormal). operator: text of an operator's file, where
-    {folder} stands for a place of each balancer's own.
+    "nothing", or "before". automatic: endpoint lists come as the platform delivers them, pushed by an agent,
+    though one service does it. checkout: the program's; settings: of the platform's form, over those of
+    standins.site. weights: how uneven the balancers' traffic is (sigma of a lognormal distribution). names:
+    "own", or "one" where all have the same name and seed. operator: text of an operator's file, where
+    {folder} stands for a path of each balancer's own. padding: further rows of the list, of draining
+    upstreams that do not exist. rate: requests per second over the fleet.
     """
 
     balancers: int
@@ -64,47 +84,21 @@
     checkout: Path = ROOT
     settings: dict[str, Any] = field(default_factory=dict)
     weights: float = 0.0
-    names: str = "own"  # or "one": all have the same name, and the same seed
+    names: str = "own"
     operator: str = ""
-    padding: int = 0  # further rows of the list, of upstreams that drain and are not there
+    padding: int = 0
 
 
-@dataclass(frozen=True)
-class ProcessEvent:
-    """Something done to processes."""
+class DueEvent(NamedTuple):
+    """What is to be done next to an event's targets: itself, or their start that follows from it."""
 
     at: float
-    what: str
-    who: frozenset[str]
-    back: float = -1.0
-    every: float = 0.0
-    until: float = 0.0
-
-
-class Start(NamedTuple):
-    """One start of a balancer: what its random draws come from, and when it passed the gate."""
-
-    number: int
-    name: str
-    listen: str
-    seed: int
-    released_s: float  # from the release of all
-
-
-def read_events(text: str, groups: dict[str, int]) -> list[ProcessEvent]:
-    """The events of a script, in order of time; ScriptError names a line that is wrong."""
-    events = []
-    for line in filter(None, (line.partition("#")[0].strip() for line in text.splitlines())):
-        words = line.split()
-        try:
-            at, what, who, rest = float(words[0]), words[1], group_members(words[2], groups), words[3:]
-            options = {rest[n]: float(rest[n + 1]) for n in range(0, len(rest), 2)}
-            if what not in EVENTS or set(options) - {"back", "every", "until"}:
-                raise ScriptError(f"no such event; there are {', '.join(EVENTS)}")
-        except (IndexError, ValueError) as error:
-            raise ScriptError(f"{line!r}: {error}") from None
-        events.append(ProcessEvent(at, what, who, **options))
-    return sorted(events, key=lambda event: event.at)
+    kind: EventKind
+    event: ProcessEvent
+
+
+def _is_named(process: Process, targets: frozenset[str]) -> bool:
+    return f"nodes[{process.name[1:]}]" in targets
 
 
 class Run:
@@ -115,78 +109,65 @@
         self.groups = {"nodes": scenario.balancers, "lists": 1}
         self.script = Script(read_script(scenario.faults, self.groups))
         self.events = read_events(scenario.events, self.groups)
-        self.began = 0.0
+        self.timeline = Timeline()
         self.done: list[dict[str, Any]] = []
-        self.taken: list[list[float]] = []  # connections through the proxy: when, and by which link
-        self.kills: list[tuple[int, float]] = []  # who was killed outright, and when
-        self.begun: list[tuple[int, float]] = []  # who was started again, and when
-        self.starts: list[Start] = []
         self.stack = ExitStack()
 
-    def say(self, what: str, **more: Any) -> None:
-        """One line of JSON for each thing done."""
-        row = {"at": round(time.monotonic() - self.began, 3) if self.began else None, "did": what, **more}
+    def record(self, what: str, **details: Any) -> None:
+        """Record one thing done, and write it to the log as a line of JSON."""
+        released_at = self.timeline.released_at
+        at = round(time.monotonic() - released_at, 3) if released_at else None
+        row = {"at": at, "did": what, **details}
         self.done.append(row)
         if self.log is not None:
             self.log.write(json.dumps(row) + "\n")
             self.log.flush()
 
-    # ---- putting it together
-
     def play(self) -> dict[str, Any]:
-        """Start everything, carry the script out, end everything; the result."""
+        """Start everything, carry out the script, end everything; return the result."""
         with self.stack:
-            self._stand_ins()
-            self._fault_proxy()
-            self._balancers()
-            self._clients()
+            self._start_stand_ins()
+            self._start_fault_proxy()
+            self._prepare_balancers()
+            self._start_clients()
             with self.processes:
                 self.processes.start_to_barrier()
                 self._release()
-                self._carry_out()
-                report = json.loads(self.clients.stdout.readline() or b"{}")
-                memory = max((one.resident_mb() for one in self.processes.members), default=0.0)
-                self._tell(self.proxy, {"counts": 1})
-                self.taken = json.loads(self.proxy.stdout.readline())["taken"]
-                books = self._fetch(self.upstreams_port)
-                service = self._fetch(self.service_port)
-                crashes = self.processes.crashes()
-            return self._result(report, books, service, memory, crashes)
+                self._play_events()
+                reports = self._collect_reports()
+            return self._result(reports)
+
+    # ---- preparation
 
     def _start_helper(self, *arguments: str) -> Any:
         return self.stack.enter_context(helper_process(*arguments))
 
-    def _stand_ins(self) -> None:
+    def _start_stand_ins(self) -> None:
         scenario = self.scenario
         plan = dict(scenario.upstream_plan)
         if scenario.cold:
-            plan["fresh"] = plan.get("nodos", 12)
+            plan["fresh"] = plan.get("nodos", DEFAULT_UPSTREAMS)
         self.upstreams = self._start_helper("standins.fleet", json.dumps(plan))
-        announced = json.loads(self.upstreams.stdout.readline())
+        announced = receive_json(self.upstreams)
         self.upstreams_port = announced["port"]
         self.hosts: list[dict[str, Any]] = announced["list"]["hosts"]
         self.service = self._start_helper("standins.listservice", json.dumps(scenario.service))
-        self.service_port = json.loads(self.service.stdout.readline())["port"]
-        self._tell(self.service, {"hosts": self._rows()})
+        self.service_port = receive_json(self.service)["port"]
+        send_json(self.service, {"hosts": self._rows()})
 
     def _rows(self) -> list[dict[str, Any]]:
-        """The list as the service has it."""
-        ghost = self.hosts[0] | {"health": "draining"}
-        return self.hosts + [ghost | {"host": f"ghost{n}"} for n in range(self.scenario.padding)]
-
-    @staticmethod
-    def _tell(process: Any, what: dict[str, Any]) -> None:
-        process.stdin.write(json.dumps(what).encode() + b"\n")
-        process.stdin.flush()
-
-    def _fault_proxy(self) -> None:
-        """Every balancer's own link to the list service, under its own address there."""
-        rows = self._links()
+        """Return the endpoint list as the service has it."""
+        padding_row = self.hosts[0] | {"health": "draining"}
+        return self.hosts + [padding_row | {"host": f"ghost{n}"} for n in range(self.scenario.padding)]
+
+    def _start_fault_proxy(self) -> None:
+        """Start the fault proxy, with a link from every balancer's own address to the list service."""
+        links = self._links()
         self.proxy = self._start_helper("rig.fault_proxy")
         plan = {"script": self.scenario.faults, "groups": self.groups, "seed": self.scenario.seed}
-        self._tell(self.proxy, plan | {"links": rows})
-        self.proxy_ports = json.loads(self.proxy.stdout.readline())["ports"]
-        self.affected_links = sum(self.script.affects(Link(row[0], row[1])) for row in rows)
+        send_json(self.proxy, plan | {"links": links})
+        self.proxy_ports = receive_json(self.proxy)["ports"]
+        self.affected_links = sum(self.script.affects(Link(row[0], row[1])) for row in links)
 
     def _links(self) -> list[Any]:
         service = ["127.0.0.1", self.service_port]
@@ -195,266 +176,205 @@
             for n in range(self.scenario.balancers)
         ]
 
-    def _config(self, number: int, life: int = 0) -> dict[str, Any]:
+    def _config(self, number: int, start: int = 0) -> dict[str, Any]:
         scenario = self.scenario
-        table = config(0, 0, self._known())
+        table = config(0, 0, self._known_list())
         table["listen"] = f"{balancer_address(number)}:{self.ports[number]}"
         table["discovery"] = f"{balancer_address(number)}:{self.proxy_ports[number]}"
         table["name"] = "n" if scenario.names == "one" else f"n{number}"
-        own = 7 if scenario.names == "one" else scenario.seed * 1_000_003 + number * 101 + life
-        table["seed"] = f"{own:x}"
+        own_seed = scenario.seed * 1_000_003 + number * 101 + start
+        table["seed"] = f"{SHARED_SEED if scenario.names == 'one' else own_seed:x}"
         mode = "automatic" if scenario.automatic else "subscribe"
         table["settings"] |= {"nInstances": scenario.balancers, "registryMode": mode} | scenario.settings
         return table
 
-    def _known(self) -> dict[str, Any]:
+    def _known_list(self) -> dict[str, Any]:
         if self.scenario.known == "nothing":
             return {"seq": 0, "whole": True, "hosts": []}
         return {"seq": 1, "whole": True, "hosts": self.hosts}
 
-    def _balancers(self) -> None:
-        scenario = self.scenario
-        self.ports = [free_port_at(balancer_address(n)) for n in range(scenario.balancers)]
-        balancers = []
-        for n in range(scenario.balancers):
-            path = self.folder / f"n{n}.json"
-            path.write_text(json.dumps(self._config(n)))
-            arguments: tuple[str, ...] = ()
-            if scenario.operator:
-                operator = self.folder / f"n{n}.toml"
-                operator.write_text(scenario.operator.replace("{folder}", str(self.folder / f"n{n}")))
-                arguments = ("serve", "--operator", str(operator))
-            environment = {"EDGE_CONFIG": str(path)}
-            balancers.append(
-                Process(f"n{n}", environment, self.folder / f"n{n}.log", scenario.checkout, arguments)
-            )
-        self.processes = ProcessGroup(balancers)
-
-    def _clients(self) -> None:
+    def _config_path(self, process: Process) -> Path:
+        return self.folder / f"{process.name}.json"
+
+    def _prepare_balancers(self) -> None:
+        numbers = range(self.scenario.balancers)
+        self.ports = [free_port_at(balancer_address(number)) for number in numbers]
+        self.processes = ProcessGroup([self._prepare_balancer(number) for number in numbers])
+
+    def _prepare_balancer(self, number: int) -> Process:
+        scenario, path = self.scenario, self.folder / f"n{number}.json"
+        path.write_text(json.dumps(self._config(number)))
+        arguments: tuple[str, ...] = ()
+        if scenario.operator:
+            operator = self.folder / f"n{number}.toml"
+            operator.write_text(scenario.operator.replace("{folder}", str(self.folder / f"n{number}")))
+            arguments = ("serve", "--operator", str(operator))
+        log, environment = self.folder / f"n{number}.log", {"EDGE_CONFIG": str(path)}
+        return Process(f"n{number}", environment, log, scenario.checkout, arguments)
+
+    def _start_clients(self) -> None:
         scenario, rng = self.scenario, random.Random(self.scenario.seed)
         rows = [[balancer_address(n), self.ports[n], self._weight(n, rng)] for n in range(scenario.balancers)]
         self.clients = self._start_helper("rig.clients")
         plan = {"balancers": rows, "rate": scenario.rate, "seconds": scenario.seconds, "seed": scenario.seed}
-        self._tell(self.clients, plan)
+        send_json(self.clients, plan)
         self.clients.stdout.readline()
 
     def _weight(self, number: int, rng: random.Random) -> float:
-        """A balancer's part of the clients' requests."""
+        """Return a balancer's weight among the clients' requests."""
         return rng.lognormvariate(0.0, self.scenario.weights)
 
     # ---- playing
 
-    def _begin(self, at: float) -> None:
-        """Tell all helpers when the release is."""
+    def _set_release(self, at: float) -> None:
+        """Tell all helpers when the release is, on the monotonic clock."""
         for process in (self.service, self.proxy, self.clients):
-            self._tell(process, {"begin": at})
+            send_json(process, {"begin": at})
+
+    def _start_upstreams(self) -> None:
+        self.upstreams.stdin.write(b"go\n")
+        self.upstreams.stdin.flush()
 
     def _release(self) -> None:
-        begin = time.monotonic() + SETTLE_S
-        if self.scenario.upstream_plan.get(
-            "trouble"
-        ):  # its times count from here, a moment before the release
-            self.upstreams.stdin.write(b"go\n")
-            self.upstreams.stdin.flush()
+        released_at = time.monotonic() + SETTLE_S
+        if self.scenario.upstream_plan.get("trouble"):
+            self._start_upstreams()  # the times of its faults count from here, SETTLE_S before the release
         if self.scenario.cold:
-            self.upstreams.stdin.write(b"go\n")
-            self.upstreams.stdin.flush()
-            self.hosts = self._reborn()
-            self._tell(self.service, {"hosts": self._rows()})
-        self._begin(begin)
-        time.sleep(max(0.0, begin - time.monotonic()))
-        self.began = begin
-        for one in self.processes.members:
-            self._note_start(one, 0.0)
+            self._start_upstreams()
+            self.hosts = self._restarted_hosts()
+            send_json(self.service, {"hosts": self._rows()})
+        self._set_release(released_at)
+        time.sleep(max(0.0, released_at - time.monotonic()))
+        self.timeline.released_at = released_at
+        for process in self.processes.members:
+            self._note_start(process, 0.0)
         self.processes.release()
-        self.say("release", balancers=self.scenario.balancers, links_with_faults=self.affected_links)
+        self.record("release", balancers=self.scenario.balancers, links_with_faults=self.affected_links)
 
-    def _reborn(self) -> list[dict[str, Any]]:
-        """The list, once all upstreams have started anew."""
-        until = time.monotonic() + 5.0
+    def _restarted_hosts(self) -> list[dict[str, Any]]:
+        """Return the endpoint list once all upstreams have started anew."""
+        until = time.monotonic() + REBIRTH_TIMEOUT_S
         while True:
-            hosts: list[dict[str, Any]] = self._get(self.upstreams_port, "/catalog/members")["hosts"]
+            hosts: list[dict[str, Any]] = fetch(self.upstreams_port, "/catalog/members")["hosts"]
             if all(row["born_ms"] for row in hosts) or time.monotonic() > until:
                 return hosts
-            time.sleep(0.02)
+            time.sleep(REBIRTH_POLL_S)
 
-    def _carry_out(self) -> None:
-        """Events, and starts again, each at its moment."""
-        agenda: list[tuple[float, str, frozenset[str], ProcessEvent]] = [
-            (event.at, event.what, event.who, event) for event in self.events
-        ]
+    def _play_events(self) -> None:
+        """Carry out each event at its time, and the starts and repetitions that follow from it."""
+        agenda = [DueEvent(event.at, event.kind, event) for event in self.events]
         while agenda:
-            agenda.sort(key=lambda row: row[0])
-            at, what, who, event = agenda.pop(0)
-            time.sleep(max(0.0, self.began + at - time.monotonic()))
-            chosen = [one for one in self.processes.members if f"nodes[{one.name[1:]}]" in who]
-            if what == "start":
-                for one in chosen:
-                    self._again(one)
-            elif what == "loop":
-                self._loop(chosen)
-                if at + event.every < event.until:
-                    agenda.append((at + event.every, "loop", who, event))
-            elif what == "move":
+            agenda.sort(key=lambda due: due.at)
+            due = agenda.pop(0)
+            time.sleep(max(0.0, self.timeline.released_at + due.at - time.monotonic()))
+            chosen = [one for one in self.processes.members if _is_named(one, due.event.targets)]
+            following = self._carry_out(due, chosen)
+            if following is not None:
+                agenda.append(following)
+            self.record(
+                due.kind, to=sorted(one.name for one in chosen)[:MAX_LOGGED_NAMES], number=len(chosen)
+            )
+
+    def _carry_out(self, due: DueEvent, chosen: list[Process]) -> DueEvent | None:
+        """Do one thing to processes; return what follows from it."""
+        at, event = due.at, due.event
+        match due.kind:
+            case EventKind.START:
+                self._restart(chosen)
+            case EventKind.MOVE:
                 self._move(chosen)
-            else:
-                self._signal(chosen, what)
+            case EventKind.LOOP:
+                self._signal(chosen, EventKind.KILL)
+                self._restart(chosen)
+                if at + event.every < event.until:
+                    return DueEvent(at + event.every, EventKind.LOOP, event)
+            case _:
+                self._signal(chosen, due.kind)
                 if event.back >= 0:
-                    agenda.append((at + event.back, "start", who, event))
-            self.say(what, to=sorted(one.name for one in chosen)[:20], number=len(chosen))
-
-    def _again(self, one: Process) -> None:
-        if one.running is not None:
-            one.running.wait(10)
-        number = int(one.name[1:])
-        (self.folder / f"{one.name}.json").write_text(json.dumps(self._config(number, one.start_count)))
-        self.begun.append((number, time.monotonic()))
-        one.start_to_barrier()
-        self._note_start(one, time.monotonic() - self.began)
-        one.release()
-
-    def _note_start(self, one: Process, released_s: float) -> None:
-        """Keep what the configuration says that it starts with."""
-        table = json.loads((self.folder / f"{one.name}.json").read_text())
-        start = Start(int(one.name[1:]), table["name"], table["listen"], int(table["seed"], 16), released_s)
-        self.starts.append(start)
-
-    def _signal(self, chosen: list[Process], what: str) -> None:
-        for one in chosen:
-            if what == "kill":
-                self.kills.append((int(one.name[1:]), time.monotonic()))
-            one.signal(what)
-
-    def _loop(self, chosen: list[Process]) -> None:
-        self._signal(chosen, "kill")
-        for one in chosen:
-            self._again(one)
+                    return DueEvent(at + event.back, EventKind.START, event)
+        return None
+
+    def _restart(self, chosen: list[Process]) -> None:
+        for process in chosen:
+            if process.running is not None:
+                process.running.wait(RESTART_TIMEOUT_S)
+            number = int(process.name[1:])
+            configuration = self._config(number, process.start_count)
+            self._config_path(process).write_text(json.dumps(configuration))
+            self.timeline.restarts.append(ProcessTime(number, time.monotonic()))
+            process.start_to_barrier()
+            self._note_start(process, time.monotonic() - self.timeline.released_at)
+            process.release()
+
+    def _note_start(self, process: Process, released_s: float) -> None:
+        """Record what the configuration says that the process starts with."""
+        table = json.loads(self._config_path(process).read_text())
+        number, seed = int(process.name[1:]), int(table["seed"], 16)
+        self.timeline.starts.append(Start(number, table["name"], table["listen"], seed, released_s))
+
+    def _signal(self, chosen: list[Process], kind: EventKind) -> None:
+        for process in chosen:
+            if kind is EventKind.KILL:
+                self.timeline.kills.append(ProcessTime(int(process.name[1:]), time.monotonic()))
+            process.signal(kind)
 
     def _move(self, chosen: list[Process]) -> None:
-        """The same service by another address: a new configuration, then SIGHUP."""
-        for one in chosen:
-            path = self.folder / f"{one.name}.json"
+        """Give the same service another address: a new configuration, then SIGHUP."""
+        for process in chosen:
+            path = self._config_path(process)
             table = json.loads(path.read_text())
             table["discovery"] = f"127.0.0.1:{self.service_port}"
             path.write_text(json.dumps(table))
-        for one in chosen:
-            one.signal("hup")
-
-    # ---- what it came to
-
-    def _get(self, port: int, path: str) -> Any:
-        with urllib.request.urlopen(f"http://127.0.0.1:{port}{path}", timeout=30) as answer:
-            return json.loads(answer.read())
-
-    def _fetch(self, port: int) -> Any:
-        try:
-            return self._get(port, "/books")
-        except OSError:
-            return {}
-
-    def _killed(self, lost: list[Any]) -> set[str]:
-        """Tries that ended with the process that had taken them, killed outright: nobody can answer these.
-
-        Their connections were made before its next life began, and ended soon after the kill. Not before the
-        kill: one that gets SIGTERM takes connections until it has, and a busy client notes them late.
-        """
-        return {
-            identity
-            for identity, where, made, ended in lost
-            if any(
-                one == where and made < self._next_life(one, at) and at < ended < at + KILLED_S
-                for one, at in self.kills
-            )
-        }
-
-    def _next_life(self, number: int, after: float) -> float:
-        return min((at for one, at in self.begun if one == number and at > after), default=math.inf)
-
-    def _by_second(self, rows: list[Any]) -> list[int]:
-        """What an upstream was sent in each second from the release on."""
-        counts = Counter(int(row[0] - self.began) for row in rows)
-        return [counts[second] for second in range(int(self.scenario.seconds))]
-
-    def _calls_by_balancer(self) -> dict[int, list[float]]:
-        """When each balancer called the list service through the proxy, in seconds from the release."""
-        calls: dict[int, list[float]] = {number: [] for number in range(self.scenario.balancers)}
-        for at, number in sorted(self.taken):
-            calls[int(number)].append(at - self.began)
-        return calls
-
-    def _result(
-        self, report: dict[str, Any], books: Any, service: Any, memory: float, crashes: list[str]
-    ) -> dict[str, Any]:
-        if not report or not books:
-            raise RuntimeError("the clients or the upstreams gave no books")
-        killed = self._killed(report["lost"])
-        tries = [
-            (i, name, "killed" if end == LOST and i in killed else end) for i, name, end in report["book"]
-        ]
-        verdict = check_rules(books, tries, DEFAULT_CLASSES, report["twice"])
-        # Calls that found nobody are in the proxy's book alone, those past the proxy in the service's.
-        direct = [row for row in service.get("calls", ()) if row[1] == "127.0.0.1"]
-        calls = sorted(row[0] - self.began for row in [*self.taken, *direct])
-        per = Counter(number for _, number in self.taken)
-        answers = service.get("answers", ())
-        times = [at for at in report["taken_in_s"] if at is not None]
-        return {
-            "balancers": self.scenario.balancers,
-            "serving": len(times),
-            "all_after_s": max(times, default=0.0),
-            "taken_in_s": report["taken_in_s"],
-            "calls": len(calls),
-            "calls_s": [round(at, 3) for at in calls],
-            "starts": self.starts,
-            "calls_by_balancer": self._calls_by_balancer(),
-            "most_1s": most_in(calls, 1.0),
-            "most_100ms": most_in(calls, 0.1),
-            "most_of_one": max(per.values(), default=0),
-            "answered": sum(row[2] == "answered" for row in answers),
-            "for_nobody": sum(row[2] == "for nobody" for row in answers),
-            "turned_away": sum(row[2] == "turned away" for row in answers),
-            "bytes": service.get("bytes", 0),
-            "ends": report["ends"],
-            "latency_ms": report["latency_ms"],
-            "late_ms": report["late_ms"],
-            "goodput": report["goodput"],
-            "seconds": report["seconds"],
-            "sends": {name: self._by_second(rows) for name, rows in books["arrivals"].items()},
-            "rules": verdict["rules"],
-            "kept": verdict["kept"] and not crashes,
-            "cold": verdict["cold"],
-            "crashes": crashes[:10],
-            "memory_mb": round(memory, 1),
-            "done": self.done,
-        }
-
-
-def most_in(times: list[float], span: float) -> int:
-    """The most of sorted moments within any such span."""
-    most, first = 0, 0
-    for last, at in enumerate(times):
-        while times[first] < at - span:
-            first += 1
-        most = max(most, last - first + 1)
-    return most
+        for process in chosen:
+            process.signal("hup")
+
+    # ---- results
+
+    def _collect_reports(self) -> Reports:
+        clients = receive_json(self.clients) or {}
+        memory_mb = max((process.resident_mb() for process in self.processes.members), default=0.0)
+        send_json(self.proxy, {"counts": 1})
+        accepted = receive_json(self.proxy)["taken"]
+        self.timeline.connections = [ProxyConnection(at, int(link)) for at, link in accepted]
+        upstreams = fetch_books(self.upstreams_port)
+        service = fetch_books(self.service_port)
+        return Reports(clients, upstreams, service, memory_mb, self.processes.crashes())
+
+    def _result(self, reports: Reports) -> dict[str, Any]:
+        scenario = self.scenario
+        result = scenario_result(scenario.balancers, scenario.seconds, self.timeline, reports)
+        return result | {"done": self.done}
 
 
-def free_port_at(host: str) -> int:
-    import socket
+def fetch(port: int, path: str) -> Any:
+    """Return the JSON at a path of a stand-in on loopback; OSError if nobody answers."""
+    with urllib.request.urlopen(f"http://127.0.0.1:{port}{path}", timeout=FETCH_TIMEOUT_S) as answer:
+        return json.loads(answer.read())
+
 
-    with socket.socket() as sock:
-        sock.bind((host, 0))
-        port: int = sock.getsockname()[1]
+def fetch_books(port: int) -> Any:
+    """Return what a stand-in has recorded; nothing if it does not answer."""
+    try:
+        return fetch(port, "/books")
+    except OSError:
+        return {}
+
+
+def free_port_at(host: str) -> int:
+    """Return a port that is free on this address."""
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        port: int = probe.getsockname()[1]
         return port
 
 
 def play(scenario: Scenario, log: IO[str] | None = None) -> dict[str, Any]:
-    """One scenario, from its processes' start to their end; TooManyError where the machine can't bear it."""
-    why = capacity.refusal(capacity.read_machine(), scenario.balancers, scenario.rate)
-    if why:
-        raise TooManyError(why)
+    """Play one scenario, from its processes' start to their end; return its result.
+
+    TooManyError if this machine cannot run it. log: takes a line of JSON for each thing done.
+    """
+    reason = capacity.refusal(capacity.read_machine(), scenario.balancers, scenario.rate)
+    if reason:
+        raise TooManyError(reason)
     with tempfile.TemporaryDirectory(prefix="quartzford-rig-") as folder:
         return Run(scenario, Path(folder), log).play()
-
-
-__all__ = ["ProcessEvent", "Run", "Scenario", "TooManyError", "free_port", "play", "read_events"]
--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from quartzford.membership.call_policy import seeded_random
-from rig.scenario import Scenario, Start, play
+from rig.scenario import Scenario, play
+from rig.scenario_result import Start
 from standins.site import config
 
 NODOS = {"nodos": 6, "capacity": 200.0}
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -29,8 +29,10 @@
     read_script,
     stream_delay,
 )
+from rig.process_events import read_events
 from rig.processes import ROOT
-from rig.scenario import Scenario, TooManyError, most_in, play, read_events
+from rig.scenario import Scenario, TooManyError, play
+from rig.scenario_result import most_in
 
 GROUPS = {"nodes": 12, "lists": 1}
 LINK = Link("nodes[3]", "lists[0]")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,8 @@
 from rig.meter import MeterLog
 from rig.processes import ROOT
 from rig.relays import relay_address, relay_settings
-from rig.scale import ScaleEvent, ScalePlan, alias_rows, play_scale
+from rig.scale import alias_rows, play_scale
+from rig.scale_plan import ScaleEvent, ScaleEventKind, ScalePlan
 from rig.scenario import TooManyError
 from standins.listservice import Plan, Service
 
@@ -47,11 +48,11 @@
 SMALL = (
     ScaleEvent(0.0, "all start", window=4.0),
     ScaleEvent(4.0, "quiet", window=1.0),
-    ScaleEvent(5.0, "rack", "change", window=1.5, rows=40, gone=True),
-    ScaleEvent(6.5, "rack back", "change", window=1.5, rows=40),
-    ScaleEvent(8.0, "source down", "down", window=7.0, span=1.5),
+    ScaleEvent(5.0, "rack", ScaleEventKind.CHANGE, window=1.5, rows=40, gone=True),
+    ScaleEvent(6.5, "rack back", ScaleEventKind.CHANGE, window=1.5, rows=40),
+    ScaleEvent(8.0, "source down", ScaleEventKind.DOWN, window=7.0, span=1.5),
 )
-KILLED = ScaleEvent(15.0, "relay killed", "kill", window=5.0, rows=40, count=1)
+KILLED = ScaleEvent(15.0, "relay killed", ScaleEventKind.KILL, window=5.0, rows=40, count=1)
 
 
 # ---- bounds
@@ -168,7 +169,7 @@
     path.write_text("counts 1.0 1 0 73\nheard 1.5 2\ncounts 2.0 1 500 73\nin_force 2.1 2\n")
     one = MeterLog(path)
     assert one.counts_at(0.5) == (0, 0, 0) and one.counts_at(1.2) == (1, 0, 73)
-    assert one.counts_at(9.0) == (1, 500, 73) and one.in_force == [(2.1, 2)] and one.heard == [(1.5, 2)]
+    assert one.counts_at(9.0) == (1, 500, 73) and one.applied == [(2.1, 2)] and one.received == [(1.5, 2)]
     assert MeterLog(tmp_path / "none").counts == []
 
 
@@ -241,7 +242,8 @@
         "import signal, sys\n"
         "signal.signal(signal.SIGINT, signal.default_int_handler)\n"  # it may be ignored where tests run
         "import bench.scale as bench\n"
-        "from rig.scale import ScaleEvent, ScalePlan, play_scale\n"
+        "from rig.scale import play_scale\n"
+        "from rig.scale_plan import ScaleEvent, ScaleEventKind, ScalePlan\n"
         "events = (ScaleEvent(0.0, 'all start', window=60.0),)\n"
         "plan = ScalePlan(2, 6, events, 1, rows=40, upstreams=2, hollow_processes=2, seconds=60)\n"
         "bench.runs = lambda options: [('one', plan)]\n"
