--- a/rig/fault_proxy.py
+++ b/rig/fault_proxy.py
@@ -1,13 +1,14 @@
 """Injects faults into TCP streams and datagrams: python -m rig.fault_proxy, a plan on standard input.
 
 A plan is one line of JSON: script (text), groups, seed, and links as [first, second, kind, listen address,
-target address, own address]: the proxy listens at the listen address (port 0: the kernel's) for what `first`
-sends to `second`, and passes it on to the target from its own address, so that the target sees who it is. It
-prints {"ports": [...]} in the order of the links. A second line {"begin": T} is the release, on the machine's
-monotonic clock; before it nothing fails. The target of a link may be told later: {"targets": {"3": [h, p]}}.
+target address, source address]: the proxy listens at the listen address (port 0: the kernel's choice) for
+what `first` sends to `second`, and passes it on to the target from the source address, so that the target
+sees whose it is. It prints {"ports": [...]} in the order of the links. A second line {"begin": T} is the
+release, on the machine's monotonic clock; before it nothing fails. The target of a link may follow later:
+{"targets": {"3": [host, port]}}.
 
-{"counts": 1} asks what was done: counts, and when each connection came by which link, also where nobody was
-reached behind it.
+{"counts": 1} is answered with counts of what was done, and with the time and link of each connection that was
+accepted, also where the target was not reached.
 
 A cut holds a stream's bytes back, as retransmission does, and lets them pass when it ends; new connections
 hang. Datagrams are dropped.
@@ -21,83 +22,108 @@
 import signal
 import sys
 from collections import Counter
+from dataclasses import dataclass
 from time import monotonic
-from typing import Any, cast
+from typing import Any, NamedTuple, cast
 
 import uvloop
 
-from rig.faults import Link, Script, datagram_delays, read_script, stream_delay
+from rig.faults import Conditions, Link, Opening, Script, datagram_delays, read_script, stream_delay
 
-HIGH_WATER = 1 << 20
+HIGH_WATER = 1 << 20  # bytes of one direction that wait, before its source is paused
+SLICES_PER_S = 10  # pieces in which a throttled stream passes
+SLICE_S = 0.1
+CHANGE_MARGIN_S = 0.001  # so that a fault has surely begun or ended
+BACKLOG = 256
+MAX_LINE_BYTES = 2**27
+
+
+@dataclass
+class PlannedLink:
+    """One link of the plan. kind: "tcp" or "udp"; source: the address to call the target from, or ""."""
+
+    first: str
+    second: str
+    kind: str
+    listen: tuple[str, int]
+    target: tuple[str, int]
+    source: str
+
+
+class Accepted(NamedTuple):
+    """A connection that was accepted: when, on the monotonic clock, and by the link of which number."""
+
+    at: float
+    number: int
 
 
 class FaultProxy:
-    """All links of one process."""
+    """All links of one process. counts: of openings, resets and datagrams, by what became of them."""
 
     def __init__(self, plan: dict[str, Any]) -> None:
         self.script = Script(read_script(plan["script"], plan["groups"]))
         self.rng = random.Random(plan["seed"])
-        self.links = [Link(row[0], row[1]) for row in plan["links"]]
-        self.rows = plan["links"]
-        self.began = float("inf")
+        self.planned = [PlannedLink(*row) for row in plan["links"]]
+        self.links = [Link(planned.first, planned.second) for planned in self.planned]
+        self.released_at = float("inf")
         self.connections: set[Connection] = set()
         self.datagram_links: dict[Link, DatagramLink] = {}
         self.counts: Counter[str] = Counter()
-        self.taken: list[list[float]] = []  # of each connection: when, and of which link
+        self.accepted: list[Accepted] = []
         self.loop = asyncio.get_running_loop()
 
     def now(self) -> float:
-        """Seconds from the release; long before it, it is minus infinity."""
-        return monotonic() - self.began
+        """Return the seconds from the release on; minus infinity before the release is known."""
+        return monotonic() - self.released_at
 
     async def listen(self) -> list[int]:
-        """Open a listener or datagram socket for each link; their ports, in the order of the links."""
-        ports = []
-        for number, (_, _, kind, at, _, _) in enumerate(self.rows):
-            if kind == "tcp":
-                server = await self.loop.create_server(
-                    lambda number=number: Connection(self, number),  # type: ignore[misc]
-                    at[0],
-                    at[1],
-                    backlog=256,
-                )
-                ports.append(server.sockets[0].getsockname()[1])
-            else:
-                transport, _ = await self.loop.create_datagram_endpoint(
-                    lambda number=number: DatagramLink(self, number),  # type: ignore[misc]
-                    local_addr=(at[0], at[1]),
-                )
-                ports.append(transport.get_extra_info("sockname")[1])
-        return ports
+        """Open a listener or datagram socket for each link; return their ports, in the order of the links."""
+        return [await self._listen(number, planned) for number, planned in enumerate(self.planned)]
+
+    async def _listen(self, number: int, planned: PlannedLink) -> int:
+        host, port = planned.listen
+        if planned.kind == "tcp":
+            server = await self.loop.create_server(
+                lambda: Connection(self, number), host, port, backlog=BACKLOG
+            )
+            name = server.sockets[0].getsockname()
+        else:
+            transport, _ = await self.loop.create_datagram_endpoint(
+                lambda: DatagramLink(self, number), local_addr=(host, port)
+            )
+            name = transport.get_extra_info("sockname")
+        bound_port: int = name[1]
+        return bound_port
 
     def begin(self, at: float) -> None:
         """Set the release, on the monotonic clock in seconds, and schedule the faults."""
-        self.began = at
+        self.released_at = at
         for number, link in enumerate(self.links):
             for moment in self.script.resets(link):
                 self.loop.call_later(max(0.0, moment - self.now()), self.reset, number)
         for moment in self.script.changes():
-            self.loop.call_later(max(0.0, moment - self.now()) + 0.001, self.fault_changed)
+            self.loop.call_later(max(0.0, moment - self.now()) + CHANGE_MARGIN_S, self.fault_changed)
 
     def reset(self, number: int) -> None:
         """Abort all connections of a link."""
-        for connection in [connection for connection in self.connections if connection.number == number]:
+        affected = [connection for connection in self.connections if connection.number == number]
+        for connection in affected:
             self.counts["reset"] += 1
             connection.abort()
 
     def fault_changed(self) -> None:
-        """A fault has begun or ended: what was held back may go on."""
+        """Let everything go on that was held back by a fault which has ended."""
         for connection in list(self.connections):
             connection.resume()
 
     def target(self, number: int) -> tuple[str, int]:
-        """The address that a link leads to."""
-        host, port = self.rows[number][4]
+        """Return the address that a link leads to."""
+        host, port = self.planned[number].target
         return host, port
 
 
 class Connection(asyncio.Protocol):
-    """One connection through the proxy: what the caller sends, and back."""
+    """One connection through the proxy, with both its directions."""
 
     transport: asyncio.Transport
 
@@ -115,26 +141,28 @@
         self.open()
 
     def open(self) -> None:
-        """The kernel has taken the connection; what it looks like to the caller is what bytes do then.
+        """Do with a new connection what the script says.
 
-        A listener can't leave a handshake unanswered: one that hangs is taken, and neither read nor answered.
+        The kernel has accepted it, as a listener can't leave a handshake unanswered: one that hangs is
+        neither read nor answered.
         """
-        opening = self.proxy.script.opens(self.link, self.proxy.now())
+        opening = self.proxy.script.opening(self.link, self.proxy.now())
         self.proxy.counts[opening] += 1
-        self.proxy.taken.append([monotonic(), self.number])
-        if opening == "refused":
+        self.proxy.accepted.append(Accepted(monotonic(), self.number))
+        if opening is Opening.REFUSED:
             return self.abort()
-        self.hanging = opening == "hangs"
+        self.hanging = opening is Opening.HANGS
         if self.hanging:
             return self.transport.pause_reading()
-        self.proxy.loop.create_task(self._reach())
+        self.proxy.loop.create_task(self._connect_target())
 
-    async def _reach(self) -> None:
+    async def _connect_target(self) -> None:
         host, port = self.proxy.target(self.number)
-        own = self.proxy.rows[self.number][5]
+        source = self.proxy.planned[self.number].source
+        local_addr = (source, 0) if source else None
         try:
             target, _ = await self.proxy.loop.create_connection(
-                lambda: TargetConnection(self), host, port, local_addr=(own, 0) if own else None
+                lambda: TargetConnection(self), host, port, local_addr=local_addr
             )
         except OSError:
             self.proxy.counts["unreached"] += 1
@@ -142,11 +170,11 @@
         if self.closed:
             return target.abort()
         self.target = target
-        self.outbound.pump()
+        self.outbound.flush()
 
     def data_received(self, data: bytes) -> None:
         """Pass bytes on to the target."""
-        self.outbound.take(data)
+        self.outbound.queue(data)
 
     def eof_received(self) -> bool:
         """Pass the end of the stream on; the other direction stays open."""
@@ -158,13 +186,21 @@
         self.abort()
 
     def resume(self) -> None:
-        """A fault has begun or ended: a hanging connection reaches its target, and what is due is written."""
-        if self.hanging and self.proxy.script.opens(self.link, self.proxy.now()) == "yes":
+        """Connect to the target if the connection hangs no longer, and write what is due."""
+        opening = self.proxy.script.opening(self.link, self.proxy.now())
+        if self.hanging and opening is Opening.ACCEPTED:
             self.hanging = False
             self.transport.resume_reading()
-            self.proxy.loop.create_task(self._reach())
-        self.outbound.pump()
-        self.inbound.pump()
+            self.proxy.loop.create_task(self._connect_target())
+        self.outbound.flush()
+        self.inbound.flush()
+
+    def close_if_ended(self) -> None:
+        """Close both sides if both directions have ended."""
+        if self.outbound.ended and self.inbound.ended:
+            self.transport.close()
+            if self.target is not None:
+                self.target.close()
 
     def abort(self) -> None:
         """Abort both sides, once."""
@@ -184,7 +220,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Pass bytes back to the caller."""
-        self.connection.inbound.take(data)
+        self.connection.inbound.queue(data)
 
     def eof_received(self) -> bool:
         """Pass the end of the stream back."""
@@ -192,48 +228,59 @@
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End both sides, unless the stream had ended in order."""
+        """End both sides, unless the stream had ended in order before."""
         if error is not None or not self.connection.inbound.ended:
             self.connection.abort()
 
 
+class Piece(NamedTuple):
+    """Bytes of one direction, and the time on the monotonic clock before which they may not pass."""
+
+    due_at: float
+    data: bytes
+
+
 class Direction:
     """Bytes in one direction, in order, each piece not before its time."""
 
     def __init__(self, connection: Connection, outbound: bool) -> None:
         self.connection, self.outbound = connection, outbound
-        self.pending: list[tuple[float, bytes]] = []  # when each may pass, and its bytes
+        self.pending: list[Piece] = []
         self.pending_bytes = 0
         self.free_at = 0.0
         self.ended = False
         self.timer: asyncio.TimerHandle | None = None
 
-    def take(self, data: bytes) -> None:
-        """Queue bytes, each piece with the moment at which it may pass."""
+    def _conditions(self) -> Conditions:
         proxy = self.connection.proxy
-        conditions = proxy.script.conditions(self.connection.link, proxy.now(), self.outbound)
-        self.free_at = max(monotonic(), self.free_at) + stream_delay(conditions, len(data), proxy.rng)
-        if conditions.rate and len(data) > conditions.rate / 10:
-            self._slowly(data, conditions.rate)
+        return proxy.script.conditions(self.connection.link, proxy.now(), self.outbound)
+
+    def queue(self, data: bytes) -> None:
+        """Queue bytes, each piece with the time at which it may pass."""
+        conditions = self._conditions()
+        delay = stream_delay(conditions, len(data), self.connection.proxy.rng)
+        self.free_at = max(monotonic(), self.free_at) + delay
+        if conditions.rate and len(data) > conditions.rate / SLICES_PER_S:
+            self._queue_throttled(data, conditions.rate)
         else:
-            self.pending.append((self.free_at, data))
+            self.pending.append(Piece(self.free_at, data))
         self.pending_bytes += len(data)
-        self._pressure()
-        self.pump()
+        self._apply_backpressure()
+        self.flush()
 
-    def _slowly(self, data: bytes, rate: float) -> None:
-        """In pieces of a tenth of a second's worth, the last when the whole is due."""
-        step = max(1, int(rate / 10))
+    def _queue_throttled(self, data: bytes, rate: float) -> None:
+        """Queue pieces of SLICE_S each, the last of them due when all of the bytes are."""
+        step = max(1, int(rate / SLICES_PER_S))
         pieces = [data[at : at + step] for at in range(0, len(data), step)]
         for n, piece in enumerate(pieces):
-            self.pending.append((self.free_at - (len(pieces) - 1 - n) * 0.1, piece))
+            self.pending.append(Piece(self.free_at - (len(pieces) - 1 - n) * SLICE_S, piece))
 
     def end(self) -> None:
         """Note the end of the stream; it is passed on behind the last byte."""
         self.ended = True
-        self.pump()
+        self.flush()
 
-    def _pressure(self) -> None:
+    def _apply_backpressure(self) -> None:
         source = self.connection.transport if self.outbound else self.connection.target
         if source is None or source.is_closing() or self.connection.hanging:
             return
@@ -242,31 +289,28 @@
         elif self.pending_bytes < HIGH_WATER // 2:
             source.resume_reading()
 
-    def pump(self) -> None:
-        """Write what is due; come again for the next."""
-        connection, proxy = self.connection, self.connection.proxy
+    def flush(self) -> None:
+        """Write what is due, and set a timer for the next piece."""
+        connection, loop = self.connection, self.connection.proxy.loop
         sink = connection.target if self.outbound else connection.transport
         if connection.closed or sink is None:
             return
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if not proxy.script.conditions(connection.link, proxy.now(), self.outbound).passes:
-            return  # fault_changed() comes back when the fault ends
+        if not self._conditions().passes:
+            return  # fault_changed() calls again when the fault ends
         now = monotonic()
-        while self.pending and self.pending[0][0] <= now:
-            _, data = self.pending.pop(0)
+        while self.pending and self.pending[0].due_at <= now:
+            data = self.pending.pop(0).data
             self.pending_bytes -= len(data)
             sink.write(data)
         if self.pending:
-            self.timer = proxy.loop.call_later(self.pending[0][0] - now, self.pump)
+            self.timer = loop.call_later(self.pending[0].due_at - now, self.flush)
         elif self.ended and sink.can_write_eof():
             sink.write_eof()
-            if connection.outbound.ended and connection.inbound.ended:
-                connection.transport.close()
-                if connection.target is not None:
-                    connection.target.close()
-        self._pressure()
+            connection.close_if_ended()
+        self._apply_backpressure()
 
 
 class DatagramLink(asyncio.DatagramProtocol):
@@ -283,44 +327,44 @@
         self.proxy.datagram_links[self.link] = self
 
     def datagram_received(self, data: bytes, address: Any) -> None:
-        """Send as many copies as the script says, each after its delay."""
+        """Pass on as many copies as the script says, each after its delay."""
         proxy = self.proxy
         conditions = proxy.script.conditions(self.link, proxy.now(), True)
-        arrivals = datagram_delays(conditions, proxy.rng)
-        proxy.counts["datagrams" if arrivals else "datagrams lost"] += 1
-        for wait in arrivals:
-            proxy.loop.call_later(wait, self._send, data)
+        delays = datagram_delays(conditions, proxy.rng)
+        proxy.counts["datagrams" if delays else "datagrams lost"] += 1
+        for delay in delays:
+            proxy.loop.call_later(delay, self._send, data)
 
     def _send(self, data: bytes) -> None:
-        """From the socket where the receiver's answers to this sender arrive: it knows who it is."""
-        answers = self.proxy.datagram_links.get(Link(self.link.second, self.link.first), self)
-        answers.transport.sendto(data, self.proxy.target(self.number))
+        """Send from the socket where the receiver's replies arrive, so that it knows the sender."""
+        reply_link = self.proxy.datagram_links.get(Link(self.link.second, self.link.first), self)
+        reply_link.transport.sendto(data, self.proxy.target(self.number))
 
     def error_received(self, error: Exception) -> None:
-        """Count a datagram that nobody took."""
+        """Count a datagram that nobody received."""
         self.proxy.counts["datagrams refused"] += 1
 
 
 async def run() -> None:
     """Serve the plan that is read from standard input until that is closed."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=2**27)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # who started it says when
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the process that started this one ends it
     proxy = FaultProxy(json.loads(await reader.readline()))
     print(json.dumps({"ports": await proxy.listen()}), flush=True)
     while line := await reader.readline():
         command = json.loads(line)
         for number, target in command.get("targets", {}).items():
-            proxy.rows[int(number)][4] = target
+            proxy.planned[int(number)].target = target
         if "begin" in command:
             proxy.begin(command["begin"])
         if "counts" in command:
-            print(json.dumps({"counts": proxy.counts, "taken": proxy.taken}), flush=True)
+            print(json.dumps({"counts": proxy.counts, "taken": proxy.accepted}), flush=True)
 
 
 def main() -> int:
-    """Run until standard input is closed; the exit status."""
+    """Run until standard input is closed; return the exit status."""
     uvloop.run(run())
     return 0
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -120,7 +120,7 @@
     script = Script(
         read_script("1 cut nodes lists until 2\n3 refuse nodes lists until 4\n5 reset nodes lists", GROUPS)
     )
-    assert [script.opens(LINK, at) for at in (0.5, 1.5, 2.5, 3.5, 4.5)] == [
+    assert [script.opening(LINK, at) for at in (0.5, 1.5, 2.5, 3.5, 4.5)] == [
         "yes",
         "hangs",
         "yes",
