--- a/bench/callmodel.py
+++ b/bench/callmodel.py
@@ -1,16 +1,16 @@
-"""Calls of a whole fleet to one list service, on a virtual clock: policies of calls side by side.
+"""Calls of a complete fleet to one list service, on a virtual clock: call policies side by side.
 
     python -m bench.callmodel [--quick] [--json FILE]
 
-The policy in force is the real one (quartzford/membership/call_policy.py); what was weighed against it stands
-here. All else is a model:
+The policy in force is the real one (quartzford/membership/call_policy.py); what it was compared with is
+defined here. All else is a model:
 
-- The service works through calls one at a time, `per_s` of them a second. "queues": it works on for callers
-  who have left. "turns away": what would wait for over a second gets a 503 at once. "down": it refuses
+- The service answers calls one at a time, `CALLS_PER_S` of them a second. "queues": it works on for callers
+  that have left. "turns away": what would wait for over a second gets a 503 at once. "down": it refuses
   connections for some seconds first. "dies": it answers for a second, is gone for three, and comes back.
   "slow": a fifth of the rate that the balancers take for granted. "trickles": an answer takes two seconds
-  more, in pieces. "killed again": all balancers start anew two seconds after the release. "a quarter loops":
-  so many die a second after each start, for twenty seconds; served counts the others.
+  more, in pieces. "killed again": all balancers restart two seconds after the release. "a quarter loops": so
+  many crash a second after each start, for twenty seconds; `served` counts the others.
 - Balancers start within half a second of the release, evenly; a network takes no time. One that has the list
   holds a watch open, which costs the service nothing and ends when that dies.
 """
@@ -25,6 +25,7 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from itertools import count
 from typing import Any, NamedTuple
 
@@ -37,24 +38,36 @@
     backoff,
 )
 
-CALLS_PER_S, ASK_S, START_S, TURN_S = 50.0, 10.0, 0.5, 1.0
-GRACE_S = 2.5  # so that what asks alone waits up to a second, as it did
-BEAT_S = 2.0  # a watch has last said something so long ago at most
-LONGEST_S = 600.0
-LOOPS_S, LOOP_S = 20.0, 1.0
+CALLS_PER_S = 50.0  # that the service answers
+POLL_INTERVAL_S = 10.0  # bound of a policy's waits
+START_SPREAD_S = 0.5
+MAX_QUEUE_S = 1.0  # where a service rejects calls
+GRACE_S = 2.5  # so that a balancer's own call waits up to a second, as it did
+HEARTBEAT_S = 2.0  # the largest age of a watch's last line
+MAX_RUN_S = 600.0
+CRASH_LOOP_S = 20.0  # for so long some balancers crash again and again
+CRASH_AFTER_S = 1.0  # from a start
+MAX_JITTER_S = 10.0
+MIN_WAIT_S = 0.05
+MAX_ALL_POLICIES = 1_000  # balancers, for which every policy is played
+NO_CALL = -1
 SIZES = (12, 16, 60, 150, 200, 1_000, 10_000)
 
 
 class ServiceBehaviour(NamedTuple):
-    """A service. downs: spans in seconds from the release."""
+    """How the list service behaves. Times are seconds from the release, outages are (begin, end).
+
+    rate: of what the balancers take for granted. restarts: when all balancers are killed and start again.
+    crash_loop_share: share of the balancers that crashes CRASH_AFTER_S after each start.
+    """
 
     name: str
     rejects: bool = False
-    rate: float = 1.0  # of what the balancers take for granted
+    rate: float = 1.0
     outages: tuple[tuple[float, float], ...] = ()
     trickle: float = 0.0
-    restarts: tuple[float, ...] = ()  # when all balancers are killed and start again
-    crash_loop_share: float = 0.0  # share of the balancers that dies a second after each start, for LOOPS_S
+    restarts: tuple[float, ...] = ()
+    crash_loop_share: float = 0.0
 
 
 SERVICE_BEHAVIOURS = (
@@ -72,232 +85,263 @@
 
 
 class Jitter(AgentCallPolicy):
-    """Exponential back-off with full jitter over a bound that is the same for every fleet."""
-
-    bound = 10.0
+    """Exponential backoff with full jitter, with a bound that is the same for every fleet."""
 
-    def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        if end is CallOutcome.DONE:
+    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        """Return the wait before the next call in seconds."""
+        if outcome is CallOutcome.DONE:
             return 0.0
-        wait = self.rng.random() * min(self.bound, 0.05 * 2.0**self.failed_calls)
+        wait = self.rng.random() * min(MAX_JITTER_S, MIN_WAIT_S * 2.0**self.failed_calls)
         self.failed_calls = min(self.failed_calls + 1, 10)
         return wait
 
 
 class Decorrelated(AgentCallPolicy):
-    """Each wait drawn from 0.05 s to three times the last one, at most 10 s."""
+    """Decorrelated jitter: each wait is drawn from MIN_WAIT_S to three times the one before."""
 
-    last = 0.05
+    last = MIN_WAIT_S
 
-    def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        if end is CallOutcome.DONE:
+    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        """Return the wait before the next call in seconds."""
+        if outcome is CallOutcome.DONE:
             return 0.0
-        self.last = min(10.0, self.rng.uniform(0.05, 3 * self.last))
+        self.last = min(MAX_JITTER_S, self.rng.uniform(MIN_WAIT_S, 3 * self.last))
         return self.last
 
     def answered(self) -> None:
-        self.last = 0.05
+        """Begin again with the shortest wait."""
+        self.last = MIN_WAIT_S
 
 
-class Bucket(AgentCallPolicy):
-    """A bucket of tokens of this balancer's part of the service: one at the start, then one an interval."""
+class TokenBucket(AgentCallPolicy):
+    """A token bucket for this balancer's part of the service: one at the start, then one an interval."""
 
     def __init__(self, rng: random.Random, balancers: int) -> None:
         super().__init__(rng, GRACE_S)
         self.interval = balancers / CALLS_PER_S
 
-    def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        return 0.0 if end is CallOutcome.DONE else max(self.interval, backoff(self.failed_calls, self.rng))
+    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        """Return the wait before the next call in seconds."""
+        if outcome is CallOutcome.DONE:
+            return 0.0
+        return max(self.interval, backoff(self.failed_calls, self.rng))
 
 
 class Patient(AgentCallPolicy):
-    """As before, but an accepted call is waited for without end."""
+    """As before, but meant to wait for the answer to an accepted call without end."""
 
     def patience(self) -> float:
+        """Return seconds; not called any more, as the policy's method is `first_line_timeout` now."""
         return 3_600.0
 
 
 class FullJitterSpread(SharedServiceCallPolicy):
     """The policy in force with full jitter over two spread intervals in place of about one."""
 
-    def delay_after(self, end: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        wait = super().delay_after(end, took, retry_after)
+    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+        """Return the wait before the next call in seconds."""
+        wait = super().delay_after(outcome, took, retry_after)
         if wait < self.spread_interval / 2:
             return wait
         interval = 2.0 * self.spread_interval * self.stretch
         return max(backoff(self.failed_calls, self.rng), self.rng.random() * interval)
 
 
-Make = Callable[[random.Random, int, Callable[[], float]], CallPolicy]
-POLICIES: dict[str, Make] = {
+PolicyFactory = Callable[[random.Random, int, Callable[[], float]], CallPolicy]
+POLICIES: dict[str, PolicyFactory] = {
     "before": lambda rng, n, now: AgentCallPolicy(rng, GRACE_S),
     "patient": lambda rng, n, now: Patient(rng, GRACE_S),
     "full jitter": lambda rng, n, now: Jitter(rng, GRACE_S),
     "decorrelated": lambda rng, n, now: Decorrelated(rng, GRACE_S),
-    "bucket": lambda rng, n, now: Bucket(rng, n),
-    "spread, full jitter": lambda rng, n, now: FullJitterSpread(n, CALLS_PER_S, ASK_S, rng, now),
-    "spread": lambda rng, n, now: SharedServiceCallPolicy(n, CALLS_PER_S, ASK_S, rng, now),
+    "bucket": lambda rng, n, now: TokenBucket(rng, n),
+    "spread, full jitter": lambda rng, n, now: FullJitterSpread(n, CALLS_PER_S, POLL_INTERVAL_S, rng, now),
+    "spread": lambda rng, n, now: SharedServiceCallPolicy(n, CALLS_PER_S, POLL_INTERVAL_S, rng, now),
 }
 # The recorded figures were drawn with these names in the seed: the same seed plays the same run as then.
 SEED_NAMES = {"spread, full jitter": "lap, full jitter", "spread": "lap"}
 
 
 @dataclass(eq=False)
-class Asker:
-    """One balancer."""
-
-    calls: CallPolicy
-    served: float = -1.0  # when it first had the list
-    made: int = 0
-    out: int = -1  # its call that is out
-    kept: int = -1  # an earlier one that may still be answered
-    since: float = 0.0  # that was made
+class ModelBalancer:
+    """One balancer of the model.
+
+    served_at: when it first had the list; negative before. open_call: the number of its call that it waits
+    for. late_call: an earlier one that may still be answered. restarts: how often it has started anew.
+    """
+
+    policy: CallPolicy
+    served_at: float = -1.0
+    calls_made: int = 0
+    open_call: int = NO_CALL
+    late_call: int = NO_CALL
+    called_at: float = 0.0
     watching: bool = False
-    life: int = 0
+    restarts: int = 0
+
+
+class QueuedCall(NamedTuple):
+    """A call in the service's queue: whose, and its number there."""
+
+    balancer: ModelBalancer
+    number: int
 
 
 @dataclass
 class Model:
-    """One release."""
+    """One release of a fleet, played on a virtual clock. until: the latest end of the run in seconds."""
 
     policy: str
     service: ServiceBehaviour
     balancers: int
     seed: int = 1
-    until: float = LONGEST_S
+    until: float = MAX_RUN_S
     now: float = 0.0
-    calls: list[float] = field(default_factory=list)  # when each was made
-    answers: int = 0  # that the service worked out
-    queue: deque[tuple[Asker, int]] = field(default_factory=deque)
+    calls: list[float] = field(default_factory=list)
+    answers: int = 0
+    queue: deque[QueuedCall] = field(default_factory=deque)
     busy: bool = False
 
     def __post_init__(self) -> None:
         seed_name = SEED_NAMES.get(self.policy, self.policy)
         self.rng = random.Random(f"{self.seed} {seed_name} {self.service.name}")
-        self.heap: list[tuple[float, int, Callable[[], None]]] = []
+        self.agenda: list[tuple[float, int, Callable[[], None]]] = []
         self.order = count()
-        self.life = 0  # of the service
-        self.askers = [Asker(self.make()) for _ in range(self.balancers)]
-        self.loops = int(self.service.crash_loop_share * self.balancers)
+        self.service_lives = 0
+        self.members = [ModelBalancer(self._new_policy()) for _ in range(self.balancers)]
+        self.crash_looping = int(self.service.crash_loop_share * self.balancers)
 
-    def make(self) -> CallPolicy:
+    def _new_policy(self) -> CallPolicy:
         rng = random.Random(self.rng.random())
         return POLICIES[self.policy](rng, self.balancers, lambda: self.now)
 
-    def later(self, wait: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (self.now + wait, next(self.order), what))
+    def _later(self, wait: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.agenda, (self.now + wait, next(self.order), action))
 
-    def down(self) -> bool:
+    def _is_down(self) -> bool:
         return any(begin <= self.now < end for begin, end in self.service.outages)
 
     def run(self) -> dict[str, Any]:
-        for one in self.askers:
-            self.later(self.rng.random() * START_S, lambda one=one: self.start(one))  # type: ignore[misc]
+        """Play until all have the list and nothing more is to happen; return the figures."""
+        self._schedule()
+        waiting, settled_at = self.balancers, self._last_disturbance()
+        while self.agenda and self.now < self.until and (waiting or self.now < settled_at + 1.0):
+            self.now, _, action = heapq.heappop(self.agenda)
+            action()
+            if self.now > settled_at:
+                waiting = sum(not one.watching for one in self.members)
+        return self.figures()
+
+    def _schedule(self) -> None:
+        for one in self.members:
+            self._later(self.rng.random() * START_SPREAD_S, partial(self._start, one))
         for begin, _ in self.service.outages:
-            self.later(begin, self.die)
+            self._later(begin, self._service_dies)
         for at in self.service.restarts:
-            for one in self.askers:
-                self.later(at, lambda one=one: self.restart(one))  # type: ignore[misc]
-        for one in self.askers[: self.loops]:
-            self.later(self.rng.random() * LOOP_S, lambda one=one: self.loop(one))  # type: ignore[misc]
-        waiting, ends = self.balancers, max((end for _, end in self.service.outages), default=0.0)
-        ends = max((ends, *self.service.restarts, LOOPS_S if self.loops else 0.0))
-        while self.heap and self.now < self.until and (waiting or self.now < ends + 1.0):
-            self.now, _, what = heapq.heappop(self.heap)
-            what()
-            waiting = sum(not one.watching for one in self.askers) if self.now > ends else waiting
-        return self.figures()
+            for one in self.members:
+                self._later(at, partial(self._restart, one))
+        for one in self.members[: self.crash_looping]:
+            self._later(self.rng.random() * CRASH_AFTER_S, partial(self._crash, one))
+
+    def _last_disturbance(self) -> float:
+        outages_end = max((end for _, end in self.service.outages), default=0.0)
+        return max((outages_end, *self.service.restarts, CRASH_LOOP_S if self.crash_looping else 0.0))
 
     # ---- balancers
 
-    def start(self, one: Asker) -> None:
-        self.soon(one, one.calls.initial_delay())
+    def _start(self, one: ModelBalancer) -> None:
+        self._call_after(one, one.policy.initial_delay())
 
-    def soon(self, one: Asker, wait: float) -> None:
-        life = one.life
-        self.later(wait, lambda: self.call(one) if one.life == life else None)
+    def _call_after(self, one: ModelBalancer, wait: float) -> None:
+        restarts = one.restarts
+        self._later(wait, lambda: self._call(one) if one.restarts == restarts else None)
 
-    def restart(self, one: Asker) -> None:
-        """Killed; a new process under its name knows nothing."""
-        one.life += 1
-        one.calls, one.out, one.kept, one.watching, one.served = self.make(), -1, -1, False, -1.0
-        self.later(self.rng.random() * START_S, lambda: self.start(one))
+    def _restart(self, one: ModelBalancer) -> None:
+        """Kill a balancer; a new process under its name knows nothing."""
+        one.restarts += 1
+        one.policy, one.open_call, one.late_call = self._new_policy(), NO_CALL, NO_CALL
+        one.watching, one.served_at = False, -1.0
+        self._later(self.rng.random() * START_SPREAD_S, lambda: self._start(one))
 
-    def loop(self, one: Asker) -> None:
-        self.restart(one)
-        if self.now < LOOPS_S:
-            self.later(LOOP_S, lambda: self.loop(one))
+    def _crash(self, one: ModelBalancer) -> None:
+        self._restart(one)
+        if self.now < CRASH_LOOP_S:
+            self._later(CRASH_AFTER_S, lambda: self._crash(one))
 
-    def call(self, one: Asker) -> None:
+    def _call(self, one: ModelBalancer) -> None:
         if one.watching:  # an earlier call has been answered meanwhile
             return
-        one.made += 1
-        one.out = number = one.made
-        one.since = self.now
+        one.calls_made += 1
+        one.open_call = number = one.calls_made
+        one.called_at = self.now
         self.calls.append(self.now)
-        if self.down():
-            return self.end(one, number, CallOutcome.UNREACHED)
+        if self._is_down():
+            return self._call_ended(one, number, CallOutcome.UNREACHED)
         rate = CALLS_PER_S * self.service.rate
-        if self.service.rejects and len(self.queue) / rate > TURN_S:
-            return self.end(one, number, CallOutcome.REJECTED)
-        self.queue.append((one, number))
-        self.later(one.calls.first_line_timeout(), lambda: self.end(one, number, CallOutcome.SILENT))
-        self.work()
-
-    def end(self, one: Asker, number: int, how: CallOutcome) -> None:
-        if one.out == number:
-            one.out = -1
-            if how is CallOutcome.SILENT and one.calls.keeps_late_calls and one.kept < 0:
-                one.kept = number
-            self.soon(one, one.calls.delay_after(how, self.now - one.since))
+        if self.service.rejects and len(self.queue) / rate > MAX_QUEUE_S:
+            return self._call_ended(one, number, CallOutcome.REJECTED)
+        self.queue.append(QueuedCall(one, number))
+        timeout = one.policy.first_line_timeout()
+        self._later(timeout, lambda: self._call_ended(one, number, CallOutcome.SILENT))
+        self._work()
+
+    def _call_ended(self, one: ModelBalancer, number: int, outcome: CallOutcome) -> None:
+        if one.open_call != number:
+            return
+        one.open_call = NO_CALL
+        if outcome is CallOutcome.SILENT and one.policy.keeps_late_calls and one.late_call < 0:
+            one.late_call = number
+        self._call_after(one, one.policy.delay_after(outcome, self.now - one.called_at))
 
     # ---- the service
 
-    def die(self) -> None:
-        self.life += 1
+    def _service_dies(self) -> None:
+        self.service_lives += 1
         self.busy = False
         for one, number in list(self.queue):
-            if one.kept == number:
-                one.kept = -1
-            self.end(one, number, CallOutcome.BROKEN)
+            if one.late_call == number:
+                one.late_call = NO_CALL
+            self._call_ended(one, number, CallOutcome.BROKEN)
         self.queue.clear()
-        for one in self.askers:
+        for one in self.members:
             if one.watching:
                 one.watching = False
-                self.soon(one, one.calls.delay_after(CallOutcome.LOST, self.rng.random() * BEAT_S))
+                silent_for = self.rng.random() * HEARTBEAT_S
+                self._call_after(one, one.policy.delay_after(CallOutcome.LOST, silent_for))
 
-    def work(self) -> None:
+    def _work(self) -> None:
         if self.busy or not self.queue:
             return
         self.busy = True
-        life = self.life
-        self.later(1.0 / (CALLS_PER_S * self.service.rate), lambda: self.answer(life))
+        life = self.service_lives
+        self._later(1.0 / (CALLS_PER_S * self.service.rate), lambda: self._answer(life))
 
-    def answer(self, life: int) -> None:
-        if life != self.life:
+    def _answer(self, life: int) -> None:
+        if life != self.service_lives:
             return
         self.busy = False
         self.answers += 1
         one, number = self.queue.popleft()
-        self.later(self.service.trickle, lambda: self.told(one, number))
-        self.work()
+        self._later(self.service.trickle, lambda: self._receive_list(one, number))
+        self._work()
 
-    def told(self, one: Asker, number: int) -> None:
-        if number in (one.out, one.kept):
-            one.out, one.kept, one.watching = -1, -1, True
-            one.calls.answered()
-            if one.served < 0:
-                one.served = self.now
+    def _receive_list(self, one: ModelBalancer, number: int) -> None:
+        if number in (one.open_call, one.late_call):
+            one.open_call, one.late_call, one.watching = NO_CALL, NO_CALL, True
+            one.policy.answered()
+            if one.served_at < 0:
+                one.served_at = self.now
 
-    # ---- what it came to
+    # ---- results
 
     def most_in(self, span: float, end: float = float("inf")) -> int:
-        """The most calls in any such span, of those that began before an end."""
+        """Return the most calls in any span of so many seconds, of those that began before `end`."""
         times = self.calls[: bisect_left(self.calls, end)]
         return max((bisect_left(times, at + span) - i for i, at in enumerate(times)), default=0)
 
     def figures(self) -> dict[str, Any]:
-        served = [one.served for one in self.askers[self.loops :] if one.served >= 0]
+        """Return what the run came to; calls are per balancer, `all_after_s` counts from the last restart."""
+        counted = self.members[self.crash_looping :]
+        served = [one.served_at for one in counted if one.served_at >= 0]
         down = max((end for begin, end in self.service.outages if begin <= 0), default=0.0)
         down = max((down, *self.service.restarts))
         return {
@@ -315,12 +359,17 @@
 
 
 def bound_s(balancers: int, service: ServiceBehaviour) -> float:
-    """By when all are to have the list: 1.25 times one call each in turn, two seconds, and a death's span."""
+    """Return by when all are to have the list, in seconds.
+
+    That is 1.25 times one call of each in turn, two seconds, the time that an answer trickles, and twice the
+    time of outages after the release.
+    """
     lost = sum(end - max(0.0, begin) for begin, end in service.outages if begin > 0)
     return 1.25 * balancers / (CALLS_PER_S * service.rate) + 2.0 + service.trickle + 2 * lost
 
 
 def main() -> int:
+    """Run the command; return its exit status."""
     parser = argparse.ArgumentParser(prog="python -m bench.callmodel")
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--json", metavar="FILE")
@@ -331,7 +380,7 @@
     print(f"{'service':18} {'N':>6} {'policy':19}", *(f"{name:>11}" for name in names))
     for service in SERVICE_BEHAVIOURS:
         for size in sizes:
-            for policy in POLICIES if size <= 1_000 else ("before", "spread"):
+            for policy in POLICIES if size <= MAX_ALL_POLICIES else ("before", "spread"):
                 row = Model(policy, service, size, until=max(45.0, 6 * size / CALLS_PER_S) + 40).run()
                 rows.append(row)
                 print(f"{service.name:18} {size:6} {policy:19}", *(f"{row[name]:11}" for name in names))
