--- a/tests/test_coldstart.py
+++ b/tests/test_coldstart.py
@@ -15,45 +15,47 @@
 from rig.scenario_result import Start
 from standins.site import config
 
-NODOS = {"nodos": 6, "capacity": 200.0}
+UPSTREAM_PLAN = {"nodos": 6, "capacity": 200.0}
 SPREAD_INTERVAL_S = (100 - 16) / 50.0  # of a hundred balancers: all but sixteen, at fifty calls a second
 TIMER_S = 0.002  # what timers of the event loop are exact to
 GUARANTEES = config(1, 1, {})["settings"]["guarantees"]
 
 
-def played(**what: Any) -> dict[str, Any]:
+def played(**options: Any) -> dict[str, Any]:
     result = play(
-        Scenario(**({"balancers": 10, "upstream_plan": NODOS, "rate": 30.0, "seconds": 5.0} | what))
+        Scenario(
+            **({"balancers": 10, "upstream_plan": UPSTREAM_PLAN, "rate": 30.0, "seconds": 5.0} | options)
+        )
     )
     broken = {name: count for name, count in result["rules"].items() if count}
     assert result["kept"], (broken, result["crashes"])
     return result
 
 
-def told(result: dict[str, Any], end: str) -> int:
+def requests_ending(result: dict[str, Any], end: str) -> int:
     return sum(count for name, count in result["ends"].items() if name.endswith(end))
 
 
 def test_a_small_fleet_starts_at_once_with_one_call_each_though_names_and_seeds_are_alike() -> None:
     result = played(names="one", seconds=2.5)
     assert result["serving"] == 10 and result["calls"] == 10 and result["most_of_one"] == 1
-    assert result["for_nobody"] == 0 and told(result, " served") > 30
+    assert result["for_nobody"] == 0 and requests_ending(result, " served") > 30
 
 
 def test_everything_cold_at_once() -> None:
-    """Balancers, upstreams and the list service, which is down for a second and then has a line."""
+    """Balancers, upstreams and the list service, which is down for a second and then has a queue."""
     result = played(cold=True, service={"per_s": 20, "downs": [[0, 1]]})
     assert result["serving"] == 10 and result["cold"]["lives"] == 6
     assert result["answered"] == 10 and result["for_nobody"] == 0
-    assert told(result, " served") > 30
+    assert requests_ending(result, " served") > 30
 
 
 def test_a_service_that_dies_amid_an_answer_and_comes_back_with_versions_begun_anew() -> None:
-    """A second restart of half of the fleet falls into it; answers are the whole list, whatever is asked."""
+    """Half of the fleet restarts meanwhile; answers are the complete list, whatever is requested."""
     service = {"per_s": 40, "dies_at": 4, "dead_s": 0.7, "back": True, "always_whole": True}
     result = played(service=service, events="0.5 kill nodes[:5] back 0.1", settings={"nInstances": 40})
     assert result["serving"] == 10
-    # One each, one after the death, one of each that was killed, and some that found nobody there.
+    # One each, one after the outage, one of each that was killed, and some that were refused.
     assert result["answered"] >= 10 and result["calls"] <= 50
 
 
@@ -63,9 +65,9 @@
     result = played(faults=faults, events=events, seconds=6.0, known="before")
     assert result["serving"] == 10
     times = result["taken_in_s"]
-    # With the list of before they serve without the service; what is stopped can't.
+    # With the list of before they serve without the service; a stopped process can't.
     assert max(times[:9]) < 1.9 and times[9] >= 1.5
-    assert result["calls"] >= 14 and told(result, " served") > 90
+    assert result["calls"] >= 14 and requests_ending(result, " served") > 90
 
 
 def calls_of_each_start(result: dict[str, Any], number: int) -> Iterator[tuple[Start, list[float]]]:
@@ -82,7 +84,7 @@
 
     Each start calls once at most, and not before the moment that it has drawn from the whole interval. That
     such draws come to a call in an interval is held over thousands of them in test_call_policy.py: twelve
-    starts would tell it by chance, as the draws follow from the ports that the system gave.
+    starts would show it by chance, as the draws follow from the ports that the system gave.
     """
     events = "0.8 loop nodes[:2] every 1 until 5"
     result = played(events=events, settings={"nInstances": 100}, seconds=6.0)
@@ -95,7 +97,7 @@
 
 
 def test_turned_away_with_a_time_to_come_back() -> None:
-    """Four a second for eight: the line is full after four. An hour is cut to what the settings allow."""
+    """Four calls a second for eight: the queue is full after four. An hour is cut to the settings' bound."""
     service = {"per_s": 4, "line": "turns away", "retry_after": "3600"}
     guarantees = {**GUARANTEES, "askEveryMs": 1_500.0}
     result = played(balancers=8, service=service, seconds=4.5, settings={"guarantees": guarantees})
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig: scripts of faults, the proxy that carries them out, what a machine bears, clean ends."""
+"""The rig: scripts of faults, the proxy that injects them, how much a machine can run, clean ends."""
 
 from __future__ import annotations
 
@@ -132,7 +132,7 @@
     assert one.affects(Link("lists[0]", "nodes[0]")) and not one.affects(LINK)
 
 
-def test_datagrams_are_lost_doubled_and_late_by_the_shares_told() -> None:
+def test_datagrams_are_lost_doubled_and_late_by_the_given_shares() -> None:
     rng = random.Random(1)
     conditions = Conditions(loss=0.2, double=0.1, reorder=0.3, delay=1.0)
     got = [datagram_delays(conditions, rng) for _ in range(20_000)]
@@ -150,7 +150,7 @@
 
 
 class Echo(asyncio.Protocol):
-    """Sends back what comes; who came is kept."""
+    """Sends back what it receives, and records who connected."""
 
     peers: list[str] = []
 
@@ -164,7 +164,7 @@
 
 @asynccontextmanager
 async def proxied(script: str, links: list[list[Any]]) -> AsyncIterator[list[int]]:
-    """A fault proxy in a process of its own, released now: its ports."""
+    """Start a fault proxy, release it at once, and yield its ports."""
     plan = {"script": script, "groups": GROUPS, "seed": 3, "links": links}
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "rig.fault_proxy", cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE
@@ -181,7 +181,7 @@
         await process.wait()
 
 
-def through(test: Any) -> None:
+def run_test(test: Any) -> None:
     uvloop.run(asyncio.wait_for(test(), 30))
 
 
@@ -213,7 +213,7 @@
         assert set(Echo.peers) == {"127.10.0.4", "127.10.0.5"}
         server.close()
 
-    through(test)
+    run_test(test)
 
 
 def test_resets_refusals_and_trickles() -> None:
@@ -237,25 +237,28 @@
             assert time.monotonic() >= began + 0.45
         server.close()
 
-    through(test)
+    run_test(test)
 
 
-def test_datagrams_come_from_where_answers_are_heard() -> None:
+def test_datagrams_come_from_the_socket_that_receives_replies() -> None:
     """nodes[1] knows nodes[0] by the proxy's address for it, in both directions."""
 
-    class Ear(asyncio.DatagramProtocol):
+    class DatagramRecorder(asyncio.DatagramProtocol):
         def __init__(self) -> None:
-            self.heard: asyncio.Queue[Any] = asyncio.Queue()
+            self.received: asyncio.Queue[Any] = asyncio.Queue()
 
         def connection_made(self, transport: Any) -> None:
             self.transport = transport
 
         def datagram_received(self, data: bytes, address: Any) -> None:
-            self.heard.put_nowait((data, address))
+            self.received.put_nowait((data, address))
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        ends = [(await loop.create_datagram_endpoint(Ear, local_addr=("127.0.0.1", 0)))[1] for _ in range(2)]
+        ends = [
+            (await loop.create_datagram_endpoint(DatagramRecorder, local_addr=("127.0.0.1", 0)))[1]
+            for _ in range(2)
+        ]
         where = [list(one.transport.get_extra_info("sockname")) for one in ends]
         links = [
             ["nodes[0]", "nodes[1]", "udp", ["127.0.0.1", 0], where[1], ""],
@@ -263,19 +266,19 @@
         ]
         async with proxied("0.6 cut nodes[0] nodes[1]", links) as ports:
             ends[0].transport.sendto(b"hello", ("127.0.0.1", ports[0]))
-            data, address = await ends[1].heard.get()
+            data, address = await ends[1].received.get()
             assert data == b"hello" and address[1] == ports[1]
             ends[1].transport.sendto(b"well", address)
-            assert (await ends[0].heard.get())[0] == b"well"
+            assert (await ends[0].received.get())[0] == b"well"
             await asyncio.sleep(0.8)
             ends[0].transport.sendto(b"lost", ("127.0.0.1", ports[0]))
             await asyncio.sleep(0.2)
-            assert ends[1].heard.empty()
+            assert ends[1].received.empty()
 
-    through(test)
+    run_test(test)
 
 
-def test_the_machine_says_how_many_it_bears() -> None:
+def test_how_many_processes_a_machine_can_run() -> None:
     small = Machine(memory_mb=4_000.0, cores=2.0, descriptors=1_024, processes=4_096)
     most = process_limits(small)
     assert most["memory"] == 53 and most["descriptors"] == 206
@@ -307,7 +310,7 @@
 
 
 def test_an_interrupted_run_ends_what_it_started_and_only_that(tmp_path: Path) -> None:
-    """SIGINT to the rig's process alone, half way: its children have gone when it has."""
+    """SIGINT to the rig's process alone, half way through: its children end before it does."""
     stranger = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
     code = (
         "from rig.scenario import Scenario, play\n"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,6 @@
 """Scale runs: real balancers beside hollow ones, their bounds, and a clean end when interrupted.
 
-Verdicts are counts and rules alone; times are told by bench.scale.
+Only counts and rules are checked; times are measured by bench.scale.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
         ({"hollow": 30_000, "share": "module"}, "cores"),
     ],
 )
-def test_more_than_the_machine_bears_is_refused_with_the_bound(change: dict[str, Any], name: str) -> None:
+def test_more_than_the_machine_can_run_is_refused_with_the_bound(change: dict[str, Any], name: str) -> None:
     scale = ScaleDemand(real=20, hollow=4_600, rows=2_000, relays=11, hollow_processes=8, share="module")
     assert scale_refusal(MACHINE, scale) == ""
     roomy = replace(MACHINE, memory_mb=80_000.0, total_mb=90_000.0)
@@ -112,13 +112,13 @@
     assert all(row["block"] == HOSTS[n % 8]["block"] for n, row in enumerate(rows))
 
 
-def test_the_list_service_changes_single_rows_and_tells_only_these() -> None:
+def test_the_list_service_changes_single_rows_and_sends_only_these() -> None:
     async def test() -> None:
         service = Service(Plan())
         service.replace_list(HOSTS)
         service.change_rows([HOSTS[0] | {"health": "gone"}, HOSTS[1] | {"health": "draining"}])
-        told = json.loads(service.encoded(2))
-        assert [row["health"] for row in told["hosts"]] == ["gone", "draining"] and told["seq"] == 3
+        update = json.loads(service.encoded(2))
+        assert [row["health"] for row in update["hosts"]] == ["gone", "draining"] and update["seq"] == 3
         assert len(json.loads(service.encoded(None))["hosts"]) == 7
         service.change_rows([HOSTS[0]])
         assert [row["host"] for row in json.loads(service.encoded(3))["hosts"]] == ["s0"]
@@ -136,7 +136,7 @@
     uvloop.run(test())
 
 
-def test_a_change_while_an_answer_is_under_way_is_told_behind_it() -> None:
+def test_a_change_while_an_answer_is_under_way_is_sent_after_it() -> None:
     async def test() -> None:
         service = Service(Plan(per_s=20.0))
         service.replace_list(HOSTS)
@@ -175,8 +175,8 @@
 
 def test_times_until_in_force() -> None:
     assert first_at([(1.0, 2), (3.0, 5)], 4) == 3.0 and first_at([(1.0, 2)], 3) is None
-    told = spread([0.1, None, 0.3])
-    assert (told["p50_s"], told["last_s"], told["missing"], told["of"]) == (0.3, 0.3, 1, 3)
+    times = spread([0.1, None, 0.3])
+    assert (times["p50_s"], times["last_s"], times["missing"], times["of"]) == (0.3, 0.3, 1, 3)
 
 
 def test_the_bounds_and_what_differs_are_named() -> None:
@@ -211,7 +211,7 @@
     assert run["kept"] and not broken(run), (broken(run), run["crashes"], run["ends"])
     start, _, rack, _, down = run["events"]
     assert start["hollow"]["of"] == 40 and start["source"]["calls"] == {"relays": 0, "balancers": 45}
-    # One whole list each, and each change once; equal for hollow and real to the byte but for beats.
+    # One complete list each, and each change once; hollow and real differ by heartbeats alone.
     hollow, real = start["hollow_each"], start["real_each"]
     assert hollow["lines"] == 1.0 and abs(hollow["bytes_in"] - real["bytes_in"]) < 200
     assert rack["hollow_each"]["lines"] == 1.0 and rack["hollow_each"]["calls"] == 0.0
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -10,8 +10,8 @@
 def test_ten_processes_leave_what_hangs_alone_though_each_sees_little() -> None:
     """One upstream in eight hangs from the first second on, and no list says so.
 
-    A balancer with twelve requests a second would meet one of all 320 every 27 seconds: drawn over all, a
-    twelfth of the sends goes on into them (0.08 with the code of before, 0.03 to 0.04 now).
+    A balancer with twelve requests a second sends to each of all 320 every 27 seconds: drawn over all, a
+    twelfth of the sends would still go to those that hang (0.08 with the code of before, 0.03 to 0.04 now).
     """
     bad = range(0, UPSTREAMS, 8)
     result = play(
