--- a/rig/processes.py
+++ b/rig/processes.py
@@ -86,7 +86,7 @@
             self.running.send_signal(SIGNALS[name])
 
     def note_end(self) -> None:
-        """Record a crash if the process has ended without having been told to."""
+        """Record a crash if the process has ended unexpectedly."""
         if self.running is None or self.running.poll() is None:
             return
         if not self.end_requested or self.running.returncode not in (0, -signal.SIGKILL):
@@ -171,7 +171,7 @@
             process.close_pipes()
 
     def crashes(self) -> list[str]:
-        """Describe each process that ended without having been told to, one line each."""
+        """Describe each process that ended unexpectedly, one line each."""
         for process in self.members:
             process.note_end()
         return [text for process in self.members for text in process.crashes]
--- a/rig/scale.py
+++ b/rig/scale.py
@@ -169,7 +169,7 @@
             "share": plan.share,
         }
         self.hollow = HollowFleet(plan.real, plan.hollow, plan.hollow_processes, hollow_plan, self.stack)
-        # The lone one shares nothing: the cost of a process is told apart from the cost of a balancer.
+        # The lone one shares nothing: so the cost of a process and that of a balancer can be separated.
         lone_plan = hollow_plan | {"share": "nothing"}
         self.lone = HollowFleet(plan.real + plan.hollow, int(plan.lone), 1, lone_plan, self.stack)
 
--- a/rig/scenario_result.py
+++ b/rig/scenario_result.py
@@ -91,7 +91,7 @@
     """What the processes of a run reported at its end.
 
     clients: of rig.clients; upstreams: of standins.fleet; service: of standins.listservice. memory_mb: of the
-    largest balancer. crashes: one line for each process that ended without having been told to.
+    largest balancer. crashes: one line for each process that ended unexpectedly.
     """
 
     clients: dict[str, Any]
