--- a/bench/coldbound.py
+++ b/bench/coldbound.py
@@ -26,6 +26,7 @@
     "all cold at once, balancers too": {"event": "cold start", "seconds": 7.0},
     "all cold at once, uneven traffic": {"event": "cold start", "seconds": 7.0, "uneven": True},
     "all cold at once, small upstreams": {"event": "cold start", "seconds": 5.0, "cores": 1},
+    "all cold at once, 2.5 times the traffic": {"event": "cold start", "seconds": 5.0, "rate": 2.5},
     "six in ten replaced": {"event": "join", "seconds": 13.0},
     "six in ten replaced, uneven traffic": {"event": "join", "seconds": 13.0, "uneven": True},
     "six in ten replaced under a burst": {"event": "join", "seconds": 13.0, "burst": 2.5},
--- a/quartzford/decision/slow_start.py
+++ b/quartzford/decision/slow_start.py
@@ -2,6 +2,11 @@
 
 All balancers together must not send a cold server more than it can do. Each gives it the ramp's part of what
 a warm server takes from that balancer, in tokens; a send costs one.
+
+While no server is warm there is nothing to compare with but what arrives, and that has no bound: clients that
+are not served send again, and traffic may be a multiple of what warm servers could do. There the good answers
+bound the budgets. Answers are work done, so all balancers together see no more of them than the servers can
+do, and the multiple of them that the settings allow overloads no server.
 """
 
 from __future__ import annotations
@@ -10,7 +15,8 @@
 import random
 
 from quartzford.decision import interface as io
-from quartzford.decision.estimates import Traffic
+from quartzford.decision.estimates import MIN_SPAN_MS, Traffic
+from quartzford.decision.latency import FIRST_GUESS
 from quartzford.decision.server import Server
 
 PROVEN_MS = 2_000.0  # a cold server's own answers are counted over this
@@ -35,9 +41,21 @@
         """Take the settings from now on; what warms up goes on doing so."""
         self.rules = settings.rules
         self.sized = settings.sized
+        self.least_rate = self._least_rate(settings)
         self.servers_changed()
         self.cold.update(dict.fromkeys(self.ready))
 
+    @staticmethod
+    def _least_rate(settings: io.Settings) -> float:
+        """Requests per ms from this balancer that overload no warm server of any use.
+
+        The least server of use answers one request at a time, in the latency that is typical before any is
+        known. All balancers together may send it the multiple that the settings allow.
+        """
+        objectives_ms = [kind.latency_objective_ms for kind in settings.classes]
+        typical_ms = FIRST_GUESS * sum(objectives_ms) / len(objectives_ms)
+        return settings.rules.overload_multiple / typical_ms / settings.balancers
+
     def servers_changed(self) -> None:
         """The set of servers in use, or their sizes, have changed."""
         self._total_units = None
@@ -103,19 +121,36 @@
         even_share = self.traffic.arrivals.read(now) / len(self.ready)
         for server in self.cold:
             full_rate = rate_per_unit * self._units(server) or even_share
-            server.tokens = min(
-                MAX_TOKENS, server.tokens + self._rate(now, server, full_rate) * (now - server.tokens_ms)
-            )
+            rate = self._rate(now, server, full_rate)
+            if not any_warm:
+                rate = min(rate, self._answered_limit(now, server))
+            server.tokens = min(MAX_TOKENS, server.tokens + rate * (now - server.tokens_ms))
             server.tokens_ms = now
 
     def _rate(self, now: float, server: Server, full_rate: float) -> float:
         """Requests per ms that a cold server may get; full_rate: what a warm one of its size takes."""
-        rules = self.rules
-        age = max(0.0, now - server.slow_start_from_ms) / rules.slow_start_ms
-        rate = (rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age) * full_rate
+        rate = self._ramp(now, server) * full_rate
         # What it answers well it can do, and as much again does not overload it: it warms as fast as it can.
         proven = server.proven * math.exp((server.proven_ms - now) / PROVEN_MS) / PROVEN_MS
-        return max(rate, min(full_rate, min(PROVEN_GROWTH, rules.overload_multiple / 2) * proven))
+        return max(rate, min(full_rate, min(PROVEN_GROWTH, self.rules.overload_multiple / 2) * proven))
+
+    def _ramp(self, now: float, server: Server) -> float:
+        """The part of its capacity that a cold server has by its age."""
+        rules = self.rules
+        age = max(0.0, now - server.slow_start_from_ms) / rules.slow_start_ms
+        return rules.slow_start_capacity + (1 - rules.slow_start_capacity) * age
+
+    def _answered_limit(self, now: float, server: Server) -> float:
+        """Requests per ms that the answers of all servers permit a cold one at most, while nothing is warm.
+
+        Without any answers it is what the least server of use may get. No limit while no rate of answers can
+        be known yet, after the first arrival.
+        """
+        if now < self.traffic.arrivals.start + MIN_SPAN_MS:
+            return math.inf
+        answered_rate = self.traffic.answers.read(now) / len(self.ready)
+        least_rate = self._ramp(now, server) * self.least_rate
+        return max(least_rate, self.rules.overload_multiple * answered_rate)
 
     def _units(self, server: Server) -> float:
         return server.entry.units if self.sized else 1.0
--- a/tests/test_coldbound.py
+++ b/tests/test_coldbound.py
@@ -52,3 +52,11 @@
         found = world.result()
         assert 0 < found["cold_use"] <= 1.0, seed
         assert not found["fallen"] and not found["broken"], seed
+
+
+@pytest.mark.parametrize("seed", range(2))
+def test_the_budget_is_kept_where_nothing_is_warm_and_clients_send_again(seed: int) -> None:
+    """2.5 times the usual traffic, sent thrice as little is served: 4.5 times what warm upstreams can do."""
+    found = World(Plan(20, 6, "cold start", 4.5, seed, rate=2.5)).run().result()
+    assert 0 < found["cold_use"] <= 1.0
+    assert not found["fallen"] and not found["broken"]
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -2,7 +2,46 @@
 
 from __future__ import annotations
 
-from helpers import outcome, sends, started, submit
+import pytest
+from helpers import RULES, listed, outcome, sends, settings, started, submit
+
+from bench.coldbudget import cold_budget
+from quartzford.decision.logic import Balancer
+
+SERVERS = 4
+BEGUN_MS = 50_000.0
+COUNTED_FROM_MS = BEGUN_MS + 2_000.0  # well past the first arrivals
+COUNTED_TO_MS = COUNTED_FROM_MS + RULES.overload_window_ms
+LEAST_ANSWER_MS = 50.0  # typical before any answer: a quarter of the objective
+
+
+def sent_to_each_cold_server(per_ms: float, answered: int) -> float:
+    """Sends a server, where all are cold, in a span of overload; every n-th answered at once, 0: none."""
+    balancer = Balancer(settings(), 3)
+    balancer.handle(BEGUN_MS, listed(range(SERVERS), started=BEGUN_MS))
+    counted, number, sent, now = 0, 0, 0, BEGUN_MS
+    while now < COUNTED_TO_MS:
+        number, now = number + 1, now + 1.0 / per_ms
+        for send in sends(submit(balancer, now, number)):
+            sent += 1
+            counted += now >= COUNTED_FROM_MS
+            if answered and sent % answered == 0:
+                balancer.handle(now, outcome(send, 0, "ok", 10.0))
+    return counted / SERVERS
+
+
+@pytest.mark.parametrize("per_ms", [1.0, 4.0])
+def test_cold_servers_that_answer_nothing_get_what_the_least_server_may(per_ms: float) -> None:
+    """However much arrives."""
+    age = (COUNTED_TO_MS - BEGUN_MS) / RULES.slow_start_ms
+    ramp = RULES.slow_start_capacity + (1 - RULES.slow_start_capacity) * age
+    allowed = RULES.overload_multiple * ramp * RULES.overload_window_ms / LEAST_ANSWER_MS
+    assert 0 < sent_to_each_cold_server(per_ms, answered=0) <= cold_budget(allowed)
+
+
+def test_cold_servers_that_answer_get_their_ramp_of_what_arrives() -> None:
+    """Their answers free them of the least server's limit."""
+    assert sent_to_each_cold_server(4.0, answered=1) > 4 * sent_to_each_cold_server(4.0, answered=0)
 
 
 def test_what_a_warm_server_is_sent_is_not_charged_to_its_budget() -> None:
