--- a/standins/site.py
+++ b/standins/site.py
@@ -5,14 +5,30 @@
 import socket
 from typing import Any
 
+_reservations: list[socket.socket] = []
+
 
 def free_port() -> int:
+    """A port that was free a moment ago; another process may take it: reserved_port() is for new callers."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
         return port
 
 
+def reserved_port(host: str = "127.0.0.1") -> int:
+    """A loopback port for a server in another process, which has to be named before it listens.
+
+    It stays bound until this process ends, so that the kernel gives it to nobody else; whoever sets
+    SO_REUSEADDR, as servers do, may listen there.
+    """
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind((host, 0))
+    _reservations.append(sock)
+    return int(sock.getsockname()[1])
+
+
 CLASSES = [
     {"name": "consulta", "sloMs": 500.0, "deadlineMs": 2000.0, "value": 1.0, "effect": "free"},
     {
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -16,6 +16,7 @@
 from quartzford.decision import interface as io
 from quartzford.node import Node
 from quartzford.settings.configuration import read_config
+from standins.site import reserved_port as reserved_port
 
 SETTINGS: dict[str, Any] = {
     "blend": {"whole": 1.0},
@@ -116,28 +117,12 @@
     return Message(line, fields, body)
 
 
-_reservations: list[socket.socket] = []
-
-
 def own_address() -> str:
     """A loopback address that this process has for itself: no stranger calls a port there by mistake."""
     number = os.getpid() % (64 * 256 * 256)
     return f"127.{64 + number // 65_536}.{number // 256 % 256}.{number % 256}"
 
 
-def reserved_port(host: str = "127.0.0.1") -> int:
-    """A loopback port for a server in another process, which has to be named before it listens.
-
-    It stays bound until this process ends, so that the kernel gives it to nobody else; whoever sets
-    SO_REUSEADDR, as servers do, may listen there.
-    """
-    sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    sock.bind((host, 0))
-    _reservations.append(sock)
-    return int(sock.getsockname()[1])
-
-
 def reply(body: bytes = b"done", status: str = "200 OK", fields: str = "") -> bytes:
     return f"HTTP/1.1 {status}\r\n{fields}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -22,7 +22,7 @@
 from quartzford.load.plan import plan_requests
 from quartzford.load.trace import TraceRow, read_trace
 from quartzford.recording import Recorder
-from standins.site import free_port
+from standins.site import reserved_port
 from standins.upstream import StandInUpstream, start_upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -113,7 +113,7 @@
             "settings": SETTINGS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         }
-        port = free_port()
+        port = reserved_port()
         config["listen"] = f"127.0.0.1:{port}"
         (tmp_path / "balancer.json").write_text(json.dumps(config))
         operator = tmp_path / "operator.toml"
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -5,13 +5,53 @@
 import asyncio
 import json
 import socket
+import struct
 from typing import Any
 
-from peers import read_message, run, until
+import pytest
+from peers import own_address, read_message, run, until
 
 from standins.fleet import Fleet, Plan
+from standins.site import reserved_port
 from standins.upstream import Execution, ExecutionJournal, StandInUpstream, start_upstreams
 
+IP_LOCAL_PORT_RANGE = 51  # <linux/in.h>, since Linux 6.3: from which ports the kernel chooses for a socket
+
+
+def choosing_only(port: int) -> socket.socket:
+    """A socket for which the kernel can choose no port but this one."""
+    sock = socket.socket()
+    sock.setsockopt(socket.IPPROTO_IP, IP_LOCAL_PORT_RANGE, struct.pack("=I", port | port << 16))
+    return sock
+
+
+@pytest.mark.parametrize("reuse", [0, 1])
+def test_a_reserved_port_is_chosen_for_no_second_listener(reuse: int) -> None:
+    port = reserved_port()
+    with choosing_only(port) as other:
+        other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, reuse)
+        with pytest.raises(OSError, match="in use"):
+            other.bind(("127.0.0.1", 0))
+
+
+def test_a_reserved_port_is_chosen_for_no_outgoing_connection() -> None:
+    port = reserved_port()
+    with (
+        socket.create_server(("127.0.0.1", 0)) as server,
+        choosing_only(port) as other,
+        pytest.raises(OSError, match="Cannot assign"),
+    ):
+        other.connect(server.getsockname())
+
+
+def test_a_port_that_is_not_held_is_chosen() -> None:
+    """Without the reservation the same choice succeeds; at an address where no stranger binds."""
+    with socket.create_server((own_address(), 0)) as server:
+        port = server.getsockname()[1]
+    with choosing_only(port) as other:
+        other.bind((own_address(), 0))
+        assert other.getsockname()[1] == port
+
 
 def asked(identity: str) -> bytes:
     return f"POST /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {identity}\r\n\r\n".encode()
