--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -19,9 +19,11 @@
 
 import uvloop
 
-from standins.upstream import MODES, ExecutionJournal, StandInUpstream, start_upstreams
+from standins.execution_journal import ExecutionJournal
+from standins.upstream import StandInUpstream, start_upstreams
+from standins.upstream_connection import Mode
 
-HAPPENS = ("die", "drain", "hang", *(mode for mode in MODES if mode != "ok"))
+HAPPENS = ("die", "drain", "hang", *(mode for mode in Mode if mode != Mode.OK))
 
 
 @dataclass(frozen=True)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins' own books: a measurement is worth what these are."""
+"""The stand-ins' own journals: a measurement is only as good as these."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 import pytest
 from peers import own_address, read_message, run, until
 
+from standins.execution_journal import Execution, ExecutionJournal
 from standins.fleet import Fleet, Plan
 from standins.site import reserved_port
-from standins.upstream import Execution, ExecutionJournal, StandInUpstream, start_upstreams
+from standins.upstream import StandInUpstream, start_upstreams
 
 IP_LOCAL_PORT_RANGE = 51  # <linux/in.h>, since Linux 6.3: from which ports the kernel chooses for a socket
 
@@ -53,7 +54,7 @@
         assert other.getsockname()[1] == port
 
 
-def asked(identity: str) -> bytes:
+def unclassified_request(identity: str) -> bytes:
     return f"POST /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {identity}\r\n\r\n".encode()
 
 
@@ -67,65 +68,67 @@
 
 @run
 async def test_a_second_copy_is_seen_and_one_that_was_given_up_is_not() -> None:
-    nodos, journal, registry = await start_upstreams(2, make)
-    nodos[0].mode = "swallow"
-    one, two, three = await dial(nodos[0]), await dial(nodos[1]), await dial(nodos[1])
-    one[1].write(asked("c1"))
+    upstreams, journal, registry = await start_upstreams(2, make)
+    upstreams[0].mode = "swallow"
+    one, two, three = await dial(upstreams[0]), await dial(upstreams[1]), await dial(upstreams[1])
+    one[1].write(unclassified_request("c1"))
     await until(lambda: len(journal.runs) == 1)
-    two[1].write(asked("c1"))
+    two[1].write(unclassified_request("c1"))
     assert (await read_message(two[0])).status == 200
     assert journal.overlapping == 1 and journal.duplicate_executions("") == ["c1"]
     number = one[1].get_extra_info("socket").fileno()
     with socket.fromfd(number, socket.AF_INET, socket.SOCK_STREAM) as same:
         same.shutdown(socket.SHUT_RDWR)
-    three[1].write(asked("c1"))  # right behind: the nodo's loop may see this first
+    three[1].write(unclassified_request("c1"))  # right behind: the upstream's loop may see this first
     assert (await read_message(three[0])).status == 200
     assert journal.overlapping == 1
-    for peer in (registry, *nodos):
+    for peer in (registry, *upstreams):
         await peer.stop()
 
 
 @run
-async def test_a_full_a_draining_and_a_cold_nodo() -> None:
+async def test_a_full_a_draining_and_a_cold_upstream() -> None:
     (upstream,), journal, registry = await start_upstreams(1, make)
     upstream.gate = asyncio.Event()
     links = [await dial(upstream) for _ in range(6)]
     for number, (_, writer) in enumerate(links):
-        writer.write(asked(f"c{number}"))
-    await until(lambda: len(journal.runs) + journal.turned_away == 6)
-    assert journal.turned_away >= 1
+        writer.write(unclassified_request(f"c{number}"))
+    await until(lambda: len(journal.runs) + journal.rejected == 6)
+    assert journal.rejected >= 1
     full = await read_message(links[-1][0])
     assert full.status == 503 and full.fields["x-unprocessed"] == "1" and "x-backend-load" in full.fields
-    warm = upstream.able(0.0)
+    warm = upstream.capacity_at(0.0)
     await upstream.restart()
     assert upstream.started_at is not None
     assert (
-        abs(upstream.able(upstream.started_at) - 0.13 * warm) < 1e-6
-        and upstream.able(upstream.started_at + 99) == warm
+        abs(upstream.capacity_at(upstream.started_at) - 0.13 * warm) < 1e-6
+        and upstream.capacity_at(upstream.started_at + 99) == warm
     )
     upstream.health = "draining"
     link = await dial(upstream)
-    link[1].write(asked("late"))
-    assert (await read_message(link[0])).status == 503 and upstream.life == 1
+    link[1].write(unclassified_request("late"))
+    assert (await read_message(link[0])).status == 503 and upstream.incarnation == 1
     for peer in (registry, upstream):
         await peer.stop()
 
 
 @run
-async def test_the_padron_tells_its_watchers_and_keeps_when() -> None:
-    nodos, _, registry = await start_upstreams(2, make)
+async def test_the_registry_notifies_its_watchers_and_records_when() -> None:
+    upstreams, _, registry = await start_upstreams(2, make)
     reader, writer = await asyncio.open_connection("127.0.0.1", registry.port)
     writer.write(b"GET /catalog/members?stream=1&index=0 HTTP/1.1\r\n\r\n")
     await until(lambda: registry.watchers)
-    registry.notify(nodos[0], health="draining")
+    registry.notify(upstreams[0], health="draining")
     text = b""
     while b"draining" not in text:
         text += await asyncio.wait_for(reader.read(65536), 20)
-    assert b'"whole": true' in text and "s0" in registry.told
-    registry.notify(nodos[0])
-    assert "s0" not in registry.told
+    assert b'"whole": true' in text
+    (drain,) = registry.drains
+    assert (drain.upstream, drain.until) == ("s0", None)
+    registry.notify(upstreams[0])
+    assert registry.drains == [drain] and drain.until is not None and drain.until >= drain.notified_at
     writer.close()
-    for peer in (registry, *nodos):
+    for peer in (registry, *upstreams):
         await peer.stop()
 
 
@@ -143,7 +146,7 @@
         assert journal.duplicate_effects("reserva", 2.0) == found
 
 
-def posted(identity: str, key: str = "", name: str = "reserva") -> bytes:
+def classified_request(identity: str, key: str = "", name: str = "reserva") -> bytes:
     fields = f"Idempotency-Key: {key}\r\n" if key else ""
     return (
         f"POST /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {identity}\r\n"
@@ -153,16 +156,16 @@
 
 @run
 async def test_a_block_drops_repeats_of_a_key_and_another_block_does_not() -> None:
-    nodos, journal, registry = await start_upstreams(
+    upstreams, journal, registry = await start_upstreams(
         3, lambda n, journal: StandInUpstream(f"s{n}", journal, block=n // 2)
     )
-    for number, upstream in enumerate(nodos):
+    for number, upstream in enumerate(upstreams):
         reader, writer = await dial(upstream)
-        writer.write(posted(f"c{number}", "k"))
+        writer.write(classified_request(f"c{number}", "k"))
         assert (await read_message(reader)).status == 200
     assert [run.dropped for run in journal.runs] == [False, True, False]
     assert journal.duplicate_effects("reserva", journal.window_s) == ["k"]
-    for peer in (registry, *nodos):
+    for peer in (registry, *upstreams):
         await peer.stop()
 
 
@@ -173,8 +176,8 @@
     )
     links = [await dial(upstream) for _ in range(5)]
     for number, (_, writer) in enumerate(links):
-        writer.write(posted(f"c{number}"))
-        await until(lambda seen=number + 1: len(journal.runs) + journal.turned_away == seen)
+        writer.write(classified_request(f"c{number}"))
+        await until(lambda seen=number + 1: len(journal.runs) + journal.rejected == seen)
     assert upstream.busy(asyncio.get_running_loop().time()) <= 2
     statuses = [(await read_message(reader)).status for reader, _ in links]
     assert statuses == [200, 200, 200, 200, 503]  # two run, two wait, one is too many
@@ -189,7 +192,7 @@
     )
     one, two, three = [await dial(upstream) for _ in range(3)]
     for number, (_, writer) in enumerate((one, two, three)):
-        writer.write(posted(f"c{number}"))
+        writer.write(classified_request(f"c{number}"))
         await until(lambda seen=number + 1: len(journal.runs) == seen)
     assert upstream.waiting() == 2
     two[1].transport.abort()
@@ -206,12 +209,12 @@
     )
     links = [await dial(upstream) for _ in range(3)]
     await until(lambda: len(upstream.connections) == 3)
-    before = upstream.free[0]
+    before = upstream.cores_free_at[0]
     assert before > 0.0  # three handshakes of work
-    links[2][1].write(posted("c2"))
+    links[2][1].write(classified_request("c2"))
     answer = await read_message(links[2][0])
-    assert answer.status == 503 and answer.fields["x-unprocessed"] == "1" and journal.turned_away == 1
-    assert await asyncio.wait_for(links[0][0].read(), 20) == b""  # closed by the nodo
+    assert answer.status == 503 and answer.fields["x-unprocessed"] == "1" and journal.rejected == 1
+    assert await asyncio.wait_for(links[0][0].read(), 20) == b""  # closed by the upstream
     await until(lambda: not upstream.connections)
     for peer in (registry, upstream):
         await peer.stop()
@@ -227,7 +230,7 @@
     writer.write(b"GET /books HTTP/1.1\r\nHost: a\r\n\r\n")
     account = json.loads((await read_message(reader)).body)
     assert [d[0] for d in account["drains"]] == ["s0001"] and account["drains"][0][3] is None
-    await until(lambda: one.journal.births, 30)
+    await until(lambda: one.journal.restarts, 30)
     assert [b[:2] for b in one.account()["births"]] == [["s0001", 1]]
     await until(lambda: one.account()["drains"][0][3] is not None)
     one.stop()
