--- a/bench/extproc_processes.py
+++ b/bench/extproc_processes.py
@@ -72,7 +72,7 @@
             start_share=START_SHARE,
             warm_s=WARM_S,
             seed=plan.seed,
-            trouble="random",
+            faults="random",
         )
     )
     await fleet.start()
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,9 +1,9 @@
-"""A fleet of stand-in nodos in a process of its own, with scripted or drawn trouble.
+"""A fleet of stand-in upstreams in a process of its own, with scripted or random faults.
 
     python -m standins.fleet [PLAN as JSON]
 
-prints its padrón's port and the whole list as one line of JSON, and ends on SIGTERM. The trouble begins with
-a line on standard input. GET /books at the padrón's port gives what the fleet saw.
+prints its registry's port and the complete list as one line of JSON, and ends on SIGTERM. The faults begin
+with a line on standard input. GET /books at the registry's port gives what the fleet saw.
 """
 
 from __future__ import annotations
@@ -14,27 +14,44 @@
 import signal
 import sys
 import time
+from collections.abc import Coroutine
 from dataclasses import asdict, dataclass
 from typing import Any
 
 import uvloop
 
 from standins.execution_journal import ExecutionJournal
+from standins.registry import FaultEvent
 from standins.upstream import StandInUpstream, start_upstreams
 from standins.upstream_connection import Mode
 
-HAPPENS = ("die", "drain", "hang", *(mode for mode in Mode if mode != Mode.OK))
+FAULTS = ("die", "drain", "hang", *(mode for mode in Mode if mode != Mode.OK))
+RANDOM_FAULTS = ("die", "drain", "drain", Mode.SILENT, Mode.SWALLOW)
+RANDOM_INTERVAL_S = (0.3, 0.9)  # between random faults, at RANDOM_UPSTREAMS and pace 1
+RANDOM_UPSTREAMS = 24
+FAULTY_PART = 5  # random faults leave all but one in so many upstreams alone
+UPSTREAMS_PER_BLOCK = 4
+SLOW_FACTOR = 4  # of the latency of the plan's slow upstreams
+SLOW_MODE_FACTOR = 8.0  # of an upstream's times in the mode "slow"
+DRAIN_S = 1.0  # from the notice that an upstream drains until it stops
+NOTICE_DELAY_S = (0.3, 1.0)  # from a crash until the registry knows
+FAULTY_MODE_S = (1.0, 2.0)
+DOWN_S = (0.5, 1.5)  # from the notice that an upstream is gone until its successor starts
+SETTLE_S = 4.0  # from a successor's start until it may become faulty again
+
+# Keys of the command line's JSON that differ from the plan's fields.
+PLAN_KEYS = {"nodos": "upstreams", "trouble": "faults"}
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A fleet. Times in seconds. trouble: 'random', or what@when:nodo, such as 'die@5:3 drain@8:4'."""
+    """A fleet. Times in seconds. faults: 'random', or fault@when:upstream, such as 'die@5:3 drain@8:4'."""
 
-    nodos: int = 12
+    upstreams: int = 12
     capacity: float = 150.0  # of each, requests a second when warm
     cores: int = 2
     latency_s: float = 0.005
-    slow: int = 0  # so many of them take four times as long
+    slow: int = 0  # so many of them take SLOW_FACTOR times as long
     queue: int = 60
     start_share: float = 0.13
     warm_s: float = 24.0
@@ -42,138 +59,160 @@
     connect_s: float = 0.001
     idle_s: float = 15.0
     seed: int = 1
-    trouble: str = ""
-    pace: float = 1.0  # of random trouble: 1 is one in 0.3 to 0.9 s at 24 nodos
-    fresh: int = 0  # so many of them start anew, cold, when the trouble begins
+    faults: str = ""
+    pace: float = 1.0  # of random faults: 1 is one in 0.3 to 0.9 s at 24 upstreams
+    fresh: int = 0  # so many of them restart, cold, when the faults begin
+
+
+def plan_from_json(table: dict[str, Any]) -> Plan:
+    """The plan of a command line's JSON object; TypeError if it has an unknown key."""
+    return Plan(**{PLAN_KEYS.get(key, key): value for key, value in table.items()})
+
+
+def plan_to_json(plan: Plan) -> dict[str, Any]:
+    """The JSON object that plan_from_json reads."""
+    keys = {field: key for key, field in PLAN_KEYS.items()}
+    return {keys.get(field, field): value for field, value in asdict(plan).items()}
 
 
 class Fleet:
-    """The nodos, and what happens to them."""
+    """The upstreams, and the faults that happen to them."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.rng = random.Random(plan.seed)
-        self.log: list[tuple[float, str, str]] = []  # when, what, to which nodo
-        self.busy: set[str] = set()
+        self.events: list[FaultEvent] = []
+        self.faulty: set[str] = set()  # names of upstreams in a fault, or settling after it
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def _make(self, number: int, journal: ExecutionJournal) -> StandInUpstream:
-        p = self.plan
+    def _make_upstream(self, number: int, journal: ExecutionJournal) -> StandInUpstream:
+        plan = self.plan
         return StandInUpstream(
             f"s{number:04}",
             journal,
-            block=number // 4,
-            capacity=p.capacity,
-            latency_s=p.latency_s * (4 if number < p.slow else 1),
-            queue=p.queue,
-            start_share=p.start_share,
-            warm_s=p.warm_s,
-            cores=p.cores,
-            most_connections=p.most_connections,
-            connect_s=p.connect_s,
-            idle_s=p.idle_s,
+            block=number // UPSTREAMS_PER_BLOCK,
+            capacity=plan.capacity,
+            latency_s=plan.latency_s * (SLOW_FACTOR if number < plan.slow else 1),
+            queue=plan.queue,
+            start_share=plan.start_share,
+            warm_s=plan.warm_s,
+            cores=plan.cores,
+            most_connections=plan.most_connections,
+            connect_s=plan.connect_s,
+            idle_s=plan.idle_s,
             rng=random.Random(number),
         )
 
     async def start(self) -> None:
-        self.nodos, self.journal, self.registry = await start_upstreams(self.plan.nodos, self._make)
-        self.registry.events = self.log
+        """Start all upstreams and their registry."""
+        self.upstreams, self.journal, self.registry = await start_upstreams(
+            self.plan.upstreams, self._make_upstream
+        )
+        self.registry.events = self.events
 
     def begin(self) -> None:
-        """The trouble starts now."""
-        for nodo in self.nodos[: self.plan.fresh]:
-            self._task(self._renew(nodo))
-        if self.plan.trouble == "random":
-            self._task(self._random())
+        """Begin with the plan's faults; ValueError if there is no such fault."""
+        for upstream in self.upstreams[: self.plan.fresh]:
+            self._start_task(self._restart(upstream))
+        if self.plan.faults == "random":
+            self._start_task(self._inject_random_faults())
             return
-        for word in self.plan.trouble.split():
-            what, _, rest = word.partition("@")
+        for word in self.plan.faults.split():
+            fault, _, rest = word.partition("@")
             at, _, number = rest.partition(":")
-            if what not in HAPPENS:
-                raise ValueError(f"{word!r}: no such trouble; there are {', '.join(HAPPENS)}")
-            self._task(self._at(float(at), self.nodos[int(number)], what))
-
-    async def _renew(self, nodo: StandInUpstream) -> None:
-        await nodo.restart()
-        self.registry.notify(nodo)
+            if fault not in FAULTS:
+                raise ValueError(f"{word!r}: no such trouble; there are {', '.join(FAULTS)}")
+            self._start_task(self._inject_at(float(at), self.upstreams[int(number)], fault))
 
     def stop(self) -> None:
+        """End all faults as they are."""
         for task in list(self.tasks):
             task.cancel()
 
-    def _task(self, what: Any) -> None:
-        task = asyncio.ensure_future(what)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _at(self, at: float, nodo: StandInUpstream, what: str) -> None:
-        await asyncio.sleep(at)
-        await self.suffer(nodo, what)
-
-    async def suffer(self, nodo: StandInUpstream, what: str) -> None:
-        """One nodo's trouble from its beginning to its cold successor, some 8 s."""
-        rng = self.rng
-        self.busy.add(nodo.name)
-        self.log.append((time.monotonic(), what, nodo.name))
-        if what == "hang":  # takes everything and answers nothing, to the end; the padrón knows nothing
-            nodo.mode = "swallow"
+    async def _restart(self, upstream: StandInUpstream) -> None:
+        await upstream.restart()
+        self.registry.notify(upstream)
+
+    async def _inject_at(self, delay_s: float, upstream: StandInUpstream, fault: str) -> None:
+        await asyncio.sleep(delay_s)
+        await self.inject(upstream, fault)
+
+    async def inject(self, upstream: StandInUpstream, fault: str) -> None:
+        """Play one upstream's fault from its beginning until its cold successor has settled, some 8 s."""
+        self.faulty.add(upstream.name)
+        self.events.append(FaultEvent(time.monotonic(), fault, upstream.name))
+        if fault == "hang":  # for good, and the registry knows nothing
+            upstream.mode = Mode.SWALLOW
             return
-        if what == "drain":
-            nodo.health = "draining"
-            self.registry.notify(nodo)
-            await asyncio.sleep(1.0)
-            await nodo.stop()
-            self.registry.notify(nodo, health="gone")
-        elif what == "die":
-            await nodo.stop()
-            await asyncio.sleep(rng.uniform(0.3, 1.0))  # the padrón is late
-            self.registry.notify(nodo, health="gone")
+        if fault == "drain":
+            await self._drain(upstream)
+        elif fault == "die":
+            await upstream.stop()
+            await asyncio.sleep(self.rng.uniform(*NOTICE_DELAY_S))
         else:
-            nodo.mode = what
-            nodo.slowness = 8.0 if what == "slow" else 1.0
-            await asyncio.sleep(rng.uniform(1.0, 2.0))
-            await nodo.stop()
-            self.registry.notify(nodo, health="gone")
-        await asyncio.sleep(rng.uniform(0.5, 1.5))
-        await nodo.restart()
-        self.registry.notify(nodo)
-        self.log.append((time.monotonic(), "cold", nodo.name))
-        await asyncio.sleep(4.0)
-        self.busy.discard(nodo.name)
-
-    async def _random(self) -> None:
-        """At most a fifth of the fleet at a time."""
+            await self._misbehave(upstream, fault)
+        self.registry.notify(upstream, health="gone")
+        await asyncio.sleep(self.rng.uniform(*DOWN_S))
+        await self._restart(upstream)
+        self.events.append(FaultEvent(time.monotonic(), "cold", upstream.name))
+        await asyncio.sleep(SETTLE_S)
+        self.faulty.discard(upstream.name)
+
+    async def _drain(self, upstream: StandInUpstream) -> None:
+        upstream.health = "draining"
+        self.registry.notify(upstream)
+        await asyncio.sleep(DRAIN_S)
+        await upstream.stop()
+
+    async def _misbehave(self, upstream: StandInUpstream, mode: str) -> None:
+        upstream.mode = mode
+        upstream.slowness = SLOW_MODE_FACTOR if mode == Mode.SLOW else 1.0
+        await asyncio.sleep(self.rng.uniform(*FAULTY_MODE_S))
+        await upstream.stop()
+
+    async def _inject_random_faults(self) -> None:
+        """Play random faults, on at most one in FAULTY_PART upstreams at a time, until cancelled."""
         plan, rng = self.plan, self.rng
         while True:
-            await asyncio.sleep(rng.uniform(0.3, 0.9) * 24 / plan.nodos / plan.pace)
-            free = [n for n in self.nodos if n.name not in self.busy]
-            if len(self.busy) < max(1, plan.nodos // 5):
-                what = rng.choice(("die", "drain", "drain", "silent", "swallow"))
-                self._task(self.suffer(rng.choice(free), what))
+            interval_s = rng.uniform(*RANDOM_INTERVAL_S)
+            await asyncio.sleep(interval_s * RANDOM_UPSTREAMS / plan.upstreams / plan.pace)
+            healthy = [upstream for upstream in self.upstreams if upstream.name not in self.faulty]
+            if len(self.faulty) < max(1, plan.upstreams // FAULTY_PART):
+                fault = rng.choice(RANDOM_FAULTS)
+                self._start_task(self.inject(rng.choice(healthy), fault))
 
     def account(self) -> dict[str, Any]:
-        return self.registry.account() | {"plan": asdict(self.plan)}
+        """The registry's account, with the plan."""
+        return self.registry.account() | {"plan": plan_to_json(self.plan)}
 
 
 async def run(plan: Plan) -> None:
+    """Run a fleet until SIGTERM; prints its registry's port and list as a line of JSON."""
     loop = asyncio.get_running_loop()
-    one = Fleet(plan)
-    await one.start()
+    fleet = Fleet(plan)
+    await fleet.start()
     ended: asyncio.Future[None] = loop.create_future()
     loop.add_signal_handler(signal.SIGTERM, ended.cancel)
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # who started it says when
-    print(json.dumps({"port": one.registry.port, "list": one.registry.complete()}), flush=True)
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the whole group; the starter sends SIGTERM
+    print(json.dumps({"port": fleet.registry.port, "list": fleet.registry.complete()}), flush=True)
     begun = loop.run_in_executor(None, sys.stdin.readline)
-    begun.add_done_callback(lambda line: one.begin() if line.result() else None)
+    begun.add_done_callback(lambda line: fleet.begin() if line.result() else None)
     await asyncio.wait((ended,))
-    one.stop()
-    await one.registry.stop()
-    for nodo in one.nodos:
-        await nodo.stop()
+    fleet.stop()
+    await fleet.registry.stop()
+    for upstream in fleet.upstreams:
+        await upstream.stop()
 
 
 def main() -> int:
-    uvloop.run(run(Plan(**json.loads(sys.argv[1] if len(sys.argv) > 1 else "{}"))))
+    """Run the plan of the command line; the exit status."""
+    plan = plan_from_json(json.loads(sys.argv[1] if len(sys.argv) > 1 else "{}"))
+    uvloop.run(run(plan))
     return 0
 
 
--- a/standins/registry.py
+++ b/standins/registry.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from time import monotonic
-from typing import Any, Protocol, cast
+from typing import Any, NamedTuple, Protocol, cast
 
 from standins.execution_journal import ExecutionJournal
 
@@ -41,6 +41,14 @@
     until: float | None = None  # None: still
 
 
+class FaultEvent(NamedTuple):
+    """The beginning of a fault, or of a cold successor ("cold"), in seconds on the monotonic clock."""
+
+    at: float
+    fault: str
+    upstream: str
+
+
 class Registry:
     """The list of a fleet's upstreams, and its watchers."""
 
@@ -51,8 +59,7 @@
         self.port = 0
         self.watchers: set[asyncio.Transport] = set()
         self.drains: list[Drain] = []
-        # When, what, upstream: what whoever runs the fleet did to it.
-        self.events: Sequence[tuple[float, str, str]] = []
+        self.events: list[FaultEvent] = []  # of whoever injects faults
 
     async def start(self) -> None:
         """Listen on the loopback interface, at the same port as before if there was one."""
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -12,7 +12,7 @@
 from peers import own_address, read_message, run, until
 
 from standins.execution_journal import Execution, ExecutionJournal
-from standins.fleet import Fleet, Plan
+from standins.fleet import Fleet, Plan, plan_from_json, plan_to_json
 from standins.site import reserved_port
 from standins.upstream import StandInUpstream, start_upstreams
 
@@ -221,8 +221,8 @@
 
 
 @run
-async def test_a_fleets_trouble_is_scripted_and_its_account_read_over_http() -> None:
-    one = Fleet(Plan(nodos=2, trouble="drain@0:1"))
+async def test_a_fleets_faults_are_scripted_and_its_account_read_over_http() -> None:
+    one = Fleet(Plan(upstreams=2, faults="drain@0:1"))
     await one.start()
     one.begin()
     await until(lambda: one.registry.drains)
@@ -234,5 +234,21 @@
     assert [b[:2] for b in one.account()["births"]] == [["s0001", 1]]
     await until(lambda: one.account()["drains"][0][3] is not None)
     one.stop()
-    for peer in (one.registry, *one.nodos):
+    for peer in (one.registry, *one.upstreams):
         await peer.stop()
+
+
+def test_a_fleets_plan_keeps_the_keys_of_its_json() -> None:
+    table = {"nodos": 2, "trouble": "hang@1:0", "pace": 2.0}
+    plan = plan_from_json(table)
+    assert plan == Plan(upstreams=2, faults="hang@1:0", pace=2.0)
+    assert plan_to_json(plan).items() >= table.items() and plan_from_json(plan_to_json(plan)) == plan
+    with pytest.raises(TypeError, match="unknown"):
+        plan_from_json({"unknown": 1})
+
+
+def test_a_fleet_knows_no_other_faults() -> None:
+    fleet = Fleet(Plan(faults="melt@1:0"))
+    fleet.upstreams = []
+    with pytest.raises(ValueError, match="no such trouble; there are die, drain, hang, silent, swallow"):
+        fleet.begin()
