--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -11,6 +11,7 @@
 import pytest
 from peers import own_address, read_message, run, until
 
+from standins import listservice
 from standins.execution_journal import Execution, ExecutionJournal
 from standins.fleet import Fleet, Plan, plan_from_json, plan_to_json
 from standins.site import reserved_port
@@ -252,3 +253,86 @@
     fleet.upstreams = []
     with pytest.raises(ValueError, match="no such trouble; there are die, drain, hang, silent, swallow"):
         fleet.begin()
+
+
+def test_a_list_services_plan_keeps_the_keys_of_its_json() -> None:
+    table = {
+        "per_s": 20.0,
+        "line": "turns away",
+        "downs": [[0, 8]],
+        "mute": [[1, 2], [3, 4]],
+        "retry_after": "2",
+        "trickle": 0.5,
+        "always_whole": True,
+        "dies_at": 3,
+        "dead_s": 1.5,
+        "back": True,
+        "bytes_per_s": 1e6,
+        "address": "127.0.0.2",
+    }
+    assert listservice.plan_from_json(table) == listservice.Plan(
+        20.0, "turns away", ((0, 8),), ((1, 2), (3, 4)), "2", 0.5, True, 3, 1.5, True, 1e6, "127.0.0.2"
+    )
+    with pytest.raises(TypeError, match="unknown"):
+        listservice.plan_from_json({"unknown": 1})
+
+
+LIST_REQUEST = b"GET /catalog/members HTTP/1.1\r\nHost: l\r\n\r\n"
+
+
+@run
+async def test_a_list_service_crashes_in_the_middle_of_a_watchs_answer_once() -> None:
+    service = listservice.Service(listservice.Plan(crash_after=1, crash_s=0.1, versions_restart=True))
+    service.replace_list([{"host": f"s{n}", "health": "ready"} for n in range(50)])
+    await service.start()
+    reader, writer = await asyncio.open_connection("127.0.0.1", service.port)
+    writer.write(b"GET /catalog/members?stream=1&index=0 HTTP/1.1\r\nHost: l\r\n\r\n")
+    await reader.readuntil(b"\r\n\r\n")
+    with pytest.raises(asyncio.IncompleteReadError) as cut:
+        await reader.readuntil(b"}\n")  # the end of the list
+    assert b'"host": "s0"' in cut.value.partial and b'"host": "s49"' not in cut.value.partial
+    await until(lambda: service.server is None)
+    await until(lambda: service.server is not None)
+    assert service.version == 1 and len(service.rows) == 50
+    reader, writer = await asyncio.open_connection("127.0.0.1", service.port)
+    writer.write(LIST_REQUEST)
+    assert len(json.loads((await read_message(reader)).body)["hosts"]) == 50
+    assert [answer.outcome for answer in service.answers] == ["answered", "answered"]
+    service.stop()
+
+
+@run
+async def test_a_list_service_that_is_too_slow_rejects_and_its_account_says_so() -> None:
+    plan = listservice.Plan(per_s=0.5, overload=listservice.Overload.REJECTS, retry_after="3")
+    service = listservice.Service(plan)
+    await service.start()
+    links = [await asyncio.open_connection("127.0.0.1", service.port) for _ in range(3)]
+    for number, (_, writer) in enumerate(links):
+        writer.write(LIST_REQUEST)
+        await until(lambda seen=number + 1: len(service.calls) == seen)
+    rejected = await read_message(links[2][0])
+    assert rejected.status == 503 and rejected.fields["retry-after"] == "3"
+    reader, writer = await asyncio.open_connection("127.0.0.1", service.port)
+    writer.write(b"GET /books HTTP/1.1\r\nHost: l\r\n\r\n")
+    account = json.loads((await read_message(reader)).body)
+    assert [call[1:] for call in account["calls"]] == [["127.0.0.1", "whole"]] * 3
+    assert [answer[1:] for answer in account["answers"]] == [["127.0.0.1", "turned away"]]
+    service.stop()
+
+
+@run
+async def test_a_list_service_is_unresponsive_for_a_span() -> None:
+    service = listservice.Service(listservice.Plan(per_s=1000.0, unresponsive=((0, 60),)))
+    await service.start()
+    service.begin(asyncio.get_running_loop().time() - 1.0)
+    reader, writer = await asyncio.open_connection("127.0.0.1", service.port)
+    writer.write(LIST_REQUEST)
+    await until(lambda: service.calls)
+    await asyncio.sleep(0.1)
+    assert service.is_unresponsive() and not service.answers and not service.queue
+    service.stop()
+
+
+def test_a_list_service_knows_no_other_way_with_overload() -> None:
+    with pytest.raises(ValueError, match="line: 'shrugs' is not one of queues, turns away"):
+        listservice.Service(listservice.Plan(overload="shrugs"))
