--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Real peers over loopback sockets, with scripted faults and books of their own: for tests and benches.
+"""Real peers over loopback sockets, with scripted faults and journals of their own: for tests and benchmarks.
 
-None of them is gentler than its specification. They know nothing of the balancer's insides.
+None of them is gentler than its specification. They know nothing of the balancer's internals.
 """
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,4 +1,4 @@
-"""A made-up site: the settings of a balancer in the platform's form, for benches, tests and the demo."""
+"""A made-up site: a balancer's configuration in the platform's form, and ports for processes on loopback."""
 
 from __future__ import annotations
 
@@ -42,14 +42,33 @@
     },
     {"name": "cobro", "sloMs": 600.0, "deadlineMs": 2000.0, "value": 8.0, "effect": "single_shot"},
 ]
-MIX = (("consulta", 0.6), ("reserva", 0.3), ("cobro", 0.1))
-START_SHARE, WARM_S, FALL_S, TIP = 0.13, 24.0, 2.0, 4.0
-DRAIN_S = 0.25
+MIX = (("consulta", 0.6), ("reserva", 0.3), ("cobro", 0.1))  # classes and their share of requests
+START_SHARE = 0.13  # fraction of its capacity at which a cold upstream starts
+WARM_S = 24.0  # until a cold upstream has its full capacity
+FALL_S = 2.0  # the window over which an upstream's overload counts ...
+TIP = 4.0  # ... from this multiple of its capacity on
+DRAIN_S = 0.25  # from the notice of a drain to the last request that may be sent
 
 
 def config(listen: int, discovery: int, known: dict[str, Any]) -> dict[str, Any]:
-    """A balancer's configuration in the platform's form."""
-    settings = {
+    """A balancer's configuration in the platform's form.
+
+    listen, discovery: ports on the loopback interface; known: the endpoint list at the start.
+    """
+    return {
+        "name": "n0",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "5",
+        "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096},
+        "known": known,
+        "settings": _settings(),
+    }
+
+
+def _settings() -> dict[str, Any]:
+    """The settings of the site's balancers, in the platform's form."""
+    return {
         "blend": {"whole": 0.55, "worstWindow": 0.15, "worstClass": 0.05, "worstTenant": 0.25},
         "classes": CLASSES,
         "guarantees": {
@@ -76,12 +95,3 @@
         "report": {"fields": ["depth"], "source": "inline"},
         "tickMs": 5.0,
     }
-    return {
-        "name": "n0",
-        "listen": f"127.0.0.1:{listen}",
-        "discovery": f"127.0.0.1:{discovery}",
-        "seed": "5",
-        "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096},
-        "known": known,
-        "settings": settings,
-    }
