--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,7 @@
-"""Small tools for driving a Balancer by hand. Not a simulator: every event is written by the test."""
+"""Small tools for driving a Balancer by hand, and the classes and rules of a made-up site.
+
+Not a simulator: every event is written by the test.
+"""
 
 from __future__ import annotations
 
@@ -54,18 +57,19 @@
 
 
 def listed(numbers: Iterable[int], how: str = "stale", started: float = 0.0) -> io.EndpointListUpdate:
+    """An update of the list with these servers; how: a ListUpdateKind."""
     return io.EndpointListUpdate(how, tuple(entry(n, started=started) for n in numbers))
 
 
 def started(servers: int = 4, seed: int = 7, **changes: object) -> Balancer:
-    """A balancer that knows so many warm servers."""
+    """A balancer whose list has this many warm servers."""
     balancer = Balancer(settings(**changes), seed)
     balancer.handle(0.0, listed(range(servers)))
     return balancer
 
 
-def met_often(balancer: Balancer) -> Balancer:
-    """The same with all servers in use, however thin its traffic: for rules that are not about which are."""
+def using_all_servers(balancer: Balancer) -> Balancer:
+    """The same with all servers in its working set, however thin its traffic."""
     balancer.endpoints.working_set.meet_ms = float("inf")
     balancer.endpoints.traffic.arrivals.add(0.0)
     balancer.endpoints.refresh_working_set(at_once=True)
@@ -73,28 +77,32 @@
 
 
 def reported(server: Server) -> float:
-    """The load that it last told of; 0 if it is not ready."""
+    """The load of its last report; 0 if it is not ready."""
     return float(server.owner.shares.report[server.slot]) if server.slot >= 0 else 0.0
 
 
 def sends(actions: list[io.Action]) -> list[io.Send]:
+    """The attempts among these actions."""
     return [a for a in actions if isinstance(a, io.Send)]
 
 
 def finals(actions: list[io.Action]) -> list[io.Action]:
+    """The final answers among these actions that are not an upstream's."""
     return [a for a in actions if isinstance(a, io.Shed | io.Fail)]
 
 
 def submit(balancer: Balancer, now: float, number: int, name: str = "read", budget: float = 400.0) -> Actions:
+    """What the balancer does with a new request; budget: its time left, in milliseconds."""
     return balancer.handle(now, io.Request(number, name, budget))
 
 
 def outcome(send: io.Send, attempt: int, code: str, spent: float, final: bool = False) -> io.AttemptEnded:
+    """The end of an attempt; code: an Outcome, spent: in milliseconds."""
     return io.AttemptEnded(send.request, attempt, send.server, code, spent, final or code == "ok")
 
 
 def serve(balancer: Balancer, now: float, number: int, latency: float = 10.0, name: str = "read") -> str:
-    """One request answered well; the server it went to."""
+    """A request that is answered after so many milliseconds; the server that it went to."""
     send = sends(submit(balancer, now, number, name))[0]
     balancer.handle(now + latency, outcome(send, 0, "ok", latency))
     return send.server
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -12,7 +12,7 @@
 import pytest
 import uvloop
 from extproc_site import RawStream, Site, rows_of, status_of
-from helpers import UNSAFE, met_often, outcome, sends, started, submit
+from helpers import UNSAFE, outcome, sends, started, submit, using_all_servers
 from peers import SETTINGS, Message, World, read_message, reply, request, run, silent, until
 
 from quartzford.backends.http_attempt import Attempt
@@ -245,7 +245,7 @@
 
 @pytest.mark.parametrize("code", ["timeout", "reset", "connect_failed"])
 def test_an_attempt_shorter_than_an_answer_takes_blames_nobody(code: str) -> None:
-    balancer = met_often(started(2))
+    balancer = using_all_servers(started(2))
     for number, budget in enumerate((10.0, 400.0)):
         (send,) = sends(submit(balancer, 0.0, number, UNSAFE.name, budget))
         spent = budget if code != "reset" else 1.0
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 import pytest
-from helpers import RULES, entry, listed, met_often, sends, settings, started
+from helpers import RULES, entry, listed, sends, settings, started, using_all_servers
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
@@ -20,7 +20,7 @@
     """A steady stream of requests that are not tried again; what was sent where, and who was out."""
 
     def __init__(self, servers: int, per_s: float, seconds: float, fails: Fails, seed: int = 1) -> None:
-        self.balancer, self.rng = met_often(started(servers, seed=seed)), random.Random(seed)
+        self.balancer, self.rng = using_all_servers(started(servers, seed=seed)), random.Random(seed)
         self.sent: list[tuple[float, int]] = []
         self.out: list[int] = []  # ejected, at each request
         due: list[tuple[float, int, io.Send]] = []
@@ -89,7 +89,7 @@
 def test_the_ejected_excuse_others_by_the_sends_that_are_spared(per_s: float, least: int, most: int) -> None:
     """Twelve of a hundred fail once, one after the other. Met once in ten seconds, each is left alone at its
     first failure; met every 50 ms, the first ones' failures are the yardstick of the others for a moment."""
-    balancer = met_often(started(100))
+    balancer = using_all_servers(started(100))
     span, now = 1000.0 / per_s, 0.0
     for number in range(400):  # the rate that it knows
         now = number * span
--- a/tests/test_list_chunks.py
+++ b/tests/test_list_chunks.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from helpers import entry, met_often, settings
+from helpers import entry, settings, using_all_servers
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
@@ -44,7 +44,7 @@
     one, other = Balancer(settings(), 1), Balancer(settings(), 1)
     for balancer in (one, other):
         balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n) for n in before)))
-        met_often(balancer)
+        using_all_servers(balancer)
     one.handle(1.0, io.EndpointListUpdate("whole" if complete else "changes", update.entries))
     parts = list(split_into_chunks(update, other.servers, size))
     for part in parts:
@@ -112,7 +112,7 @@
 @run
 async def test_a_list_of_thousands_is_taken_in_beside_the_service() -> None:
     async with World(1) as world:
-        pool, servers = world.node.pool, met_often(world.node.engine.balancer).servers
+        pool, servers = world.node.pool, using_all_servers(world.node.engine.balancer).servers
         world.update(*hosts(3000), complete=True)
         await until(lambda: len(servers) == 3000, 30)
         left = pool.upstreams.get("s0")  # swept out already, where this took long
