--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -1,4 +1,4 @@
-"""A site for the external processor's tests: stand-in nodos, a balancer in this process, a calling proxy."""
+"""A site for the external processor's tests: upstreams, a balancer in this process, a calling proxy."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Site:
-    """Nodos with books, one balancer with the processor on, and callers made at will."""
+    """Stand-in upstreams with a journal, one balancer with the processor on, and any number of callers."""
 
     def __init__(self, upstreams: int = 3, workers: int = 0, settings: Any = None, **extproc: Any) -> None:
         self.count, self.settings = upstreams, SETTINGS | (settings or {})
@@ -58,6 +58,7 @@
         return self
 
     def ports(self) -> list[int]:
+        """Ports of the processor's workers that listen."""
         return [line.port for line in self.front.channels if line.port]
 
     async def __aexit__(self, *error: object) -> None:
@@ -71,11 +72,13 @@
             await upstream.stop()
 
     def caller(self, **policy: Any) -> CallerProxy:
+        """A calling proxy with this CallerPolicy, which lasts as long as the site."""
         caller = CallerProxy(f"127.0.0.1:{self.front.port}", CallerPolicy(**policy), random.Random(7))
         self.callers.append(caller)
         return caller
 
     def exchange(self, name: str = "read", identity: str = "") -> Exchange:
+        """The record of a new request of a class."""
         self.number += 1
         return Exchange(identity or f"c{self.number}", name, self.node.clock.now())
 
@@ -89,16 +92,18 @@
         identity: str = "",
         extra: tuple[tuple[str, str], ...] = (),
     ) -> Exchange:
-        """One client request through the caller, to its end."""
+        """One client request through the caller, until its end; drop: the stage at which it leaves."""
         exchange = self.exchange(name, identity)
         key = f"k-{exchange.identity}" if name == "book" else ""
         rows = [*request_rows(exchange.identity, name, left_s, "acme", key), *extra]
         return await caller.handle(exchange, rows, left_s + 0.5, drop)
 
     def runs(self, identity: str) -> int:
+        """How many times upstreams executed a request."""
         return sum(run.identity == identity for run in self.journal.runs)
 
     def open_requests(self) -> int:
+        """Requests that the processor holds."""
         return len(self.front.service.requests)
 
 
@@ -111,42 +116,49 @@
         self.headers = Headers([])
 
     async def submit(self, rows: list[tuple[str, str]], raw: bool = True) -> Any:
+        """Request a decision; the reply, whose mutation is applied to the headers."""
         self.headers = Headers(list(rows))
         message = proto.ProcessingRequest(request_headers=self.headers.message(raw, True))
-        reply = await self.say(message)
+        reply = await self.exchange(message)
         self.headers.mutate(reply.request_headers.response.header_mutation, True)
         return reply
 
-    async def say(self, message: Any) -> Any:
+    async def exchange(self, message: Any) -> Any:
+        """Send a message; the reply."""
         await self.call.write(message)
         return await asyncio.wait_for(self.call.read(), 20)
 
     async def report(self, status: int, *rows: tuple[str, str], details: str = "via_upstream") -> Any:
+        """Report an attempt's response; the reply, whose mutation is applied to `answer`."""
         answer = Headers([(":status", str(status)), *rows])
         message = proto.ProcessingRequest(response_headers=answer.message(True, True))
         fields = message.attributes["envoy.filters.http.ext_proc"].fields
         fields["response.code_details"].string_value = details
-        reply = await self.say(message)
+        reply = await self.exchange(message)
         answer.mutate(reply.response_headers.response.header_mutation, True)
         self.answer = answer
         return reply
 
     def address(self) -> str:
+        """The upstream's address that was decided on."""
         return self.headers.get("x-quartzford-destination")
 
     def token(self) -> tuple[str, str]:
+        """The header that binds a later stream to this one's request."""
         return ("x-quartzford-token", self.headers.get("x-quartzford-token"))
 
     def drop(self) -> None:
+        """Cancel the stream."""
         self.call.cancel()
 
 
 def status_of(reply: Any) -> int:
-    """Of an ImmediateResponse; 0 where the reply is none."""
+    """The status of an ImmediateResponse; 0 if the reply is none."""
     code: int = reply.immediate_response.status.code
     return code
 
 
 def rows_of(identity: str, name: str = "pay", *extra: tuple[str, str], left_s: float = 2.5) -> Any:
+    """The headers of a client's request of a class, with further ones."""
     key = f"k-{identity}" if name == "book" else ""
     return [*request_rows(identity, name, left_s, "acme", key), *extra]
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -61,7 +61,7 @@
 
 
 class Message(NamedTuple):
-    """A request or an answer as it came."""
+    """A request or a response as it came; names of fields in lower case."""
 
     line: str
     fields: dict[str, str]
@@ -69,11 +69,12 @@
 
     @property
     def status(self) -> int:
+        """The status of a response."""
         return int(self.line.split()[1])
 
 
 async def until(condition: Callable[[], object], seconds: float = 8.0) -> None:
-    """Wait for a condition; the time is only there to end a test that fails."""
+    """Wait until a condition holds; the time is only there to end a test that fails."""
     end = time.monotonic() + seconds
     while not condition():
         assert time.monotonic() < end, "the condition never came"
@@ -81,7 +82,7 @@
 
 
 class Lag:
-    """How late this loop was at the worst while the block ran: a busy machine is no fault of the program."""
+    """How late this loop was at most while the block ran: a busy machine is no fault of the program."""
 
     async def __aenter__(self) -> Lag:
         self.worst = 0.0
@@ -99,7 +100,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader, head_only: bool = False) -> Message:
-    """The next message; IncompleteReadError where it is not whole."""
+    """The next message; head_only: without its body. IncompleteReadError if it is incomplete."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     line, *rest = head.rstrip().split("\r\n")
     fields = {k.lower(): v.strip() for k, _, v in (part.partition(":") for part in rest)}
@@ -124,6 +125,7 @@
 
 
 def reply(body: bytes = b"done", status: str = "200 OK", fields: str = "") -> bytes:
+    """A response as an upstream writes it; fields: further header lines, each with its end."""
     return f"HTTP/1.1 {status}\r\n{fields}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -146,7 +148,7 @@
 
 
 class Peer:
-    """A server whose answers the test writes; the requests that came are kept."""
+    """A server whose responses are scripted by the test; it keeps the requests that came."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -157,11 +159,12 @@
         self.port = 0
 
     async def start(self, port: int = 0) -> None:
+        """Listen on the loopback interface; port 0: at one that the kernel chooses."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Refuse connections and end those that stand."""
+        """Refuse connections, and reset open ones."""
         if self.server is not None:
             self.server.close()
         for writer in self.writers:
@@ -201,6 +204,7 @@
         self.tasks: list[asyncio.Task[None]] = []  # of peers that a test makes itself
 
     def host(self, number: int, health: str = "ready", born: float = 0, **changes: Any) -> dict[str, Any]:
+        """An upstream's row in the list, with these fields changed."""
         return {
             "host": f"s{number}",
             "dial": f"127.0.0.1:{self.upstreams[number].port}",
@@ -213,6 +217,7 @@
         } | changes
 
     def list(self, *hosts: dict[str, Any], complete: bool = True) -> dict[str, Any]:
+        """A list of these rows at the current version, or changes of it."""
         return {"seq": self.version, "whole": complete, "hosts": list(hosts)}
 
     async def _discover(self, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -228,20 +233,21 @@
         self.watches.append(writer)
         self.send_line(complete, writer)
 
-    current: dict[str, Any] | None = None
+    current: dict[str, Any] | None = None  # the list that discovery has, instead of all upstreams
 
-    admin = ""  # where operators call
+    admin = ""  # the address of the operators' interface
 
     def send_line(self, line: str | dict[str, Any], writer: asyncio.StreamWriter | None = None) -> None:
-        """A line on the watch."""
+        """Send a line on a watch, by default the latest."""
         text = (line if isinstance(line, str) else json.dumps(line)) + "\n"
         self.send_chunk(text.encode(), writer)
 
     def send_chunk(self, data: bytes, writer: asyncio.StreamWriter | None = None) -> None:
+        """Send bytes on a watch, by default the latest, as one chunk."""
         (writer or self.watches[-1]).write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def update(self, *hosts: dict[str, Any], complete: bool = False) -> None:
-        """Changes, or a whole list, told on the watch."""
+        """Send changes, or a complete list, on the latest watch."""
         self.version += 1
         self.send_line(self.list(*hosts, complete=complete))
 
@@ -251,10 +257,11 @@
         await self.enter()
         return self
 
-    async def enter(self, heard: bool = True, listener: socket.socket | None = None) -> None:
-        """Start the balancer, its peers being up; heard: and wait until it has heard of the list.
+    async def enter(self, wait_for_list: bool = True, listener: socket.socket | None = None) -> None:
+        """Start the balancer, its peers being up; wait_for_list: and wait until it has a list.
 
-        listener: that of a process before it."""
+        listener: that of a process before it.
+        """
         known = self.known or self.list(*(self.host(n) for n in range(len(self.upstreams))))
         config = {
             "name": "n0",
@@ -280,7 +287,7 @@
         await self.node.start()
         assert self.node.front.listener is not None
         self.port = self.node.front.listener.sockets[0].getsockname()[1]
-        if heard:
+        if wait_for_list:
             await until(lambda: self.watches and self.node.watch.ever_answered)
 
     async def __aexit__(self, *error: object) -> None:
@@ -292,17 +299,19 @@
             await peer.stop()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """A client's connection to the balancer, which lasts as long as the world."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port, limit=2**22)
         self.clients.append(writer)
         return reader, writer
 
     async def submit(self, data: bytes) -> Message:
-        """One request on a connection of its own."""
+        """Send a request on a connection of its own; the response."""
         reader, writer = await self.connect()
         writer.write(data)
         return await read_message(reader)
 
     def outcomes(self) -> list[str]:
+        """The outcomes of all attempts so far."""
         return [e.code for e in self.events if isinstance(e, io.AttemptEnded)]
 
 
@@ -314,7 +323,7 @@
     left: str = "2500m",
     path: str = "/api",
 ) -> bytes:
-    """A request of a class as a client writes it."""
+    """A request of a class as a client writes it; left: its time left as on the wire."""
     method = method or ("GET" if name == "read" else "POST")
     head = f"{method} {path} HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: c1\r\nX-Service-Class: {name}\r\n"
     head += f"X-Account: acme\r\nX-Time-Left: {left}\r\n"
--- a/tests/test_extproc_example.py
+++ b/tests/test_extproc_example.py
@@ -1,4 +1,4 @@
-"""The example files of deploy/: Envoy's own messages read the one, our check the other, and they fit."""
+"""The example files of deploy/: Envoy's own messages parse the one, our check the other, and they agree."""
 
 from __future__ import annotations
 
@@ -27,15 +27,18 @@
 
 
 def parse(text: str) -> Any:
+    """An Envoy bootstrap of YAML; ParseError or TypeError if Envoy does not know one of its names."""
     return json_format.ParseDict(yaml.safe_load(text), bootstrap_pb2.Bootstrap())
 
 
 def seconds(duration: Any) -> float:
+    """A protobuf duration in seconds."""
     return float(duration.seconds) + float(duration.nanos) / 1e9
 
 
 @pytest.fixture(scope="module")
 def parts() -> dict[str, Any]:
+    """The clusters by name, and by "hop " and listener: connection manager, processor and route."""
     bootstrap = parse(TEXT)
     found: dict[str, Any] = {c.name: c for c in bootstrap.static_resources.clusters}
     for listener in bootstrap.static_resources.listeners:
@@ -58,14 +61,14 @@
         ("HttpProtocolOptions\n", "HttpOptions\n"),
     ],
 )
-def test_a_wrong_name_in_the_example_would_be_found(wrong: tuple[str, str]) -> None:
+def test_an_unknown_name_in_the_example_would_be_found(wrong: tuple[str, str]) -> None:
     changed = TEXT.replace(*wrong)
     assert changed != TEXT
     with pytest.raises((json_format.ParseError, TypeError)):
         parse(changed)
 
 
-def test_the_retry_policy_goes_by_our_word_alone(parts: dict[str, Any]) -> None:
+def test_the_retry_policy_goes_by_our_header_alone(parts: dict[str, Any]) -> None:
     _, _, route = parts["hop clients"]
     policy = route.retry_policy
     assert policy.retry_on == "retriable-headers" and policy.num_retries.value == 3
@@ -82,7 +85,7 @@
         assert threshold.max_retries.value >= 1_000 or name != "attempts"
 
 
-def test_both_hops_ask_and_neither_goes_on_without_an_answer(parts: dict[str, Any]) -> None:
+def test_both_hops_call_the_processor_and_neither_goes_on_without_a_reply(parts: dict[str, Any]) -> None:
     for hop, role in (("hop clients", "open"), ("hop attempts", "")):
         manager, processor, _ = parts[hop]
         assert not processor.failure_mode_allow
@@ -94,7 +97,7 @@
     assert attempt.allow_mode_override
 
 
-def test_what_clients_may_not_say_is_taken_away_first(parts: dict[str, Any]) -> None:
+def test_headers_that_clients_may_not_set_are_removed_first(parts: dict[str, Any]) -> None:
     manager, _, _ = parts["hop clients"]
     mutation = header_mutation_pb2.HeaderMutation()
     manager.early_header_mutation_extensions[0].typed_config.Unpack(mutation)
@@ -109,7 +112,7 @@
     assert upstreams.lb_policy == upstreams.CLUSTER_PROVIDED
 
 
-def test_the_time_outs_fit_together(parts: dict[str, Any]) -> None:
+def test_the_timeouts_fit_together(parts: dict[str, Any]) -> None:
     operator = load_operator_settings(str(DEPLOY / "operator.example.toml")).extproc
     assert operator is not None
     (_, opener, outer), (_, attempt, inner) = parts["hop clients"], parts["hop attempts"]
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -382,7 +382,7 @@
 async def test_phases_that_were_not_requested_get_the_neutral_reply() -> None:
     async with Site() as site:
         raw = RawStream(site.caller())
-        reply = await raw.say(proto.ProcessingRequest(response_headers=_message([(":status", "200")])))
+        reply = await raw.exchange(proto.ProcessingRequest(response_headers=_message([(":status", "200")])))
         assert reply.WhichOneof("response") == "response_headers"
         reply = await raw.submit(rows_of("c1"))
         override = reply.mode_override
@@ -390,10 +390,10 @@
         assert override.response_header_mode == override.SEND
         for kind, body in (("request_body", proto.HttpBody(body=b"x")), ("request_trailers", None)):
             message = proto.ProcessingRequest(**{kind: body or proto.HttpTrailers()})
-            reply = await raw.say(message)
+            reply = await raw.exchange(message)
             assert reply.WhichOneof("response") == kind
         await raw.report(200)
-        reply = await raw.say(proto.ProcessingRequest(response_body=proto.HttpBody(body=b"x")))
+        reply = await raw.exchange(proto.ProcessingRequest(response_body=proto.HttpBody(body=b"x")))
         assert reply.WhichOneof("response") == "response_body" and not site.open_requests()
 
 
--- a/tests/test_list_notifications.py
+++ b/tests/test_list_notifications.py
@@ -200,7 +200,7 @@
     world.discovery.script = queue
     for peer in (*world.upstreams, world.discovery):
         await peer.start()
-    await world.enter(heard=False)
+    await world.enter(wait_for_list=False)
     await until(lambda: len(writers) == 2)  # the first one is not answered in its time
     assert world.discovery.left == 0 and not world.node.watch.ever_answered
     await world._discover(world.discovery.received[0], writers[0])
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -136,7 +136,7 @@
         for peer in (*world.upstreams, world.discovery):
             await peer.start()
         world.discovery.script = silent
-        entering = asyncio.ensure_future(world.enter(heard=False))
+        entering = asyncio.ensure_future(world.enter(wait_for_list=False))
         await until(lambda: world.discovery.received)
         world.node.terminate()
         with pytest.raises(AssertionError):  # the helper's own: there is no server to ask
@@ -161,7 +161,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             reader, writer = await asyncio.open_connection(*listener.getsockname())
             writer.write(request())
-            await world.enter(heard=False, listener=listener)
+            await world.enter(wait_for_list=False, listener=listener)
             assert (await read_message(reader)).status == 200
             writer.close()
             await world.__aexit__()
@@ -176,7 +176,7 @@
         await peer.start()
     world.discovery.script = silent
     before = asyncio.get_running_loop().time()
-    await world.enter(heard=False)
+    await world.enter(wait_for_list=False)
     assert asyncio.get_running_loop().time() - before > node.LISTED_S - 0.01
     assert (await world.submit(request())).status == 200
     await world.__aexit__()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -438,7 +438,7 @@
             await peer.start()
         world.discovery.script = turned_away
         world.known = world.list(world.host(0), complete=True)
-        enter = asyncio.ensure_future(world.enter(heard=False))
+        enter = asyncio.ensure_future(world.enter(wait_for_list=False))
         await until(lambda: hasattr(world, "node"))
         delay_after = world.node.watch.policy.delay_after
 
