--- a/bench/common.py
+++ b/bench/common.py
@@ -23,7 +23,7 @@
 from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
 from quartzford.load.options import LoadOptions, Target
 from quartzford.load.run import play
-from standins.site import config, free_port
+from standins.site import config, reserved_port
 from standins.upstream import ExecutionJournal, StandInUpstream, start_upstreams
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -106,7 +106,7 @@
 
     discovery: the list service's port; known: the list that the balancer starts with.
     """
-    port = free_port()
+    port = reserved_port()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config(port, discovery, known)))
--- a/bench/extproc.py
+++ b/bench/extproc.py
@@ -26,7 +26,7 @@
 from bench.common import ROOT, children, cpu_seconds, report
 from bench.extproc_figures import Cores, Run, figures
 from bench.extproc_processes import CALLER, FLEET, HOG, WARM_UP_S, Plan, process_main
-from standins.site import config, free_port
+from standins.site import config, reserved_port
 
 LEAD_S = 2.0  # from the last process's start to the first arrival
 WORKERS_START_S = 1.0  # from the first worker's readiness to that of all
@@ -120,7 +120,7 @@
     """
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        (folder / "balancer.json").write_text(json.dumps(config(free_port(), discovery, known)))
+        (folder / "balancer.json").write_text(json.dumps(config(reserved_port(), discovery, known)))
         operator = folder / "operator.toml"
         operator.write_text(operator_settings(port, plan.workers))
         balancer = Balancer(folder, operator)
@@ -137,7 +137,7 @@
     with Processes(plan) as processes:
         fleet = processes.start(FLEET)
         discovery, known = fleet.recv()
-        port = free_port()
+        port = reserved_port()
         with running_balancer(plan, port, discovery, known) as balancer:
             hogs = [processes.start(HOG) for _ in range(plan.hogs)]
             start = time.monotonic() + LEAD_S
--- a/bench/list_stalls.py
+++ b/bench/list_stalls.py
@@ -19,7 +19,7 @@
 from quartzford.decision.columns import load_arrays
 from quartzford.node import Node
 from quartzford.settings.configuration import read_config
-from standins.site import config, free_port
+from standins.site import config, reserved_port
 from standins.upstream import ExecutionJournal, Registry, StandInUpstream
 
 CELL_SIZE = 4
@@ -132,7 +132,7 @@
 async def _start_node(discovery: int) -> Node:
     """A balancer that begins with an empty list."""
     known = {"seq": 0, "whole": True, "hosts": []}
-    configuration = read_config(json.dumps(config(free_port(), discovery, known)))
+    configuration = read_config(json.dumps(config(reserved_port(), discovery, known)))
     node = Node(configuration, asyncio.get_running_loop())
     node.log = SilentLog()  # type: ignore[assignment]
     load_arrays()
--- a/bench/slopes_configuration.py
+++ b/bench/slopes_configuration.py
@@ -22,7 +22,7 @@
 from quartzford.decision.columns import load_arrays
 from quartzford.node import Node
 from quartzford.settings.configuration import load_config
-from standins.site import CLASSES, config, free_port
+from standins.site import CLASSES, config, reserved_port
 
 ROLE = "balancer"
 TARGET_TENANTS, TARGET_CLASSES = 180_000, 2_700
@@ -64,7 +64,7 @@
 
 def write_configuration(path: Path, tenants: int, classes: int, quota: float) -> None:
     """Write a configuration in the platform's form; quota: of the first tenant, requests a second."""
-    table = config(free_port(), free_port(), {"seq": 0, "whole": True, "hosts": []})
+    table = config(reserved_port(), reserved_port(), {"seq": 0, "whole": True, "hosts": []})
     table["settings"]["customers"] = [
         {"name": f"tenant-{n:06}", "quotaPerS": quota + n % 7} for n in range(tenants)
     ]
--- a/bench/slopes_node.py
+++ b/bench/slopes_node.py
@@ -11,7 +11,7 @@
 from quartzford.membership import line_splitter
 from quartzford.node import Node
 from quartzford.settings.configuration import Config, read_config
-from standins.site import config, free_port
+from standins.site import config, reserved_port
 
 SITE_TICK_MS = 5.0
 LINE_BYTES = 64 * 1024 * 1024  # room for the lists that are measured, whatever the program's own bound
@@ -41,7 +41,7 @@
 
 def balancer_config(discovery: int, tick_ms: float = SITE_TICK_MS) -> Config:
     """A lone balancer that polls the list service at this port itself, and starts without a list."""
-    table = config(free_port(), discovery, {"seq": 0, "whole": True, "hosts": []})
+    table = config(reserved_port(), discovery, {"seq": 0, "whole": True, "hosts": []})
     table["settings"] |= {"registryMode": "subscribe", "nInstances": 1, "tickMs": tick_ms}
     return read_config(json.dumps(table))
 
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -37,7 +37,7 @@
 from quartzford.load.clients import SINGLE_ATTEMPT, RequestClass
 from quartzford.load.options import LoadOptions, Target
 from quartzford.load.run import play
-from standins.site import config, free_port
+from standins.site import config, reserved_port
 from standins.upstream import ExecutionJournal, StandInUpstream, start_upstreams
 
 ROLE = "balancer"
@@ -125,7 +125,7 @@
 
     discovery: the list service's port. known: the list in the configuration, in discovery's form.
     """
-    admin, port = free_port(), free_port()
+    admin, port = reserved_port(), reserved_port()
     table = config(port, discovery, known) | {"admin_addr": f"127.0.0.1:{admin}"}
     table["settings"] |= {"registryMode": "subscribe", "nInstances": 1}
     with tempfile.TemporaryDirectory() as folder:
--- a/bench/upgrade_site.py
+++ b/bench/upgrade_site.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple
 
 from bench.common import ROOT
-from standins.site import config, free_port
+from standins.site import config, reserved_port
 
 UPSTREAMS = 12
 READY_TIMEOUT_S, END_TIMEOUT_S = 20.0, 20.0
@@ -47,7 +47,7 @@
     """A balancer's processes, one after the other. port: for clients; admin: of the last one."""
 
     def __init__(self, discovery: int, known: Any, folder: Path) -> None:
-        self.port, self.folder = free_port(), folder
+        self.port, self.folder = reserved_port(), folder
         self.config = config(self.port, discovery, known)
         self.admin = 0
         self.process: subprocess.Popen[bytes] | None = None
@@ -57,7 +57,7 @@
     def start(self, shared: bool = True) -> subprocess.Popen[bytes]:
         """Start one more process. shared: in the folder in which it finds the one before."""
         self.starts += 1
-        self.admin = free_port()
+        self.admin = reserved_port()
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config))
         if not shared:
--- a/quartzford/demo.py
+++ b/quartzford/demo.py
@@ -113,10 +113,10 @@
 @contextmanager
 def running_balancer(fleet: Fleet) -> Iterator[int]:
     """Run a balancer in front of the fleet within the block, and yield its port."""
-    from standins.site import config, free_port
+    from standins.site import config, reserved_port
 
     with tempfile.TemporaryDirectory(prefix="quartzford-demo-") as folder:
-        port, path = free_port(), Path(folder) / "balancer.json"
+        port, path = reserved_port(), Path(folder) / "balancer.json"
         path.write_text(json.dumps(config(port, fleet.port, fleet.listing)))
         environment = {**os.environ, "EDGE_CONFIG": str(path)}
         with _running("-m", "quartzford", env=environment, stderr=subprocess.DEVNULL) as balancer:
--- a/quartzford/load/reconciliation.py
+++ b/quartzford/load/reconciliation.py
@@ -1,6 +1,6 @@
 """Checks the four rules by what clients and servers saw: the attempt log against the account. No I/O.
 
-An account is what a stand-in fleet saw, as Registry.account() in standins/upstream.py gives it, or /books by
+An account is what a stand-in fleet saw, as Registry.account() in standins/registry.py gives it, or /books by
 HTTP. It is a map: version; runs, drains and births, in rows as described below; arrivals: by server, rows of
 when an attempt reached it and in which incarnation; turned_away; overlapping: attempts of one request that
 ran at the same time; window_s: for so long a cell drops the repeats of a keyed request. Times are in seconds
--- a/rig/scale.py
+++ b/rig/scale.py
@@ -26,8 +26,9 @@
 from rig.processes import Process, ProcessGroup, receive_json, send_json
 from rig.relays import peak_resident_mb, relay_address, relay_processes
 from rig.scale_plan import FIRST_VERSION, ScaleEvent, ScaleEventKind, ScalePlan
-from rig.scenario import Run, Scenario, TooManyError, free_port_at
+from rig.scenario import Run, Scenario, TooManyError
 from rig.scenario_result import Reports
+from standins.site import reserved_port
 
 CHANGE_DELAY_S = 0.1  # from a failure to the change that is to be notified in spite of it
 MAX_SAMPLE_AGE_S = 1.0  # of a sample that serves as the one before the next event
@@ -99,7 +100,7 @@
         super().__init__(scenario, folder, log)
         self.plan = plan
         self.groups["relays"] = plan.relays
-        self.addresses = [f"{relay_address(n)}:{free_port_at(relay_address(n))}" for n in range(plan.relays)]
+        self.addresses = [f"{relay_address(n)}:{reserved_port(relay_address(n))}" for n in range(plan.relays)]
         self.version = FIRST_VERSION - 1
         self.listed: list[dict[str, Any]] = []
         self.relay_fleet = ProcessGroup([])
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -12,7 +12,6 @@
 
 import json
 import random
-import socket
 import tempfile
 import time
 import urllib.request
@@ -41,7 +40,7 @@
     Timeline,
     scenario_result,
 )
-from standins.site import config
+from standins.site import config, reserved_port
 
 SETTLE_S = 0.4  # from setting the helpers' release time to the release
 REBIRTH_TIMEOUT_S = 5.0  # for all upstreams to have started anew
@@ -198,7 +197,7 @@
 
     def _prepare_balancers(self) -> None:
         numbers = range(self.scenario.balancers)
-        self.ports = [free_port_at(balancer_address(number)) for number in numbers]
+        self.ports = [reserved_port(balancer_address(number)) for number in numbers]
         self.processes = ProcessGroup([self._prepare_balancer(number) for number in numbers])
 
     def _prepare_balancer(self, number: int) -> Process:
@@ -360,14 +359,6 @@
         return {}
 
 
-def free_port_at(host: str) -> int:
-    """Return a port that is free on this address."""
-    with socket.socket() as probe:
-        probe.bind((host, 0))
-        port: int = probe.getsockname()[1]
-        return port
-
-
 def play(scenario: Scenario, log: IO[str] | None = None) -> dict[str, Any]:
     """Play one scenario, from its processes' start to their end; return its result.
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -8,14 +8,6 @@
 _reservations: list[socket.socket] = []
 
 
-def free_port() -> int:
-    """A port that was free a moment ago; another process may take it: reserved_port() is for new callers."""
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        port: int = sock.getsockname()[1]
-        return port
-
-
 def reserved_port(host: str = "127.0.0.1") -> int:
     """A loopback port for a server in another process, which has to be named before it listens.
 
