--- a/bench/coldbound.py
+++ b/bench/coldbound.py
@@ -53,6 +53,7 @@
 
 
 def read_options() -> argparse.Namespace:
+    """The command line's options."""
     parser = argparse.ArgumentParser(prog="python -m bench.coldbound")
     parser.add_argument("--quick", action="store_true", help=f"{QUICK_SEEDS} seeds in place of {SEEDS}")
     parser.add_argument("--balancers", type=int, nargs="+", default=SIZES, metavar="N", help="sizes to play")
@@ -63,6 +64,7 @@
 
 
 def main() -> int:
+    """Play all cases; the exit status."""
     options = read_options()
     seeds = range(options.seeds or (QUICK_SEEDS if options.quick else SEEDS))
     rows: list[dict[str, Any]] = []
