--- a/bench/extproc_figures.py
+++ b/bench/extproc_figures.py
@@ -12,7 +12,7 @@
 from bench.extproc_processes import CallerResult, Plan
 from quartzford.load.reconciliation import sends_after_drain, slow_start_breaches
 from standins.caller import Attempt, Exchange
-from standins.site import FALL_S, MIX, TIP
+from standins.site import OVERLOAD_WINDOW_S, MIX, OVERLOAD_MULTIPLE
 
 PERCENTILES = (50, 99, 99.9)
 REASONS = 6  # the most frequent ones
@@ -180,7 +180,9 @@
     exchanges, measured = run.exchanges(), run.measured()
     attempts = attempts_of(exchanges)
     drains = drain_figures(run.journal, attempts)
-    cold = slow_start_breaches(run.journal["births"], run.journal["arrivals"], FALL_S, TIP)
+    cold = slow_start_breaches(
+        run.journal["births"], run.journal["arrivals"], OVERLOAD_WINDOW_S, OVERLOAD_MULTIPLE
+    )
     rules = rule_breaches(run, drains.breaches, cold["over"])
     not_served = (one for one in exchanges if not one.dropped and one.statuses != [200])
     return {
--- a/standins/site.py
+++ b/standins/site.py
@@ -37,8 +37,8 @@
 MIX = (("consulta", 0.6), ("reserva", 0.3), ("cobro", 0.1))  # classes and their share of requests
 START_SHARE = 0.13  # fraction of its capacity at which a cold upstream starts
 WARM_S = 24.0  # until a cold upstream has its full capacity
-FALL_S = 2.0  # the window over which an upstream's overload counts ...
-TIP = 4.0  # ... from this multiple of its capacity on
+OVERLOAD_WINDOW_S = 2.0  # the window over which an upstream's overload counts ...
+OVERLOAD_MULTIPLE = 4.0  # ... from this multiple of its capacity on
 DRAIN_S = 0.25  # from the notice of a drain to the last request that may be sent
 
 
@@ -67,9 +67,9 @@
             "answerSlackMs": 20.0,
             "askEveryMs": 10000.0,
             "coldMs": WARM_S * 1000,
-            "tipMultiple": TIP,
+            "tipMultiple": OVERLOAD_MULTIPLE,
             "drainGraceMs": DRAIN_S * 1000,
-            "fallMs": FALL_S * 1000,
+            "fallMs": OVERLOAD_WINDOW_S * 1000,
             "startCapacity": START_SHARE,
         },
         "limits": {
