--- a/bench/callmodel.py
+++ b/bench/callmodel.py
@@ -128,10 +128,10 @@
 
 
 class Patient(AgentCallPolicy):
-    """As before, but meant to wait for the answer to an accepted call without end."""
+    """The agent's policy, but the answer to an accepted call is waited for without end."""
 
-    def patience(self) -> float:
-        """Return seconds; not called any more, as the policy's method is `first_line_timeout` now."""
+    def first_line_timeout(self) -> float:
+        """Return how long the first line may take in seconds."""
         return 3_600.0
 
 
--- a/tests/test_call_policy.py
+++ b/tests/test_call_policy.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.callmodel import CALLS_PER_S, SERVICE_BEHAVIOURS, Model, ServiceBehaviour, bound_s
+from bench.callmodel import CALLS_PER_S, POLICIES, SERVICE_BEHAVIOURS, Model, ServiceBehaviour, bound_s
 from quartzford.membership.call_policy import (
     CONNECT_S,
     LINE_TIMEOUT_S,
@@ -215,3 +215,9 @@
     row = Model("spread", ServiceBehaviour("one", outages=((0.0, 2.0),)), 1).run()
     assert row["served"] == 1 and row["answers"] == 1 and 0.0 < row["all_after_s"] < 1.1
     assert row["calls"] - row["calls_down"] == 1
+
+
+def test_the_models_patient_policy_outwaits_the_agents_own() -> None:
+    """It was played as the agent's own after the method that it overrides had been renamed."""
+    before, patient = (POLICIES[name](random.Random(1), 60, lambda: 0.0) for name in ("before", "patient"))
+    assert patient.first_line_timeout() > 100 * before.first_line_timeout()
