--- a/bench/extproc_figures.py
+++ b/bench/extproc_figures.py
@@ -12,7 +12,7 @@
 from bench.extproc_processes import CallerResult, Plan
 from quartzford.load.reconciliation import sends_after_drain, slow_start_breaches
 from standins.caller import Attempt, Exchange
-from standins.site import OVERLOAD_WINDOW_S, MIX, OVERLOAD_MULTIPLE
+from standins.site import MIX, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S
 
 PERCENTILES = (50, 99, 99.9)
 REASONS = 6  # the most frequent ones
