--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -14,6 +14,7 @@
 from typing import NamedTuple
 
 import pytest
+from syntax_trees import parsed
 from test_structure import PACKAGE, graph
 
 ROOT = PACKAGE.parent
@@ -78,7 +79,7 @@
         parts = path.relative_to(ROOT).with_suffix("").parts
         module = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
         found.names.add(module)
-        for statement in ast.parse(path.read_text()).body:
+        for statement in parsed(path.read_text()).body:
             found.names.update(f"{module}.{name}" for name in defined_names(statement))
             if isinstance(statement, ast.ClassDef):
                 found.members.update(f"{module}.{statement.name}.{name}" for name in members(statement))
@@ -104,7 +105,7 @@
         path = ROOT.joinpath(*words[2].split("."))
         exists = path.with_suffix(".py").exists() or (path / "__main__.py").exists()
         return "" if exists else "is no module"
-    source = ast.parse((PACKAGE / "__main__.py").read_text())
+    source = parsed((PACKAGE / "__main__.py").read_text())
     texts = {node.value for node in ast.walk(source) if isinstance(node, ast.Constant)}
     return "" if words[0] == "quartzford" and words[1] in texts else "is no command"
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 import ast
+import gc
 import subprocess
 import sys
 from pathlib import Path
 
+from syntax_trees import parsed
+
 PACKAGE = Path(__file__).resolve().parent.parent / "quartzford"
 HEAVY = {"grpc", "envoy", "google"}
 
@@ -14,7 +17,7 @@
 def imports(path: Path) -> set[str]:
     """The modules that a file names at its top level or anywhere else, also for type checking only."""
     found: set[str] = set()
-    for node in ast.walk(ast.parse(path.read_text())):
+    for node in ast.walk(parsed(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             found.add(node.module)
             found |= {f"{node.module}.{alias.name}" for alias in node.names}
@@ -23,6 +26,29 @@
     return found
 
 
+class ParsesAtItsEnd:
+    """Garbage in a circle whose finalizer parses a text, as a traceback that is written down does."""
+
+    def __init__(self) -> None:
+        self.circle = self
+
+    def __del__(self) -> None:
+        ast.parse("(1 + 2) * [each for each in others]")
+
+
+def test_garbage_that_parses_at_its_end_does_not_disturb_a_parse() -> None:
+    text = (PACKAGE / "node.py").read_text()
+    thresholds = gc.get_threshold()
+    gc.set_threshold(50, 5, 5)
+    try:
+        for _ in range(20):
+            for _ in range(20):
+                ParsesAtItsEnd()
+            assert parsed(text).body
+    finally:
+        gc.set_threshold(*thresholds)
+
+
 def graph() -> dict[str, set[str]]:
     files = {}
     for path in PACKAGE.rglob("*.py"):
