--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -227,8 +227,10 @@
             sends = lambda: [a for a in world.actions if isinstance(a, io.Send)]  # noqa: E731
             if where == "held":
                 await until(lambda: world.node.engine.pending_requests)
-            else:
+            elif where == "connecting":
                 await until(sends)
+            else:  # read there: what was decided and not yet written would not be sent to one that drains
+                await until(lambda: any(up.received for up in world.upstreams))
             if where == "between attempts":  # the first one fails, and there is nobody for a second
                 world.update(world.host(0, "draining"), world.host(1, "draining"))
                 await until(lambda: not world.node.engine.balancer.ready)
