--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -85,7 +85,7 @@
 
     def start(self) -> None:
         """Begin to guard deadlines."""
-        self.clock.call_later(OVERDUE_S, self._end_overdue)
+        self.clock.call_later(OVERDUE_S, self._end_overdue, [])
 
     # ---- the module
 
@@ -288,14 +288,18 @@
 
     # ---- no request lost
 
-    def _end_overdue(self) -> None:
-        """The last resort: no attempt, timer or exception keeps a request past its deadline."""
+    def _end_overdue(self, overdue_before: list[PendingRequest]) -> None:
+        """The last resort: no attempt, timer or exception keeps a request past its deadline.
+
+        overdue_before: those that were overdue at the last look. A request has to be overdue at two: after a
+        long turn its own timers, and what they set off in later turns, end it as the module decides.
+        """
         before = self.clock.now() - OVERDUE_S
         overdue = [pending for pending in self.pending_requests.values() if pending.deadline < before]
-        if overdue:
-            # After a long turn their own timers are due in this one too, and end them as the module decides.
-            self.clock.call_soon(self._abandon_overdue, overdue)
-        self.clock.call_later(OVERDUE_S, self._end_overdue)
+        lost = [pending for pending in overdue if pending in overdue_before]
+        if lost:
+            self.clock.call_soon(self._abandon_overdue, lost)  # behind the timers that are due in this turn
+        self.clock.call_later(OVERDUE_S, self._end_overdue, overdue)
 
     def _abandon_overdue(self, overdue: list[PendingRequest]) -> None:
         for pending in overdue:
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -120,6 +120,23 @@
     uvloop.run(asyncio.wait_for(test(), 60))
 
 
+@run
+async def test_a_loop_held_up_by_a_timer_ends_requests_as_the_module_decides() -> None:
+    """Their own timers were due meanwhile, and run a turn later than what guards their deadlines."""
+    async with World(2) as world:
+        world.upstreams[0].script = world.upstreams[1].script = silent
+        loop = asyncio.get_running_loop()
+        names = ("read", "book", "pay")
+        lefts = [f"{600 + 5 * number}m" for number in range(60)]
+        asked = [world.submit(request(names[n % 3], b"", left=left)) for n, left in enumerate(lefts)]
+        for number in range(3):
+            loop.call_later(0.65 + 0.12 * number, time.sleep, 0.1)
+        answers = await asyncio.gather(*asked)
+        assert {answer.status for answer in answers[0::3]} == {503}
+        assert {answer.status for answer in answers[1::3] + answers[2::3]} == {502}, "it may have run"
+        assert not world.node.engine.pending_requests
+
+
 @run
 async def test_a_loop_frozen_past_the_time_of_its_requests_ends_each_once_and_sends_nothing_after() -> None:
     async with World(2) as world:
