--- a/quartzford/backends/http_attempt.py
+++ b/quartzford/backends/http_attempt.py
@@ -10,7 +10,7 @@
 from quartzford.backends import outcomes
 from quartzford.backends.connection_pool import ConnectionPool, Upstream
 from quartzford.backends.response_reader import SERVED, ResponseReader
-from quartzford.backends.upstream_connection import MAX_JOINED_BYTES, Connection
+from quartzford.backends.upstream_connection import HELD_UP_S, MAX_JOINED_BYTES, Connection
 from quartzford.engine import Handle
 from quartzford.protocols.socketerrors import is_local_to_connect
 
@@ -79,6 +79,7 @@
         "chunks",
         "size",
         "last_progress",
+        "read_again",
     )
     pending: HttpCall
 
@@ -102,6 +103,7 @@
         self.chunks: list[bytes] = []
         self.size = 0
         self.last_progress = sent
+        self.read_again = False  # for this `due`, the loop has been let read what came while it was held up
 
     # ---- the connection
 
@@ -121,6 +123,7 @@
             self.pool.clock.call_soon(self.fail, outcomes.NOT_SENT)
 
     def _arm(self) -> None:
+        self.read_again = False
         self.timer = self.pool.clock.call_later(self.due - self.pool.now(), self._timed_out)
 
     def _disarm(self) -> None:
@@ -205,6 +208,11 @@
         now = self.pool.now()
         if now < self.due - TIMER_RESOLUTION_S:
             return self._arm()
+        if now - self.due > HELD_UP_S and not self.read_again:
+            # What came meanwhile is unread: it is not to be taken for late.
+            self.read_again = True
+            self.timer = self.pool.clock.call_later(TIMER_RESOLUTION_S, self._timed_out)
+            return
         if self.connection is None:
             return self.fail(outcomes.CONNECT_FAILED)
         response = self._response()
--- a/quartzford/backends/upstream_connection.py
+++ b/quartzford/backends/upstream_connection.py
@@ -10,9 +10,19 @@
 from quartzford.backends import outcomes
 from quartzford.backends.response_reader import SERVED, ResponseReader
 
+HELD_UP_S = 0.02  # a timer later by so much found the loop held up
 MAX_JOINED_BYTES = 64 * 1024  # a body up to this length is written in one piece with its head
 
 
+def is_connected(sock: socket.socket) -> bool:
+    """Whether the system has brought the connection up, by its word at this moment."""
+    try:
+        sock.getpeername()
+    except OSError:
+        return False
+    return True
+
+
 class CarriedAttempt(Protocol):
     """What a connection reports to the attempt that it carries."""
 
@@ -91,8 +101,7 @@
         try:
             self.sock.setblocking(False)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with asyncio.timeout(time_out_s):
-                await loop.sock_connect(self.sock, address)
+            await self._connect(loop, address, time_out_s)
             handed_to_loop = True
             await loop.create_connection(lambda: self, sock=self.sock)
         except BaseException:
@@ -104,6 +113,22 @@
                 self.sock.close()
             raise
 
+    async def _connect(
+        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], time_out_s: float
+    ) -> None:
+        """Connect the socket; time in which the loop was held up does not count."""
+        limit = loop.time() + time_out_s
+        try:
+            async with asyncio.timeout(time_out_s):
+                return await loop.sock_connect(self.sock, address)
+        except TimeoutError:
+            if is_connected(self.sock):
+                return
+            if loop.time() - limit < HELD_UP_S:
+                raise
+        async with asyncio.timeout(time_out_s):
+            await loop.sock_connect(self.sock, address)  # goes on with one that is under way
+
     def is_usable(self) -> bool:
         """No EOF, reset or stray byte has come that the loop has not seen yet."""
         if self.transport.is_closing():
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -5,6 +5,8 @@
 import asyncio
 import socket
 import struct
+import time
+from contextlib import suppress
 from typing import Any
 
 import pytest
@@ -221,6 +223,62 @@
         assert first.code == "timeout" and first.spent_ms < 2000.0
 
 
+# ---- a loop that is held up
+
+
+@run
+async def test_an_answer_that_came_while_the_loop_was_held_up_is_not_late() -> None:
+    """The timer of the attempt's time is due in the turn in which its upstream goes on."""
+    async with World(2) as world:
+
+        async def answers(message: Message, writer: asyncio.StreamWriter) -> None:
+            loop = asyncio.get_running_loop()
+            loop.call_later(0.01, time.sleep, 0.3)  # nothing is read between two timers
+            loop.call_later(0.02, writer.write, reply(b"in time"))
+
+        for up in world.upstreams:
+            up.script = answers
+        world.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
+        assert (await world.submit(request())).body == b"in time"
+        assert world.outcomes() == ["ok"] and sum(len(up.received) for up in world.upstreams) == 1
+
+
+@pytest.mark.parametrize("place", ["before the call", "behind the call"])
+def test_a_connection_for_which_the_loop_is_held_up_is_used(place: str) -> None:
+    """The timer of a quarter of a second is due ahead of it; the call: of the system, to connect."""
+
+    async def test() -> None:
+        async with World() as world:
+            loop = asyncio.get_running_loop()
+            held_up = 0
+
+            class Loop:
+                """The loop, held up as a connection is made."""
+
+                def __getattr__(self, name: str) -> Any:
+                    return getattr(loop, name)
+
+                async def sock_connect(self, sock: socket.socket, address: Any) -> None:
+                    nonlocal held_up
+                    held_up += 1
+                    if place == "behind the call":
+                        with suppress(BlockingIOError):
+                            sock.connect(address)
+                        time.sleep(0.3)  # noqa: ASYNC251 - the loop stands still
+                        await asyncio.sleep(0.1)  # it has not looked at the socket yet
+                    elif held_up == 1:
+                        time.sleep(0.3)  # noqa: ASYNC251
+                        await asyncio.sleep(0)
+                    await loop.sock_connect(sock, address)
+
+            world.node.pool.loop = Loop()  # type: ignore[assignment]
+            answer = await world.submit(request("pay", b""))
+            assert (world.outcomes(), answer.status) == (["ok"], 200)
+            assert len(world.upstreams[0].writers) == 1 and held_up
+
+    uvloop.run(test())
+
+
 # ---- long answers
 
 
