--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -19,6 +19,8 @@
 from quartzford.engine.request_counters import RequestCounters, RequestEnd
 
 OVERDUE_S = 0.02  # past its deadline a request is ended whatever has become of its attempt or timer
+HELD_UP_S = 0.01  # a timer off by so much found the loop held up
+MAX_OVERDUE_S = 1.0  # past its deadline a request is ended even where the loop is held up all the time
 MIN_SPENT_MS = 0.01  # an attempt takes this long at the least
 NO_REQUEST = -1
 REQUEST_NUMBERS = 2**32
@@ -85,7 +87,7 @@
 
     def start(self) -> None:
         """Begin to guard deadlines."""
-        self.clock.call_later(OVERDUE_S, self._end_overdue, [])
+        self._look_for_overdue([])
 
     # ---- the module
 
@@ -288,18 +290,27 @@
 
     # ---- no request lost
 
-    def _end_overdue(self, overdue_before: list[PendingRequest]) -> None:
+    def _look_for_overdue(self, overdue: list[PendingRequest]) -> None:
+        self.clock.call_later(OVERDUE_S, self._end_overdue, self.clock.now() + OVERDUE_S, overdue)
+
+    def _end_overdue(self, expected: float, overdue_before: list[PendingRequest]) -> None:
         """The last resort: no attempt, timer or exception keeps a request past its deadline.
 
-        overdue_before: those that were overdue at the last look. A request has to be overdue at two: after a
-        long turn its own timers, and what they set off in later turns, end it as the module decides.
+        expected: when this look was to come. overdue_before: what was overdue at the last one. A request has
+        to be overdue at two, with a loop in between that was not held up: after a hold-up its own timers, and
+        what they set off in later turns, end it as the module decides. The loop's time stands still during a
+        hold-up: the next look comes late or, set by that time, early.
         """
-        before = self.clock.now() - OVERDUE_S
-        overdue = [pending for pending in self.pending_requests.values() if pending.deadline < before]
-        lost = [pending for pending in overdue if pending in overdue_before]
+        now = self.clock.now()
+        held_up = abs(now - expected) > HELD_UP_S
+        overdue = [
+            pending for pending in self.pending_requests.values() if pending.deadline < now - OVERDUE_S
+        ]
+        lost_by = now - MAX_OVERDUE_S if held_up else now
+        lost = [pending for pending in overdue if pending in overdue_before and pending.deadline < lost_by]
         if lost:
-            self.clock.call_soon(self._abandon_overdue, lost)  # behind the timers that are due in this turn
-        self.clock.call_later(OVERDUE_S, self._end_overdue, overdue)
+            self.clock.call_soon(self._abandon_overdue, lost)
+        self._look_for_overdue(overdue)
 
     def _abandon_overdue(self, overdue: list[PendingRequest]) -> None:
         for pending in overdue:
