--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -143,10 +143,10 @@
         world.upstreams[0].script = world.upstreams[1].script = silent
         clients = [await world.connect() for _ in range(24)]
         for number, (_, writer) in enumerate(clients):
-            writer.write(request(("read", "book", "pay")[number % 3], b"", left="2000m"))
+            writer.write(request(("read", "book", "pay")[number % 3], b"", left="1500m"))
         await until(lambda: sum(len(up.received) for up in world.upstreams) == 24)
         sent = [len(up.received) for up in world.upstreams]
-        time.sleep(2.1)  # noqa: ASYNC251 - a long turn: a list taken in, a collection, a stopped machine
+        time.sleep(1.6)  # noqa: ASYNC251 - a long turn: a list taken in, a collection, a stopped machine
         answers = [await read_message(reader) for reader, _ in clients]
         assert all(answer.status in (502, 503) for answer in answers)
         assert all(a.status == 502 for a in answers[2::3]), "a cobro that may have run"
