--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -331,9 +331,11 @@
 
         async def dribble(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            for _ in range(20):
+            began = time.monotonic()
+            for number in range(1, 21):
                 writer.write(b"1000\r\n" + b"d" * 4096 + b"\r\n")
-                await asyncio.sleep(0.028)  # past its time, but not by half a second
+                # Past its time, but not by 0.4 s; a hold-up is caught up with.
+                await asyncio.sleep(max(0.0, began + 0.023 * number - time.monotonic()))
             writer.write(b"0\r\n\r\n")
 
         world.upstreams[0].script = dribble
