--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -235,12 +235,23 @@
             "TMPDIR": str(self.folder),
             "EDGE_ADMIN_ADDR": f"127.0.0.1:{self.admins[-1]}",
         }
-        process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", COMMAND, cwd=self.root, env=env, stderr=asyncio.subprocess.DEVNULL
-        )
+        with self.log_file(len(self.admins)).open("wb") as log:
+            process = await asyncio.create_subprocess_exec(
+                "/bin/sh", "-c", COMMAND, cwd=self.root, env=env, stderr=log
+            )
         self.processes.append(process)
         return process
 
+    def log_file(self, number: int) -> Path:
+        """Of the process that was started as this one, counted from 1."""
+        return self.path / f"{number}.log"
+
+    def print_evidence(self) -> None:
+        """What lies in the folder and what the processes wrote: shown where the test fails."""
+        print("in the folder:", sorted(path.name for path in self.folder.glob("*")))
+        for file in sorted(self.path.glob("*.log")):
+            print(f"{file.name}:\n{file.read_text(errors='replace')}")
+
     async def call(self, line: str, body: str = "", at: int = -1) -> Message:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admins[at])
         writer.write(f"{line} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
@@ -308,6 +319,7 @@
         await balancer.begin()
         yield balancer
     finally:
+        balancer.print_evidence()
         for process in balancer.processes:
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
