--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -180,6 +180,15 @@
         return CallerProxy(f"127.0.0.1:{self.port}", CallerPolicy(), random.Random(1))
 
 
+async def until_refused(port: int) -> None:
+    """Wait until nobody listens on the port any more."""
+    with suppress(ConnectionRefusedError):
+        while True:
+            _, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.close()
+            await asyncio.sleep(0.01)
+
+
 @pytest.mark.parametrize("workers", [0, 2])
 def test_sigterm_with_streams_open_finishes_them_and_exits_0(tmp_path: Path, workers: int) -> None:
     async def test() -> None:
@@ -188,13 +197,15 @@
             raws = [RawStream(caller) for _ in range(5)]
             for number, raw in enumerate(raws):
                 assert status_of(await raw.submit(rows_of(f"c{number}", left_s=2.9))) == 0
+            assert caller.channel.get_state() is grpc.ChannelConnectivity.READY
             it.process.send_signal(signal.SIGTERM)
-            await asyncio.sleep(0.3)
+            await until(lambda: caller.channel.get_state() is not grpc.ChannelConnectivity.READY)  # GOAWAY
+            await until_refused(it.port)  # by the other worker too
             late = RawStream(caller)  # nothing new is taken: the caller is to ask another balancer
             with pytest.raises((grpc.aio.AioRpcError, asyncio.InvalidStateError)):
                 reply = await late.submit(rows_of("late"))
                 raise AssertionError(f"taken after GOAWAY: {reply}")
-            for raw in raws:  # GOAWAY has come: what is open finishes on its connection
+            for raw in raws:  # what is open finishes on its connection
                 assert status_of(await raw.report(200)) == 0
                 await raw.call.done_writing()
             assert await asyncio.wait_for(it.process.wait(), 20) == 0
