--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -199,7 +199,7 @@
             await reader.readuntil(b"\r\n\r\n")
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
             writer.write(answer)
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(0.02)
             writer.write(answer)
 
         listening = await asyncio.start_server(serve, "127.0.0.1", 0)
