--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("states", itertools.product(("dead", "vanished", "stopped"), repeat=3))
-def test_three_relays_in_a_row_that_fail_leave_a_change_told_in_time(states: tuple[str, ...]) -> None:
+def test_three_relays_in_a_row_that_fail_leave_a_change_notified_in_time(states: tuple[str, ...]) -> None:
     """The one that the watch stood at stops just after it told something, and the next two do not answer."""
     for number in range(100):
         one = Balancer(number, {})
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("stopped", [0, 3])
 @pytest.mark.parametrize("retry_after", [0.0, 2.0, 3600.0])
-def test_while_all_turn_away_each_is_asked_within_six_seconds_and_the_source_never(
+def test_while_all_reject_each_is_called_within_six_seconds_and_the_source_never(
     stopped: int, retry_after: float
 ) -> None:
     for number in range(20):
@@ -116,7 +116,7 @@
         assert len(one.made) / one.now <= 11 / 3.5  # and not in a circle
 
 
-def test_who_never_had_a_list_asks_relays_that_lost_the_source_for_theirs_once() -> None:
+def test_a_balancer_without_a_list_calls_relays_that_lost_the_source_once() -> None:
     one = Balancer(3, dict.fromkeys(ELEVEN, "lost"))
     while not one.ask(known=False):
         pass
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(("balancers", "per_s", "until"), [(FLEET, 50.0, 22.0), (460, 5.0, 200.0)])
-def test_without_any_relay_the_source_is_asked_at_the_fleets_rate(
+def test_without_any_relay_the_source_is_polled_at_the_fleets_rate(
     balancers: int, per_s: float, until: float
 ) -> None:
     """Of independent draws: a tenth over the rate over all, and five deviations of chance in a second."""
@@ -148,7 +148,7 @@
     assert 0.8 * per_s <= len(times) / (until - LINE_TIMEOUT_S) <= 1.1 * per_s
 
 
-def test_a_small_fleet_asks_the_source_after_one_round_and_then_once_a_second_at_most() -> None:
+def test_a_small_fleet_polls_the_source_after_one_round_and_then_once_a_second_at_most() -> None:
     one = Balancer(1, dict.fromkeys([*ELEVEN, SOURCE], "dead"), fleet=10)
     one.lose()
     for _ in range(100):
@@ -158,7 +158,7 @@
     assert one.calls.connect_timeout() in (RELAY_CONNECT_S, CONNECT_S)
 
 
-def test_at_the_source_the_patience_is_that_of_a_service_that_all_ask() -> None:
+def test_at_the_source_the_timeout_is_that_of_a_shared_service() -> None:
     one = Balancer(1, {})
     one.relays.next_call_direct = True
     assert one.ask() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (
@@ -183,7 +183,7 @@
     assert SingleAddress(lambda: SOURCE, complete_list_by_watch=True).choose(False).kind is RequestKind.WATCH
 
 
-def test_a_start_is_spread_and_who_is_turned_away_in_turn_comes_back_when_told_to() -> None:
+def test_a_start_is_spread_and_rejected_calls_follow_retry_after() -> None:
     firsts = [Balancer(number, {}).calls.initial_delay() for number in range(418)]
     assert max(firsts) > 1.5 and max(Counter(int(10 * wait) for wait in firsts).values()) < 50
     one = Balancer(2, dict.fromkeys(ELEVEN, "lost"))
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_answers_without_a_length_that_come_whole_are_forwarded_and_those_that_break_are_not(
+def test_complete_answers_without_a_length_are_forwarded_and_broken_ones_are_not(
     seed: int,
 ) -> None:
     """Drawn sizes, pieces and pauses. Half of the whole ones are asked for; all are forwarded."""
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize(("code", "spent_ms"), [("reset", 2.0), ("connect_failed", 2.0), ("timeout", 150.0)])
 @pytest.mark.parametrize("quiet_h", [1, 24])
-def test_trouble_after_a_long_quiet_time_is_met_as_it_is_without_one(
+def test_faults_after_a_long_quiet_time_are_met_as_without_one(
     code: str, spent_ms: float, quiet_h: int
 ) -> None:
     """Nothing that fades or fills while no request comes makes the first moments of trouble worse."""
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("status", ["429 Too Many Requests", "503 Service Unavailable"])
-def test_a_discovery_that_turns_calls_away_keeps_the_list_and_is_asked_less_and_less(status: str) -> None:
+def test_a_discovery_that_rejects_calls_is_polled_less_often_and_the_list_is_kept(status: str) -> None:
     async def test() -> None:
         async with World(2) as world:
             world.discovery.script = says(reply(b"", status, "Retry-After: 1\r\n"))
--- a/tests/test_call_policy.py
+++ b/tests/test_call_policy.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("name", SERVICE)
 @pytest.mark.parametrize("seed", range(3))
-def test_two_hundred_balancers_all_get_the_list_and_ask_no_more_than_it_bears(name: str, seed: int) -> None:
+def test_two_hundred_balancers_all_get_the_list_within_the_services_call_rate(name: str, seed: int) -> None:
     service = SERVICE[name]
     row = Model("spread", service, 200, seed=seed).run()
     wanted = 200 - int(200 * service.crash_loop_share)
@@ -96,7 +96,7 @@
     assert seeded_random("n1", "a:1", 7).random() != seeded_random("n1", "a:1", 8).random()
 
 
-def test_small_fleets_and_pushed_lists_are_asked_for_at_once() -> None:
+def test_small_fleets_and_pushed_lists_are_called_at_once() -> None:
     assert (
         shared(SMALL).initial_delay()
         == shared(1).initial_delay()
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("balancers", [0, 1, 16, 200, 1_000])  # 0: pushed
 @pytest.mark.parametrize("retry_after", [0.0, 30.0])
-def test_whatever_went_before_a_change_is_told_in_six_seconds(balancers: int, retry_after: float) -> None:
+def test_whatever_went_before_a_change_is_notified_in_six_seconds(balancers: int, retry_after: float) -> None:
     """From any moment of a call that tells nothing, the next one is answered within 6 s.
 
     took: the longest that a call of this end can last; of a watch, since it last told something.
@@ -191,7 +191,7 @@
     assert 0.0 < shared(balancers).delay_after(CallOutcome.REJECTED, 0.0) <= 10.0
 
 
-def test_a_service_whose_answers_are_of_no_use_is_not_asked_in_a_circle() -> None:
+def test_a_service_with_unusable_answers_is_not_called_in_a_tight_loop() -> None:
     now = [0.0]
     calls = shared(200, now=now)
     assert calls.delay_after(CallOutcome.UNREAD, 0.0) == 0.0  # the whole is asked for at once
@@ -202,7 +202,7 @@
     assert calls.delay_after(CallOutcome.UNREAD, 0.0) == 0.0
 
 
-def test_discovery_moved_under_all_is_asked_over_a_spread_interval() -> None:
+def test_discovery_moved_under_all_is_called_over_a_spread_interval() -> None:
     firsts = sorted(shared(200, seed).initial_delay() for seed in range(200))
     interval = min(184 / 50.0, NOTIFY_BOUND_S - QUEUE_S)
     for tenth in range(10):
@@ -210,7 +210,7 @@
         assert 8 <= inside <= 36
 
 
-def test_the_model_counts_what_it_is_told_to() -> None:
+def test_the_model_counts_calls_by_its_parameters() -> None:
     """One balancer, one service: each figure is known."""
     row = Model("spread", ServiceBehaviour("one", outages=((0.0, 2.0),)), 1).run()
     assert row["served"] == 1 and row["answers"] == 1 and 0.0 < row["all_after_s"] < 1.1
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -168,7 +168,7 @@
 
 
 @run
-async def test_half_a_call_that_makes_room_is_told_so() -> None:
+async def test_an_unfinished_call_that_is_evicted_gets_an_error_answer() -> None:
     async with Watched(1) as world:
         begun = [await connected(port_of(world), STATUS[:20]) for _ in range(operations.MAX_OPEN_CALLS)]
         await until(lambda: sum(c.reader.begun for c in world.node.operations.calls) == len(begun))
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -303,7 +303,7 @@
 
 
 @run
-async def test_with_very_little_time_left_a_caller_is_told_no_time_out_of_0() -> None:
+async def test_with_very_little_time_left_a_caller_never_gets_a_timeout_of_0() -> None:
     async with Site(2) as site:
         caller = site.caller()
         for number, left in enumerate(("0m", "1u", "900u", "1m", "2m", "4m")):
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("number", range(8))  # open, write, fsync, close, replace, and the folder's three
-def test_each_call_that_fails_leaves_a_whole_file_and_nothing_beside_it(
+def test_each_call_that_fails_leaves_a_complete_file_and_no_temporary_file(
     number: int, code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "last"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -59,7 +59,7 @@
 
 
 @run
-async def test_an_answer_is_read_whole_by_a_client_that_still_writes() -> None:
+async def test_an_answer_is_read_completely_by_a_client_that_still_writes() -> None:
     """The balancer closed over bytes that nobody had read: a reset took what the client had not read yet."""
     async with World() as world:
         gate, body = asyncio.Event(), b"w" * 300_000
@@ -428,7 +428,7 @@
 @pytest.mark.parametrize(
     ("name", "deadline", "status"), [("pay", 6000.0, 502), ("read", 6000.0, 503), ("pay", 1000.0, 502)]
 )
-def test_told_to_end_a_client_hears_before_the_process_is_killed(
+def test_after_sigterm_a_client_is_answered_before_the_process_is_killed(
     name: str, deadline: float, status: int
 ) -> None:
     """An attempt hangs, and the request's time goes on past the moment when the platform kills: the longest
@@ -516,7 +516,7 @@
 
 
 @run
-async def test_a_keyed_request_whose_window_ends_while_it_is_written_again_is_never_whole_there() -> None:
+async def test_a_keyed_request_whose_window_ends_while_it_is_written_again_is_never_complete_there() -> None:
     """Choice and first byte lay within the window, the last byte past it: the key is forgotten there."""
     loop = asyncio.get_running_loop()
     classes = [dict(kind, memorySpanMs=600.0) for kind in SETTINGS["classes"]]
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -316,7 +316,7 @@
     assert first_restart_only_change(one, read_operator_settings("")) == "extproc"
 
 
-def test_a_relays_section_and_the_relays_that_balancers_ask() -> None:
+def test_a_relays_section_and_the_relays_that_balancers_call() -> None:
     settings = read_operator_settings(RELAY + "relays = 11").relay
     assert settings == RelaySettings("127.0.0.1:9301", "127.0.0.1:8500", 4_600, 11)
     assert settings.watchers() == 719  # 1.25 * 4,600 over the eight that are left of eleven
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -404,7 +404,7 @@
 
 
 @run
-async def test_a_nodo_that_drains_between_decision_and_send_gets_nothing() -> None:
+async def test_an_upstream_that_drains_between_decision_and_send_gets_nothing() -> None:
     async with Site(4, decision_valid_ms=5000.0) as site:
         caller = site.caller()
         opener = RawStream(caller, opens=True)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,7 +48,7 @@
     assert all(0 <= u.connections <= 180 and u.busy_cores <= 4 for u in world.upstreams)
 
 
-def test_asked_lists_are_spread_and_calls_that_were_turned_away_are_made_again() -> None:
+def test_polls_are_spread_and_rejected_calls_are_repeated() -> None:
     world = World(Plan(60, 12, "restart", 16.0, 1, True)).run()
     assert world.records.list_calls >= 60 + 45
     assert all(len(balancer.module.servers) == 12 for balancer in world.balancers)
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("asked_for_ms", [100.0, 150.0, 1000.0])
-def test_a_caller_is_told_of_a_decision_within_the_grace(
+def test_a_caller_gets_a_decision_within_the_grace(
     asked_for_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A worker has a decision shortly before it ends, and is held up between its clock and its write."""
@@ -115,7 +115,7 @@
     uvloop.run(test())
 
 
-def test_a_caller_is_told_no_send_past_the_keyed_window() -> None:
+def test_a_caller_gets_no_decision_to_send_past_the_keyed_window() -> None:
     """What stands for longer as a decision ends with its request's window, less what a hold-up may take."""
     world = ServiceWorld()
     world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("reused", [False, True])
-def test_a_drain_told_between_a_decision_and_its_bytes_is_kept(
+def test_a_drain_notified_between_a_decision_and_its_bytes_is_kept(
     reused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery has written the news when the write is held up; the attempt begins within the grace."""
--- a/tests/test_list_chunks.py
+++ b/tests/test_list_chunks.py
@@ -34,7 +34,7 @@
 
 @given(st.lists(NUMBERS, unique=True), st.booleans(), st.lists(CHANGE, max_size=40), st.integers(1, 9))
 @budget(max_examples=300, deadline=None, derandomize=True, database=None)
-def test_pieces_leave_the_fleet_as_the_whole_would(
+def test_chunks_leave_the_fleet_as_the_complete_list_would(
     before: list[int], complete: bool, rows: list[Any], size: int
 ) -> None:
     """Of a server that is in the end drained or gone, only that matters; of the others, all that was said."""
@@ -67,7 +67,7 @@
         assert "ready" not in states[:count] and count <= len(states)
 
 
-def test_a_short_list_stays_whole_and_a_long_one_takes_away_first() -> None:
+def test_a_short_list_is_one_chunk_and_a_long_one_begins_with_removals() -> None:
     short = listing(True, (1, "ready", 0.0))
     assert list(split_into_chunks(short, {"s7"})) == [short]
     rows = [(n, "ready", 0.0) for n in range(10)] + [(3, "draining", 0.0)]
@@ -78,7 +78,7 @@
     assert all(len(p.entries) == len(p.addresses) for p in parts)
 
 
-def test_a_whole_list_replaces_what_waits_and_changes_follow_it() -> None:
+def test_a_complete_list_replaces_what_waits_and_changes_follow_it() -> None:
     queue = ListingQueue()
     queue.put(listing(False, *((n, "ready", 0.0) for n in range(1000))))
     assert queue.next(set()) is not None and queue.waiting()
@@ -130,7 +130,7 @@
 
 
 @run
-async def test_a_long_line_that_is_broken_is_asked_for_again(monkeypatch: Any = None) -> None:
+async def test_a_long_line_that_is_broken_is_requested_again(monkeypatch: Any = None) -> None:
     async with World(1) as world:
         broken = json.dumps({"seq": 9, "whole": True, "hosts": hosts(2000)})[:-2]
         before = len(world.events)
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("spacing", ["poisson", "fixed"])
-def test_workers_together_play_the_whole(spacing: str) -> None:
+def test_workers_together_play_the_complete_plan(spacing: str) -> None:
     load = LoadOptions(
         Target("h", 1), "constant:400", 5.0, spacing, 7, workers=4, keys=10, tenants=(("a", 1), ("b", 3))
     )
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -72,7 +72,7 @@
 
 
 @run
-async def test_a_full_file_ends_the_recording_with_a_whole_trace() -> None:
+async def test_a_full_file_ends_the_recording_with_a_complete_trace() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t"
         recorder, log = open_recorder(path, most=200)
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -24,7 +24,7 @@
 
 
 @run
-async def test_a_relay_killed_in_the_middle_of_a_whole_list_and_of_a_change() -> None:
+async def test_a_relay_killed_in_the_middle_of_a_complete_list_and_of_a_change() -> None:
     async def complete() -> None:
         async with site(2, rows(8_000)) as at:
             one = at.relays[0]
@@ -132,7 +132,7 @@
 
 
 @run
-async def test_requests_go_on_while_a_relay_is_killed_that_was_telling_of_a_drain() -> None:
+async def test_requests_go_on_while_a_relay_is_killed_that_was_notifying_of_a_drain() -> None:
     upstreams = [Peer(says(reply())) for _ in range(2)]
     for up in upstreams:
         await up.start()
@@ -327,7 +327,7 @@
 
 
 @run
-async def test_moved_between_relays_at_different_versions_and_drains_are_told_in_time() -> None:
+async def test_moved_between_relays_at_different_versions_and_drains_are_notified_in_time() -> None:
     await run_together(back_and_forth, a_version_that_the_relay_never_held, drains)
 
 
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -185,7 +185,7 @@
 
 
 @run
-async def test_of_relays_that_say_nothing_in_a_row_the_third_is_asked_by_the_policys_own_patience() -> None:
+async def test_after_two_silent_relays_the_third_is_called_with_the_policys_own_timeout() -> None:
     async with Site(7, 7, 7) as site:
         site.watch.version = 7
         site.relays[0].mode = site.relays[1].mode = "mute"
@@ -195,7 +195,7 @@
 
 
 @run
-async def test_a_long_list_that_is_under_way_is_waited_for_and_not_asked_for_twice() -> None:
+async def test_a_long_list_that_is_under_way_is_waited_for_and_not_requested_twice() -> None:
     """By index, of a relay that owes the whole: 45,000 rows, over four megabytes."""
     text = line(7, True, *(f"host-{number:010}" for number in range(45_000)))
     async with Site(7, 7) as site:
@@ -215,7 +215,7 @@
 
 
 @run
-async def test_a_relays_own_watch_asks_for_everything_in_one_call_again_after_each_watch() -> None:
+async def test_a_relays_own_watch_requests_the_complete_list_again_after_each_watch() -> None:
     """Its source says `complete` false to index 0, and may have begun again by the next watch."""
     async with Site(7) as site:
         clock, source = site.watch.clock, site.source
@@ -283,7 +283,7 @@
 
 
 @run
-async def test_another_life_told_by_the_watch_ends_the_call_beside_it() -> None:
+async def test_another_incarnation_notified_by_the_watch_ends_the_concurrent_call() -> None:
     async with Site(50, 50, back=0.2) as site:
         one, two = site.relays
         one.mode = "lost"
@@ -350,7 +350,7 @@
 
 
 @run
-async def test_all_relays_gone_the_source_is_asked_directly_and_left_when_one_is_back() -> None:
+async def test_without_relays_the_source_is_called_directly_until_one_is_back() -> None:
     async with Site(7, 7, back=0.3) as site:
         one, two = site.relays
         site.watch.start()
@@ -369,7 +369,7 @@
 
 
 @run
-async def test_garbage_of_one_relay_is_followed_by_the_whole_list_of_the_next() -> None:
+async def test_garbage_of_one_relay_is_followed_by_the_complete_list_of_the_next() -> None:
     async with Site(7, 7) as site:
         one, two = site.relays
         site.watch.start()
@@ -413,7 +413,7 @@
 NAMED = 'relays = ["127.0.0.1:1", "127.0.0.1:2"]'
 
 
-def test_relays_are_asked_where_they_are_named_and_lists_are_asked_for(
+def test_relays_are_called_where_they_are_configured_and_lists_are_polled(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("EDGE_CONFIG", raising=False)
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -594,7 +594,7 @@
 
 
 @with_replaced_balancer
-async def test_a_replacement_during_a_reload_asks_the_new_discovery_for_the_whole_list(
+async def test_a_replacement_during_a_reload_gets_the_complete_list_of_the_new_discovery(
     balancer: ReplacedBalancer,
 ) -> None:
     """The old one counts by the old discovery: changes since its number would be of another list."""
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -22,7 +22,7 @@
 
 
 @run
-async def test_changes_drains_removals_and_whole_lists_are_followed() -> None:
+async def test_changes_drains_removals_and_complete_lists_are_followed() -> None:
     async with World(3) as world:
         assert ready(world) == {"s0", "s1", "s2"}
         world.update(world.host(0, "draining"))
@@ -127,7 +127,7 @@
     await world.__aexit__()
 
 
-def test_told_to_end_before_the_list_is_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sigterm_before_the_first_list(monkeypatch: pytest.MonkeyPatch) -> None:
     """It never listens, and ends without waiting for a list that may not come."""
     monkeypatch.setattr(node, "LISTED_S", 3_600.0)
 
@@ -241,7 +241,7 @@
 
 
 @run
-async def test_a_shared_list_service_is_asked_at_once_by_a_small_fleet_and_again_after_an_end() -> None:
+async def test_a_shared_list_service_is_called_at_once_by_a_small_fleet_and_again_after_an_end() -> None:
     async with asking() as world:
         watches = len(world.watches)
         assert watches == 1 and world.node.watch.counts["watched"] == 1
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 1024])
-def test_every_client_that_may_ask_finds_an_upstream_connection(sockets: int) -> None:
+def test_every_client_that_may_send_finds_an_upstream_connection(sockets: int) -> None:
     """Clients may hold a third of the descriptors for requests; each of these needs a second one upstream."""
 
     async def test() -> None:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -60,7 +60,7 @@
 
 @given(st.integers(0, 60), st.integers(1, 40), st.integers(0, 8), st.lists(STEP, max_size=8))
 @budget(max_examples=300, deadline=None, derandomize=True, database=None)
-def test_grupos_are_whole_minima_hold_and_the_truth_is_told(
+def test_cells_are_complete_minima_hold_and_all_is_reported(
     count: int, size: int, per_zone: int, steps: list[Any]
 ) -> None:
     told = Told(Subset("b1", size, per_zone))
@@ -92,7 +92,7 @@
             assert len(seen) <= max(SLACK * size, size + 4)
 
 
-def test_a_nodo_that_dies_moves_little_and_nothing_when_it_comes_back() -> None:
+def test_an_upstream_that_dies_moves_little_and_nothing_when_it_comes_back() -> None:
     told = Told(Subset("b1", 100))
     told.hear(full(1000))
     before = told.ready()
@@ -107,7 +107,7 @@
     assert told.changes == 1 and told.ready() >= before
 
 
-def test_a_nodo_of_others_moves_nothing() -> None:
+def test_an_upstream_of_other_subsets_moves_nothing() -> None:
     told = Told(Subset("b1", 100))
     told.hear(full(1000))
     others = [n for n in range(1000) if f"s{n}" not in told.ready()]
@@ -130,7 +130,7 @@
     assert not told.states and not told.subset.announced
 
 
-def test_what_is_left_is_told_to_drain_not_to_be_gone() -> None:
+def test_what_leaves_the_subset_drains_and_is_not_gone() -> None:
     """Sixteen of forty that stand alone; then the first ones come back and the others are left."""
     subset = Subset("b1", 8)
     told = Told(subset)
@@ -152,7 +152,7 @@
     return score(name, cell)
 
 
-def test_two_names_use_different_nodos_and_one_name_the_same_again() -> None:
+def test_two_names_use_different_upstreams_and_one_name_the_same_again() -> None:
     a, b, again = (Told(Subset(name, 100)) for name in ("b1", "b2", "b1"))
     for told in (a, b, again):
         told.hear(full(1000))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -146,7 +146,7 @@
     ],
     ids=["drained and back", "sent again", "gone and back", "told whole", "told whole after an empty list"],
 )
-def test_rows_told_again_neither_restart_slow_start_nor_skip_it(skew_ms: float, between: list[Any]) -> None:
+def test_repeated_rows_neither_restart_slow_start_nor_skip_it(skew_ms: float, between: list[Any]) -> None:
     site = serving(skew_ms)
     born = site.clock.unix_ms() + skew_ms
     site.hears(lines(2, row(4, born)))
@@ -165,7 +165,7 @@
     assert {server.entry.server for server in site.balancer.endpoints.slow_start.cold} == {"s4"}
 
 
-def test_another_incarnation_is_told_by_another_born_ms_though_it_is_an_earlier_one() -> None:
+def test_another_born_ms_is_another_incarnation_even_if_it_is_earlier() -> None:
     site = serving()
     site.hears(lines(2, row(4, UNIX_MS + 5_000.0)))
     site.sends_to("s4", 12.0)
