--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -49,7 +49,7 @@
         self.relays.failed(target, CallOutcome.LOST)
         self.now += self.calls.delay_after(CallOutcome.LOST, LINE_TIMEOUT_S)
 
-    def ask(self, known: bool = True, retry_after: float = 0.0) -> bool:
+    def call(self, known: bool = True, retry_after: float = 0.0) -> bool:
         """One call, and the wait behind it if it fails; whether it was answered."""
         target = self.relays.choose(known)
         self.made.append((self.now, *target))
@@ -94,7 +94,7 @@
         one = Balancer(number, {})
         one.states = dict(zip(one.relays.order, states, strict=False))
         one.lose()
-        while not one.ask():
+        while not one.call():
             pass
         assert one.now <= NOTIFY_BOUND_S and one.relays.watch_position == 3
 
@@ -108,20 +108,22 @@
         one = Balancer(number, dict.fromkeys(ELEVEN, "lost") | dict.fromkeys(ELEVEN[:stopped], "stopped"))
         one.lose()
         for _ in range(200):
-            assert not one.ask(retry_after=retry_after)
+            assert not one.call(retry_after=retry_after)
         rounds = [at for at, address, _ in one.made if address == ELEVEN[7]]
         # The answer comes at once from who lives, and within the patience from who would be stopped next.
         assert max(b - a for a, b in itertools.pairwise(rounds[2:])) + RELAY_LINE_S <= NOTIFY_BOUND_S + 0.25
-        assert all(address != SOURCE and ask is RequestKind.WATCH for _, address, ask in one.made)
+        assert all(address != SOURCE and call is RequestKind.WATCH for _, address, call in one.made)
         assert len(one.made) / one.now <= 11 / 3.5  # and not in a circle
 
 
 def test_a_balancer_without_a_list_calls_relays_that_lost_the_source_once() -> None:
     one = Balancer(3, dict.fromkeys(ELEVEN, "lost"))
-    while not one.ask(known=False):
+    while not one.call(known=False):
         pass
-    assert [ask for *_, ask in one.made] == [RequestKind.WATCH] * 11 + [RequestKind.COMPLETE_LIST]
-    assert not any(one.ask() for _ in range(30)) and {ask for *_, ask in one.made[12:]} == {RequestKind.WATCH}
+    assert [call for *_, call in one.made] == [RequestKind.WATCH] * 11 + [RequestKind.COMPLETE_LIST]
+    assert not any(one.call() for _ in range(30)) and {call for *_, call in one.made[12:]} == {
+        RequestKind.WATCH
+    }
 
 
 def direct_calls(balancers: int, per_s: float, until: float) -> list[float]:
@@ -132,7 +134,7 @@
         one = Balancer(number, states, balancers, per_s)
         one.lose()
         while one.now < until:
-            one.ask()
+            one.call()
         times += [at for at, address, _ in one.made if address == SOURCE]
     return times
 
@@ -152,7 +154,7 @@
     one = Balancer(1, dict.fromkeys([*ELEVEN, SOURCE], "dead"), fleet=10)
     one.lose()
     for _ in range(100):
-        one.ask()
+        one.call()
     direct = [at for at, address, _ in one.made if address == SOURCE]
     assert one.made[11][1] == SOURCE and min(b - a for a, b in itertools.pairwise(direct)) >= 0.75
     assert one.calls.connect_timeout() in (RELAY_CONNECT_S, CONNECT_S)
@@ -161,7 +163,7 @@
 def test_at_the_source_the_timeout_is_that_of_a_shared_service() -> None:
     one = Balancer(1, {})
     one.relays.next_call_direct = True
-    assert one.ask() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (
+    assert one.call() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (
         CONNECT_S,
         QUEUE_S,
     )
@@ -177,7 +179,7 @@
     assert RETURN_S[0] <= min(waits) and max(waits) <= RETURN_S[1]
     assert max(Counter(int(wait) for wait in waits).values()) <= 20
     one = Balancer(5, {})
-    assert one.ask() and one.relays.better() is None and not one.relays.follows_configuration()
+    assert one.call() and one.relays.better() is None and not one.relays.follows_configuration()
     single = SingleAddress(lambda: SOURCE)
     assert single.better() is None and single.choose(False).kind is RequestKind.COMPLETE_LIST
     assert SingleAddress(lambda: SOURCE, complete_list_by_watch=True).choose(False).kind is RequestKind.WATCH
@@ -187,4 +189,4 @@
     firsts = [Balancer(number, {}).calls.initial_delay() for number in range(418)]
     assert max(firsts) > 1.5 and max(Counter(int(10 * wait) for wait in firsts).values()) < 50
     one = Balancer(2, dict.fromkeys(ELEVEN, "lost"))
-    assert not one.ask(known=False, retry_after=1.2) and 1.2 <= one.now <= 1.5
+    assert not one.call(known=False, retry_after=1.2) and 1.2 <= one.now <= 1.5
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -31,8 +31,8 @@
                 world.update(*(world.host(n, health) for n in range(2)))
             await until(lambda: not ready(world))
             began = time.monotonic()
-            asked = [world.submit(request(name, b"", left="300m")) for name in ("read", "book", "pay") * 3]
-            answers = await asyncio.gather(*asked)
+            pending = [world.submit(request(name, b"", left="300m")) for name in ("read", "book", "pay") * 3]
+            answers = await asyncio.gather(*pending)
             assert {a.status for a in answers} == {503} and time.monotonic() - began > 0.2
             assert (
                 not world.upstreams[0].received
@@ -128,10 +128,10 @@
         loop = asyncio.get_running_loop()
         names = ("read", "book", "pay")
         lefts = [f"{600 + 5 * number}m" for number in range(60)]
-        asked = [world.submit(request(names[n % 3], b"", left=left)) for n, left in enumerate(lefts)]
+        pending = [world.submit(request(names[n % 3], b"", left=left)) for n, left in enumerate(lefts)]
         for number in range(3):
             loop.call_later(0.65 + 0.12 * number, time.sleep, 0.1)
-        answers = await asyncio.gather(*asked)
+        answers = await asyncio.gather(*pending)
         assert {answer.status for answer in answers[0::3]} == {503}
         assert {answer.status for answer in answers[1::3] + answers[2::3]} == {502}, "it may have run"
         assert not world.node.engine.pending_requests
--- a/tests/test_call_policy.py
+++ b/tests/test_call_policy.py
@@ -185,9 +185,9 @@
     calls = shared(balancers)
     waits = [calls.delay_after(CallOutcome.REJECTED, 0.0, 1.5) for _ in range(200)]
     assert min(waits) >= 1.5
-    told = [calls.delay_after(CallOutcome.REJECTED, 0.0, 3600.0) for _ in range(50)]
-    assert min(told) >= 0.75 * (NOTIFY_BOUND_S - QUEUE_S) and max(told) <= NOTIFY_BOUND_S - QUEUE_S
-    assert len(set(told)) == 50  # told to all alike, they don't come back together
+    delays = [calls.delay_after(CallOutcome.REJECTED, 0.0, 3600.0) for _ in range(50)]
+    assert min(delays) >= 0.75 * (NOTIFY_BOUND_S - QUEUE_S) and max(delays) <= NOTIFY_BOUND_S - QUEUE_S
+    assert len(set(delays)) == 50  # told to all alike, they don't come back together
     assert 0.0 < shared(balancers).delay_after(CallOutcome.REJECTED, 0.0) <= 10.0
 
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -112,11 +112,11 @@
     """It had no status yet: to look for one among the idle ones failed, and the next request got a 500."""
     async with World() as world:
         engine = world.node.engine
-        may_begin, asked = engine.may_begin, []
+        may_begin, checked = engine.may_begin, []
 
         def not_at_first(attempt: Attempt) -> bool:
-            asked.append(attempt)
-            return len(asked) > 1 and may_begin(attempt)
+            checked.append(attempt)
+            return len(checked) > 1 and may_begin(attempt)
 
         engine.may_begin = not_at_first  # type: ignore[method-assign]
         assert (await world.submit(request())).status == 503  # there is nobody else
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -26,7 +26,7 @@
 TRANSIT_S = 0.02  # from the balancer's write to this test's clock
 
 
-class Told(NamedTuple):
+class ReceivedAttempt(NamedTuple):
     """One attempt as its upstream sees it: when its last byte came, and the seconds that it was told."""
 
     at: float
@@ -40,10 +40,10 @@
 
 
 def noting(
-    told: list[Told], then: Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
+    received_attempts: list[ReceivedAttempt], then: Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 ) -> Callable[[Message, asyncio.StreamWriter], Awaitable[None]]:
     async def script(message: Message, writer: asyncio.StreamWriter) -> None:
-        told.append(Told(time.monotonic(), seconds(message)))
+        received_attempts.append(ReceivedAttempt(time.monotonic(), seconds(message)))
         await then(message, writer)
 
     return script
@@ -57,10 +57,12 @@
     writer.transport.abort()
 
 
-def assert_kept(told: list[Told], asked: float, left: float, slack: float) -> None:
+def assert_kept(
+    received_attempts: list[ReceivedAttempt], requested_at: float, left: float, slack: float
+) -> None:
     """slack: so much of the rule's slack may be used, and what the machine held this process up."""
-    for attempt in told:
-        assert 0 < attempt.left <= asked + left - attempt.at + slack
+    for attempt in received_attempts:
+        assert 0 < attempt.left <= requested_at + left - attempt.at + slack
 
 
 def hold_up(monkeypatch: pytest.MonkeyPatch, hold_ups: HoldUps) -> None:
@@ -116,15 +118,15 @@
     async with World(limits=limits) as world, HoldUps() as hold_ups:
         server = await listening(world, backlog=0)
         queued = socket.create_connection(server.getsockname())
-        asked = time.monotonic()
+        requested_at = time.monotonic()
         answer = asyncio.ensure_future(world.submit(request("pay", b"", left="2900m")))
         await until(lambda: world.node.pool.pending_connects)
         (await loop.sock_accept(server))[0].close()
         reader, writer = await asyncio.open_connection(sock=(await loop.sock_accept(server))[0])
         message = await read_message(reader)
-        told = Told(time.monotonic(), seconds(message))
-        assert told.at - asked > 0.5
-        assert_kept([told], asked, 2.9, TRANSIT_S + hold_ups.unplanned_s)
+        received_attempts = ReceivedAttempt(time.monotonic(), seconds(message))
+        assert received_attempts.at - requested_at > 0.5
+        assert_kept([received_attempts], requested_at, 2.9, TRANSIT_S + hold_ups.unplanned_s)
         writer.write(reply())
         assert (await answer).status == 200
         queued.close()
@@ -139,7 +141,7 @@
     async def test() -> None:
         async with World() as world, HoldUps() as hold_ups:
             server = await listening(world, backlog=8, window=2048)
-            asked = time.monotonic()
+            requested_at = time.monotonic()
             answer = asyncio.ensure_future(world.submit(request("pay", b"b" * size, left="1500m")))
             sock, _ = await asyncio.get_running_loop().sock_accept(server)
             await asyncio.sleep(0.9)  # unread for longer than what may be told late
@@ -147,7 +149,7 @@
             received = time.monotonic()
             left = int(head.partition(b"X-Time-Left: ")[2].partition(b"u")[0]) / 1e6
             slack = TRANSIT_S + hold_ups.unplanned_s
-            assert len(body) < size or 0 < left <= asked + 1.5 - received + slack
+            assert len(body) < size or 0 < left <= requested_at + 1.5 - received + slack
             assert (await answer).status == 503 and world.outcomes()[0] == "connect_failed"
             sock.close()
             server.close()
@@ -164,16 +166,21 @@
         async with World(3) as world, HoldUps() as hold_ups:
             if held:
                 hold_up(monkeypatch, hold_ups)
-            told: list[Told] = []
+            received_attempts: list[ReceivedAttempt] = []
             for up in world.upstreams[:2]:
-                up.script = noting(told, breaks)
-            world.upstreams[2].script = noting(told, serves)
+                up.script = noting(received_attempts, breaks)
+            world.upstreams[2].script = noting(received_attempts, serves)
             for left in (0.9, 0.4):
-                told.clear()
-                asked = time.monotonic()
+                received_attempts.clear()
+                requested_at = time.monotonic()
                 await world.submit(request(left=f"{int(left * 1000)}m"))
-                assert told
-                assert_kept(told, asked, left, (SLACK_S if held else TRANSIT_S) + hold_ups.unplanned_s)
+                assert received_attempts
+                assert_kept(
+                    received_attempts,
+                    requested_at,
+                    left,
+                    (SLACK_S if held else TRANSIT_S) + hold_ups.unplanned_s,
+                )
 
     uvloop.run(test())
 
@@ -260,7 +267,7 @@
 # ---- the external processor
 
 
-def told_by(raw: RawStream) -> tuple[float, float]:
+def timeouts_of(raw: RawStream) -> tuple[float, float]:
     """Seconds that the server is told, and that the caller is to wait."""
     left = raw.headers.get("x-time-left")
     assert left.endswith("m")
@@ -286,7 +293,7 @@
                 return message
 
             caller, rows = site.caller(), rows_of("c1", "read", left_s=1.5)
-            asked = time.monotonic()
+            requested_at = time.monotonic()
             raw = RawStream(caller)
             if again:
                 await raw.submit(rows)
@@ -295,9 +302,9 @@
             monkeypatch.setattr(server.ExtprocStream, "_replied", later)
             monkeypatch.setattr(ReplyWriter, "write", held)
             await raw.submit(rows)
-            left, time_out = told_by(raw)
+            left, time_out = timeouts_of(raw)
             assert 0 < left <= time_out
-            assert left <= asked + 1.5 - time.monotonic() + SLACK_S + hold_ups.unplanned_s
+            assert left <= requested_at + 1.5 - time.monotonic() + SLACK_S + hold_ups.unplanned_s
 
     uvloop.run(test())
 
@@ -313,6 +320,6 @@
             if status_of(reply):
                 assert status_of(reply) == 503
             else:
-                assert min(told_by(raw)) >= 0.001
+                assert min(timeouts_of(raw)) >= 0.001
                 raw.drop()
-        assert not any(nodo.failure_rate for nodo in site.node.engine.balancer.ready)
+        assert not any(server.failure_rate for server in site.node.engine.balancer.ready)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -68,7 +68,7 @@
     world.node.engine.balancer.retry_budget = 10.0
 
 
-def asked(name: str, keyed: bool = False, left: str = "2500m") -> bytes:
+def request_bytes(name: str, keyed: bool = False, left: str = "2500m") -> bytes:
     fields = "Idempotency-Key: k9\r\n" if keyed else ""
     return request(name, b"", fields, left=left).replace(b"X-Account: acme\r\n", b"X-Account: nobody\r\n")
 
@@ -77,21 +77,21 @@
 def test_each_class_of_a_deployment_is_repeated_as_its_own_effect_says(path: Path) -> None:
     """The connection breaks behind each request's last byte: it may have run. The names of these classes mean
     something else on other sites."""
-    told = settings_of(path)
+    site_settings = settings_of(path)
 
     async def test() -> None:
-        async with World(6, **told) as world:
+        async with World(6, **site_settings) as world:
             for up in world.upstreams:
                 up.script = breaks
-            for one in told["classes"]:
+            for one in site_settings["classes"]:
                 before = sum(len(up.received) for up in world.upstreams)
                 rich(world)
-                answer = await world.submit(asked(one["name"], one["effect"] == "guarded", "2500m"))
+                answer = await world.submit(request_bytes(one["name"], one["effect"] == "guarded", "2500m"))
                 sends = sum(len(up.received) for up in world.upstreams) - before
                 if one["effect"] == "single_shot":
                     assert sends == 1 and answer.status == 502
                 else:
-                    assert sends == min(told["limits"]["maxAttempts"], 6), one["name"]
+                    assert sends == min(site_settings["limits"]["maxAttempts"], 6), one["name"]
                     refusable = one["effect"] == "free" or one["group"] == "all"
                     assert answer.status == (503 if refusable else 502)
 
@@ -122,7 +122,7 @@
         def sends(name: str) -> int:
             return sum(m.fields["x-service-class"] == name for up in world.upstreams for m in up.received)
 
-        old = [asyncio.ensure_future(world.submit(asked(name))) for name in ("left", "right")]
+        old = [asyncio.ensure_future(world.submit(request_bytes(name))) for name in ("left", "right")]
         await until(lambda: sends("left") == sends("right") == 1)
         reload(world, classes=after, limits=limits)
         rich(world)
@@ -132,7 +132,7 @@
         new = []
         for name in ("left", "right", "new"):
             rich(world)
-            new.append(await world.submit(asked(name)))
+            new.append(await world.submit(request_bytes(name)))
         assert [answer.status for answer in new] == [503, 502, 503]
         assert (sends("left"), sends("right"), sends("new")) == (4, 4, 3)
         for up in world.upstreams:
@@ -140,7 +140,7 @@
         loop = asyncio.get_running_loop()
         begun = loop.time()
         async with Lag() as lag:
-            await world.submit(asked("left", left="2900m"))
+            await world.submit(request_bytes("left", left="2900m"))
         assert loop.time() - begun < 1.2 + 2 * lag.worst  # the new limit of the same name
 
 
@@ -175,11 +175,11 @@
         for name in ("read", "consulta", "view-schedule", "Only", "on", "only-more"):
             before = sum(len(up.received) for up in world.upstreams)
             rich(world)
-            assert (await world.submit(asked(name, keyed=True))).status in (502, 503)
+            assert (await world.submit(request_bytes(name, keyed=True))).status in (502, 503)
             sends = sum(len(up.received) for up in world.upstreams) - before
             assert sends == 1, name
         rich(world)
-        await world.submit(asked("only"))
+        await world.submit(request_bytes("only"))
         assert sum(len(up.received) for up in world.upstreams) > 6
 
 
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -179,10 +179,10 @@
         link, loop = site.front.processor.link, asyncio.get_running_loop()
         request_decision = link.request_decision
 
-        def late(stream: Any, asked: Any) -> None:
+        def late(stream: Any, decision_request: Any) -> None:
             reply = stream.reply
             stream.reply = lambda said: loop.call_later(0.3, reply, said)
-            request_decision(stream, asked)
+            request_decision(stream, decision_request)
 
         link.request_decision = late  # type: ignore[method-assign]
         caller = site.caller(message_timeout_s=0.1)
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -84,15 +84,15 @@
     uvloop.run(test())
 
 
-@pytest.mark.parametrize("asked_for_ms", [100.0, 150.0, 1000.0])
+@pytest.mark.parametrize("requested_ms", [100.0, 150.0, 1000.0])
 def test_a_caller_gets_a_decision_within_the_grace(
-    asked_for_ms: float, monkeypatch: pytest.MonkeyPatch
+    requested_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A worker has a decision shortly before it ends, and is held up between its clock and its write."""
     replied, write = server.ExtprocStream._replied, ReplyWriter.write
 
     async def test() -> None:
-        async with ExtprocSite(2, decision_valid_ms=asked_for_ms) as site, HoldUps() as hold_ups:
+        async with ExtprocSite(2, decision_valid_ms=requested_ms) as site, HoldUps() as hold_ups:
             site.backend.valid_s = decision_valid_s(site.extproc, site.config.settings)
             decided: list[float] = []
 
@@ -108,8 +108,8 @@
             monkeypatch.setattr(ReplyWriter, "write", held)
             raw = RawStream(site.caller())
             await raw.submit(rows_of("c1"))
-            told = time.monotonic()
-            assert raw.address() and told <= decided[-1] + GRACE_S + hold_ups.unplanned_s
+            notified = time.monotonic()
+            assert raw.address() and notified <= decided[-1] + GRACE_S + hold_ups.unplanned_s
             assert len(decided) == 1 or hold_ups.unplanned_s  # else it was not written too late
 
     uvloop.run(test())
@@ -121,11 +121,11 @@
     world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
     first = Peer(world).submit(DecisionRequest("c1", "hold", 700.0, keyed=True))
     begun = world.clock.at
-    told = first.decision()
-    assert told is not None and told.valid_until == pytest.approx(begun + 0.1)
+    notified = first.decision()
+    assert notified is not None and notified.valid_until == pytest.approx(begun + 0.1)
     world.clock.pass_time(0.12)
     first.report("reset")
-    second = Peer(world).submit(DecisionRequest("c1", "hold", 700.0, keyed=True, token=told.token))
+    second = Peer(world).submit(DecisionRequest("c1", "hold", 700.0, keyed=True, token=notified.token))
     again = second.decision()
     assert again is not None and again.valid_until <= begun + ZONED.window_ms / 1000.0 - HELD_S
 
@@ -138,12 +138,12 @@
 
     async def test() -> None:
         async with World(2) as world, HoldUps() as hold_ups:
-            told: list[float] = []
+            notified: list[float] = []
             began: list[float] = []
 
             def drain() -> None:
                 world.update(world.host(0, "draining"), world.host(1))
-                told.append(time.monotonic())
+                notified.append(time.monotonic())
 
             async def notes(message: Message, writer: asyncio.StreamWriter) -> None:
                 began.append(time.monotonic())
@@ -158,7 +158,7 @@
             hold_next_send(monkeypatch, hold_ups, drain)
             answers = await asyncio.gather(*(world.submit(request()) for _ in range(3)))
             assert {answer.status for answer in answers} == {200}
-            assert began and max(began) <= told[0] + GRACE_S + hold_ups.unplanned_s
+            assert began and max(began) <= notified[0] + GRACE_S + hold_ups.unplanned_s
             assert (await world.submit(request())).status == 200 and world.upstreams[1].received
 
     uvloop.run(test())
--- a/tests/test_list_notifications.py
+++ b/tests/test_list_notifications.py
@@ -76,9 +76,9 @@
 )
 
 
-def site(asked: bool) -> World:
-    mode = "subscribe" if asked else "automatic"
-    return World(2, registryMode=mode, nInstances=200 if asked else 1)
+def site(polled: bool) -> World:
+    mode = "subscribe" if polled else "automatic"
+    return World(2, registryMode=mode, nInstances=200 if polled else 1)
 
 
 async def drained(world: World) -> float:
@@ -91,9 +91,9 @@
     return loop.time() - before
 
 
-async def after_a_call(bad: Bad, asked: bool) -> float:
+async def after_a_call(bad: Bad, polled: bool) -> float:
     """The watch ends; the call that follows is the bad one, and the change comes just after it was made."""
-    async with site(asked) as world:
+    async with site(polled) as world:
         received = asyncio.Event()
 
         async def first(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -108,14 +108,14 @@
         return await drained(world)
 
 
-async def after_silence(asked: bool) -> float:
+async def after_silence(polled: bool) -> float:
     """The watch that stands says nothing more."""
-    async with site(asked) as world:
+    async with site(polled) as world:
         return await drained(world)
 
 
-async def after_a_connect_that_hangs(asked: bool) -> float:
-    async with site(asked) as world:
+async def after_a_connect_that_hangs(polled: bool) -> float:
+    async with site(polled) as world:
         with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
             held = [socket.socket() for _ in range(8)]
             for one in held:
@@ -138,14 +138,14 @@
             return took
 
 
-async def after_a_move_while_a_call_is_out(asked: bool) -> float:
-    async with site(asked) as world:
+async def after_a_move_while_a_call_is_out(polled: bool) -> float:
+    async with site(polled) as world:
         received = asyncio.Event()
 
-        async def mute(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
             received.set()
 
-        world.discovery.script = mute
+        world.discovery.script = silent
         world.watches[-1].transport.abort()
         await received.wait()
         moved = Peer(world._discover)
@@ -162,13 +162,13 @@
     """Pushed, and asked by two hundred. Bytes that told nothing kept a call alive for good; Retry-After,
     spread intervals and patience were followed for longer."""
     rows: dict[str, Any] = {}
-    for asked in (False, True):
-        way = "asked" if asked else "pushed"
+    for polled in (False, True):
+        way = "asked" if polled else "pushed"
         for bad in CALLS:
-            rows[f"{way}, {bad.__name__}"] = after_a_call(bad, asked)
-        rows[f"{way}, silence"] = after_silence(asked)
-        rows[f"{way}, connect"] = after_a_connect_that_hangs(asked)
-        rows[f"{way}, move"] = after_a_move_while_a_call_is_out(asked)
+            rows[f"{way}, {bad.__name__}"] = after_a_call(bad, polled)
+        rows[f"{way}, silence"] = after_silence(polled)
+        rows[f"{way}, connect"] = after_a_connect_that_hangs(polled)
+        rows[f"{way}, move"] = after_a_move_while_a_call_is_out(polled)
     async with Lag() as lag:
         took = dict(zip(rows, await asyncio.gather(*rows.values()), strict=True))
     assert not {name: seconds for name, seconds in took.items() if seconds > TOLD_S + 2 * lag.worst}
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -71,8 +71,8 @@
     assert sum(row["process"].get("cpu_us", 0) for row in counts) > 0
     assert max(sum(row["held_at"].values()) for row in counts) >= 1
     (tmp_path / "n0.log").write_text(text)
-    told = fleetlog.follow(tmp_path, "c1")
-    assert any("ok after" in line for line in told) and any("s0 is draining" in line for line in told)
+    followed = fleetlog.follow(tmp_path, "c1")
+    assert any("ok after" in line for line in followed) and any("s0 is draining" in line for line in followed)
 
 
 @pytest.mark.parametrize("text", ["", "x", "0", "0.01", "nan", "3601", "-1"])
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -185,7 +185,7 @@
 async def test_an_upstream_out_by_hand_gets_nothing_and_comes_back() -> None:
     async with Watched(2) as world:
         for up in world.upstreams:
-            assert await ask_until(world, up)
+            assert await poll_until(world, up)
         assert [await put(world, "enter", "s0"), await put(world, "enter", "s0")] == [200, 200]
         before = len(world.upstreams[0].received)
         await until(lambda: world.upstreams[0].left == len(world.upstreams[0].writers))  # nothing rests there
@@ -196,10 +196,10 @@
         assert len(world.upstreams[0].received) == before
         assert (await figures(world))["edge.upstreams_excluded"] == 1
         assert await put(world, "exit", "s0") == 200
-        assert await ask_until(world, world.upstreams[0], before)
+        assert await poll_until(world, world.upstreams[0], before)
 
 
-async def ask_until(world: World, up: Any, before: int = 0) -> bool:
+async def poll_until(world: World, up: Any, before: int = 0) -> bool:
     for _ in range(2_000):
         assert (await world.submit(request())).status == 200
         if len(up.received) > before:
@@ -253,13 +253,13 @@
         assert (await figures(world))["edge.in_flight"] == 1
         leaves.transport.abort()
         await until(lambda: not world.node.engine.pending_requests)
-        told = await figures(world)
+        shown = await figures(world)
         for how, count in saw.items():
-            assert sum(told[f"edge.{how}.{name}"] for name in ("read", "book", "pay")) == count, how
-        assert told["edge.attempts"] == len(world.upstreams[0].received)
-        assert [told[f"edge.rejected.{s}"] for s in (400, 408, 413, 431)] == [1] * 4
-        assert told["edge.in_flight"] == 0
-        assert told["edge.upstreams_known"] == 1
+            assert sum(shown[f"edge.{how}.{name}"] for name in ("read", "book", "pay")) == count, how
+        assert shown["edge.attempts"] == len(world.upstreams[0].received)
+        assert [shown[f"edge.rejected.{s}"] for s in (400, 408, 413, 431)] == [1] * 4
+        assert shown["edge.in_flight"] == 0
+        assert shown["edge.upstreams_known"] == 1
 
 
 @run
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -98,10 +98,10 @@
         self.peers = [Relay(version) for version in versions]
         self.source = Relay(max(versions))
         self.fleet, self.back = fleet, back
-        self.told: list[Listing] = []
+        self.listings: list[Listing] = []
 
     def listed(self, listing: Listing) -> None:
-        self.told.append(listing)
+        self.listings.append(listing)
 
     async def __aenter__(self) -> Site:
         for peer in (*self.peers, self.source):
@@ -142,7 +142,7 @@
         await until(lambda: len(relay.indexes) > before and self.watch.candidate is not None)
 
     def versions(self) -> list[int]:
-        return [listing.version for listing in self.told]
+        return [listing.version for listing in self.listings]
 
 
 @run
@@ -151,13 +151,13 @@
         one, two, three = site.relays
         site.watch.start()
         await site.at(one)
-        assert one.indexes == [0] and site.told[0].complete and site.told[0].version == 7
+        assert one.indexes == [0] and site.listings[0].complete and site.listings[0].version == 7
         before = site.watch.clock.now()
         one.end_watches()
         await one.stop()
         await site.at(two)
         assert site.watch.clock.now() - before <= 1.0 + 2 * lag.worst
-        assert two.indexes == [7] and not site.told[-1].complete and not three.indexes
+        assert two.indexes == [7] and not site.listings[-1].complete and not three.indexes
         assert not any(relay.complete for relay in site.relays) and not site.source.received
 
 
@@ -210,7 +210,7 @@
         await until(lambda: site.watch.call is not None and site.watch.call.long_line_extra_time == 0.0)
         one.tell(text[200_000:], one.writers[-1])
         await site.at(one)
-        assert len(text) > 4 * 2**20 and len(site.told[0].entries) == 45_000
+        assert len(text) > 4 * 2**20 and len(site.listings[0].entries) == 45_000
         assert not two.indexes and site.watch.counts["watched"] == 1
 
 
@@ -229,15 +229,18 @@
         writer = source.writers[-1]
         writer.write(HEAD)
         source.tell(line(7, False, "x", "y"), writer)
-        await until(lambda: watch.is_current() and site.told)
+        await until(lambda: watch.is_current() and site.listings)
         first = watch.last_line_at
         source.tell(b"\n", writer)
         await until(lambda: watch.last_line_at > first)
         source.mode = "tell"
         writer.close()
-        await until(lambda: len(site.told) == 2)
+        await until(lambda: len(site.listings) == 2)
         assert source.indexes == [0, 0] and not source.complete
-        assert [(told.complete, len(told.entries)) for told in site.told] == [(True, 2), (True, 1)]
+        assert [(listings.complete, len(listings.entries)) for listings in site.listings] == [
+            (True, 2),
+            (True, 1),
+        ]
         watch.stop()
 
 
@@ -259,7 +262,7 @@
         one.writers[-1].transport.abort()  # the next try is answered
         await site.at(one)
         await until(lambda: two.left == 1)
-        assert one.indexes[-1] == 9 and two.indexes == [0] and not site.told[-1].complete
+        assert one.indexes[-1] == 9 and two.indexes == [0] and not site.listings[-1].complete
 
 
 @run
@@ -320,7 +323,7 @@
         one.change(10)
         await until(lambda: site.watch.version == 10)
         assert site.versions() == [7, 9, 9, 10]
-        assert [listing.complete for listing in site.told] == [True, False, False, False]
+        assert [listing.complete for listing in site.listings] == [True, False, False, False]
 
 
 @run
@@ -329,13 +332,13 @@
         for relay in site.relays:
             relay.mode = "lost"
         site.watch.start()
-        await until(lambda: site.told)
+        await until(lambda: site.listings)
         assert sum(relay.complete for relay in site.relays) == 1 and site.watch.version == 7
         await until(lambda: all(relay.indexes.count(7) >= 2 for relay in site.relays))
-        assert len(site.told) == 1 and not site.source.received
+        assert len(site.listings) == 1 and not site.source.received
         site.relays[1].mode = "tell"
         await site.at(site.relays[1])
-        assert sum(relay.complete for relay in site.relays) == 1 and not site.told[-1].complete
+        assert sum(relay.complete for relay in site.relays) == 1 and not site.listings[-1].complete
 
 
 @run
@@ -346,7 +349,7 @@
             relay.mode = "lost"
         site.watch.start()
         await until(lambda: all(relay.indexes.count(9) >= 3 for relay in site.relays))
-        assert site.told == [] and sum(relay.complete for relay in site.relays) == 1
+        assert site.listings == [] and sum(relay.complete for relay in site.relays) == 1
 
 
 @run
@@ -358,14 +361,14 @@
         for relay in site.relays:
             await relay.stop()
         await site.at(site.source)
-        assert site.source.indexes == [7] and not site.told[-1].complete
+        assert site.source.indexes == [7] and not site.listings[-1].complete
         site.source.change(8)
         await until(lambda: site.watch.version == 8)
         two.version = 8
         await two.start(two.port)
         await site.at(two)
         await until(lambda: site.source.left == 1)
-        assert two.indexes[-1] == 8 and site.source.indexes == [7] and not site.told[-1].complete
+        assert two.indexes[-1] == 8 and site.source.indexes == [7] and not site.listings[-1].complete
 
 
 @run
@@ -376,7 +379,7 @@
         await site.at(one)
         one.tell(b'{"seq":8,"whole":false,"hosts":[{}]}\n')
         await site.at(two)
-        assert two.indexes == [0] and site.told[-1].complete and len(site.told) == 2
+        assert two.indexes == [0] and site.listings[-1].complete and len(site.listings) == 2
 
 
 @run
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -85,10 +85,10 @@
 
     def doubtful(server: Server) -> bool:
         oldest = next(iter(server.in_flight.values()), None)
-        mute = server.silent_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
+        unresponsive = server.silent_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
         out = now < max(server.ejected_until, server.rejecting_until.get(kind.name, 0.0))
         trial = server.failure_rate > EJECT_ABOVE and oldest is not None
-        return out or trial or mute or (oldest is not None and oldest.due < now)
+        return out or trial or unresponsive or (oldest is not None and oldest.due < now)
 
     cold = [
         s for s in endpoints.ready if 0 < s.slow_start_from_ms > now - balancer.settings.rules.slow_start_ms
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -136,10 +136,10 @@
 class Kept(World):
     """A world whose balancer keeps its list; discovery is silent at its start if so wanted."""
 
-    def __init__(self, path: Path, rule: Rule = RULE, mute: bool = False, **settings: Any) -> None:
+    def __init__(self, path: Path, rule: Rule = RULE, service_silent: bool = False, **settings: Any) -> None:
         super().__init__(2, registryMode="subscribe", **settings)
         self.path, self.rule, self.known = path, rule, {"seq": 0, "whole": True, "hosts": []}
-        if mute:
+        if service_silent:
             self.discovery.script = silent
 
     async def enter(self, heard: bool = True, listener: Any = None) -> None:
@@ -183,7 +183,7 @@
             await until(path.exists)
         held = decode(path.read_bytes())
         assert {row["host"] for row in held.table["hosts"]} == {"s0", "s1"}
-        second = Kept(path, mute=True)
+        second = Kept(path, service_silent=True)
         # The next life's upstreams are where the first one's were.
         for old, new in zip(first.upstreams, second.upstreams, strict=True):
             await new.start(old.port)
@@ -210,7 +210,7 @@
 
     @run
     async def test() -> None:
-        world = Kept(path, rule, mute=True)
+        world = Kept(path, rule, service_silent=True)
         for up in world.upstreams:
             await up.start()
             up.start = still  # type: ignore[method-assign]
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -182,9 +182,9 @@
     await world.__aexit__()
 
 
-@pytest.mark.parametrize("asked", [False, True])
+@pytest.mark.parametrize("polled", [False, True])
 def test_a_list_service_that_is_silent_then_slow_then_well(
-    asked: bool, monkeypatch: pytest.MonkeyPatch
+    polled: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A start; known is old: its only upstream is gone. In the end the list holds, and nothing was lost."""
     monkeypatch.setattr(call_policy, "ANSWER_S", 0.8)
@@ -192,7 +192,7 @@
     monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.9)
 
     async def test() -> None:
-        world = asking() if asked else World()
+        world = asking() if polled else World()
         world.upstreams.append(Peer(says(reply())))
         for peer in (*world.upstreams, world.discovery):
             await peer.start()
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -315,8 +315,8 @@
             world.upstreams[0].script = resets(
                 b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n" + half + b"h" * 150_000
             )
-            asked = request("pay", b"")
-            answered = world.submit(asked.replace(b"HTTP/1.1", b"HTTP/1.0") if old else asked)
+            submitted = request("pay", b"")
+            answered = world.submit(submitted.replace(b"HTTP/1.1", b"HTTP/1.0") if old else submitted)
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await answered
             await until(lambda: world.outcomes())
@@ -453,8 +453,8 @@
 async def test_upstreams_that_accept_and_say_nothing_cannot_use_up_the_descriptors() -> None:
     async with World(sockets=80) as world:
         world.upstreams[0].script = silent
-        asked = [world.submit(request("pay", b"", left="700m")) for _ in range(25)]
-        statuses = {answer.status for answer in await asyncio.gather(*asked)}
+        submitted = [world.submit(request("pay", b"", left="700m")) for _ in range(25)]
+        statuses = {answer.status for answer in await asyncio.gather(*submitted)}
         assert statuses <= {502, 503}
         assert len(world.upstreams[0].writers) <= world.node.pool.max_connections
         world.upstreams[0].script = says(reply())
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -18,8 +18,8 @@
     async with World() as world:
         for _ in range(6):
             assert (await world.submit(request())).status == 200
-            rested = asyncio.get_running_loop().time() + MIN_IDLE_S
-            await until(lambda rested=rested: asyncio.get_running_loop().time() > rested)  # type: ignore[misc]
+            idle_until = asyncio.get_running_loop().time() + MIN_IDLE_S
+            await until(lambda idle_until=idle_until: asyncio.get_running_loop().time() > idle_until)  # type: ignore[misc]
         assert len(world.upstreams[0].writers) == 1 and len(world.node.pool.connections) == 1
         assert len(world.node.pool.upstreams["s0"].idle) == 1
         world.update(world.host(0, "draining"))
@@ -47,7 +47,7 @@
 
     async def test() -> None:
         async with World(2, sockets=sockets) as world:
-            gate, asked = asyncio.Event(), sockets // 3
+            gate, client_count = asyncio.Event(), sockets // 3
 
             async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
                 await gate.wait()
@@ -55,9 +55,10 @@
 
             for up in world.upstreams:
                 up.script = wait
-            asking = [asyncio.ensure_future(world.submit(request("pay", b""))) for _ in range(asked)]
+            asking = [asyncio.ensure_future(world.submit(request("pay", b""))) for _ in range(client_count)]
             await until(
-                lambda: sum(len(up.received) for up in world.upstreams) + len(world.outcomes()) >= asked
+                lambda: sum(len(up.received) for up in world.upstreams) + len(world.outcomes())
+                >= client_count
             )
             gate.set()
             assert {answer.status for answer in await asyncio.gather(*asking)} == {200}
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -29,7 +29,7 @@
     return listing(True, *(entry(n) for n in range(count)))
 
 
-class Told:
+class SubsetFollower:
     """What a balancer behind a subset knows."""
 
     def __init__(self, subset: Subset) -> None:
@@ -63,87 +63,87 @@
 def test_cells_are_complete_minima_hold_and_all_is_reported(
     count: int, size: int, per_zone: int, steps: list[Any]
 ) -> None:
-    told = Told(Subset("b1", size, per_zone))
+    follower = SubsetFollower(Subset("b1", size, per_zone))
     truth = {f"s{n}": entry(n) for n in range(count)}
-    told.hear(listing(True, *truth.values()))
+    follower.hear(listing(True, *truth.values()))
     for complete, rows in steps:
         changes = {f"s{n}": entry(n, state) for n, state in rows}
         if complete:
             truth = {name: e for name, e in changes.items() if e.state != "gone"}
-            told.hear(listing(True, *truth.values()))
+            follower.hear(listing(True, *truth.values()))
         else:
             for name, e in changes.items():
                 truth.pop(name, None)
                 if e.state != "gone":
                     truth[name] = e
-            told.hear(listing(False, *changes.values()))
+            follower.hear(listing(False, *changes.values()))
         ready = {name for name, e in truth.items() if e.state == "ready"}
-        seen = told.ready()
+        seen = follower.ready()
         assert seen <= ready, "told of one that is not ready"
         assert len(seen) >= min(size, len(ready))
         for zone in ZONES:
             there = {name for name in ready if truth[name].zone == zone}
             assert len(seen & there) >= min(per_zone, len(there))
         for cell in {truth[name].cell for name in seen}:
-            whole_cell = {name for name in ready if truth[name].cell == cell}
-            assert whole_cell <= seen, "a grupo in parts"
-        assert not any(e.state == "draining" and told.states.get(n) == "ready" for n, e in truth.items())
+            complete_cell = {name for name in ready if truth[name].cell == cell}
+            assert complete_cell <= seen, "a grupo in parts"
+        assert not any(e.state == "draining" and follower.states.get(n) == "ready" for n, e in truth.items())
         if per_zone == 0:
             assert len(seen) <= max(SLACK * size, size + 4)
 
 
 def test_an_upstream_that_dies_moves_little_and_nothing_when_it_comes_back() -> None:
-    told = Told(Subset("b1", 100))
-    told.hear(full(1000))
-    before = told.ready()
+    follower = SubsetFollower(Subset("b1", 100))
+    follower.hear(full(1000))
+    before = follower.ready()
     assert 100 <= len(before) <= 104
     one = min(before)
     number = int(one[1:])
-    told.changes = 0
-    told.hear(listing(False, entry(number, "gone")))
-    assert told.changes <= 5 and len(told.ready()) >= 100
-    told.changes = 0
-    told.hear(listing(False, entry(number)))
-    assert told.changes == 1 and told.ready() >= before
+    follower.changes = 0
+    follower.hear(listing(False, entry(number, "gone")))
+    assert follower.changes <= 5 and len(follower.ready()) >= 100
+    follower.changes = 0
+    follower.hear(listing(False, entry(number)))
+    assert follower.changes == 1 and follower.ready() >= before
 
 
 def test_an_upstream_of_other_subsets_moves_nothing() -> None:
-    told = Told(Subset("b1", 100))
-    told.hear(full(1000))
-    others = [n for n in range(1000) if f"s{n}" not in told.ready()]
-    told.changes = 0
+    follower = SubsetFollower(Subset("b1", 100))
+    follower.hear(full(1000))
+    others = [n for n in range(1000) if f"s{n}" not in follower.ready()]
+    follower.changes = 0
     for number in others[:200]:
-        told.hear(listing(False, entry(number, "gone")))
-    assert told.changes == 0
+        follower.hear(listing(False, entry(number, "gone")))
+    assert follower.changes == 0
 
 
 def test_every_member_dies_and_others_take_their_place() -> None:
-    told = Told(Subset("b1", 40, 8))
-    told.hear(full(400))
-    before = told.ready()
-    told.hear(listing(False, *(entry(int(name[1:]), "gone") for name in before)))
-    after = told.ready()
+    follower = SubsetFollower(Subset("b1", 40, 8))
+    follower.hear(full(400))
+    before = follower.ready()
+    follower.hear(listing(False, *(entry(int(name[1:]), "gone") for name in before)))
+    after = follower.ready()
     assert len(after) >= 40 and not after & before
     for zone in range(3):
         assert sum(int(name[1:]) // 4 % 3 == zone for name in after) >= 8
-    told.hear(listing(True))
-    assert not told.states and not told.subset.announced
+    follower.hear(listing(True))
+    assert not follower.states and not follower.subset.announced
 
 
 def test_what_leaves_the_subset_drains_and_is_not_gone() -> None:
     """Sixteen of forty that stand alone; then the first ones come back and the others are left."""
     subset = Subset("b1", 8)
-    told = Told(subset)
+    follower = SubsetFollower(subset)
     order = sorted({n // 4 for n in range(400)}, key=lambda cell: subset_place("b1", cell))
     last = [n for cell in order[-4:] for n in range(cell * 4, cell * 4 + 4)]
     first = [n for cell in order[:4] for n in range(cell * 4, cell * 4 + 4)]
-    told.hear(listing(True, *(entry(n) for n in last)))
-    used = told.ready()
+    follower.hear(listing(True, *(entry(n) for n in last)))
+    used = follower.ready()
     assert len(used) == 8
-    out = told.hear(listing(True, *(entry(n) for n in (*first, *last))))
-    assert not any(e.state == "gone" for e in out.entries) and told.ready() >= used
-    told.hear(listing(False, *(entry(int(name[1:]), "gone") for name in used)))
-    assert told.ready() == {f"s{n}" for n in first[:8]}
+    out = follower.hear(listing(True, *(entry(n) for n in (*first, *last))))
+    assert not any(e.state == "gone" for e in out.entries) and follower.ready() >= used
+    follower.hear(listing(False, *(entry(int(name[1:]), "gone") for name in used)))
+    assert follower.ready() == {f"s{n}" for n in first[:8]}
 
 
 def subset_place(name: str, cell: int) -> int:
@@ -153,17 +153,17 @@
 
 
 def test_two_names_use_different_upstreams_and_one_name_the_same_again() -> None:
-    a, b, again = (Told(Subset(name, 100)) for name in ("b1", "b2", "b1"))
-    for told in (a, b, again):
-        told.hear(full(1000))
+    a, b, again = (SubsetFollower(Subset(name, 100)) for name in ("b1", "b2", "b1"))
+    for follower in (a, b, again):
+        follower.hear(full(1000))
     assert a.ready() == again.ready() and len(a.ready() & b.ready()) < 40
 
 
 def test_grupos_that_nobody_belongs_to_are_forgotten() -> None:
     subset = Subset("b1", 8)
-    told = Told(subset)
+    follower = SubsetFollower(subset)
     for start in range(0, 4000, 40):
-        told.hear(listing(True, *(entry(n) for n in range(start, start + 40))))
+        follower.hear(listing(True, *(entry(n) for n in range(start, start + 40))))
     assert len(subset.cells) < 200 and len(subset.order) == len(subset.cells)
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -442,11 +442,11 @@
         await until(lambda: hasattr(world, "node"))
         delay_after = world.node.watch.policy.delay_after
 
-        def told(end: Any, took: float, retry_after: float = 0.0) -> float:
+        def recorded_delay(end: Any, took: float, retry_after: float = 0.0) -> float:
             heard.append(retry_after)
             return delay_after(end, took, retry_after)
 
-        world.node.watch.policy.delay_after = told  # type: ignore[method-assign]
+        world.node.watch.policy.delay_after = recorded_delay  # type: ignore[method-assign]
         await until(lambda: heard)
         assert heard[0] == 5.0
         await enter
