--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -26,7 +26,7 @@
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
 
-BEFORE = "7c461993f9af943d4dd20f34cddc62e4819d15a2"
+BEFORE = "9ed1b487dc8c6ced089b65669be09322fabe9e99"
 MOST_OVER_BEFORE = 1.05
 LEAST_ROUNDS = 5
 SIZES = (10, 24, 97, 500, 2_000, 10_000)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -27,7 +27,7 @@
 from bench.common import ROOT, checkout, report
 from bench.fleetmodel_settings import OVERLOAD_MULTIPLE
 
-OLD = "7c461993f9af943d4dd20f34cddc62e4819d15a2"
+OLD = "9ed1b487dc8c6ced089b65669be09322fabe9e99"
 MODEL = "bench/fleetmodel.py"
 SIZES = ((1, 8), (16, 24), (40, 60), (97, 97), (200, 200))  # balancers and upstreams
 QUICK_SIZES = (SIZES[0], SIZES[2])
