--- a/quartzford/decision/slow_start.py
+++ b/quartzford/decision/slow_start.py
@@ -98,19 +98,16 @@
             server.proven_ms = now
 
     def exhausted_slots(self, now: float) -> list[int]:
-        """Slots of the cold servers that have no budget left; what has warmed up is forgotten."""
-        since = now - self.rules.slow_start_ms
-        for server in [s for s in self.cold if not 0 < s.slow_start_from_ms > since]:
-            del self.cold[server]
-        if not self.cold:
-            return []
+        """Slots of the cold servers that have no budget left."""
         if self.handed_over:
+            self._forget_warm(now)
             return [server.slot for server in self.cold]
         self.refill(now)
         return [server.slot for server in self.cold if server.tokens < SEND_COST]
 
     def refill(self, now: float) -> None:
-        """Bring the cold servers' budgets up to this moment."""
+        """Bring the cold servers' budgets up to this moment; what has warmed up is forgotten."""
+        self._forget_warm(now)
         if not self.cold:
             return
         if self._total_units is None:
@@ -127,6 +124,11 @@
             server.tokens = min(MAX_TOKENS, server.tokens + rate * (now - server.tokens_ms))
             server.tokens_ms = now
 
+    def _forget_warm(self, now: float) -> None:
+        since = now - self.rules.slow_start_ms
+        for server in [s for s in self.cold if not 0 < s.slow_start_from_ms > since]:
+            del self.cold[server]
+
     def _rate(self, now: float, server: Server, full_rate: float) -> float:
         """Requests per ms that a cold server may get; full_rate: what a warm one of its size takes."""
         rate = self._ramp(now, server) * full_rate
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
 from helpers import RULES, listed, outcome, sends, settings, started, submit
 
@@ -53,3 +55,11 @@
             balancer.handle(now + 1.0, outcome(send, 0, "ok", 1.0))
     memory = balancer.hand_over(3_000.0)
     assert len(memory.servers) == 4 and all(0.0 <= server.tokens <= 1.0 for server in memory.servers)
+
+
+def test_a_process_hands_over_where_the_settings_have_no_slow_start() -> None:
+    """An upstream with a start time divided by the duration of slow start."""
+    made = settings()
+    balancer = Balancer(replace(made, rules=replace(made.rules, slow_start_ms=0.0)), 3)
+    balancer.handle(BEGUN_MS, listed(range(SERVERS), started=BEGUN_MS))
+    assert len(balancer.hand_over(BEGUN_MS).servers) == SERVERS
