--- a/tests/peers.py
+++ b/tests/peers.py
@@ -82,6 +82,17 @@
         await asyncio.sleep(0.005)
 
 
+LIST_ROW = {  # an upstream in an endpoint list, as the list service writes it
+    "host": "s0",
+    "dial": "127.0.0.1:1",
+    "site": "north",
+    "class": "std",
+    "block": 0,
+    "health": "ready",
+    "share": 1.0,
+    "born_ms": 0,
+}
+
 TICK_S = 0.005
 
 
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -21,7 +21,7 @@
 import test_process
 import uvloop
 from helpers import started
-from peers import request, run, until
+from peers import LIST_ROW, request, run, until
 from test_replacement import ReplacedBalancer, with_replaced_balancer
 
 from quartzford import atomic_file
@@ -46,20 +46,10 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 CALLS = ("open", "write", "fsync", "close", "replace", "unlink", "chmod")
-ROW = {
-    "host": "s0",
-    "dial": "127.0.0.1:1",
-    "site": "north",
-    "class": "std",
-    "block": 0,
-    "health": "ready",
-    "share": 1.0,
-    "born_ms": 0,
-}
 
 
 def snapshot(version: int) -> Snapshot:
-    return Snapshot("127.0.0.1:8500", 1_000.0, {"seq": version, "whole": True, "hosts": [ROW]})
+    return Snapshot("127.0.0.1:8500", 1_000.0, {"seq": version, "whole": True, "hosts": [LIST_ROW]})
 
 
 class Killed(BaseException):
@@ -644,7 +634,7 @@
 def test_a_handed_over_state_cut_off_at_any_byte_is_refused() -> None:
     """A predecessor that is killed half way: nothing is taken from a part of its state."""
     balancer = started(6)
-    listing: dict[str, Any] = {"seq": 1, "whole": True, "hosts": [ROW]}
+    listing: dict[str, Any] = {"seq": 1, "whole": True, "hosts": [LIST_ROW]}
     one = wire.BalancerState(wire.STATE_FORMAT, listing, 1, ["a", 1], True, 0, balancer.hand_over(5.0))
     data = b"".join(wire.split_state(one))
     assert wire.decode_state(data).listing == listing
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import Message, World, request, run, silent, until
+from peers import LIST_ROW, Message, World, request, run, silent, until
 
 from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.listing import read_listing
@@ -27,17 +27,11 @@
 from quartzford.membership.start_times import StartTimes
 
 RULE = Rule(most_age=3_600.0, fresh_age=60.0)
-ROW = {
-    "host": "s0",
-    "dial": "127.0.0.1:1",
-    "site": "north",
-    "class": "std",
-    "block": 0,
-    "health": "ready",
-    "share": 1.0,
-    "born_ms": 0,
+TABLE: dict[str, Any] = {
+    "seq": 7,
+    "whole": True,
+    "hosts": [LIST_ROW, LIST_ROW | {"host": "s1", "born_ms": 9_000_000}],
 }
-TABLE: dict[str, Any] = {"seq": 7, "whole": True, "hosts": [ROW, ROW | {"host": "s1", "born_ms": 9_000_000}]}
 ONE = Snapshot("127.0.0.1:8500", 1_000_000.0, TABLE)
 
 
