--- a/bench/callmodel.py
+++ b/bench/callmodel.py
@@ -87,9 +87,9 @@
 class Jitter(AgentCallPolicy):
     """Exponential backoff with full jitter, with a bound that is the same for every fleet."""
 
-    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, elapsed_s: float, retry_after_s: float = 0.0) -> float:
         """Return the wait before the next call in seconds."""
-        if outcome is CallOutcome.DONE:
+        if outcome is CallOutcome.COMPLETED:
             return 0.0
         wait = self.rng.random() * min(MAX_JITTER_S, MIN_WAIT_S * 2.0**self.failed_calls)
         self.failed_calls = min(self.failed_calls + 1, 10)
@@ -101,14 +101,14 @@
 
     last = MIN_WAIT_S
 
-    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, elapsed_s: float, retry_after_s: float = 0.0) -> float:
         """Return the wait before the next call in seconds."""
-        if outcome is CallOutcome.DONE:
+        if outcome is CallOutcome.COMPLETED:
             return 0.0
         self.last = min(MAX_JITTER_S, self.rng.uniform(MIN_WAIT_S, 3 * self.last))
         return self.last
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Begin again with the shortest wait."""
         self.last = MIN_WAIT_S
 
@@ -120,9 +120,9 @@
         super().__init__(rng, GRACE_S)
         self.interval = balancers / CALLS_PER_S
 
-    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, elapsed_s: float, retry_after_s: float = 0.0) -> float:
         """Return the wait before the next call in seconds."""
-        if outcome is CallOutcome.DONE:
+        if outcome is CallOutcome.COMPLETED:
             return 0.0
         return max(self.interval, backoff(self.failed_calls, self.rng))
 
@@ -138,12 +138,12 @@
 class FullJitterSpread(SharedServiceCallPolicy):
     """The policy in force with full jitter over two spread intervals in place of about one."""
 
-    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, elapsed_s: float, retry_after_s: float = 0.0) -> float:
         """Return the wait before the next call in seconds."""
-        wait = super().delay_after(outcome, took, retry_after)
+        wait = super().delay_after(outcome, elapsed_s, retry_after_s)
         if wait < self.spread_interval / 2:
             return wait
-        interval = 2.0 * self.spread_interval * self.stretch
+        interval = 2.0 * self.spread_interval * self.interval_factor
         return max(backoff(self.failed_calls, self.rng), self.rng.random() * interval)
 
 
@@ -275,20 +275,20 @@
         one.called_at = self.now
         self.calls.append(self.now)
         if self._is_down():
-            return self._call_ended(one, number, CallOutcome.UNREACHED)
+            return self._call_ended(one, number, CallOutcome.UNREACHABLE)
         rate = CALLS_PER_S * self.service.rate
         if self.service.rejects and len(self.queue) / rate > MAX_QUEUE_S:
             return self._call_ended(one, number, CallOutcome.REJECTED)
         self.queue.append(QueuedCall(one, number))
         timeout = one.policy.first_line_timeout()
-        self._later(timeout, lambda: self._call_ended(one, number, CallOutcome.SILENT))
+        self._later(timeout, lambda: self._call_ended(one, number, CallOutcome.TIMED_OUT))
         self._work()
 
     def _call_ended(self, one: ModelBalancer, number: int, outcome: CallOutcome) -> None:
         if one.open_call != number:
             return
         one.open_call = NO_CALL
-        if outcome is CallOutcome.SILENT and one.policy.keeps_late_calls and one.late_call < 0:
+        if outcome is CallOutcome.TIMED_OUT and one.policy.keeps_late_calls and one.late_call < 0:
             one.late_call = number
         self._call_after(one, one.policy.delay_after(outcome, self.now - one.called_at))
 
@@ -300,13 +300,13 @@
         for one, number in list(self.queue):
             if one.late_call == number:
                 one.late_call = NO_CALL
-            self._call_ended(one, number, CallOutcome.BROKEN)
+            self._call_ended(one, number, CallOutcome.FAILED)
         self.queue.clear()
         for one in self.members:
             if one.watching:
                 one.watching = False
                 silent_for = self.rng.random() * HEARTBEAT_S
-                self._call_after(one, one.policy.delay_after(CallOutcome.LOST, silent_for))
+                self._call_after(one, one.policy.delay_after(CallOutcome.WATCH_LOST, silent_for))
 
     def _work(self) -> None:
         if self.busy or not self.queue:
@@ -327,7 +327,7 @@
     def _receive_list(self, one: ModelBalancer, number: int) -> None:
         if number in (one.open_call, one.late_call):
             one.open_call, one.late_call, one.watching = NO_CALL, NO_CALL, True
-            one.policy.answered()
+            one.policy.record_answer()
             if one.served_at < 0:
                 one.served_at = self.now
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -28,7 +28,7 @@
 from bench.capacity_target import DiscoveryProtocol, ProgramBounds, Target
 from bench.common import ROOT
 from quartzford.decision.workingset import LEAST, MEET_MS
-from quartzford.membership.call_policy import NOTIFY_BOUND_S, QUEUE_S, SMALL
+from quartzford.membership.call_policy import NOTIFY_BOUND_S, SHARED_FIRST_LINE_TIMEOUT_S, SMALL_FLEET_SIZE
 from quartzford.membership.line_splitter import MAX_LINE_BYTES
 from quartzford.node import LISTS_PER_S
 
@@ -46,8 +46,8 @@
     """The bounds in this checkout's code."""
     return ProgramBounds(
         calls_per_s=LISTS_PER_S,
-        spread_s=NOTIFY_BOUND_S - QUEUE_S,
-        small_fleet=SMALL,
+        spread_s=NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S,
+        small_fleet=SMALL_FLEET_SIZE,
         line_bytes=MAX_LINE_BYTES,
         revisit_s=MEET_MS / 1000.0,
         min_working_set=LEAST,
--- a/bench/fleetmodel.py
+++ b/bench/fleetmodel.py
@@ -235,7 +235,7 @@
     def call_answered(self, balancer: ModelBalancer) -> None:
         """The balancer gets the complete list."""
         if balancer.call_policy is not None:
-            balancer.call_policy.answered()
+            balancer.call_policy.record_answer()
         balancer.notify(io.ListUpdateKind.COMPLETE, [(upstream, "ready") for upstream in self.upstreams])
 
 
--- a/bench/list_stalls.py
+++ b/bench/list_stalls.py
@@ -158,7 +158,7 @@
     RuntimeError: it took too long, or the outcome is wrong.
     """
     end = time.monotonic() + SETTLED_TIMEOUT_S
-    while node.watch.version != version or node.pending.waiting():
+    while node.watch.version != version or node.pending.has_chunks():
         await asyncio.sleep(SETTLED_POLL_S)
         if time.monotonic() > end:
             raise RuntimeError("the list was not taken in")
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -103,8 +103,8 @@
         settings = self.config.settings
         host, port = self.config.listen
         own_random = seeded_random(self.config.name, f"{host}:{port}", self.config.seed)
-        most_wait = settings.rules.poll_interval_ms / 1000.0
-        return settings.balancers, self.lists_per_s, most_wait, own_random, self.clock.now
+        max_delay_s = settings.rules.poll_interval_ms / 1000.0
+        return settings.balancers, self.lists_per_s, max_delay_s, own_random, self.clock.now
 
     # ---- start, reload, end
 
@@ -152,7 +152,7 @@
             self._snapshot_listing = known
             self.start_times.presume_started(known, now_ms)
         else:
-            self.start_times.begin(known, now_ms)
+            self.start_times.date_initial_list(known, now_ms)
 
     def list_known_ms(self) -> float:
         """When the list was last known to be the service's, on the engine's clock; minus infinity if never.
@@ -168,12 +168,12 @@
         self.config = config
         self.engine.reconfigure(config.settings)
         if isinstance(self.watch.policy, SharedServiceCallPolicy):
-            most_wait = config.settings.rules.poll_interval_ms / 1000.0
-            self.watch.policy.configure(config.settings.balancers, self.lists_per_s, most_wait)
+            max_delay_s = config.settings.rules.poll_interval_ms / 1000.0
+            self.watch.policy.configure(config.settings.balancers, self.lists_per_s, max_delay_s)
         elif isinstance(self.watch.policy, AgentCallPolicy):
             self.watch.policy.configure(config.settings.rules.drain_grace_ms / 1000.0)
         if moved:
-            self.start_times.source_changed()
+            self.start_times.note_source_change()
             self.watch.follow_address()
 
     def stop(self) -> None:
@@ -186,7 +186,7 @@
 
     def listed(self, listing: Listing) -> None:
         """Apply a short list at once, a long one in chunks, one in each turn of the loop."""
-        in_progress = self.pending.waiting()
+        in_progress = self.pending.has_chunks()
         snapshot_listing, self._snapshot_listing = self._snapshot_listing, None
         if snapshot_listing is not None and not listing.complete:
             # The service has spoken: these are changes to the list as it was written.
@@ -197,20 +197,20 @@
 
     def _enqueue(self, listing: Listing) -> None:
         """Date a line of the service, before it is reduced to the subset, and put it into the queue."""
-        self.start_times.learn(listing, self.list_known_ms(), self.clock.unix_ms())
-        self.pending.put(self._in_subset(listing))
+        self.start_times.date_listing(listing, self.list_known_ms(), self.clock.unix_ms())
+        self.pending.add(self._in_subset(listing))
 
     def _in_subset(self, listing: Listing) -> Listing:
         return listing if self.subset is None else self.subset.filter(listing)
 
     def _apply_next_chunk(self) -> None:
-        chunk = self.pending.next(self.engine.balancer.servers)
+        chunk = self.pending.next_chunk(self.engine.balancer.servers)
         if chunk is None:
             return
         try:
             self._apply(chunk, "whole" if chunk.complete else "changes")
         finally:
-            if self.pending.waiting():
+            if self.pending.has_chunks():
                 self.loop.call_soon(self._apply_next_chunk)
             else:
                 self.first_list_adopted.set()
@@ -219,10 +219,10 @@
 
     def _apply(self, listing: Listing, how: str) -> None:
         self.registry.apply(listing)
-        masked = self.registry.masked(listing, self.engine.balancer.in_maintenance)
+        masked = self.registry.mask_maintenance(listing, self.engine.balancer.in_maintenance)
         for follower in self.followers:
             follower.listed(masked)
-        self.engine.endpoint_list_update(how, listing.entries, self.start_times.of(listing.entries))
+        self.engine.endpoint_list_update(how, listing.entries, self.start_times.starts_of(listing.entries))
 
     # ---- what operators set
 
--- a/quartzford/handover_state.py
+++ b/quartzford/handover_state.py
@@ -55,7 +55,7 @@
         memory=memory,
         anchor_ms=anchor_ms(control.clock),
         list_known_ms=list_known_ms if math.isfinite(list_known_ms) else None,
-        start_times_ms=control.start_times.after(warm_before_ms),
+        start_times_ms=control.start_times.started_after(warm_before_ms),
     )
 
 
--- a/quartzford/membership/addresses.py
+++ b/quartzford/membership/addresses.py
@@ -140,7 +140,7 @@
         if self.last_failure_direct:
             return
         self._next = (self.order.index(target.address) + 1) % len(self.order)
-        if outcome is not CallOutcome.LOST:  # whether it still answers is for the next call to find
+        if outcome is not CallOutcome.WATCH_LOST:  # whether it still answers is for the next call to find
             self._outcomes[target.address] = outcome
 
     def answered(self, target: Target) -> None:
--- a/quartzford/membership/call_policy.py
+++ b/quartzford/membership/call_policy.py
@@ -38,11 +38,11 @@
 NOTIFY_BOUND_S = 5.75
 CONNECT_S = 1.5  # for a connection to come up
 ANSWER_S = 1.5  # for an agent's complete answer, from the connection on
-QUEUE_S = 2.0  # the same for a service that a fleet polls: calls wait in a queue there
+SHARED_FIRST_LINE_TIMEOUT_S = 2.0  # the same for a service that a fleet polls: calls wait in a queue there
 LINE_TIMEOUT_S = 2.75  # between two complete lines of a watch, which has one every two seconds
 RETRY_S = (0.05, 1.0)  # first and longest backoff where the spread interval is not longer
 GRACE_PART = 0.4  # the longest backoff at an agent, as a part of the drain grace
-SMALL = 16  # so many balancers may call at once
+SMALL_FLEET_SIZE = 16  # so many balancers may call at once
 WAIT_SPREAD = (0.75, 1.25)  # of the spread interval, from a failed call to the next
 WAIT_BOUND = (0.8, 1.0)  # of the longest delay that NOTIFY_BOUND_S leaves
 LATE_CALL_KEPT_S = 60.0  # an accepted call may still be answered for so long
@@ -53,13 +53,13 @@
 class CallOutcome(Enum):
     """How a call ended."""
 
-    DONE = "in order"  # a complete list was read
-    UNREAD = "unread"  # what came does not follow the version held: everything has to be requested
-    UNREACHED = "unreached"  # the connection was refused, or did not come up in time
-    SILENT = "silent"  # accepted, and nothing more came
+    COMPLETED = "in order"  # a complete list was read
+    UNUSABLE = "unread"  # what came does not follow the version held: everything has to be requested
+    UNREACHABLE = "unreached"  # the connection was refused, or did not come up in time
+    TIMED_OUT = "silent"  # accepted, and nothing more came
     REJECTED = "rejected"  # 429 or 503
-    BROKEN = "broken"  # anything else before the list had come
-    LOST = "lost"  # a watch that had brought a list or changes
+    FAILED = "broken"  # anything else before the list had come
+    WATCH_LOST = "lost"  # a watch that had brought a list or changes
 
 
 class CallPolicy(Protocol):
@@ -71,10 +71,11 @@
     def initial_delay(self) -> float:
         """Delay before the first call after a start, or to a new address."""
 
-    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
-        """Delay before the next call. retry_after: as the service sent it, or 0.
+    def delay_after(self, outcome: CallOutcome, elapsed_s: float, retry_after_s: float = 0.0) -> float:
+        """Delay before the next call. retry_after_s: as the service sent it, or 0.
 
-        took: by the call that has ended; of a watch that had brought something, since its last complete line.
+        elapsed_s: how long the call took; for a watch that delivered something, the time since its last
+        complete line.
         """
 
     def connect_timeout(self) -> float:
@@ -86,7 +87,7 @@
     def long_line_extra_time(self) -> float:
         """How much longer the first line may take once a good part of it has come."""
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """The list, or its changes, came."""
 
     def better_address_delay(self) -> float:
@@ -121,9 +122,9 @@
         self.failed_calls = 0
         return 0.0
 
-    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, elapsed_s: float, retry_after_s: float = 0.0) -> float:
         """None after a call that ended in order, else exponential backoff with jitter."""
-        if outcome is CallOutcome.DONE or outcome is CallOutcome.UNREAD:
+        if outcome is CallOutcome.COMPLETED or outcome is CallOutcome.UNUSABLE:
             return 0.0
         wait = backoff(self.failed_calls, self.rng, self.most)
         self.failed_calls = min(self.failed_calls + 1, 10)
@@ -141,7 +142,7 @@
         """None: an agent answers at once."""
         return 0.0
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Begin the backoff anew."""
         self.failed_calls = 0
 
@@ -153,60 +154,60 @@
 class SharedServiceCallPolicy:
     """For one list service that a fleet polls.
 
-    balancers: size of the fleet; per_s: calls a second that the service can answer; most_wait: the longest
+    balancers: size of the fleet; per_s: calls a second that the service can answer; max_delay_s: the longest
     delay between two calls, in seconds.
     """
 
     keeps_late_calls = True
 
     def __init__(
-        self, balancers: int, per_s: float, most_wait: float, rng: random.Random, now: Callable[[], float]
+        self, balancers: int, per_s: float, max_delay_s: float, rng: random.Random, now: Callable[[], float]
     ) -> None:
         self.rng, self.now = rng, now
-        self.configure(balancers, per_s, most_wait)
+        self.configure(balancers, per_s, max_delay_s)
         self.failed_calls = 0
-        self.stretch = 1.0  # factor on the spread interval
+        self.interval_factor = 1.0  # factor on the spread interval
         self.unread_until = -math.inf  # until then an answer of no use is not followed by a call at once
 
-    def configure(self, balancers: int, per_s: float, most_wait: float) -> None:
+    def configure(self, balancers: int, per_s: float, max_delay_s: float) -> None:
         """New settings; what was learnt of the service stays."""
-        self.spread_interval = max(0, balancers - SMALL) / per_s
-        self.most_wait = most_wait
+        self.spread_interval = max(0, balancers - SMALL_FLEET_SIZE) / per_s
+        self.max_delay_s = max_delay_s
 
     def initial_delay(self) -> float:
         """Drawn evenly from the spread interval."""
         self.failed_calls = 0
-        return self.rng.random() * min(self.spread_interval, NOTIFY_BOUND_S - QUEUE_S)
+        return self.rng.random() * min(self.spread_interval, NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S)
 
-    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, elapsed_s: float, retry_after_s: float = 0.0) -> float:
         """About a spread interval, under the bound of NOTIFY_BOUND_S on the cycle."""
-        if outcome is CallOutcome.DONE:
+        if outcome is CallOutcome.COMPLETED:
             return 0.0
-        if outcome is CallOutcome.UNREAD and self.now() >= self.unread_until:  # repeated, it is a failure
+        if outcome is CallOutcome.UNUSABLE and self.now() >= self.unread_until:  # repeated, it is a failure
             self.unread_until = self.now() + max(RETRY_S[1], self.spread_interval)
             return 0.0
-        most = max(0.0, min(self.most_wait, NOTIFY_BOUND_S - QUEUE_S - took))
-        if outcome is CallOutcome.LOST:
+        most = max(0.0, min(self.max_delay_s, NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S - elapsed_s))
+        if outcome is CallOutcome.WATCH_LOST:
             return self._delay_after_lost_watch(most)
-        if outcome is CallOutcome.REJECTED or outcome is CallOutcome.SILENT:
-            self.stretch = min(STRETCH_MOST, self.stretch * STRETCH)
-        return self._delay_after_failure(most, retry_after)
+        if outcome is CallOutcome.REJECTED or outcome is CallOutcome.TIMED_OUT:
+            self.interval_factor = min(STRETCH_MOST, self.interval_factor * STRETCH)
+        return self._delay_after_failure(most, retry_after_s)
 
     def _delay_after_lost_watch(self, most: float) -> float:
         """All watches end in one moment when the service does."""
-        interval = self.spread_interval * self.stretch
+        interval = self.spread_interval * self.interval_factor
         return max(self.rng.random() * min(interval, most), min(most, backoff(0, self.rng)))
 
-    def _delay_after_failure(self, most: float, retry_after: float) -> float:
-        interval = self.spread_interval * self.stretch
+    def _delay_after_failure(self, most: float, retry_after_s: float) -> float:
+        interval = self.spread_interval * self.interval_factor
         alone = backoff(self.failed_calls, self.rng)
         self.failed_calls = min(self.failed_calls + 1, 10)
         # Drawn under the bound and not cut at it: delays that are cut would end in one moment.
         most *= self.rng.uniform(*WAIT_BOUND)
         delay = max(alone, interval * self.rng.uniform(*WAIT_SPREAD))
-        if retry_after > 0:
+        if retry_after_s > 0:
             # All of the fleet get the same value: calls that came together would come back together.
-            delay = max(delay, retry_after + self.rng.random() * interval)
+            delay = max(delay, retry_after_s + self.rng.random() * interval)
         return min(delay, most)
 
     def connect_timeout(self) -> float:
@@ -215,15 +216,15 @@
 
     def first_line_timeout(self) -> float:
         """How long the first line may take, in seconds: the service may have a queue."""
-        return QUEUE_S
+        return SHARED_FIRST_LINE_TIMEOUT_S
 
     def long_line_extra_time(self) -> float:
         """None: the service queues all calls alike."""
         return 0.0
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Begin backoff and spread interval anew."""
-        self.failed_calls, self.stretch = 0, 1.0
+        self.failed_calls, self.interval_factor = 0, 1.0
 
     def better_address_delay(self) -> float:
         """Never: there is one address."""
--- a/quartzford/membership/list_call.py
+++ b/quartzford/membership/list_call.py
@@ -87,7 +87,7 @@
         self.disconnected = False
         self.parser: Any = httptools.HttpResponseParser(self)
         self.why = "closed"  # what ended it, for the counts
-        self.outcome = CallOutcome.BROKEN
+        self.outcome = CallOutcome.FAILED
         self.header_fields = {b"retry-after": "", b"date": ""}  # those that are of use
         self.retry_after = 0.0
         self.since = self.clock.now()  # it was begun, or last brought a complete line
@@ -114,7 +114,7 @@
 
     def _unreached(self) -> None:
         self.why = "unreached"
-        self.outcome = CallOutcome.UNREACHED
+        self.outcome = CallOutcome.UNREACHABLE
         self.close()
 
     def _await_line(self, seconds: float) -> None:
@@ -137,7 +137,7 @@
             self.timer = self.clock.call_later(LATE_CALL_KEPT_S, self.close)
             return
         self.why = "silent"
-        self.outcome = CallOutcome.SILENT
+        self.outcome = CallOutcome.TIMED_OUT
         self.close()
 
     def _first_line_under_way(self) -> bool:
@@ -148,7 +148,7 @@
             return
         self.over = True
         if self.answered and self.watch:
-            self.outcome = CallOutcome.LOST
+            self.outcome = CallOutcome.WATCH_LOST
         self.timer.cancel()
         if self.transport is not None:
             self.transport.abort()
--- a/quartzford/membership/list_chunks.py
+++ b/quartzford/membership/list_chunks.py
@@ -55,14 +55,14 @@
         self.chunks: Iterator[Listing] = iter(())
         self.following: Listing | None = None
 
-    def put(self, listing: Listing) -> None:
+    def add(self, listing: Listing) -> None:
         """Add a listing; a complete one replaces all that waits."""
         if listing.complete:  # it covers all that is left
             self.listings.clear()
             self.chunks, self.following = iter(()), None
         self.listings.append(listing)
 
-    def next(self, known: Collection[str]) -> Listing | None:
+    def next_chunk(self, known: Collection[str]) -> Listing | None:
         """The next chunk; None if nothing waits. known: the names in use at this moment."""
         chunk, self.following = self.following, None
         if chunk is None and self.listings:
@@ -72,6 +72,6 @@
             self.following = next(self.chunks, None)
         return chunk
 
-    def waiting(self) -> bool:
+    def has_chunks(self) -> bool:
         """Whether any chunk is left."""
         return self.following is not None or bool(self.listings)
--- a/quartzford/membership/list_watch.py
+++ b/quartzford/membership/list_watch.py
@@ -192,7 +192,7 @@
     def call_answered(self, call: ListCall) -> None:
         """The list has come by this call; any other is of no use now."""
         self.addresses.answered(call.target)
-        self.policy.answered()
+        self.policy.record_answer()
         others = [other for other in self._calls() if other is not call]
         self.call = call
         self.late_call = self.candidate = None
@@ -209,8 +209,8 @@
         self.call = None
         self.late_call = call
         self.counts["kept"] += 1
-        self.addresses.failed(call.target, CallOutcome.SILENT)
-        delay = self.policy.delay_after(CallOutcome.SILENT, self.clock.now() - call.since)
+        self.addresses.failed(call.target, CallOutcome.TIMED_OUT)
+        delay = self.policy.delay_after(CallOutcome.TIMED_OUT, self.clock.now() - call.since)
         self.timer = self.clock.call_later(delay, self._make_call)
         return True
 
@@ -228,7 +228,7 @@
         if self.stopped:
             return
         outcome = self._outcome(call, in_order)
-        if outcome is not CallOutcome.DONE:
+        if outcome is not CallOutcome.COMPLETED:
             self.addresses.failed(call.target, outcome)
             if self.resync:
                 self.version = None
@@ -239,4 +239,4 @@
     def _outcome(call: ListCall, in_order: bool) -> CallOutcome:
         if not in_order:
             return call.outcome
-        return CallOutcome.UNREAD if call.watch else CallOutcome.DONE
+        return CallOutcome.UNUSABLE if call.watch else CallOutcome.COMPLETED
--- a/quartzford/membership/registry.py
+++ b/quartzford/membership/registry.py
@@ -33,7 +33,7 @@
             else:
                 self.rows[row[0].server] = row
 
-    def masked(self, listing: Listing, taken_out: Collection[str]) -> Listing:
+    def mask_maintenance(self, listing: Listing, taken_out: Collection[str]) -> Listing:
         """The listing for the backends: upstreams in maintenance are draining."""
         if not taken_out:
             return listing
@@ -48,7 +48,9 @@
         row = self.rows.get(name)
         if row is None:
             return Listing(self.version, False, (), ())
-        return self.masked(Listing(self.version, False, (row[0],), (row[1],)), (name,) if out else ())
+        return self.mask_maintenance(
+            Listing(self.version, False, (row[0],), (row[1],)), (name,) if out else ()
+        )
 
     def table(self) -> dict[str, Any]:
         """The complete list in discovery's form, to be read again by `read_listing`."""
--- a/quartzford/membership/relay_call_policy.py
+++ b/quartzford/membership/relay_call_policy.py
@@ -36,9 +36,9 @@
 from quartzford.membership.call_policy import (
     CONNECT_S,
     NOTIFY_BOUND_S,
-    QUEUE_S,
     RETRY_S,
-    SMALL,
+    SHARED_FIRST_LINE_TIMEOUT_S,
+    SMALL_FLEET_SIZE,
     STRETCH,
     STRETCH_MOST,
     WAIT_BOUND,
@@ -69,7 +69,7 @@
         relays: RelayAddresses,
         balancers: int,
         per_s: float,
-        most_wait: float,
+        max_delay_s: float,
         rng: random.Random,
         now: Callable[[], float],
     ) -> None:
@@ -77,17 +77,21 @@
         self.costs: deque[float] = deque(maxlen=len(relays.order))  # what the last round's calls took
         self.direct_at: float | None = None  # when the list service is called
         self.direct_free = -math.inf  # not before
-        super().__init__(balancers, per_s, most_wait, rng, now)
+        super().__init__(balancers, per_s, max_delay_s, rng, now)
 
-    def configure(self, balancers: int, per_s: float, most_wait: float) -> None:
+    def configure(self, balancers: int, per_s: float, max_delay_s: float) -> None:
         """New settings; what was learnt of relays and service stays."""
-        super().configure(balancers, per_s, most_wait)
-        self.relay_spread_interval = max(0.0, balancers / len(self.relays.order) - SMALL) / RELAY_CALLS_PER_S
+        super().configure(balancers, per_s, max_delay_s)
+        self.relay_spread_interval = (
+            max(0.0, balancers / len(self.relays.order) - SMALL_FLEET_SIZE) / RELAY_CALLS_PER_S
+        )
 
     def initial_delay(self) -> float:
         """A wait drawn from the time in which a relay can answer all of its balancers."""
         self.failed_calls = 0
-        return self.rng.random() * min(self.relay_spread_interval, NOTIFY_BOUND_S - QUEUE_S)
+        return self.rng.random() * min(
+            self.relay_spread_interval, NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S
+        )
 
     def connect_timeout(self) -> float:
         """As long as the place that was chosen last may take."""
@@ -95,15 +99,19 @@
 
     def first_line_timeout(self) -> float:
         """As long as the place that was chosen last may take; longer for a complete list."""
-        return RELAY_LINE_S if self.relays.version_was_known and not self.relays.last_call_direct else QUEUE_S
+        return (
+            RELAY_LINE_S
+            if self.relays.version_was_known and not self.relays.last_call_direct
+            else SHARED_FIRST_LINE_TIMEOUT_S
+        )
 
     def long_line_extra_time(self) -> float:
         """From a relay, as long again as a first line by index may take."""
         return 0.0 if self.relays.last_call_direct else FLOW_S
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Forget what failed before."""
-        super().answered()
+        super().record_answer()
         self.costs.clear()
         self.direct_at = None
 
@@ -111,27 +119,27 @@
         """A wait drawn from RETURN_S."""
         return self.rng.uniform(*RETURN_S)
 
-    def delay_after(self, outcome: CallOutcome, took: float, retry_after: float = 0.0) -> float:
+    def delay_after(self, outcome: CallOutcome, elapsed_s: float, retry_after_s: float = 0.0) -> float:
         """The wait before the next relay's turn, or the source's: see the module."""
-        if outcome is CallOutcome.DONE:
+        if outcome is CallOutcome.COMPLETED:
             return 0.0
-        if outcome is CallOutcome.LOST:
+        if outcome is CallOutcome.WATCH_LOST:
             return self.rng.random() * LOST_SPREAD_S
-        if outcome is CallOutcome.UNREAD and self.now() >= self.unread_until:
+        if outcome is CallOutcome.UNUSABLE and self.now() >= self.unread_until:
             self.unread_until = self.now() + RETRY_S[1]
             return 0.0
         if self.relays.last_failure_direct:
             self._direct_failed(outcome)
         else:
-            self.costs.append(took)
-        return self._direct_first(self._next_relay(retry_after))
+            self.costs.append(elapsed_s)
+        return self._direct_first(self._next_relay(retry_after_s))
 
-    def _next_relay(self, retry_after: float) -> float:
+    def _next_relay(self, retry_after_s: float) -> float:
         """Wait before the next relay is called."""
         relays, count = self.relays, len(self.relays.order)
-        later = retry_after * self.rng.uniform(*LATER)
+        later = retry_after_s * self.rng.uniform(*LATER)
         if not relays.version_was_known and later > 0:  # a complete list, in turn: others have no less to do
-            return min(later, NOTIFY_BOUND_S - QUEUE_S)
+            return min(later, NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S)
         if not relays.all_failed():
             return self.rng.random() * JITTER_S
         # Each relay is called again within the six seconds, less what unresponsive ones have taken of them.
@@ -142,8 +150,8 @@
         return max(RETRY_S[0], min(pace, max(alone, self.relay_spread_interval, later / count)))
 
     def _direct_failed(self, outcome: CallOutcome) -> None:
-        if outcome is CallOutcome.REJECTED or outcome is CallOutcome.SILENT:
-            self.stretch = min(STRETCH_MOST, self.stretch * STRETCH)
+        if outcome is CallOutcome.REJECTED or outcome is CallOutcome.TIMED_OUT:
+            self.interval_factor = min(STRETCH_MOST, self.interval_factor * STRETCH)
 
     def _direct_first(self, wait: float) -> float:
         """The wait, or a shorter one after which the list service is called."""
@@ -156,7 +164,7 @@
         if self.direct_at > now + wait:
             return wait
         wait = max(0.0, self.direct_at - now)
-        interval = max(RETRY_S[1], self.spread_interval) * self.stretch
+        interval = max(RETRY_S[1], self.spread_interval) * self.interval_factor
         self.direct_at = self.direct_free = now + wait + interval * self.rng.uniform(*WAIT_SPREAD)
         self.relays.next_call_direct = True
         return wait
--- a/quartzford/membership/snapshot.py
+++ b/quartzford/membership/snapshot.py
@@ -2,7 +2,7 @@
 
 A snapshot is one line of JSON (format, service, taken_ms, length and SHA-256 of what follows) and the list
 in discovery's form. It is of one service at one address: another's versions mean something else. What may be
-done with one of a given age is `Rule`'s to say; snapshot_writer.py writes and reads the file.
+done with one of a given age is `SnapshotAgeLimits`'s to say; snapshot_writer.py writes and reads the file.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     table: dict[str, Any]  # in discovery's form
 
 
-class Rule(NamedTuple):
+class SnapshotAgeLimits(NamedTuple):
     """How lists are used by their age, in seconds.
 
     most_age: an older one is not used at all. fresh_age: up to it the list counts as the platform's `known`
@@ -107,7 +107,7 @@
     return service, float(taken)
 
 
-def usable(one: Snapshot, service: str, now_ms: float, rule: Rule) -> float:
+def usable(one: Snapshot, service: str, now_ms: float, rule: SnapshotAgeLimits) -> float:
     """Its age in seconds, negative after a step of the clock; SnapshotError where it may not be used."""
     if one.service != service:
         raise SnapshotError(f"it is of {one.service}, and the list service is {service}")
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -19,8 +19,8 @@
 from quartzford.engine import Clock, Handle, Log
 from quartzford.membership.listing import Listing, read_listing
 from quartzford.membership.snapshot import (
-    Rule,
     Snapshot,
+    SnapshotAgeLimits,
     SnapshotError,
     decode,
     encode,
@@ -28,7 +28,7 @@
 )
 
 WRITE_INTERVAL_S = 2.0
-MOST_RETRY_S = 16.0  # a disk that fails is tried again after WRITE_INTERVAL_S, doubled up to this
+MAX_RETRY_DELAY_S = 16.0  # a disk that fails is tried again after WRITE_INTERVAL_S, doubled up to this
 HANG_S = 10.0
 REFRESH_INTERVAL_S = 30.0  # a list that goes on being confirmed is written with its new age so often
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         path: str,
-        rule: Rule,
+        rule: SnapshotAgeLimits,
         service: Callable[[], str],
         table: Callable[[], dict[str, Any]],
         confirmed: Callable[[], bool],
@@ -148,7 +148,7 @@
         """The thread: one write, whose outcome goes to the loop."""
         why = ""
         try:
-            replace(self.path, snapshot)
+            write_snapshot(self.path, snapshot)
         except Exception as error:  # whatever it is, the next write has to come
             why = str(error) or repr(error)
         with suppress(RuntimeError):  # the loop has ended meanwhile
@@ -180,7 +180,7 @@
             self.log.line("snapshot", self.last_error)
         self.write_pending = True
         self._write_in(self.retry_s)
-        self.retry_s = min(MOST_RETRY_S, 2.0 * self.retry_s)
+        self.retry_s = min(MAX_RETRY_DELAY_S, 2.0 * self.retry_s)
 
     def stop(self) -> None:
         """Write nothing from now on; a write that is under way ends by itself, or with the process."""
@@ -189,7 +189,7 @@
             self.timer.cancel()
 
 
-def replace(path: str, snapshot: Snapshot) -> None:
+def write_snapshot(path: str, snapshot: Snapshot) -> None:
     """The file is the old one or the new one, whenever the machine ends; OSError if it could not be."""
     data = encode(snapshot)
     with suppress(OSError):
--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -26,7 +26,8 @@
 CURRENT_MS = (
     LINE_TIMEOUT_S * 1000.0
 )  # a list that was known so short a time ago has been watched without a break
-LEAST_GONE = 64  # incarnations that the list has dropped are remembered: so many, or as the longest list had
+# The list's removed incarnations are remembered: at least this many, or as many as its longest version had.
+MIN_REMEMBERED_REMOVALS = 64
 
 
 class Incarnation(NamedTuple):
@@ -50,17 +51,17 @@
 
     def __init__(self) -> None:
         self._current: dict[str, Incarnation] = {}
-        self._gone: OrderedDict[str, Incarnation] = OrderedDict()
-        self._most_gone = LEAST_GONE
+        self._removed: OrderedDict[str, Incarnation] = OrderedDict()
+        self._max_removed = MIN_REMEMBERED_REMOVALS
         self._source_changed = False
 
-    def source_changed(self) -> None:
+    def note_source_change(self) -> None:
         """The next complete list may come from another list service, with other upstreams altogether."""
         self._source_changed = True
 
-    def begin(self, listing: Listing, now_ms: float) -> None:
+    def date_initial_list(self, listing: Listing, now_ms: float) -> None:
         """Date a list that is known at the process's own start: by born_ms, but never in the future."""
-        self.learn(listing, -math.inf, now_ms)
+        self.date_listing(listing, -math.inf, now_ms)
 
     def presume_started(self, listing: Listing, now_ms: float) -> None:
         """Date every upstream at this moment, until a list of the service confirms its incarnation."""
@@ -73,12 +74,12 @@
             started_ms = min(starts.get(entry.server, LONG_AGO_MS), now_ms)
             self._current[entry.server] = Incarnation(entry.started_ms, started_ms)
 
-    def learn(self, listing: Listing, known_ms: float, now_ms: float) -> None:
+    def date_listing(self, listing: Listing, known_ms: float, now_ms: float) -> None:
         """Date the incarnations that a line of the list service names for the first time.
 
         known_ms: the last moment before this line at which the list was known; minus infinity for never.
         """
-        self._most_gone = max(self._most_gone, len(self._current))
+        self._max_removed = max(self._max_removed, len(self._current))
         if listing.complete:
             if self._source_changed and not any(map(self._is_current, listing.entries)):
                 known_ms = -math.inf
@@ -92,7 +93,7 @@
             else:
                 self._date(entry, known_ms, now_ms)
 
-    def of(self, entries: Iterable[io.Endpoint]) -> dict[str, float]:
+    def starts_of(self, entries: Iterable[io.Endpoint]) -> dict[str, float]:
         """The starts of these entries' incarnations by name, as far as they were dated here."""
         return {
             entry.server: self._current[entry.server].started_ms
@@ -100,7 +101,7 @@
             if self._is_current(entry)
         }
 
-    def after(self, since_ms: float) -> dict[str, float]:
+    def started_after(self, since_ms: float) -> dict[str, float]:
         """The starts of the incarnations that are younger than this moment, by name."""
         return {
             name: incarnation.started_ms
@@ -115,7 +116,7 @@
     def _date(self, entry: io.Endpoint, known_ms: float, now_ms: float) -> None:
         incarnation = self._current.get(entry.server)
         if incarnation is None:
-            incarnation = self._gone.pop(entry.server, None)
+            incarnation = self._removed.pop(entry.server, None)
         if incarnation is not None and incarnation.born_ms == entry.started_ms:
             if not incarnation.presumed:
                 self._current[entry.server] = incarnation
@@ -128,7 +129,7 @@
         incarnation = self._current.pop(name, None)
         if incarnation is None:
             return
-        self._gone[name] = incarnation
-        self._gone.move_to_end(name)
-        if len(self._gone) > self._most_gone:
-            self._gone.popitem(last=False)
+        self._removed[name] = incarnation
+        self._removed.move_to_end(name)
+        if len(self._removed) > self._max_removed:
+            self._removed.popitem(last=False)
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -159,14 +159,14 @@
 def keep_snapshot(node: Node, path: Path, lists: ListsSettings) -> None:
     """Keep the node's last list in a file; OperatorError where there is no folder for it."""
     # Only here: installations without a lasting disk don't load it.
-    from quartzford.membership.snapshot import Rule
+    from quartzford.membership.snapshot import SnapshotAgeLimits
     from quartzford.membership.snapshot_writer import SnapshotWriter
 
     if not path.parent.is_dir():
         raise OperatorError(f"lists.snapshot: {path.parent} is no folder")
     node.snapshot_writer = SnapshotWriter(
         str(path),
-        Rule(lists.snapshot_age_s, lists.snapshot_fresh_s),
+        SnapshotAgeLimits(lists.snapshot_age_s, lists.snapshot_fresh_s),
         lambda: "{}:{}".format(*node.config.discovery),
         node.registry.table,
         node.watch.is_current,
--- a/rig/hollow.py
+++ b/rig/hollow.py
@@ -144,7 +144,7 @@
         if listing.version > self.version:
             self.version = listing.version
             self.side.listed(listing)
-        elif not self.side.pending.waiting():
+        elif not self.side.pending.has_chunks():
             self.all_applied()
 
     def all_applied(self) -> None:
--- a/rig/meter.py
+++ b/rig/meter.py
@@ -141,7 +141,7 @@
     @functools.wraps(apply)
     def metered_apply(self: Any, listing: Listing, how: str) -> None:
         apply(self, listing, how)
-        if not self.pending.waiting():
+        if not self.pending.has_chunks():
             self.meter.version_applied(listing.version)
 
     ControlSide.__init__ = metered_init  # type: ignore[method-assign]
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -9,7 +9,13 @@
 import pytest
 
 from quartzford.membership.addresses import Address, RelayAddresses, RequestKind, SingleAddress, rank_relays
-from quartzford.membership.call_policy import CONNECT_S, LINE_TIMEOUT_S, NOTIFY_BOUND_S, QUEUE_S, CallOutcome
+from quartzford.membership.call_policy import (
+    CONNECT_S,
+    LINE_TIMEOUT_S,
+    NOTIFY_BOUND_S,
+    SHARED_FIRST_LINE_TIMEOUT_S,
+    CallOutcome,
+)
 from quartzford.membership.relay_call_policy import (
     RELAY_CONNECT_S,
     RELAY_LINE_S,
@@ -22,9 +28,9 @@
 SOURCE = ("10.1.0.1", 8500)
 # What a call to a relay in this state takes, and how it ends.
 STATES = {
-    "dead": (0.0, CallOutcome.UNREACHED),
-    "vanished": (RELAY_CONNECT_S, CallOutcome.UNREACHED),
-    "stopped": (RELAY_LINE_S, CallOutcome.SILENT),
+    "dead": (0.0, CallOutcome.UNREACHABLE),
+    "vanished": (RELAY_CONNECT_S, CallOutcome.UNREACHABLE),
+    "stopped": (RELAY_LINE_S, CallOutcome.TIMED_OUT),
     "lost": (0.0, CallOutcome.REJECTED),
 }
 
@@ -46,8 +52,8 @@
         target = self.relays.choose(True)
         self.relays.answered(target)
         self.now = LINE_TIMEOUT_S
-        self.relays.failed(target, CallOutcome.LOST)
-        self.now += self.calls.delay_after(CallOutcome.LOST, LINE_TIMEOUT_S)
+        self.relays.failed(target, CallOutcome.WATCH_LOST)
+        self.now += self.calls.delay_after(CallOutcome.WATCH_LOST, LINE_TIMEOUT_S)
 
     def call(self, known: bool = True, retry_after: float = 0.0) -> bool:
         """One call, and the wait behind it if it fails; whether it was answered."""
@@ -56,11 +62,13 @@
         state = self.states.get(target.address, "")
         if not state or (state == "lost" and target.kind is RequestKind.COMPLETE_LIST):
             self.relays.answered(target)
-            self.calls.answered()
+            self.calls.record_answer()
             return True
         took, end = STATES[state]
         assert took <= (
-            self.calls.connect_timeout() if end is CallOutcome.UNREACHED else self.calls.first_line_timeout()
+            self.calls.connect_timeout()
+            if end is CallOutcome.UNREACHABLE
+            else self.calls.first_line_timeout()
         )
         self.relays.failed(target, end)
         self.now += took + self.calls.delay_after(end, took, retry_after)
@@ -165,7 +173,7 @@
     one.relays.next_call_direct = True
     assert one.call() and (one.calls.connect_timeout(), one.calls.first_line_timeout()) == (
         CONNECT_S,
-        QUEUE_S,
+        SHARED_FIRST_LINE_TIMEOUT_S,
     )
     assert one.relays.watch_position == 11 and one.relays.follows_configuration()
     better = [one.relays.better() for _ in range(12)]
--- a/tests/test_call_policy.py
+++ b/tests/test_call_policy.py
@@ -12,9 +12,9 @@
     CONNECT_S,
     LINE_TIMEOUT_S,
     NOTIFY_BOUND_S,
-    QUEUE_S,
     RETRY_S,
-    SMALL,
+    SHARED_FIRST_LINE_TIMEOUT_S,
+    SMALL_FLEET_SIZE,
     AgentCallPolicy,
     CallOutcome,
     CallPolicy,
@@ -77,7 +77,7 @@
     """No disk remembers its calls; that each start draws its moment from the whole spread interval does."""
     for balancers in (150, 200):
         # A longer one would tell a change too late.
-        interval = min(shared(balancers).spread_interval, NOTIFY_BOUND_S - QUEUE_S)
+        interval = min(shared(balancers).spread_interval, NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S)
         starts = 4_000
         calls = sum(shared(balancers, seed).initial_delay() < life_s for seed in range(starts))
         assert calls / (starts * life_s) <= 1.1 / interval
@@ -98,17 +98,19 @@
 
 def test_small_fleets_and_pushed_lists_are_called_at_once() -> None:
     assert (
-        shared(SMALL).initial_delay()
+        shared(SMALL_FLEET_SIZE).initial_delay()
         == shared(1).initial_delay()
         == AgentCallPolicy(random.Random(1), 0.25).initial_delay()
         == 0.0
     )
     agent = AgentCallPolicy(random.Random(1), 10.0)
-    waits = [agent.delay_after(CallOutcome.UNREACHED, 0.0) for _ in range(12)]
+    waits = [agent.delay_after(CallOutcome.UNREACHABLE, 0.0) for _ in range(12)]
     assert all(w <= min(RETRY_S[1], RETRY_S[0] * 2.0**n) for n, w in enumerate(waits))
-    assert agent.delay_after(CallOutcome.DONE, 0.0) == agent.delay_after(CallOutcome.UNREAD, 0.0) == 0.0
-    agent.answered()
-    assert agent.delay_after(CallOutcome.LOST, 0.0) <= RETRY_S[0]
+    assert (
+        agent.delay_after(CallOutcome.COMPLETED, 0.0) == agent.delay_after(CallOutcome.UNUSABLE, 0.0) == 0.0
+    )
+    agent.record_answer()
+    assert agent.delay_after(CallOutcome.WATCH_LOST, 0.0) <= RETRY_S[0]
 
 
 @pytest.mark.parametrize("balancers", [0, 1, 16, 200, 1_000])  # 0: pushed
@@ -119,12 +121,12 @@
     took: the longest that a call of this end can last; of a watch, since it last told something.
     """
     ends = {
-        CallOutcome.UNREACHED: CONNECT_S,
-        CallOutcome.REJECTED: QUEUE_S,
-        CallOutcome.BROKEN: QUEUE_S,
-        CallOutcome.LOST: LINE_TIMEOUT_S,
-        CallOutcome.SILENT: QUEUE_S,
-        CallOutcome.UNREAD: QUEUE_S,
+        CallOutcome.UNREACHABLE: CONNECT_S,
+        CallOutcome.REJECTED: SHARED_FIRST_LINE_TIMEOUT_S,
+        CallOutcome.FAILED: SHARED_FIRST_LINE_TIMEOUT_S,
+        CallOutcome.WATCH_LOST: LINE_TIMEOUT_S,
+        CallOutcome.TIMED_OUT: SHARED_FIRST_LINE_TIMEOUT_S,
+        CallOutcome.UNUSABLE: SHARED_FIRST_LINE_TIMEOUT_S,
     }
     for seed in range(200):
         rng = random.Random(seed)
@@ -143,15 +145,15 @@
     for grace in (0.25, 0.5, 2.0):
         agent = AgentCallPolicy(random.Random(1), grace)
         ends = (
-            CallOutcome.SILENT,
-            CallOutcome.UNREACHED,
-            CallOutcome.LOST,
-            CallOutcome.BROKEN,
+            CallOutcome.TIMED_OUT,
+            CallOutcome.UNREACHABLE,
+            CallOutcome.WATCH_LOST,
+            CallOutcome.FAILED,
             CallOutcome.REJECTED,
         )
         assert max(agent.delay_after(end, 1.5) for _ in range(20) for end in ends) <= grace / 2
     agent.configure(0.25)
-    assert agent.delay_after(CallOutcome.SILENT, 1.5) <= 0.125
+    assert agent.delay_after(CallOutcome.TIMED_OUT, 1.5) <= 0.125
 
 
 @pytest.mark.parametrize(
@@ -186,7 +188,10 @@
     waits = [calls.delay_after(CallOutcome.REJECTED, 0.0, 1.5) for _ in range(200)]
     assert min(waits) >= 1.5
     delays = [calls.delay_after(CallOutcome.REJECTED, 0.0, 3600.0) for _ in range(50)]
-    assert min(delays) >= 0.75 * (NOTIFY_BOUND_S - QUEUE_S) and max(delays) <= NOTIFY_BOUND_S - QUEUE_S
+    assert (
+        min(delays) >= 0.75 * (NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S)
+        and max(delays) <= NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S
+    )
     assert len(set(delays)) == 50  # told to all alike, they don't come back together
     assert 0.0 < shared(balancers).delay_after(CallOutcome.REJECTED, 0.0) <= 10.0
 
@@ -194,17 +199,17 @@
 def test_a_service_with_unusable_answers_is_not_called_in_a_tight_loop() -> None:
     now = [0.0]
     calls = shared(200, now=now)
-    assert calls.delay_after(CallOutcome.UNREAD, 0.0) == 0.0  # the whole is asked for at once
-    calls.answered()
-    waits = [calls.delay_after(CallOutcome.UNREAD, 0.0) for _ in range(5)]
+    assert calls.delay_after(CallOutcome.UNUSABLE, 0.0) == 0.0  # the whole is asked for at once
+    calls.record_answer()
+    waits = [calls.delay_after(CallOutcome.UNUSABLE, 0.0) for _ in range(5)]
     assert min(waits) > 1.0 and all(math.isfinite(w) for w in waits)
     now[0] = 60.0
-    assert calls.delay_after(CallOutcome.UNREAD, 0.0) == 0.0
+    assert calls.delay_after(CallOutcome.UNUSABLE, 0.0) == 0.0
 
 
 def test_discovery_moved_under_all_is_called_over_a_spread_interval() -> None:
     firsts = sorted(shared(200, seed).initial_delay() for seed in range(200))
-    interval = min(184 / 50.0, NOTIFY_BOUND_S - QUEUE_S)
+    interval = min(184 / 50.0, NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S)
     for tenth in range(10):
         inside = sum(tenth * interval / 10 <= f < (tenth + 1) * interval / 10 for f in firsts)
         assert 8 <= inside <= 36
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -29,8 +29,8 @@
 from quartzford.engine import StderrLog
 from quartzford.load.trace import TraceError, read_trace
 from quartzford.membership import snapshot_writer as writing
-from quartzford.membership.snapshot import Rule, Snapshot, SnapshotError, decode, encode
-from quartzford.membership.snapshot_writer import MOST_RETRY_S, SnapshotWriter, replace
+from quartzford.membership.snapshot import Snapshot, SnapshotAgeLimits, SnapshotError, decode, encode
+from quartzford.membership.snapshot_writer import MAX_RETRY_DELAY_S, SnapshotWriter, write_snapshot
 from quartzford.recording import Recorder
 from quartzford.replacement import state as wire
 from quartzford.replacement import unix_socket
@@ -98,13 +98,13 @@
     number: int, code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "last"
-    replace(str(path), snapshot(1))
+    write_snapshot(str(path), snapshot(1))
     descriptors = len(os.listdir("/proc/self/fd"))
     faulty = FaultyOs(fault_at(number, OSError(code, os.strerror(code))))
     faulty.kept = 7
     monkeypatch.setattr(atomic_file, "os", faulty)
     with pytest.raises(OSError):
-        replace(str(path), snapshot(2))
+        write_snapshot(str(path), snapshot(2))
     assert os.listdir(tmp_path) == ["last"]
     assert decode(path.read_bytes()) == snapshot(1 if number < 5 else 2)
     assert len(os.listdir("/proc/self/fd")) == descriptors
@@ -114,7 +114,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, rng, failed = tmp_path / "last", random.Random(9), 0
-    replace(str(path), snapshot(0))
+    write_snapshot(str(path), snapshot(0))
 
     def fault(name: str) -> OSError | None:
         return OSError(rng.choice([errno.ENOSPC, errno.EIO]), "fails") if rng.random() < 0.4 else None
@@ -125,12 +125,12 @@
         while failed < 1_000:
             faulty.kept = rng.randrange(100)
             try:
-                replace(str(path), snapshot(failed))
+                write_snapshot(str(path), snapshot(failed))
             except OSError:
                 failed += 1
             assert len(os.listdir(tmp_path)) <= 2
             decode(path.read_bytes())
-    replace(str(path), snapshot(7))
+    write_snapshot(str(path), snapshot(7))
     assert os.listdir(tmp_path) == ["last"] and decode(path.read_bytes()) == snapshot(7)
 
 
@@ -144,14 +144,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, data = tmp_path / "last", encode(snapshot(2))
-    replace(str(path), snapshot(1))
+    write_snapshot(str(path), snapshot(1))
     for kept in range(len(data)):
         with monkeypatch.context() as patch:
             faulty = FaultyOs(fault_at(1, Killed()))
             faulty.kept = kept
             patch.setattr(atomic_file, "os", faulty)
             with pytest.raises(Killed):
-                replace(str(path), snapshot(2))
+                write_snapshot(str(path), snapshot(2))
         assert decode(path.read_bytes()) == snapshot(1)
         half = Path(atomic_file.temporary_path(str(path))).read_bytes()
         assert half == data[:kept]
@@ -168,12 +168,12 @@
         with monkeypatch.context() as patch, suppress(Killed):
             patch.setattr(atomic_file, "os", FaultyOs(fault_at(number + 1, Killed())))
             patch.setattr(os, "getpid", lambda: ended)
-            replace(str(path), snapshot(1))
+            write_snapshot(str(path), snapshot(1))
         assert os.listdir(tmp_path) == [f"last.{ended}.tmp"]
     others = {f"last.{os.getppid()}.tmp", "last.1", "last.old.tmp", f"list.{ended}.tmp"}
     for name in others:
         (tmp_path / name).write_bytes(b"")
-    replace(str(path), snapshot(2))
+    write_snapshot(str(path), snapshot(2))
     assert set(os.listdir(tmp_path)) == others | {"last"}
 
 
@@ -239,7 +239,7 @@
         patch.setattr(atomic_file, "os", FaultyOs(lambda name: self.error if name == "write" else None))
         self.writer = SnapshotWriter(
             str(path),
-            Rule(3_600.0, 60.0),
+            SnapshotAgeLimits(3_600.0, 60.0),
             lambda: "s:1",
             lambda: self.table,
             lambda: self.confirmed,
@@ -272,7 +272,7 @@
             await site.settle()
         assert not site.path.exists() and 4 <= site.writer.failed_writes < 10
         site.error = None
-        await site.settle(MOST_RETRY_S)
+        await site.settle(MAX_RETRY_DELAY_S)
         assert site.version() == 2 and not site.clock.timers
         site.table = snapshot(3).table  # from then on as if nothing had been
         site.writer.list_changed()
@@ -309,11 +309,11 @@
             code = errno.EIO if number % 2 else errno.ENOSPC
             site.error = OSError(code, os.strerror(code))
             site.writer.list_changed()
-            await site.settle(MOST_RETRY_S)
+            await site.settle(MAX_RETRY_DELAY_S)
         assert len(site.log.lines) == 1 and site.writer.failed_writes == 100
         assert "can't be written" in site.log.lines[0] and "No space left" in site.log.lines[0]
         site.error = None
-        await site.settle(MOST_RETRY_S)
+        await site.settle(MAX_RETRY_DELAY_S)
         assert len(site.log.lines) == 2 and "written again, after 100 failures" in site.log.lines[1]
         assert os.listdir(tmp_path) == ["last"]
 
--- a/tests/test_list_chunks.py
+++ b/tests/test_list_chunks.py
@@ -80,13 +80,17 @@
 
 def test_a_complete_list_replaces_what_waits_and_changes_follow_it() -> None:
     queue = ListingQueue()
-    queue.put(listing(False, *((n, "ready", 0.0) for n in range(1000))))
-    assert queue.next(set()) is not None and queue.waiting()
+    queue.add(listing(False, *((n, "ready", 0.0) for n in range(1000))))
+    assert queue.next_chunk(set()) is not None and queue.has_chunks()
     complete, change = listing(True, (1, "ready", 0.0)), listing(False, (2, "gone", 0.0))
-    queue.put(complete)
-    queue.put(change)
-    assert [queue.next(set()), queue.next(set()), queue.next(set())] == [complete, change, None]
-    assert not queue.waiting()
+    queue.add(complete)
+    queue.add(change)
+    assert [queue.next_chunk(set()), queue.next_chunk(set()), queue.next_chunk(set())] == [
+        complete,
+        change,
+        None,
+    ]
+    assert not queue.has_chunks()
 
 
 # ---- over sockets
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -16,17 +16,17 @@
 from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.listing import read_listing
 from quartzford.membership.snapshot import (
-    Rule,
     Snapshot,
+    SnapshotAgeLimits,
     SnapshotError,
     decode,
     encode,
     usable,
 )
-from quartzford.membership.snapshot_writer import SnapshotWriter, replace
+from quartzford.membership.snapshot_writer import SnapshotWriter, write_snapshot
 from quartzford.membership.start_times import StartTimes
 
-RULE = Rule(most_age=3_600.0, fresh_age=60.0)
+RULE = SnapshotAgeLimits(most_age=3_600.0, fresh_age=60.0)
 TABLE: dict[str, Any] = {
     "seq": 7,
     "whole": True,
@@ -106,12 +106,12 @@
     assert [RULE.cold(age) for age in ages] == [False, False, True, False, True, True, True]
     listing, times = read_listing(TABLE), StartTimes()
     times.presume_started(listing, 5_000.0)
-    assert times.of(listing.entries) == {"s0": 5_000.0, "s1": 5_000.0}
-    times.learn(listing, 20_000.0, 9_100_000.0)  # the service confirms both incarnations
-    assert times.of(listing.entries) == {"s0": 0.0, "s1": 9_000_000.0}
+    assert times.starts_of(listing.entries) == {"s0": 5_000.0, "s1": 5_000.0}
+    times.date_listing(listing, 20_000.0, 9_100_000.0)  # the service confirms both incarnations
+    assert times.starts_of(listing.entries) == {"s0": 0.0, "s1": 9_000_000.0}
 
 
-def kept(world: World, path: Path, rule: Rule = RULE) -> SnapshotWriter:
+def kept(world: World, path: Path, rule: SnapshotAgeLimits = RULE) -> SnapshotWriter:
     """The node of a world keeps its list there."""
     node = world.node
     node.snapshot_writer = SnapshotWriter(
@@ -130,7 +130,9 @@
 class Kept(World):
     """A world whose balancer keeps its list; discovery is silent at its start if so wanted."""
 
-    def __init__(self, path: Path, rule: Rule = RULE, service_silent: bool = False, **settings: Any) -> None:
+    def __init__(
+        self, path: Path, rule: SnapshotAgeLimits = RULE, service_silent: bool = False, **settings: Any
+    ) -> None:
         super().__init__(2, registryMode="subscribe", **settings)
         self.path, self.rule, self.known = path, rule, {"seq": 0, "whole": True, "hosts": []}
         if service_silent:
@@ -194,10 +196,12 @@
 
 
 @pytest.mark.parametrize(
-    ("age_s", "rule"), [(5.0, Rule(3_600.0, 0.0)), (-3_600.0, RULE)], ids=["old", "from the future"]
+    ("age_s", "rule"),
+    [(5.0, SnapshotAgeLimits(3_600.0, 0.0)), (-3_600.0, RULE)],
+    ids=["old", "from the future"],
 )
 def test_a_list_of_doubtful_age_sends_little_until_the_service_has_spoken(
-    tmp_path: Path, age_s: float, rule: Rule
+    tmp_path: Path, age_s: float, rule: SnapshotAgeLimits
 ) -> None:
     """Changes to the kept list are told; what its age made of the upstreams is forgotten with them."""
     path = tmp_path / "last"
@@ -209,7 +213,7 @@
             await up.start()
             up.start = still  # type: ignore[method-assign]
         table = world.list(world.host(0), world.host(1))
-        replace(str(path), Snapshot("the list", (time.time() - age_s) * 1000.0, table))
+        write_snapshot(str(path), Snapshot("the list", (time.time() - age_s) * 1000.0, table))
 
         async with world:
             fleet = world.node.engine.balancer.endpoints
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -188,7 +188,7 @@
 ) -> None:
     """A start; known is old: its only upstream is gone. In the end the list holds, and nothing was lost."""
     monkeypatch.setattr(call_policy, "ANSWER_S", 0.8)
-    monkeypatch.setattr(call_policy, "QUEUE_S", 0.9)
+    monkeypatch.setattr(call_policy, "SHARED_FIRST_LINE_TIMEOUT_S", 0.9)
     monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.9)
 
     async def test() -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -181,7 +181,7 @@
     now = site.clock.unix_ms()
     listing = lines(2, row(4, now - 50_000.0), row(5, now - HOUR_MS), row(6, now + HOUR_MS))
     site.hears(listing)
-    assert site.side.start_times.of(listing.entries) == {"s4": now - 50_000.0, "s5": now, "s6": now}
+    assert site.side.start_times.starts_of(listing.entries) == {"s4": now - 50_000.0, "s5": now, "s6": now}
     assert site.balancer.servers["s4"].started_ms == now - 50_000.0
 
 
@@ -214,28 +214,28 @@
 
 def test_a_list_of_another_service_has_no_last_moment_without_its_upstreams() -> None:
     times, now = StartTimes(), 100_000.0
-    times.learn(lines(1, row(0, 5.0), complete=True), -float("inf"), now)
-    times.source_changed()
+    times.date_listing(lines(1, row(0, 5.0), complete=True), -float("inf"), now)
+    times.note_source_change()
     other = lines(1, row(7, 10.0), row(8, now * 2), complete=True)
-    times.learn(other, now - 1_000.0, now)
-    assert times.of(other.entries) == {"s7": 10.0, "s8": now}
-    times.source_changed()
+    times.date_listing(other, now - 1_000.0, now)
+    assert times.starts_of(other.entries) == {"s7": 10.0, "s8": now}
+    times.note_source_change()
     same = lines(2, row(7, 10.0), row(9, 10.0), complete=True)  # the same fleet at another address
-    times.learn(same, now - 1_000.0, now)
-    assert times.of(same.entries) == {"s7": 10.0, "s9": now}
+    times.date_listing(same, now - 1_000.0, now)
+    assert times.starts_of(same.entries) == {"s7": 10.0, "s9": now}
 
 
 def test_incarnations_that_are_gone_are_forgotten_past_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(start_times, "LEAST_GONE", 3)
+    monkeypatch.setattr(start_times, "MIN_REMEMBERED_REMOVALS", 3)
     times = StartTimes()
     for number in range(10):
-        times.learn(lines(number, row(number, 5.0)), 50.0, 100.0)
-        times.learn(lines(number, row(number, 5.0, "gone")), 50.0, 100.0)
-    assert list(times._gone) == ["s7", "s8", "s9"] and not times.after(0.0)
+        times.date_listing(lines(number, row(number, 5.0)), 50.0, 100.0)
+        times.date_listing(lines(number, row(number, 5.0, "gone")), 50.0, 100.0)
+    assert list(times._removed) == ["s7", "s8", "s9"] and not times.started_after(0.0)
     long = [row(number, 5.0) for number in range(20)]
-    times.learn(lines(20, *long, complete=True), 50.0, 100.0)
-    times.learn(lines(21, complete=True), 50.0, 100.0)
-    assert len(times._gone) == 20
+    times.date_listing(lines(20, *long, complete=True), 50.0, 100.0)
+    times.date_listing(lines(21, complete=True), 50.0, 100.0)
+    assert len(times._removed) == 20
 
 
 # ---- replacement
@@ -274,7 +274,7 @@
     listing = (*(row(n) for n in range(4)), row(4, born))
     before.hears(lines(2, *listing, complete=True))
     before.sends_to("s4", 1.0)
-    memory, starts = before.side.engine.hand_over(), before.side.start_times.after(0.0)
+    memory, starts = before.side.engine.hand_over(), before.side.start_times.started_after(0.0)
     after = Site(AnchoredClock(UNIX_MS - skew_ms))  # the machine's clock was stepped between the two starts
     after.clock.at = before.clock.at
     by_ms = after.clock.anchor_ms - before.clock.anchor_ms
