--- a/quartzford/decision/automaton.py
+++ b/quartzford/decision/automaton.py
@@ -17,19 +17,21 @@
 from quartzford.decision.columns import COLUMNS, ArrayColumns, Columns, PlainColumns, Row, load_arrays
 
 # a = b of Eq. 8 times the servers in use: an answer moves its server's share by at most about half.
-STEP = 0.5
-STEP_MAX = 0.078  # a = b at most; the paper's testbed
-SWEEP = 0.1  # part of Eq. 8's mean over a draw by which each score moves all of P
-MEMORY = 1.0  # alpha of Eq. 6 times the servers in use, so that a server's own few answers are averaged
-REPORT_COST = 1.0  # typical latencies for a reported load of the fleet's mean
-K = 0.5  # weight of load and zone in a cost; the rest is the latency's
-DELTA = 1.0  # factor of the latency
-FLOOR = 0.6  # multiple of the least cost that counts as 0
-CEILING = 3.0  # costs above this multiple of the mean count as the largest
+LEARNING_RATE_TIMES_SERVERS = 0.5
+MAX_LEARNING_RATE = 0.078  # a = b at most; the paper's testbed
+EXPECTED_UPDATE_RATE = 0.1  # part of Eq. 8's mean over a draw by which each score moves all of P
+COST_SMOOTHING_TIMES_SERVERS = (
+    1.0  # alpha of Eq. 6 times the servers in use, so that a server's own few answers are averaged
+)
+MEAN_LOAD_COST = 1.0  # typical latencies for a reported load of the fleet's mean
+LOAD_AND_ZONE_WEIGHT = 0.5  # weight of load and zone in a cost; the rest is the latency's
+LATENCY_FACTOR = 1.0  # factor of the latency
+LOW_COST_MULTIPLE = 0.6  # multiple of the least cost that counts as 0
+HIGH_COST_MULTIPLE = 3.0  # costs above this multiple of the mean count as the largest
 P_RW = 0.02  # of the draws are uniform
 # Attempts that any server may have out beyond its share of all that are out; the last part makes a tie count
 # as within, whichever way P's last bit has fallen.
-SPARE = 0.5 + 1e-9
+MAX_EXCESS_IN_FLIGHT = 0.5 + 1e-9
 ARRAYS_FROM = 48  # servers in use from which arrays are used
 ARRAYS_TO = 24  # and under which they are left
 LOAD_FROM = 256  # and from which numpy is loaded for it: a start costs some 0.15 s and 6 MB with it
@@ -37,7 +39,7 @@
 LEAST = 1e-9  # share of the rest under which it is summed anew: a difference says nothing of it any more
 
 
-class Place(NamedTuple):
+class Location(NamedTuple):
     """Where a server is: its penalty for crossing zones, and codes for its zone and cell."""
 
     zone_penalty: float
@@ -52,7 +54,7 @@
     code: int
 
 
-class Query(NamedTuple):
+class SelectionConstraints(NamedTuple):
     """What a send may be drawn from, by slots."""
 
     excluded: Collection[int]  # take nothing now
@@ -62,13 +64,13 @@
     may_repeat: bool  # what was tried may take it, if nothing else can
 
 
-class Learned(NamedTuple):
+class LearnedRow(NamedTuple):
     """The figures of a server as another process had them."""
 
     p: float
     cost: float  # 0: none
     latency: float
-    report: float
+    reported_load: float
 
 
 class Shares(Columns):
@@ -76,24 +78,24 @@
 
     # ---- members
 
-    def join(self, place: Place, in_flight: int) -> int:
+    def join(self, place: Location, in_flight: int) -> int:
         """A newcomer gets 1/N, taken proportionally, at the mean smoothed cost; returns its slot."""
         self.alive += 1
         if self.alive == 1:
             self.scale = 1.0
             self.total = 0.0
             self.cost_total = 0.0
-            self.known = False
+            self.has_costs = False
         else:
             self.scale *= 1.0 - 1.0 / self.alive
         raw = 1.0 / self.alive / self.scale
-        cost = self.cost_total / (self.alive - 1) if self.known else 0.0
+        cost = self.cost_total / (self.alive - 1) if self.has_costs else 0.0
         self._append(
             Row(
                 p=raw,
                 cost=cost,
                 latency=1.0,
-                report=0.0,
+                reported_load=0.0,
                 zone_penalty=place.zone_penalty,
                 base=_base_cost(place.zone_penalty, 1.0),
                 open=in_flight,
@@ -103,16 +105,16 @@
         )
         self.total += raw
         self.cost_total += cost
-        self.out += in_flight
-        self.n += 1
-        return self.n - 1
+        self.total_in_flight += in_flight
+        self.slot_count += 1
+        return self.slot_count - 1
 
     def leave(self, slot: int) -> None:
         """A leaver's share is spread proportionally."""
         self._settle(slot)
         self.alive -= 1
         self.dead.append(slot)
-        self.out -= int(self.open[slot])
+        self.total_in_flight -= int(self.open[slot])
         before = self.total
         self.total -= float(self.p[slot])
         self.cost_total -= float(self.cost[slot])
@@ -120,17 +122,17 @@
         self.cost[slot] = 0.0
         self.open[slot] = 0
         if not self.alive:
-            self.known = False
+            self.has_costs = False
             return
         if self.total <= LEAST * before:
-            self._settle(self.n)
+            self._settle(self.slot_count)
             self.total = self._sum(self.p)
             self.cost_total = self._sum(self.cost)
         if self.total <= 0.0:  # all that are left had nothing: they share alike
             self._level()
         self.scale = 1.0 / self.total
 
-    def move(self, slot: int, place: Place) -> None:
+    def move(self, slot: int, place: Location) -> None:
         """Put a server in another place."""
         self._settle(slot)
         self.zone_penalty[slot] = place.zone_penalty
@@ -142,21 +144,21 @@
 
     def set_report(self, slot: int, load: float) -> None:
         """Take the load of a server's latest load report."""
-        self.report[slot] = load
+        self.reported_load[slot] = load
 
     def score(self, slot: int, latency: float) -> None:
         """Eq. 6 for all; Eq. 8 for the one that answered or failed (none: -1), then its mean over a draw."""
         if slot >= 0:
             self.latency[slot] = latency
             self.base[slot] = _base_cost(self.zone_penalty[slot], latency)
-        if not self.n:
+        if not self.slot_count:
             return
         self._score(slot)
         self.scores += 1
         if self.scores % RENEW == 0:
             self._rescale(1.0 / self._sum(self.p))
 
-    def recall(self, rows: dict[int, Learned]) -> None:
+    def restore(self, rows: dict[int, LearnedRow]) -> None:
         """Take what a process before had learnt, by slot; other servers keep what they have."""
         if not rows:
             return
@@ -164,11 +166,11 @@
             self.p[slot] = learned.p
             self.cost[slot] = learned.cost
             self.latency[slot] = learned.latency
-            self.report[slot] = learned.report
+            self.reported_load[slot] = learned.reported_load
             self.base[slot] = _base_cost(self.zone_penalty[slot], learned.latency)
         known = [learned.cost for learned in rows.values() if learned.cost > 0]
-        self.known = bool(known)
-        for slot in range(self.n):
+        self.has_costs = bool(known)
+        for slot in range(self.slot_count):
             if known and slot not in rows:
                 self.cost[slot] = sum(known) / len(known)
         total = self._sum(self.p)
@@ -179,12 +181,12 @@
 
     # ---- the draw
 
-    def choose(self, query: Query, rng: random.Random) -> int:
+    def choose(self, query: SelectionConstraints, rng: random.Random) -> int:
         """A draw from P, or with P_rw a uniform one, over the best of the slots that there are; -1: none.
 
         Bounded load: a server over its share of what is out from here waits while others are under theirs.
         """
-        if not self.n:
+        if not self.slot_count:
             return -1
         excluded, tried, degraded, group, may_repeat = query
         passed_over = {*excluded, *tried, *degraded} if excluded or tried or degraded else None
@@ -212,24 +214,24 @@
     """The figures in lists."""
 
     def _score(self, slot: int) -> None:
-        n = self.n
-        memory = min(0.5, MEMORY / n)
-        load = sum(self.report) / n
+        n = self.slot_count
+        memory = min(0.5, COST_SMOOTHING_TIMES_SERVERS / n)
+        load = sum(self.reported_load) / n
         zs = self.base
         if load:
-            weight = K * REPORT_COST / (1 + load)
-            zs = [base + weight * report for base, report in zip(zs, self.report, strict=True)]
-        if self.known:
+            weight = LOAD_AND_ZONE_WEIGHT * MEAN_LOAD_COST / (1 + load)
+            zs = [base + weight * report for base, report in zip(zs, self.reported_load, strict=True)]
+        if self.has_costs:
             rest = 1 - memory
             self.cost = [memory * z + rest * c for z, c in zip(zs, self.cost, strict=True)]
         else:
             self.cost = list(zs)
-            self.known = True
+            self.has_costs = True
         if n < 2:
             return
         costs = self.cost
-        low = FLOOR * min(costs)
-        high = min(max(costs), CEILING * sum(costs) / n)
+        low = LOW_COST_MULTIPLE * min(costs)
+        high = min(max(costs), HIGH_COST_MULTIPLE * sum(costs) / n)
         if high > low:
             per = 1.0 / (high - low)
             betas = [(c - low) * per if c < high else 1.0 for c in costs]
@@ -238,7 +240,7 @@
         ps = self.p
         if slot >= 0:
             beta = betas[slot]
-            step = min(STEP_MAX, STEP / n)
+            step = min(MAX_LEARNING_RATE, LEARNING_RATE_TIMES_SERVERS / n)
             own = ps[slot] + step * (1 - beta) * (1 - ps[slot]) - step * beta * ps[slot]
             part = step * beta / (n - 1)
             rest = 1 - step
@@ -246,22 +248,22 @@
             ps[slot] = own
         # A server answers here once in seconds: the costs just refreshed move P by Eq. 8's mean over a draw.
         parts = [p * beta for p, beta in zip(ps, betas, strict=True)]
-        plus = SWEEP * sum(parts) / (n - 1)
-        minus = SWEEP * n / (n - 1)
+        plus = EXPECTED_UPDATE_RATE * sum(parts) / (n - 1)
+        minus = EXPECTED_UPDATE_RATE * n / (n - 1)
         self.p = [p + plus - minus * part for p, part in zip(ps, parts, strict=True)]
 
     def _draw(
         self, passed_over: set[int] | None, group: Group | None, underloaded: bool, rng: random.Random
     ) -> int:
         p: list[float] = self.p
-        slots: Sequence[int] = range(self.n)
+        slots: Sequence[int] = range(self.slot_count)
         if group is not None:
             column = self.cell if group.is_cell else self.zone
             slots = [slot for slot in slots if column[slot] == group.code]
         if underloaded:
             in_flight = self.open
-            out = self.out
-            slots = [slot for slot in slots if in_flight[slot] <= p[slot] * out + SPARE]
+            out = self.total_in_flight
+            slots = [slot for slot in slots if in_flight[slot] <= p[slot] * out + MAX_EXCESS_IN_FLIGHT]
         if passed_over:
             slots = [slot for slot in slots if slot not in passed_over]
         if not slots:
@@ -297,22 +299,22 @@
 
     def _score(self, slot: int) -> None:
         np = self.np
-        n = self.n
+        n = self.slot_count
         p = self.p
         cost = self.cost
-        memory = min(0.5, MEMORY / n)
-        load = float(self.added(self.report)) / n
-        if not self.known:
+        memory = min(0.5, COST_SMOOTHING_TIMES_SERVERS / n)
+        load = float(self.added(self.reported_load)) / n
+        if not self.has_costs:
             memory = 1.0
-            self.known = True
+            self.has_costs = True
         cost *= 1 - memory
         if load:
-            cost += self.report * (memory * K * REPORT_COST / (1 + load))
+            cost += self.reported_load * (memory * LOAD_AND_ZONE_WEIGHT * MEAN_LOAD_COST / (1 + load))
         cost += self.base * memory
         if n < 2:
             return
-        low = FLOOR * float(self.least(cost))
-        high = min(float(self.most(cost)), CEILING * float(self.added(cost)) / n)
+        low = LOW_COST_MULTIPLE * float(self.least(cost))
+        high = min(float(self.most(cost)), HIGH_COST_MULTIPLE * float(self.added(cost)) / n)
         if high > low:
             per = 1.0 / (high - low)
             beta = np.minimum(cost, high)  # times per; what it is multiplied with takes that in
@@ -322,15 +324,15 @@
             beta = np.full(n, 0.5)
         if slot >= 0:
             own_beta = per * float(beta[slot])
-            step = min(STEP_MAX, STEP / n)
+            step = min(MAX_LEARNING_RATE, LEARNING_RATE_TIMES_SERVERS / n)
             own = float(p[slot])
             own += step * (1 - own_beta) * (1 - own) - step * own_beta * own
             p *= 1 - step
             p += step * own_beta / (n - 1)
             p[slot] = own
         beta *= p
-        plus = SWEEP * per * float(self.added(beta)) / (n - 1)
-        beta *= SWEEP * per * n / (n - 1)
+        plus = EXPECTED_UPDATE_RATE * per * float(self.added(beta)) / (n - 1)
+        beta *= EXPECTED_UPDATE_RATE * per * n / (n - 1)
         p -= beta
         p += plus
 
@@ -339,11 +341,11 @@
     ) -> int:
         p = self.p
         if underloaded:
-            capacity = p * self.out
-            capacity += SPARE
+            capacity = p * self.total_in_flight
+            capacity += MAX_EXCESS_IN_FLIGHT
             mask = self.open <= capacity
         else:
-            mask = self.np.ones(self.n, dtype=bool)
+            mask = self.np.ones(self.slot_count, dtype=bool)
         if group is not None:
             mask &= (self.cell if group.is_cell else self.zone) == group.code
         if passed_over:
@@ -356,12 +358,12 @@
         if rng.random() < P_RW:
             return int(rng.choice(mask.nonzero()[0]))
         slot = int(sums.searchsorted(rng.random() * total, "right"))
-        return slot if slot < self.n and mask[slot] else int(mask.nonzero()[0][-1])
+        return slot if slot < self.slot_count and mask[slot] else int(mask.nonzero()[0][-1])
 
 
 def _base_cost(zone_penalty: float, latency: float) -> float:
     """The part of Eq. 6's z that load reports have no part in, in typical latencies."""
-    return K * zone_penalty + (1 - K) * DELTA * latency
+    return LOAD_AND_ZONE_WEIGHT * zone_penalty + (1 - LOAD_AND_ZONE_WEIGHT) * LATENCY_FACTOR * latency
 
 
 def layout_for(shares: Shares, coming: int) -> Shares:
--- a/quartzford/decision/columns.py
+++ b/quartzford/decision/columns.py
@@ -18,7 +18,7 @@
     p: float
     cost: float
     latency: float
-    report: float
+    reported_load: float
     zone_penalty: float
     base: float
     open: int
@@ -36,17 +36,17 @@
         self.p: Any = []  # shares; while members change, times scale
         self.cost: Any = []  # smoothed costs, in typical latencies
         self.latency: Any = []  # the last known, in typical latencies
-        self.report: Any = []  # loads, as last reported
+        self.reported_load: Any = []  # loads, as last reported
         self.zone_penalty: Any = []  # for crossing zones, in typical latencies
         self.base: Any = []  # the part of Eq. 6's z that reports have no part in
         self.open: Any = []  # attempts that are in flight
         self.zone: Any = []  # codes
         self.cell: Any = []  # codes
-        self.n = 0  # slots in use; equal to alive but between begin and commit
+        self.slot_count = 0  # slots in use; equal to alive but between begin and commit
         self.alive = 0  # servers
-        self.out = 0  # attempts in flight at all of them
+        self.total_in_flight = 0  # attempts in flight at all of them
         self.scores = 0  # costs that were scored since the start
-        self.known = False  # there are costs: all have one, or none has
+        self.has_costs = False  # there are costs: all have one, or none has
         self.dead: list[int] = []  # slots of those that left since begin
         self.scale = 1.0
         self.total = 0.0  # sum of p
@@ -54,10 +54,10 @@
 
     def copy_counts(self, other: Columns) -> None:
         """Take over what stands beside the columns."""
-        self.n = other.n
+        self.slot_count = other.slot_count
         self.alive = other.alive
-        self.out = other.out
-        self.known = other.known
+        self.total_in_flight = other.total_in_flight
+        self.has_costs = other.has_costs
         self.scores = other.scores
 
     def begin(self) -> None:
@@ -68,21 +68,21 @@
 
     def commit(self) -> int:
         """Sweep out what has left; the first slot that has moved, or -1."""
-        self._settle(self.n)
+        self._settle(self.slot_count)
         self._rescale(self.scale)
         self.scale = 1.0
         if not self.dead:
             return -1
         first = min(self.dead)
         self._sweep_out()
-        self.n = self.alive
+        self.slot_count = self.alive
         self.dead = []
         return first
 
-    def sent(self, slot: int, by: int) -> None:
+    def add_in_flight(self, slot: int, by: int) -> None:
         """So many more attempts are in flight at it, or fewer."""
         self.open[slot] += by
-        self.out += by
+        self.total_in_flight += by
 
     # ---- what the two forms do differently
 
@@ -123,7 +123,7 @@
 
     def _sweep_out(self) -> None:
         gone = set(self.dead)
-        kept = [slot for slot in range(self.n) if slot not in gone]
+        kept = [slot for slot in range(self.slot_count) if slot not in gone]
         for column in self._columns():
             column[:] = [column[slot] for slot in kept]
 
@@ -132,7 +132,7 @@
 
     def _level(self) -> None:
         gone = set(self.dead)
-        self.p = [0.0 if slot in gone else 1.0 for slot in range(self.n)]
+        self.p = [0.0 if slot in gone else 1.0 for slot in range(self.slot_count)]
         self.total = float(self.alive)
 
     def _rescale(self, by: float) -> None:
@@ -167,7 +167,7 @@
         return float(self.added(column))
 
     def _level(self) -> None:
-        self._settle(self.n)
+        self._settle(self.slot_count)
         self.p[:] = 1.0
         self.p[self.dead] = 0.0
         self.total = float(self.alive)
--- a/quartzford/decision/endpoint_set.py
+++ b/quartzford/decision/endpoint_set.py
@@ -13,7 +13,7 @@
 
 from quartzford.decision import automaton
 from quartzford.decision import interface as io
-from quartzford.decision.automaton import Group, Place, Query, Shares
+from quartzford.decision.automaton import Group, Location, SelectionConstraints, Shares
 from quartzford.decision.estimates import Traffic
 from quartzford.decision.outlier_ejection import OutlierEjection
 from quartzford.decision.responsiveness import Responsiveness
@@ -57,10 +57,10 @@
         for server in self.ready:
             self.shares.move(server.slot, self._place(server.entry))
 
-    def _place(self, entry: io.Endpoint) -> Place:
+    def _place(self, entry: io.Endpoint) -> Location:
         penalty = 0.0 if entry.zone == self.settings.zone else self.zone_penalty
         zone = self.zones.setdefault(entry.zone, len(self.zones))
-        return Place(penalty, zone, entry.cell)
+        return Location(penalty, zone, entry.cell)
 
     # ---- the list
 
@@ -252,14 +252,14 @@
         server.in_flight[key] = attempt
         if len(server.in_flight) == 1:
             self.responsiveness.track_oldest(server, key, attempt)
-        self.shares.sent(server.slot, 1)
+        self.shares.add_in_flight(server.slot, 1)
 
     def attempt_ended(self, server: Server, key: AttemptKey) -> OutstandingAttempt | None:
         """The attempt is out no more; None if it was sent to another incarnation."""
         was_oldest = next(iter(server.in_flight), None) == key
         attempt = server.in_flight.pop(key, None)
         if attempt is not None and server.slot >= 0:
-            self.shares.sent(server.slot, -1)
+            self.shares.add_in_flight(server.slot, -1)
         if was_oldest and server.in_flight:
             next_key, next_attempt = next(iter(server.in_flight.items()))
             self.responsiveness.track_oldest(server, next_key, next_attempt)
@@ -292,7 +292,7 @@
         """
         if not self.ready:
             return None
-        query = Query(
+        query = SelectionConstraints(
             excluded=self.slow_start.exhausted_slots(self.now) if self.slow_start.cold else (),
             tried=self._slots_of(tried) if tried else (),
             degraded=self._degraded_slots(kind),
--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -35,7 +35,7 @@
 
 
 class ListUpdateKind(StrEnum):
-    """What an EndpointListUpdate holds: its field `how`."""
+    """What an EndpointListUpdate holds: its field `kind`."""
 
     COMPLETE = "whole"  # the complete list
     STALE = "stale"  # a complete list, maybe old
@@ -213,13 +213,13 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """An update of the endpoint list; how: one of ListUpdateKind.
+    """An update of the endpoint list; kind: one of ListUpdateKind.
 
     starts: by server, when its incarnation started, on the caller's clock. Where it is missing the list's
     clock counts as the caller's.
     """
 
-    how: str
+    kind: str
     entries: tuple[Endpoint, ...] = ()
     starts: Mapping[str, float] = NO_STARTS
 
@@ -228,7 +228,7 @@
     """Operators put a server into maintenance, or back: it drains here, whatever lists say meanwhile."""
 
     server: str
-    out: bool
+    in_maintenance: bool
 
 
 class Request(NamedTuple):
@@ -313,7 +313,7 @@
     request: int
     server: str
     time_out_ms: float
-    finish_ms: float = 0.0  # an answer that has begun by then is waited for until this
+    response_deadline_ms: float = 0.0  # an answer that has begun by then is waited for until this
 
 
 class Shed(NamedTuple):
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -140,7 +140,7 @@
         self.endpoints.slow_start.handed_over = True
         return state
 
-    def take_back(self, now_ms: float) -> None:
+    def cancel_handover(self, now_ms: float) -> None:
         """The successor has died: cold servers' budgets begin anew, as it is not known what it sent."""
         self._advance(now_ms)
         self.endpoints.slow_start.handed_over = False
@@ -224,7 +224,7 @@
         timeout = self._attempt_timeout(pending, typical, left)
         attempt = OutstandingAttempt(self.now + SUSPECT_MULTIPLE * typical, typical, timeout, kind)
         self.endpoints.attempt_started(server, AttemptKey(pending.number, pending.sends), attempt)
-        self.admission.set_in_flight(self.now, self.endpoints.shares.out)
+        self.admission.set_in_flight(self.now, self.endpoints.shares.total_in_flight)
         pending.sent_to(server.entry, self.now)
         self.actions.append(io.Send(pending.number, server.entry.server, timeout, left))
 
@@ -238,7 +238,7 @@
         )
         return TIMEOUT_MULTIPLE * typical if may_retry else left
 
-    def may_write_for(self, now_ms: float, request: int) -> float:
+    def write_window_ms(self, now_ms: float, request: int) -> float:
         """For so many ms more a request's last attempt may be written, to its last byte; 0: not at all."""
         self.now = max(self.now, now_ms)
         pending = self.pending_requests.get(request)
@@ -311,7 +311,7 @@
         return self.endpoints.attempt_ended(server, AttemptKey(event.request, event.attempt))
 
     def _record_in_flight(self, answered: bool) -> None:
-        self.admission.set_in_flight(self.now, self.endpoints.shares.out, answered)
+        self.admission.set_in_flight(self.now, self.endpoints.shares.total_in_flight, answered)
 
     def _learn(
         self,
@@ -347,8 +347,8 @@
     # ---- the endpoint list
 
     def _endpoint_list_update(self, update: io.EndpointListUpdate) -> None:
-        wait = self.list_polling.next_call_ms(update.how, self.settings)
+        wait = self.list_polling.next_call_ms(update.kind, self.settings)
         if wait is not None:
             self.actions.append(io.SetTimer(wait, LIST_TIMER))
-        complete = update.how in io.COMPLETE_LISTS
+        complete = update.kind in io.COMPLETE_LISTS
         self.endpoints.update(update.entries, complete, update.starts)
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -12,7 +12,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.admission import STARTUP_MS, Admission, Offer
-from quartzford.decision.automaton import Learned
+from quartzford.decision.automaton import LearnedRow
 from quartzford.decision.endpoint_set import EndpointSet
 from quartzford.decision.estimates import Rate
 from quartzford.decision.latency import LatencyEstimates
@@ -82,9 +82,9 @@
         server = endpoints.servers.get(learned.name)
         if server is None or server.slot < 0 or server.entry.started_ms != learned.started_ms:
             continue
-        figures[server.slot] = Learned(learned.p, learned.cost, learned.latency, learned.report)
+        figures[server.slot] = LearnedRow(learned.p, learned.cost, learned.latency, learned.report)
         _recall_server(endpoints, server, learned, now)
-    endpoints.shares.recall(figures)
+    endpoints.shares.restore(figures)
 
 
 def _recall_server(endpoints: EndpointSet, server: Server, learned: io.LearnedEndpoint, now: float) -> None:
@@ -156,9 +156,9 @@
         name=server.entry.server,
         started_ms=server.entry.started_ms,
         p=max(0.0, float(shares.p[slot])),
-        cost=float(shares.cost[slot]) if shares.known else 0.0,
+        cost=float(shares.cost[slot]) if shares.has_costs else 0.0,
         latency=float(shares.latency[slot]),
-        report=float(shares.report[slot]),
+        report=float(shares.reported_load[slot]),
         failure_rate=min(1.0, max(0.0, server.failure_rate)),
         ejections=server.ejections,
         ejected_until=max(0.0, server.ejected_until),
--- a/quartzford/decision/responsiveness.py
+++ b/quartzford/decision/responsiveness.py
@@ -27,17 +27,17 @@
 
     def track_oldest(self, server: Server, key: AttemptKey, attempt: OutstandingAttempt) -> None:
         """This attempt is the oldest that is out at the server now."""
-        self.oldest_due.push(attempt.due, (server, key), self._expected_deadlines())
+        self.oldest_due.push(attempt.overdue_from_ms, (server, key), self._expected_deadlines())
 
     def answer_received(self, now: float, server: Server) -> None:
         """The server has answered; with several attempts out the next answer is expected in time."""
-        server.silent_from_ms = math.inf
+        server.unresponsive_from_ms = math.inf
         if len(server.in_flight) < UNRESPONSIVE_IN_FLIGHT:
             return
         oldest = next(iter(server.in_flight.values()))
-        server.silent_from_ms = now + UNRESPONSIVE_MULTIPLE * oldest.typical_latency
-        item = (server, server.silent_from_ms)
-        self.answers_due.push(server.silent_from_ms, item, self._expected_deadlines())
+        server.unresponsive_from_ms = now + UNRESPONSIVE_MULTIPLE * oldest.typical_latency
+        item = (server, server.unresponsive_from_ms)
+        self.answers_due.push(server.unresponsive_from_ms, item, self._expected_deadlines())
 
     def forget(self, server: Server) -> None:
         """The server has left the list."""
@@ -63,7 +63,7 @@
         """Slots of the suspect servers; those that are no longer suspect are forgotten."""
         slots = []
         for server in list(self.unresponsive):
-            if server.silent_from_ms >= now:
+            if server.unresponsive_from_ms >= now:
                 del self.unresponsive[server]
             elif server.slot >= 0 and is_unresponsive(server, now):
                 slots.append(server.slot)
@@ -82,8 +82,8 @@
         return self._is_listed(server) and next(iter(server.in_flight), None) == key
 
     def _is_awaited(self, item: tuple[Server, float]) -> bool:
-        server, silent_from_ms = item
-        return server.silent_from_ms == silent_from_ms and self._is_listed(server)
+        server, unresponsive_from_ms = item
+        return server.unresponsive_from_ms == unresponsive_from_ms and self._is_listed(server)
 
     def _is_listed(self, server: Server) -> bool:
         return self.servers.get(server.entry.server) is server
@@ -92,9 +92,9 @@
 def is_overdue(server: Server, now: float) -> bool:
     """Whether its oldest attempt is past its due."""
     oldest = server.oldest_attempt()
-    return oldest is not None and oldest.due < now
+    return oldest is not None and oldest.overdue_from_ms < now
 
 
 def is_unresponsive(server: Server, now: float) -> bool:
     """Whether it has answered nothing for long, with several attempts out."""
-    return server.silent_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
+    return server.unresponsive_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
--- a/quartzford/decision/server.py
+++ b/quartzford/decision/server.py
@@ -20,9 +20,9 @@
 
 
 class OutstandingAttempt(NamedTuple):
-    """An attempt that was sent and has not ended. Times in ms; `due` on the caller's clock."""
+    """An attempt that was sent and has not ended. Times in ms; `overdue_from_ms` on the caller's clock."""
 
-    due: float  # past this, its server is suspect
+    overdue_from_ms: float  # past this, its server is suspect
     typical_latency: float  # of its class
     timeout: float
     service_class: io.ServiceClass
@@ -51,9 +51,9 @@
     ejected_until: float = -math.inf
     tokens: float = 1.0  # slow-start budget, in requests
     tokens_ms: float = -math.inf  # when the budget was last refilled
-    proven: float = 0.0  # answers in good time while cold, fading
-    proven_ms: float = 0.0
-    silent_from_ms: float = math.inf  # with nothing answered until then, it is unresponsive
+    timely_answers: float = 0.0  # answers in good time while cold, fading
+    timely_answers_ms: float = 0.0
+    unresponsive_from_ms: float = math.inf  # with nothing answered until then, it is unresponsive
     in_flight: dict[AttemptKey, OutstandingAttempt] = field(default_factory=dict)  # oldest first
     rejecting_until: dict[str, float] = field(default_factory=dict)  # by class that it rejected
 
@@ -70,7 +70,7 @@
     @property
     def cost(self) -> float | None:
         """Its smoothed cost in typical latencies; None before any is known, or if it is not in use."""
-        if not self.owner.shares.known or not self.in_use:
+        if not self.owner.shares.has_costs or not self.in_use:
             return None
         return self._figure(self.owner.shares.cost)
 
--- a/quartzford/decision/slow_start.py
+++ b/quartzford/decision/slow_start.py
@@ -94,8 +94,10 @@
     def answered_in_time(self, now: float, server: Server) -> None:
         """The server has answered in good time."""
         if server in self.cold:
-            server.proven = server.proven * math.exp((server.proven_ms - now) / PROVEN_MS) + 1.0
-            server.proven_ms = now
+            server.timely_answers = (
+                server.timely_answers * math.exp((server.timely_answers_ms - now) / PROVEN_MS) + 1.0
+            )
+            server.timely_answers_ms = now
 
     def exhausted_slots(self, now: float) -> list[int]:
         """Slots of the cold servers that have no budget left."""
@@ -133,7 +135,7 @@
         """Requests per ms that a cold server may get; full_rate: what a warm one of its size takes."""
         rate = self._ramp(now, server) * full_rate
         # What it answers well it can do, and as much again does not overload it: it warms as fast as it can.
-        proven = server.proven * math.exp((server.proven_ms - now) / PROVEN_MS) / PROVEN_MS
+        proven = server.timely_answers * math.exp((server.timely_answers_ms - now) / PROVEN_MS) / PROVEN_MS
         return max(rate, min(full_rate, min(PROVEN_GROWTH, self.rules.overload_multiple / 2) * proven))
 
     def _ramp(self, now: float, server: Server) -> float:
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -81,7 +81,7 @@
 
     def take_back(self) -> None:
         """The successor has died: this one sends again to servers in slow start."""
-        self.balancer.take_back(self.clock.unix_ms())
+        self.balancer.cancel_handover(self.clock.unix_ms())
 
     def inherit(self, state: io.LearnedState) -> None:
         """Take what the predecessor knew, after an update of the endpoint list."""
@@ -147,7 +147,7 @@
         now = self.clock.now()
         time_out = now + (send.time_out_ms / 1000.0 if send.time_out_ms else math.inf)
         due = min(pending.deadline, time_out)
-        finish = min(pending.deadline, max(due, now + send.finish_ms / 1000.0))
+        finish = min(pending.deadline, max(due, now + send.response_deadline_ms / 1000.0))
         if self.observer is not None:
             self.observer.sent(send, pending)
         attempt = pending.backend.attempt(pending, pending.sends, send.server, now, due, finish)
@@ -219,7 +219,7 @@
         """Seconds for which its request may be written, to the last byte; 0: not at all."""
         if attempt.pending.done or self.clock.now() >= attempt.due:
             return 0.0
-        return self.balancer.may_write_for(self.clock.unix_ms(), attempt.pending.number) / 1000.0
+        return self.balancer.write_window_ms(self.clock.unix_ms(), attempt.pending.number) / 1000.0
 
     def started(self, attempt: Attempt) -> None:
         """The attempt's response is being passed on from now: it can't be taken back."""
--- a/quartzford/metrics.py
+++ b/quartzford/metrics.py
@@ -166,8 +166,10 @@
             "idle": sum(len(upstream.idle) for upstream in pool.upstreams.values()),
             "ready": len(balancer.ready),
             "cold_now": len(endpoints.slow_start.cold),
-            "report": round(sum(map(float, endpoints.shares.report)) / max(1, len(endpoints.ready)), 2),
-            "out": endpoints.shares.out,
+            "report": round(
+                sum(map(float, endpoints.shares.reported_load)) / max(1, len(endpoints.ready)), 2
+            ),
+            "out": endpoints.shares.total_in_flight,
             "ejected": len(endpoints.ejection.ejected(endpoints.now)),
             "suspect": len(set(endpoints.responsiveness.suspects(endpoints.now))),
             "shed": round(balancer.admission.shed, 3),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -78,7 +78,7 @@
 
 def reported(server: Server) -> float:
     """The load of its last report; 0 if it is not ready."""
-    return float(server.owner.shares.report[server.slot]) if server.slot >= 0 else 0.0
+    return float(server.owner.shares.reported_load[server.slot]) if server.slot >= 0 else 0.0
 
 
 def sends(actions: list[io.Action]) -> list[io.Send]:
--- a/tests/test_broken_surroundings.py
+++ b/tests/test_broken_surroundings.py
@@ -153,7 +153,7 @@
         assert all(a.status == 503 for a in answers[0::3]), "as the module decides, and not as a last resort"
         assert (
             not world.node.engine.balancer.pending_requests
-            and world.node.engine.balancer.endpoints.shares.out == 0
+            and world.node.engine.balancer.endpoints.shares.total_in_flight == 0
         )
         assert not world.node.engine.pending_requests and [len(up.received) for up in world.upstreams] == sent
         for up in world.upstreams:
@@ -181,7 +181,7 @@
         assert len(gone) == 30 and not [
             e for e in world.events if isinstance(e, io.AttemptEnded) and not e.final
         ]
-        assert world.node.engine.balancer.endpoints.shares.out == 0
+        assert world.node.engine.balancer.endpoints.shares.total_in_flight == 0
 
 
 @pytest.mark.parametrize("order", [(signal.SIGHUP, signal.SIGTERM), (signal.SIGTERM, signal.SIGHUP)])
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -96,7 +96,7 @@
             balancer = world.node.engine.balancer
             assert (
                 balancer.pending_requests == {}
-                and balancer.endpoints.shares.out == 0
+                and balancer.endpoints.shares.total_in_flight == 0
                 and world.node.budget.used == 0
             )
             sock.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -275,7 +275,7 @@
         assert not world.node.engine.pending_requests and world.node.budget.used == 0
         assert (
             not world.node.engine.balancer.pending_requests
-            and world.node.engine.balancer.endpoints.shares.out == 0
+            and world.node.engine.balancer.endpoints.shares.total_in_flight == 0
         )
 
 
--- a/tests/test_list_chunks.py
+++ b/tests/test_list_chunks.py
@@ -122,7 +122,7 @@
         left = pool.upstreams.get("s0")  # swept out already, where this took long
         assert "s0" not in servers and (left is None or not left.ready)
         updates = [e for e in world.events if isinstance(e, io.EndpointListUpdate)]
-        assert max(len(u.entries) for u in updates) <= 256 and updates[-1].how == "changes"
+        assert max(len(u.entries) for u in updates) <= 256 and updates[-1].kind == "changes"
         # A rolling deploy, and right behind it a drain of one that it brings back.
         world.update(*hosts(2550, born_ms=7))
         world.update(hosts(2)[1] | {"health": "draining", "born_ms": 7})
@@ -160,7 +160,7 @@
                 e.entries[0].started_ms
                 for e in world.events
                 if isinstance(e, io.EndpointListUpdate)
-                and e.how == "changes"
+                and e.kind == "changes"
                 and e.entries
                 and e.entries[0].server == "h0"
             ]
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -127,7 +127,7 @@
     assert cold in new.endpoints.slow_start.cold and cold.tokens == old.servers["s4"].tokens
     old_sends = {s.server for n in range(200) for s in sends(submit(old, now + 5_000, 9_000 + n))}
     assert "s4" not in old_sends and old_sends
-    old.take_back(now + 5_001)
+    old.cancel_handover(now + 5_001)
     assert old.servers["s4"].tokens == 0.0
 
 
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -23,17 +23,17 @@
 from quartzford.decision import automaton
 from quartzford.decision import interface as io
 from quartzford.decision.automaton import (
-    CEILING,
-    DELTA,
-    FLOOR,
-    MEMORY,
-    REPORT_COST,
-    SPARE,
-    STEP,
-    STEP_MAX,
-    SWEEP,
+    COST_SMOOTHING_TIMES_SERVERS,
+    EXPECTED_UPDATE_RATE,
+    HIGH_COST_MULTIPLE,
+    LATENCY_FACTOR,
+    LEARNING_RATE_TIMES_SERVERS,
+    LOAD_AND_ZONE_WEIGHT,
+    LOW_COST_MULTIPLE,
+    MAX_EXCESS_IN_FLIGHT,
+    MAX_LEARNING_RATE,
+    MEAN_LOAD_COST,
     ArrayShares,
-    K,
     PlainShares,
     Shares,
 )
@@ -85,10 +85,10 @@
 
     def doubtful(server: Server) -> bool:
         oldest = next(iter(server.in_flight.values()), None)
-        unresponsive = server.silent_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
+        unresponsive = server.unresponsive_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
         out = now < max(server.ejected_until, server.rejecting_until.get(kind.name, 0.0))
         trial = server.failure_rate > EJECT_ABOVE and oldest is not None
-        return out or trial or unresponsive or (oldest is not None and oldest.due < now)
+        return out or trial or unresponsive or (oldest is not None and oldest.overdue_from_ms < now)
 
     cold = [
         s for s in endpoints.ready if 0 < s.slow_start_from_ms > now - balancer.settings.rules.slow_start_ms
@@ -97,7 +97,7 @@
     fresh = [s for s in group if s.entry.server not in tried]
     sound = [s for s in fresh if not doubtful(s)]
     out = sum(len(s.in_flight) for s in endpoints.ready)
-    calm = [s for s in sound if len(s.in_flight) <= s.p * out + SPARE]
+    calm = [s for s in sound if len(s.in_flight) <= s.p * out + MAX_EXCESS_IN_FLIGHT]
     return {s.entry.server for s in calm or sound or fresh or (group if bound is not None else [])}
 
 
@@ -141,7 +141,7 @@
             len(b.in_flight),
         )
     for module in (old, new):
-        assert module.endpoints.shares.out == sum(len(s.in_flight) for s in module.ready)
+        assert module.endpoints.shares.total_in_flight == sum(len(s.in_flight) for s in module.ready)
         assert not module.ready or sum(s.p for s in module.ready) == pytest.approx(1.0)
     return {"lists": digests[0].result(), "arrays": digests[1].result()}
 
@@ -152,20 +152,22 @@
     """Eq. 6 for every server, Eq. 8 for one, then its mean over a draw: the new P and costs."""
     p, n = list(now["p"]), len(now["p"])
     now["latency"][slot] = latency
-    memory, load = min(0.5, MEMORY / n), sum(now["report"]) / n
+    memory, load = min(0.5, COST_SMOOTHING_TIMES_SERVERS / n), sum(now["reported_load"]) / n
     cost = []
     for i in range(n):
-        x = REPORT_COST * now["report"][i] / (1 + load) + now["zone_penalty"][i]
-        z = K * x + (1 - K) * DELTA * now["latency"][i]
+        x = MEAN_LOAD_COST * now["reported_load"][i] / (1 + load) + now["zone_penalty"][i]
+        z = LOAD_AND_ZONE_WEIGHT * x + (1 - LOAD_AND_ZONE_WEIGHT) * LATENCY_FACTOR * now["latency"][i]
         cost.append(z if first else memory * z + (1 - memory) * now["cost"][i])
-    low, high = FLOOR * min(cost), min(max(cost), CEILING * sum(cost) / n)
+    low, high = LOW_COST_MULTIPLE * min(cost), min(max(cost), HIGH_COST_MULTIPLE * sum(cost) / n)
     beta = [min(1.0, (c - low) / (high - low)) if high > low else 0.5 for c in cost]
-    step = min(STEP_MAX, STEP / n)
+    step = min(MAX_LEARNING_RATE, LEARNING_RATE_TIMES_SERVERS / n)
     change = [step * beta[slot] * (1 / (n - 1) - p[i]) - step * (1 - beta[slot]) * p[i] for i in range(n)]
     change[slot] = step * (1 - beta[slot]) * (1 - p[slot]) - step * beta[slot] * p[slot]
     p = [a + b for a, b in zip(p, change, strict=True)]
     mean = sum(a * b for a, b in zip(p, beta, strict=True))
-    return [a + SWEEP * ((mean - a * b) / (n - 1) - a * b) for a, b in zip(p, beta, strict=True)], cost
+    return [
+        a + EXPECTED_UPDATE_RATE * ((mean - a * b) / (n - 1) - a * b) for a, b in zip(p, beta, strict=True)
+    ], cost
 
 
 @pytest.mark.parametrize("arrays", [False, True])
@@ -175,7 +177,7 @@
     for turn in range(200):
         columns = {
             name: [float(x) for x in getattr(shares, name)]
-            for name in ("p", "cost", "latency", "report", "zone_penalty")
+            for name in ("p", "cost", "latency", "reported_load", "zone_penalty")
         }
         slot, latency = rng.randrange(count), rng.expovariate(1.0) * rng.choice((1.0, 1.0, 40.0))
         p, cost = scored(columns, slot, latency, turn == 0)
@@ -253,12 +255,12 @@
     shares: Any = PlainShares()
     shares.begin()
     for number in range(count):
-        shares.join(automaton.Place(0.1 * (number % 2), number % 2, number // 2), 0)
+        shares.join(automaton.Location(0.1 * (number % 2), number % 2, number // 2), 0)
     shares.commit()
     return ArrayShares(automaton.load_arrays(), shares) if arrays else shares
 
 
-QUERY = automaton.Query((), (), (), None, False)
+QUERY = automaton.SelectionConstraints((), (), (), None, False)
 
 
 @pytest.mark.parametrize("arrays", [False, True])
@@ -279,13 +281,13 @@
         shares.begin()
         shares.leave(0)
         shares.commit()
-        assert (shares.n, shares.known, shares.choose(QUERY, rng)) == (0, False, -1)
+        assert (shares.slot_count, shares.has_costs, shares.choose(QUERY, rng)) == (0, False, -1)
         shares.score(-1, 1.0)
         shares.begin()
-        assert shares.join(automaton.Place(0.0, 0, 0), 2) == 0
+        assert shares.join(automaton.Location(0.0, 0, 0), 2) == 0
         shares.commit()
-        assert list(shares.p) == [1.0] and shares.out == 2
-        shares.sent(0, -2)
+        assert list(shares.p) == [1.0] and shares.total_in_flight == 2
+        shares.add_in_flight(0, -2)
         shares.score(0, 3.0)
         assert shares.choose(QUERY, rng) == 0
 
@@ -349,11 +351,11 @@
     balancer.handle(10.0, io.EndpointListUpdate("changes", twice))
     assert [s.entry.started_ms for s in balancer.ready] == [0.0, 9.0]
     shares = balancer.endpoints.shares
-    assert shares.n == 2 and shares.out == len(balancer.servers["s1"].in_flight)
+    assert shares.slot_count == 2 and shares.total_in_flight == len(balancer.servers["s1"].in_flight)
     for n, action in enumerate(sent):
         assert isinstance(action, io.Send)
         balancer.handle(20.0, io.AttemptEnded(n, 0, action.server, "ok", 5.0, True))
-    assert shares.out == 0 and sum(s.p for s in balancer.ready) == pytest.approx(1.0)
+    assert shares.total_in_flight == 0 and sum(s.p for s in balancer.ready) == pytest.approx(1.0)
 
 
 def test_sets_of_the_unusual_are_emptied_again() -> None:
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -34,7 +34,7 @@
         assert [len(up.received) for up in world.upstreams] == [0, 0, 5]
         world.update(world.host(1), complete=True)
         await until(lambda: ready(world) == {"s1"})
-        hows = [e.how for e in world.events if isinstance(e, io.EndpointListUpdate)]
+        hows = [e.kind for e in world.events if isinstance(e, io.EndpointListUpdate)]
         assert hows == ["stale", "whole", "changes", "changes", "whole"]
 
 
