--- a/tests/canonical.py
+++ b/tests/canonical.py
@@ -30,16 +30,16 @@
 FROZEN_WORDS: dict[str, str] = {}  # a value's present word: the word that the frozen files have for it
 
 
-def plain(value: Any) -> Any:
+def to_json_types(value: Any) -> Any:
     """The value in JSON's types: records as lists of their fields' values, in the order of declaration."""
     if is_dataclass(value) and not isinstance(value, type):
-        return [plain(getattr(value, field.name)) for field in fields(value)]
+        return [to_json_types(getattr(value, field.name)) for field in fields(value)]
     if isinstance(value, msgspec.Struct):
-        return [plain(getattr(value, name)) for name in value.__struct_fields__]
+        return [to_json_types(getattr(value, name)) for name in value.__struct_fields__]
     if isinstance(value, list | tuple):
-        return [plain(item) for item in value]
+        return [to_json_types(item) for item in value]
     if isinstance(value, dict):
-        return {key: plain(item) for key, item in value.items()}
+        return {key: to_json_types(item) for key, item in value.items()}
     if isinstance(value, bytes | bytearray):
         return bytes(value).hex()
     if isinstance(value, str):
@@ -49,9 +49,9 @@
     raise TypeError(f"{type(value).__name__}: no canonical text for it")
 
 
-def text_of(value: Any) -> str:
+def canonical_text(value: Any) -> str:
     """One line. JSON has the shortest text that gives the same float again; 1 and 1.0 differ."""
-    return json.dumps(plain(value))
+    return json.dumps(to_json_types(value))
 
 
 class StreamDigest(NamedTuple):
@@ -70,7 +70,7 @@
 
     def add(self, actions: list[io.Action]) -> None:
         """The answer to one event."""
-        lines = [f"{ACTION_TAGS[type(action)]} {text_of(action)}\n" for action in actions]
+        lines = [f"{ACTION_TAGS[type(action)]} {canonical_text(action)}\n" for action in actions]
         self._count += len(lines)
         self._hash.update("".join([*lines, "\n"]).encode())
 
--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from envoy.service.ext_proc.v3 import external_processor_pb2 as proto
-from peers import SETTINGS, until
+from peers import SETTINGS, wait_until
 
 from quartzford.backends.caller import CallerBackend
 from quartzford.fronts.extproc.service import ExtprocFront
@@ -21,7 +21,7 @@
 EFFECT = {"read": "free", "book": "guarded", "pay": "single_shot"}
 
 
-class Site:
+class ExtprocSite:
     """Stand-in upstreams with a journal, one balancer with the processor on, and any number of callers."""
 
     def __init__(self, upstreams: int = 3, workers: int = 0, settings: Any = None, **extproc: Any) -> None:
@@ -30,7 +30,7 @@
         self.callers: list[CallerProxy] = []
         self.number = 0
 
-    async def __aenter__(self) -> Site:
+    async def __aenter__(self) -> ExtprocSite:
         def make(number: int, journal: Any) -> StandInUpstream:
             return StandInUpstream(f"s{number}", journal, block=number // 2)
 
@@ -52,9 +52,9 @@
         self.front = ExtprocFront(self.extproc, names, node.engine, self.backend, node.clock, node.log)
         await node.start()
         await self.front.start()
-        await until(lambda: node.watch.ever_answered)
+        await wait_until(lambda: node.watch.ever_answered)
         if self.extproc.workers:
-            await until(lambda: len(self.ports()) == self.extproc.workers, 30)
+            await wait_until(lambda: len(self.ports()) == self.extproc.workers, 30)
         return self
 
     def ports(self) -> list[int]:
@@ -98,7 +98,7 @@
         rows = [*request_rows(exchange.identity, name, left_s, "acme", key), *extra]
         return await caller.handle(exchange, rows, left_s + 0.5, drop)
 
-    def runs(self, identity: str) -> int:
+    def execution_count(self, identity: str) -> int:
         """How many times upstreams executed a request."""
         return sum(run.identity == identity for run in self.journal.runs)
 
@@ -110,8 +110,8 @@
 class RawStream:
     """One stream of a caller that the test drives message by message."""
 
-    def __init__(self, caller: CallerProxy, opens: bool = False) -> None:
-        metadata = (("x-quartzford-role", "open"),) if opens else ()
+    def __init__(self, caller: CallerProxy, opens_request: bool = False) -> None:
+        metadata = (("x-quartzford-role", "open"),) if opens_request else ()
         self.call = caller.process(metadata=metadata)
         self.headers = Headers([])
 
@@ -152,13 +152,13 @@
         self.call.cancel()
 
 
-def status_of(reply: Any) -> int:
+def immediate_status(reply: Any) -> int:
     """The status of an ImmediateResponse; 0 if the reply is none."""
     code: int = reply.immediate_response.status.code
     return code
 
 
-def rows_of(identity: str, name: str = "pay", *extra: tuple[str, str], left_s: float = 2.5) -> Any:
+def request_headers(identity: str, name: str = "pay", *extra: tuple[str, str], left_s: float = 2.5) -> Any:
     """The headers of a client's request of a class, with further ones."""
     key = f"k-{identity}" if name == "book" else ""
     return [*request_rows(identity, name, left_s, "acme", key), *extra]
--- a/tests/load_helpers.py
+++ b/tests/load_helpers.py
@@ -23,7 +23,7 @@
 
 
 @contextmanager
-def server(spec: str) -> Iterator[tuple[Target, subprocess.Popen[bytes]]]:
+def delay_server(spec: str) -> Iterator[tuple[Target, subprocess.Popen[bytes]]]:
     """Run a server within the block. spec: its delay, as standins.delay reads it."""
     process = subprocess.Popen(
         [sys.executable, "-m", "standins.delay", spec], cwd=ROOT, stdout=subprocess.PIPE
@@ -49,7 +49,7 @@
     )
 
 
-def driven(load: LoadOptions) -> Record:
+def run_load(load: LoadOptions) -> Record:
     """Play a load with one worker in this process, and return what it measured."""
 
     async def main() -> Record:
@@ -60,7 +60,7 @@
     return uvloop.run(main())
 
 
-def command(*arguments: str, **options: Any) -> subprocess.Popen[bytes]:
+def start_load_command(*arguments: str, **options: Any) -> subprocess.Popen[bytes]:
     """Start `quartzford load` with piped output. options: of Popen."""
     return subprocess.Popen(
         [sys.executable, "-m", "quartzford", "load", *arguments],
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -74,7 +74,7 @@
         return int(self.line.split()[1])
 
 
-async def until(condition: Callable[[], object], seconds: float = 8.0) -> None:
+async def wait_until(condition: Callable[[], object], seconds: float = 8.0) -> None:
     """Wait until a condition holds; the time is only there to end a test that fails."""
     end = time.monotonic() + seconds
     while not condition():
@@ -96,33 +96,33 @@
 TICK_S = 0.005
 
 
-class Lag:
+class LoopLag:
     """How late this loop was at most while the block ran: a busy machine is no fault of the program."""
 
-    async def __aenter__(self) -> Lag:
-        self.worst = 0.0
+    async def __aenter__(self) -> LoopLag:
+        self.max_lag_s = 0.0
         self.task = asyncio.ensure_future(self._tick())
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        self._worst = self.worst
+        self._max_lag_s = self.max_lag_s
         self._ticked = math.inf  # nothing counts any more
         self.task.cancel()
 
     @property
-    def worst(self) -> float:
+    def max_lag_s(self) -> float:
         """Seconds; also of a hold-up that the loop has just come out of, with the tick still to run."""
-        return max(self._worst, time.monotonic() - self._ticked - TICK_S)
+        return max(self._max_lag_s, time.monotonic() - self._ticked - TICK_S)
 
-    @worst.setter
-    def worst(self, seconds: float) -> None:
-        self._worst, self._ticked = seconds, time.monotonic()
+    @max_lag_s.setter
+    def max_lag_s(self, seconds: float) -> None:
+        self._max_lag_s, self._ticked = seconds, time.monotonic()
 
     async def _tick(self) -> None:
         while True:
             self._ticked = time.monotonic()
             await asyncio.sleep(TICK_S)
-            self._worst = max(self._worst, time.monotonic() - self._ticked - TICK_S)
+            self._max_lag_s = max(self._max_lag_s, time.monotonic() - self._ticked - TICK_S)
 
 
 async def read_message(reader: asyncio.StreamReader, head_only: bool = False) -> Message:
@@ -158,7 +158,7 @@
 Script = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
-def says(data: bytes, close: bool = False) -> Script:
+def responds_with(data: bytes, close: bool = False) -> Script:
     """A script that writes these bytes to each request."""
 
     async def script(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -169,7 +169,7 @@
     return script
 
 
-async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
+async def never_responds(message: Message, writer: asyncio.StreamWriter) -> None:
     """Answers nothing."""
 
 
@@ -180,7 +180,7 @@
         self.script = script
         self.received: list[Message] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.left = 0  # connections that have ended
+        self.closed_connections = 0  # connections that have ended
         self.server: asyncio.Server | None = None
         self.port = 0
 
@@ -207,29 +207,29 @@
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
-            self.left += 1
+            self.closed_connections += 1
             writer.close()
 
 
-class World:
+class BalancerTestbed:
     """A balancer in this process, between peers that follow their scripts."""
 
     def __init__(
         self, upstreams: int = 1, memory_mb: float = 192, sockets: int = 1024, **settings: Any
     ) -> None:
-        self.upstreams = [Peer(says(reply())) for _ in range(upstreams)]
+        self.upstreams = [Peer(responds_with(reply())) for _ in range(upstreams)]
         self.discovery = Peer(self._discover)
         self.version = 1
         self.watches: list[asyncio.StreamWriter] = []
         self.memory_mb, self.sockets = memory_mb, sockets
         self.settings = SETTINGS | settings
-        self.known: dict[str, Any] | None = None
+        self.initial_list: dict[str, Any] | None = None
         self.events: list[io.Event] = []
         self.actions: list[io.Action] = []
         self.clients: list[asyncio.StreamWriter] = []
         self.tasks: list[asyncio.Task[None]] = []  # of peers that a test makes itself
 
-    def host(self, number: int, health: str = "ready", born: float = 0, **changes: Any) -> dict[str, Any]:
+    def list_row(self, number: int, health: str = "ready", born: float = 0, **changes: Any) -> dict[str, Any]:
         """An upstream's row in the list, with these fields changed."""
         return {
             "host": f"s{number}",
@@ -242,15 +242,15 @@
             "born_ms": born,
         } | changes
 
-    def list(self, *hosts: dict[str, Any], complete: bool = True) -> dict[str, Any]:
+    def endpoint_list(self, *hosts: dict[str, Any], complete: bool = True) -> dict[str, Any]:
         """A list of these rows at the current version, or changes of it."""
         return {"seq": self.version, "whole": complete, "hosts": list(hosts)}
 
     async def _discover(self, message: Message, writer: asyncio.StreamWriter) -> None:
         complete = json.dumps(
-            self.list(*(self.host(n) for n in range(len(self.upstreams))))
-            if not self.current
-            else self.current
+            self.endpoint_list(*(self.list_row(n) for n in range(len(self.upstreams))))
+            if not self.served_list
+            else self.served_list
         )
         if "stream=1" not in message.line:
             writer.write(reply(complete.encode()))
@@ -259,9 +259,9 @@
         self.watches.append(writer)
         self.send_line(complete, writer)
 
-    current: dict[str, Any] | None = None  # the list that discovery has, instead of all upstreams
+    served_list: dict[str, Any] | None = None  # the list that discovery has, instead of all upstreams
 
-    admin = ""  # the address of the operators' interface
+    admin_addr = ""  # the address of the operators' interface
 
     def send_line(self, line: str | dict[str, Any], writer: asyncio.StreamWriter | None = None) -> None:
         """Send a line on a watch, by default the latest."""
@@ -275,20 +275,22 @@
     def update(self, *hosts: dict[str, Any], complete: bool = False) -> None:
         """Send changes, or a complete list, on the latest watch."""
         self.version += 1
-        self.send_line(self.list(*hosts, complete=complete))
+        self.send_line(self.endpoint_list(*hosts, complete=complete))
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> BalancerTestbed:
         for peer in (*self.upstreams, self.discovery):
             await peer.start()
-        await self.enter()
+        await self.start_balancer()
         return self
 
-    async def enter(self, wait_for_list: bool = True, listener: socket.socket | None = None) -> None:
+    async def start_balancer(self, wait_for_list: bool = True, listener: socket.socket | None = None) -> None:
         """Start the balancer, its peers being up; wait_for_list: and wait until it has a list.
 
         listener: that of a process before it.
         """
-        known = self.known or self.list(*(self.host(n) for n in range(len(self.upstreams))))
+        known = self.initial_list or self.endpoint_list(
+            *(self.list_row(n) for n in range(len(self.upstreams)))
+        )
         config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -297,7 +299,7 @@
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets},
             "known": known,
             "settings": self.settings,
-            "admin_addr": self.admin,
+            "admin_addr": self.admin_addr,
         }
         self.node = Node(read_config(json.dumps(config)), asyncio.get_running_loop())
         self.node._listener = listener
@@ -314,7 +316,7 @@
         assert self.node.front.listener is not None
         self.port = self.node.front.listener.sockets[0].getsockname()[1]
         if wait_for_list:
-            await until(lambda: self.watches and self.node.watch.ever_answered)
+            await wait_until(lambda: self.watches and self.node.watch.ever_answered)
 
     async def __aexit__(self, *error: object) -> None:
         for writer in self.clients:
@@ -325,7 +327,7 @@
             await peer.stop()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A client's connection to the balancer, which lasts as long as the world."""
+        """A client's connection to the balancer, which lasts as long as the testbed."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port, limit=2**22)
         self.clients.append(writer)
         return reader, writer
@@ -346,13 +348,13 @@
     body: bytes | None = None,
     fields: str = "",
     method: str = "",
-    left: str = "2500m",
+    time_left: str = "2500m",
     path: str = "/api",
 ) -> bytes:
-    """A request of a class as a client writes it; left: its time left as on the wire."""
+    """A request of a class as a client writes it; time_left: as in X-Time-Left."""
     method = method or ("GET" if name == "read" else "POST")
     head = f"{method} {path} HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: c1\r\nX-Service-Class: {name}\r\n"
-    head += f"X-Account: acme\r\nX-Time-Left: {left}\r\n"
+    head += f"X-Account: acme\r\nX-Time-Left: {time_left}\r\n"
     if name == "book":
         head += "Idempotency-Key: k1\r\n"
     if body is not None:
@@ -360,7 +362,7 @@
     return (head + fields + "\r\n").encode() + (body or b"")
 
 
-def run(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
+def async_test(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
     """A test that is a coroutine, on the loop that the balancer runs on."""
 
     def wrapped() -> None:
--- a/tests/streams_of_events.py
+++ b/tests/streams_of_events.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 import helpers
-from helpers import FREE, KEYED, UNSAFE, WIDE, ZONED
+from helpers import FREE, KEYED_ANYWHERE, KEYED_IN_CELL, KEYED_IN_ZONE, UNSAFE
 
 from quartzford.decision import interface as io
 
@@ -28,7 +28,13 @@
     io.Outcome.NOT_SENT,
 )
 REPORTING = (io.Outcome.OK, io.Outcome.FULL)  # outcomes whose answer has a load report
-CLASSES = (FREE, replace(KEYED, window_ms=400.0), ZONED, WIDE, replace(UNSAFE, window_ms=0.0))
+CLASSES = (
+    FREE,
+    replace(KEYED_IN_CELL, window_ms=400.0),
+    KEYED_IN_ZONE,
+    KEYED_ANYWHERE,
+    replace(UNSAFE, window_ms=0.0),
+)
 RULES = replace(helpers.RULES, slow_start_ms=4_000.0)
 TENANTS = (io.Tenant("acme", 100.0), io.Tenant("lima", 30.0))
 
@@ -41,7 +47,7 @@
 FAILING_EVERY = 7  # one in so many servers has the plan's own share of failures
 
 
-class Plan(NamedTuple):
+class StreamPlan(NamedTuple):
     """What a stream is like. Shares are of events; churn: of list changes among them."""
 
     servers: int = 20
@@ -57,7 +63,7 @@
     bad: float = 0.0  # failure rate of every seventh server, beside that
 
 
-def settings_of(plan: Plan) -> io.Settings:
+def settings_of(plan: StreamPlan) -> io.Settings:
     """The settings of the modules that a stream is played to."""
     return helpers.settings(
         zone="z0",
@@ -73,7 +79,9 @@
     )
 
 
-def play(plan: Plan, seed: int, modules: list[Any], check: Callable[[list[list[io.Action]]], None]) -> int:
+def play_stream(
+    plan: StreamPlan, seed: int, modules: list[Any], check: Callable[[list[list[io.Action]]], None]
+) -> int:
     """Feed all modules one stream; check gets what each answered to every event. The number of events."""
     return _Stream(plan, seed, modules, check).play()
 
@@ -82,7 +90,7 @@
     """One stream while it is played. Times in milliseconds."""
 
     def __init__(
-        self, plan: Plan, seed: int, modules: list[Any], check: Callable[[list[list[io.Action]]], None]
+        self, plan: StreamPlan, seed: int, modules: list[Any], check: Callable[[list[list[io.Action]]], None]
     ) -> None:
         self.plan, self.modules, self.check = plan, modules, check
         self.settings = settings_of(plan)
--- a/tests/syntax_trees.py
+++ b/tests/syntax_trees.py
@@ -6,7 +6,7 @@
 import gc
 
 
-def parsed(text: str) -> ast.Module:
+def parse_source(text: str) -> ast.Module:
     """The syntax tree of a source text.
 
     No garbage is collected meanwhile. `ast.parse` keeps its depth in the interpreter's state: a finalizer
--- a/tests/system_calls.py
+++ b/tests/system_calls.py
@@ -27,13 +27,13 @@
 class Faults:
     """Which calls fail. errors: by call, as system_calls_shim.c names them; one_in: how many calls fail.
 
-    first: so many calls fail before that. short: "read", "write" or both.
+    first_calls: so many calls fail before that. short_transfers: "read", "write" or both.
     """
 
     errors: dict[str, tuple[str, ...]] = field(default_factory=dict)
     one_in: int = 6
-    first: int = 0
-    short: str = ""
+    first_calls: int = 0
+    short_transfers: str = ""
     seed: int = 1
 
     def environment(self, ports: Iterable[int] = ()) -> dict[str, str]:
@@ -47,8 +47,8 @@
             "LD_PRELOAD": str(library()),
             "FAULTS": " ".join(listed),
             "FAULT_PORT": " ".join(map(str, ports)),
-            "FAULT_FIRST": str(self.first),
-            "FAULT_SHORT": self.short,
+            "FAULT_FIRST": str(self.first_calls),
+            "FAULT_SHORT": self.short_transfers,
             "FAULT_SEED": str(self.seed),
         }
 
@@ -75,7 +75,9 @@
 
 
 @asynccontextmanager
-async def process(*arguments: str, environment: dict[str, str]) -> AsyncIterator[asyncio.subprocess.Process]:
+async def quartzford_process(
+    *arguments: str, environment: dict[str, str]
+) -> AsyncIterator[asyncio.subprocess.Process]:
     """`python -m quartzford ARGUMENTS`, killed at the end if it still runs."""
     base = {name: value for name, value in os.environ.items() if name not in ("EDGE_CONFIG", "TMPDIR")}
     one = await asyncio.create_subprocess_exec(
@@ -96,7 +98,7 @@
         await one.wait()
 
 
-async def exchange(port: int, data: bytes) -> bytes:
+async def send_and_read(port: int, data: bytes) -> bytes:
     """What a new connection brings for these bytes, up to its end; b"" where it breaks."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -111,6 +113,6 @@
         writer.close()
 
 
-def status(answer: bytes) -> int:
+def status_code(answer: bytes) -> int:
     """The status of an answer; 0 where there is none."""
     return int(answer.split(b" ", 2)[1]) if answer.startswith(b"HTTP/1.1 ") else 0
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -14,8 +14,8 @@
 from typing import NamedTuple
 
 import pytest
-from syntax_trees import parsed
-from test_structure import PACKAGE, graph
+from syntax_trees import parse_source
+from test_structure import PACKAGE, import_graph
 
 ROOT = PACKAGE.parent
 PAGES = ("docs/ARCHITECTURE.md", "docs/glossary.md")
@@ -79,7 +79,7 @@
         parts = path.relative_to(ROOT).with_suffix("").parts
         module = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
         found.names.add(module)
-        for statement in parsed(path.read_text()).body:
+        for statement in parse_source(path.read_text()).body:
             found.names.update(f"{module}.{name}" for name in defined_names(statement))
             if isinstance(statement, ast.ClassDef):
                 found.members.update(f"{module}.{statement.name}.{name}" for name in members(statement))
@@ -105,7 +105,7 @@
         path = ROOT.joinpath(*words[2].split("."))
         exists = path.with_suffix(".py").exists() or (path / "__main__.py").exists()
         return "" if exists else "is no module"
-    source = parsed((PACKAGE / "__main__.py").read_text())
+    source = parse_source((PACKAGE / "__main__.py").read_text())
     texts = {node.value for node in ast.walk(source) if isinstance(node, ast.Constant)}
     return "" if words[0] == "quartzford" and words[1] in texts else "is no command"
 
@@ -210,7 +210,7 @@
     }
     assert set(layer_of) == units - {"__init__"}
     upward = []
-    for module, imported in graph().items():
+    for module, imported in import_graph().items():
         unit = module.split(".")[1:2]
         for other in imported:
             others = other.split(".")[1:2]
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -12,8 +12,19 @@
 
 import pytest
 import uvloop
-from helpers import finals, outcome, sends, serve, started, submit
-from peers import Lag, Message, Peer, World, read_message, reply, request, run, says, until
+from helpers import attempt_ended, final_answers, sends, serve_request, started_balancer, submit
+from peers import (
+    BalancerTestbed,
+    LoopLag,
+    Message,
+    Peer,
+    async_test,
+    read_message,
+    reply,
+    request,
+    responds_with,
+    wait_until,
+)
 
 from bench.callmodel import CALLS_PER_S, Model, ServiceBehaviour, bound_s
 from quartzford.settings.configuration import read_config
@@ -36,12 +47,12 @@
     """As a middlebox does that dropped its entry: no end is told, and nothing is answered any more."""
 
 
-async def rest(world: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def rest(testbed: BalancerTestbed) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A client that has been served, so that a connection to the upstream rests."""
-    reader, writer = await world.connect()
+    reader, writer = await testbed.connect()
     writer.write(request())
     assert (await read_message(reader)).status == 200
-    await until(lambda: world.node.pool.upstreams["s0"].idle)
+    await wait_until(lambda: testbed.node.pool.upstreams["s0"].idle)
     return reader, writer
 
 
@@ -54,9 +65,9 @@
     gets its final answer in its time, and nothing runs twice."""
 
     async def test() -> None:
-        async with World() as world, Lag() as lag:
-            reader, writer = await rest(world)
-            resting, up = world.upstreams[0].writers[-1], world.upstreams[0]
+        async with BalancerTestbed() as testbed, LoopLag() as lag:
+            reader, writer = await rest(testbed)
+            resting, up = testbed.upstreams[0].writers[-1], testbed.upstreams[0]
             ran: list[str] = []
 
             async def script(message: Message, answers: asyncio.StreamWriter) -> None:
@@ -66,10 +77,10 @@
 
             up.script = script
             before = asyncio.get_running_loop().time()
-            writer.write(request(name, None if name == "read" else b"x", left="1500m"))
+            writer.write(request(name, None if name == "read" else b"x", time_left="1500m"))
             end(resting)
             answer = await asyncio.wait_for(read_message(reader), 8)
-            assert asyncio.get_running_loop().time() - before < 2.0 + 2 * lag.worst
+            assert asyncio.get_running_loop().time() - before < 2.0 + 2 * lag.max_lag_s
             assert len(ran) <= 1
             assert answer.status == 200 if name == "read" else answer.status in (200, 502, 503)
             assert (answer.status == 200) == (len(ran) == 1)
@@ -85,16 +96,18 @@
     """Whatever number of upstreams: each attempt is reset the moment it has been read."""
 
     async def test() -> None:
-        async with World(count) as world:
-            for up in world.upstreams:
+        async with BalancerTestbed(count) as testbed:
+            for up in testbed.upstreams:
                 up.script = drop
             for name in ("read", "book", "pay"):
                 answer = await asyncio.wait_for(
-                    world.submit(request(name, None if name == "read" else b"")), 8
+                    testbed.submit(request(name, None if name == "read" else b"")), 8
                 )
                 assert answer.status in (502, 503)
-            runs = [m for up in world.upstreams for m in up.received if m.fields["x-service-class"] == "pay"]
-            assert len(runs) == 1 and not world.node.engine.pending_requests
+            runs = [
+                m for up in testbed.upstreams for m in up.received if m.fields["x-service-class"] == "pay"
+            ]
+            assert len(runs) == 1 and not testbed.node.engine.pending_requests
 
     uvloop.run(test())
 
@@ -107,8 +120,8 @@
     """The first attempt is given up for its latency, the next one is reset, the third is answered."""
 
     async def test() -> None:
-        async with World(3) as world:
-            world.node.engine.balancer.latency.typical["read"] = 20.0
+        async with BalancerTestbed(3) as testbed:
+            testbed.node.engine.balancer.latency.typical["read"] = 20.0
             received = 0
 
             async def script(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -119,9 +132,9 @@
                 elif received > 2:
                     writer.write(reply(b"served"))
 
-            for up in world.upstreams:
+            for up in testbed.upstreams:
                 up.script = script
-            answer = await asyncio.wait_for(world.submit(request()), 8)
+            answer = await asyncio.wait_for(testbed.submit(request()), 8)
             assert answer.body == b"served" and received == 3
 
     uvloop.run(test())
@@ -148,10 +161,10 @@
                 await asyncio.sleep(0.001 * (at % 3))
             (closes if complete else resets)(writer)
 
-        async with World() as world:
-            world.upstreams[0].script = script
+        async with BalancerTestbed() as testbed:
+            testbed.upstreams[0].script = script
             for number, (complete, body) in enumerate(plans):
-                answer = await world.submit(request("pay", b"", fields=f"X-Number: {number}\r\n"))
+                answer = await testbed.submit(request("pay", b"", fields=f"X-Number: {number}\r\n"))
                 assert answer.status == (200 if complete else 502)
                 assert not complete or answer.body == body
 
@@ -161,13 +174,13 @@
 # ---- new configurations in a row, and a discovery that is slow
 
 
-async def slow_discovery(number: int, delay_s: float) -> tuple[World, Peer]:
+async def slow_discovery(number: int, delay_s: float) -> tuple[BalancerTestbed, Peer]:
     """A list service of its own, with one upstream of the name sNUMBER that says its number."""
-    site = World(number + 1)
+    site = BalancerTestbed(number + 1)
     up = site.upstreams[number]
-    up.script = says(reply(b"%d" % number))
+    up.script = responds_with(reply(b"%d" % number))
     await up.start()
-    site.current = site.list(site.host(number))
+    site.served_list = site.endpoint_list(site.list_row(number))
 
     async def late(message: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(delay_s)
@@ -178,7 +191,7 @@
     return site, up
 
 
-def config_of(world: World, site: World) -> Any:
+def config_of(testbed: BalancerTestbed, site: BalancerTestbed) -> Any:
     return read_config(
         json.dumps(
             {
@@ -186,41 +199,41 @@
                 "listen": "127.0.0.1:0",
                 "discovery": f"127.0.0.1:{site.discovery.port}",
                 "seed": "5",
-                "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.sockets},
-                "known": site.list(),
-                "settings": world.settings,
+                "limits": {"cores": 1.0, "memory_mb": testbed.memory_mb, "sockets": testbed.sockets},
+                "known": site.endpoint_list(),
+                "settings": testbed.settings,
             }
         )
     )
 
 
-@run
+@async_test
 async def test_configurations_in_quick_succession_end_with_the_last_one_s_list_and_lose_nothing() -> None:
     """Each names a slow discovery of its own; the next comes before, or while, that one answers."""
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         sites = [await slow_discovery(number, 0.15) for number in range(1, 5)]
         answers: list[Message] = []
         stop = asyncio.Event()
 
         async def client() -> None:
-            reader, writer = await world.connect()
+            reader, writer = await testbed.connect()
             while not stop.is_set():
                 writer.write(request("pay", b"x"))
                 answers.append(await read_message(reader))
 
         clients = [asyncio.ensure_future(client()) for _ in range(4)]
-        await until(lambda: len(answers) > 20)
+        await wait_until(lambda: len(answers) > 20)
         for number, (site, _) in enumerate(sites):
-            world.node.reconfigure(config_of(world, site))
+            testbed.node.reconfigure(config_of(testbed, site))
             if number % 2:  # else the next one follows in the same turn
-                await until(lambda site=site: site.discovery.received)  # type: ignore[misc]
+                await wait_until(lambda site=site: site.discovery.received)  # type: ignore[misc]
         last = sites[-1][1]
-        await until(lambda: len(last.received) > 20)
+        await wait_until(lambda: len(last.received) > 20)
         stop.set()
         await asyncio.gather(*clients)
         assert {answer.status for answer in answers} == {200}
-        assert set(world.node.engine.balancer.servers) == {"s4"}
-        assert world.discovery.left == 1  # the watch at the first discovery has ended
+        assert set(testbed.node.engine.balancer.servers) == {"s4"}
+        assert testbed.discovery.closed_connections == 1  # the watch at the first discovery has ended
         for site, up in sites:
             await site.discovery.stop()
             await up.stop()
@@ -244,9 +257,9 @@
 
 def troubled(quiet_ms: float, code: str, spent_ms: float) -> tuple[int, int]:
     """One of four servers turns bad after a quiet time: attempts that failed, requests not served."""
-    balancer, failed, lost = started(4), 0, 0
+    balancer, failed, lost = started_balancer(4), 0, 0
     for number in range(400):
-        serve(balancer, number * 20.0, number)
+        serve_request(balancer, number * 20.0, number)
     begin = 8_000.0 + quiet_ms
     for number in range(200):
         now, attempt = begin + number * 20.0, 0
@@ -256,10 +269,10 @@
             bad = send.server == "s0"
             failed += bad
             now += spent_ms if bad else 2.0
-            result = outcome(send, attempt, code if bad else "ok", spent_ms if bad else 2.0)
+            result = attempt_ended(send, attempt, code if bad else "ok", spent_ms if bad else 2.0)
             actions = balancer.handle(now, result)
             attempt += 1
-        lost += len(finals(actions))
+        lost += len(final_answers(actions))
     return failed, lost
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from peers import Message, World, read_message, reply, request, run, until
+from peers import BalancerTestbed, Message, async_test, read_message, reply, request, wait_until
 
 MOST = 200  # offers that are remembered for the order of worth are a hundred; the rest is by class and server
 
@@ -33,10 +33,10 @@
             todo += [(f"{path}.{name}", getattr(value, name, None)) for name in names]
 
 
-@run
+@async_test
 async def test_made_up_names_ids_and_lives_leave_no_entries_behind() -> None:
     """Two thousand of each: a soak's worth would only be more of the same."""
-    async with World(2) as world:
+    async with BalancerTestbed(2) as testbed:
         turned: Counter[str] = Counter()
 
         async def script(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -47,11 +47,11 @@
             else:
                 writer.write(reply())
 
-        world.upstreams[0].script = world.upstreams[1].script = script
-        world.actions = world.events = deque(maxlen=10)  # type: ignore[assignment]
+        testbed.upstreams[0].script = testbed.upstreams[1].script = script
+        testbed.actions = testbed.events = deque(maxlen=10)  # type: ignore[assignment]
 
         async def client(number: int) -> None:
-            reader, writer = await world.connect()
+            reader, writer = await testbed.connect()
             for step in range(250):
                 name = f"{number}-{step}"
                 left = b"9999999999m" if step % 5 else b"2500m"
@@ -65,16 +65,19 @@
         async def discovery() -> None:
             for life in range(250):
                 lives = [
-                    world.host(n, host=f"s{life}-{n}", site=f"zone{n}", born=life + 1.0) for n in range(2)
+                    testbed.list_row(n, host=f"s{life}-{n}", site=f"zone{n}", born=life + 1.0)
+                    for n in range(2)
                 ]
-                world.update(*lives, complete=True)
-                await until(lambda life=life: f"s{life}-0" in world.node.engine.balancer.servers)  # type: ignore[misc]
+                testbed.update(*lives, complete=True)
+                await wait_until(lambda life=life: f"s{life}-0" in testbed.node.engine.balancer.servers)  # type: ignore[misc]
 
         await asyncio.gather(discovery(), *(client(number) for number in range(8)))
         assert len(turned) > 1_500, "the clients were hardly served"
-        await until(lambda: len(world.node.pool.upstreams) == 2)  # what is gone goes with the next sweep
+        await wait_until(
+            lambda: len(testbed.node.pool.upstreams) == 2
+        )  # what is gone goes with the next sweep
         gc.collect()
-        sizes = dict(tables(world.node))
+        sizes = dict(tables(testbed.node))
         assert len(sizes) > 40, "the walk has not reached the parts"
         for part in (
             ".typical",
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -12,7 +12,7 @@
 
 import pytest
 import uvloop
-from peers import World, reply, request, run, says, until
+from peers import BalancerTestbed, async_test, reply, request, responds_with, wait_until
 from test_endings import RESET, raw
 
 from quartzford.engine.pending_request import Attempt
@@ -61,8 +61,8 @@
         assert poll.poll(2000), "the end never came to the balancer's side"
 
 
-def sent(world: World) -> int:
-    return sum(len(up.received) for up in world.upstreams)
+def sent(testbed: BalancerTestbed) -> int:
+    return sum(len(up.received) for up in testbed.upstreams)
 
 
 @pytest.mark.parametrize("how", LEAVES)
@@ -73,45 +73,45 @@
     """connecting: the connection has just come up; wait: the request waited for an upstream that is ready."""
 
     async def test() -> None:
-        async with World(2) as world:
+        async with BalancerTestbed(2) as testbed:
             before = 0 if where in ("connecting", "wait") else 1
             departure = Departure(monkeypatch, before, LEAVES[how])
             if where == "kept connection":
-                assert (await world.submit(request())).status == 200
+                assert (await testbed.submit(request())).status == 200
             elif where == "retry":
-                for up in world.upstreams:
-                    up.script = says(reply(b"", "500 Sorry"))
+                for up in testbed.upstreams:
+                    up.script = responds_with(reply(b"", "500 Sorry"))
             elif where == "wait":
-                world.update(world.host(0, "draining"), world.host(1, "draining"))
-                await until(lambda: not world.node.engine.balancer.ready)
-            sock = departure.client = await raw(world)
+                testbed.update(testbed.list_row(0, "draining"), testbed.list_row(1, "draining"))
+                await wait_until(lambda: not testbed.node.engine.balancer.ready)
+            sock = departure.client = await raw(testbed)
             sock.send(request() * {"pipelined": 2, "unread": 40}.get(where, 1))
             if where == "wait":
-                await until(lambda: world.node.engine.pending_requests)
-                world.update(world.host(0), world.host(1), complete=True)
-            await until(lambda: departure.heads > before and not world.node.front.unread)
-            await until(lambda: not world.node.engine.pending_requests)
+                await wait_until(lambda: testbed.node.engine.pending_requests)
+                testbed.update(testbed.list_row(0), testbed.list_row(1), complete=True)
+            await wait_until(lambda: departure.heads > before and not testbed.node.front.unread)
+            await wait_until(lambda: not testbed.node.engine.pending_requests)
             assert departure.heads == before + 1 and departure.unread == (where == "unread")
-            assert sent(world) == before and world.node.engine.counts["client gone"] == 1
-            balancer = world.node.engine.balancer
+            assert sent(testbed) == before and testbed.node.engine.counts["client gone"] == 1
+            balancer = testbed.node.engine.balancer
             assert (
                 balancer.pending_requests == {}
                 and balancer.endpoints.shares.total_in_flight == 0
-                and world.node.budget.used == 0
+                and testbed.node.budget.used == 0
             )
             sock.close()
-            for up in world.upstreams:
-                up.script = says(reply())
-            assert (await world.submit(request())).status == 200 and sent(world) == before + 1
+            for up in testbed.upstreams:
+                up.script = responds_with(reply())
+            assert (await testbed.submit(request())).status == 200 and sent(testbed) == before + 1
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_a_connection_that_came_up_for_an_attempt_that_may_not_begin_carries_the_next_one() -> None:
     """It had no status yet: to look for one among the idle ones failed, and the next request got a 500."""
-    async with World() as world:
-        engine = world.node.engine
+    async with BalancerTestbed() as testbed:
+        engine = testbed.node.engine
         may_begin, checked = engine.may_begin, []
 
         def not_at_first(attempt: Attempt) -> bool:
@@ -119,6 +119,6 @@
             return len(checked) > 1 and may_begin(attempt)
 
         engine.may_begin = not_at_first  # type: ignore[method-assign]
-        assert (await world.submit(request())).status == 503  # there is nobody else
-        assert (await world.submit(request())).status == 200
-        assert world.outcomes() == ["moot", "ok"] and len(world.upstreams[0].writers) == 1
+        assert (await testbed.submit(request())).status == 503  # there is nobody else
+        assert (await testbed.submit(request())).status == 200
+        assert testbed.outcomes() == ["moot", "ok"] and len(testbed.upstreams[0].writers) == 1
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -7,7 +7,7 @@
 
 import pytest
 import uvloop
-from peers import SETTINGS, World, read_message, reply, request, run, until
+from peers import SETTINGS, BalancerTestbed, async_test, read_message, reply, request, wait_until
 from test_endings import gated, read_all
 from test_operations import Watched, port_of
 from test_relay_server import PATH, Site, site
@@ -49,12 +49,12 @@
     """It was reset: something of it had been read, and it got no answer."""
 
     async def test() -> None:
-        async with World() as world:
-            front = world.node.front
+        async with BalancerTestbed() as testbed:
+            front = testbed.node.front
             front.max_clients = 3
-            begun = [await connected(world.port, half_a_request(cut)) for _ in range(front.max_clients)]
-            await until(lambda: sum(c.has_partial_request() for c in front.clients) == len(begun))
-            newcomer = await connected(world.port, request())
+            begun = [await connected(testbed.port, half_a_request(cut)) for _ in range(front.max_clients)]
+            await wait_until(lambda: sum(c.has_partial_request() for c in front.clients) == len(begun))
+            newcomer = await connected(testbed.port, request())
             assert await status_of(begun.pop(0)) == 503
             assert (await asyncio.get_running_loop().sock_recv(newcomer, 65536)).startswith(b"HTTP/1.1 200")
             for sock in begun:
@@ -66,15 +66,15 @@
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_a_crowd_of_half_requests_is_answered_within_the_bound_on_connections() -> None:
-    async with World() as world:
-        front = world.node.front
+    async with BalancerTestbed() as testbed:
+        front = testbed.node.front
         front.max_clients = 3
         most_open = 0
         begun: list[socket.socket] = []
         for _ in range(60):
-            begun.append(await connected(world.port, half_a_request()))
+            begun.append(await connected(testbed.port, half_a_request()))
             await asyncio.sleep(0)
             most_open = max(most_open, len(front.clients))
         answered = [await status_of(sock) for sock in begun]
@@ -82,16 +82,16 @@
         assert most_open <= front.max_clients + MAX_LINGERING + 1
 
 
-@run
+@async_test
 async def test_half_a_request_that_memory_is_too_short_for_is_answered_though_it_goes_on() -> None:
-    async with World() as world:
-        world.node.budget.limit = 0
-        sock = await connected(world.port, half_a_request())
-        await until(lambda: world.node.front.unread)
+    async with BalancerTestbed() as testbed:
+        testbed.node.budget.limit = 0
+        sock = await connected(testbed.port, half_a_request())
+        await wait_until(lambda: testbed.node.front.unread)
         sock.send(b"b" * 5)  # is left with the system
         assert await status_of(sock) == 503
-        await until(lambda: not world.node.front.clients)
-        assert world.node.budget.used == 0
+        await wait_until(lambda: not testbed.node.front.clients)
+        assert testbed.node.budget.used == 0
 
 
 @pytest.mark.parametrize("behind", ["whole ones", "a half one", "none"])
@@ -99,16 +99,16 @@
     """The first answer said Connection: close, and what had been read behind it was dropped."""
 
     async def test() -> None:
-        async with World() as world:
+        async with BalancerTestbed() as testbed:
             gate = asyncio.Event()
-            world.upstreams[0].script = gated(gate, reply())
+            testbed.upstreams[0].script = gated(gate, reply())
             follow = {"whole ones": request() * 4, "a half one": half_a_request(), "none": b"NONE \r\n\r\n"}
-            reader, writer = await world.connect()
+            reader, writer = await testbed.connect()
             writer.write(request() + follow[behind])
-            await until(lambda: world.upstreams[0].received and world.node.front.clients)
-            (client,) = world.node.front.clients
-            await until(lambda: len(client.waiting) == 4 or client.in_message or client.error)
-            world.node.front.draining = True
+            await wait_until(lambda: testbed.upstreams[0].received and testbed.node.front.clients)
+            (client,) = testbed.node.front.clients
+            await wait_until(lambda: len(client.waiting) == 4 or client.in_message or client.error)
+            testbed.node.front.draining = True
             gate.set()
             answers = [await read_message(reader)]
             if behind == "a half one":
@@ -128,12 +128,12 @@
 
     async def test() -> None:
         classes = [kind | {"deadlineMs": 300.0, "sloMs": 200.0} for kind in SETTINGS["classes"]]
-        async with World(classes=classes) as world:
-            sock = await connected(world.port, half_a_request(cut))
-            await until(lambda: any(c.has_partial_request() for c in world.node.front.clients))
-            world.node.terminate()
-            await world.node.finished
-            assert not any(c.has_partial_request() for c in world.node.front.clients)
+        async with BalancerTestbed(classes=classes) as testbed:
+            sock = await connected(testbed.port, half_a_request(cut))
+            await wait_until(lambda: any(c.has_partial_request() for c in testbed.node.front.clients))
+            testbed.node.terminate()
+            await testbed.node.finished
+            assert not any(c.has_partial_request() for c in testbed.node.front.clients)
             assert await status_of(sock) == 503
 
     uvloop.run(test())
@@ -142,37 +142,37 @@
 # ---- the second address
 
 
-@run
+@async_test
 async def test_an_operators_answer_arrives_though_the_call_goes_on() -> None:
     """It was closed over bytes that nobody had read: a reset took the answer along."""
-    async with Watched(1) as world:
+    async with Watched(1) as testbed:
         loop = asyncio.get_running_loop()
         head = b"PUT /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n"
-        sock = await connected(port_of(world), head)
-        await until(lambda: world.node.operations.calls)
-        (caller,) = world.node.operations.calls
-        await until(lambda: caller.answered)
+        sock = await connected(port_of(testbed), head)
+        await wait_until(lambda: testbed.node.operations.calls)
+        (caller,) = testbed.node.operations.calls
+        await wait_until(lambda: caller.answered)
         for _ in range(7):
             await loop.sock_sendall(sock, b"b" * 10_000)  # and only then it looks for an answer
         assert await status_of(sock) == 413
-        await until(lambda: not world.node.operations.calls)
+        await wait_until(lambda: not testbed.node.operations.calls)
 
 
 @pytest.mark.parametrize("begun", [STATUS[:8], STATUS[:-2] + b"Content-Length: 9\r\n\r\nab"])
 def test_an_operator_that_stops_in_the_middle_of_its_call_is_answered_in_time(begun: bytes) -> None:
     async def test() -> None:
-        async with Watched(1) as world:
-            assert await status_of(await connected(port_of(world), begun)) == 408
+        async with Watched(1) as testbed:
+            assert await status_of(await connected(port_of(testbed), begun)) == 408
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_an_unfinished_call_that_is_evicted_gets_an_error_answer() -> None:
-    async with Watched(1) as world:
-        begun = [await connected(port_of(world), STATUS[:20]) for _ in range(operations.MAX_OPEN_CALLS)]
-        await until(lambda: sum(c.reader.begun for c in world.node.operations.calls) == len(begun))
-        sock = await connected(port_of(world), STATUS)
+    async with Watched(1) as testbed:
+        begun = [await connected(port_of(testbed), STATUS[:20]) for _ in range(operations.MAX_OPEN_CALLS)]
+        await wait_until(lambda: sum(c.reader.begun for c in testbed.node.operations.calls) == len(begun))
+        sock = await connected(port_of(testbed), STATUS)
         assert await status_of(begun.pop(0)) == 503
         assert await status_of(sock) == 200
         for sock in begun:
@@ -180,12 +180,12 @@
             assert await status_of(sock) == 200
 
 
-@run
+@async_test
 async def test_half_a_call_is_answered_as_the_address_closes() -> None:
-    async with Watched(1) as world:
-        half, silent = await connected(port_of(world), STATUS[:20]), await connected(port_of(world))
-        await until(lambda: [c.reader.begun for c in world.node.operations.calls] == [True, False])
-        world.node.operations.stop()
+    async with Watched(1) as testbed:
+        half, silent = await connected(port_of(testbed), STATUS[:20]), await connected(port_of(testbed))
+        await wait_until(lambda: [c.reader.begun for c in testbed.node.operations.calls] == [True, False])
+        testbed.node.operations.stop()
         assert (await status_of(half), await status_of(silent)) == (503, 0)
 
 
@@ -197,29 +197,29 @@
 async def relay_client(here: Site, data: str) -> socket.socket:
     """A connection of whose request something has been read."""
     sock = await connected(here.server.address[1], data.encode())
-    await until(lambda: any(connection.bytes_read for connection in here.server.connections))
+    await wait_until(lambda: any(connection.bytes_read for connection in here.server.connections))
     return sock
 
 
-@run
+@async_test
 async def test_a_relay_s_refusal_arrives_though_the_request_goes_on() -> None:
     async with site() as here:
         sock = await relay_client(here, "GET /else HTTP/1.1\r\n")
         sock.send(b"Content-Length: 99999999\r\n\r\n")
-        await until(lambda: all(each.state is CallState.ENDED for each in here.server.connections))
+        await wait_until(lambda: all(each.state is CallState.ENDED for each in here.server.connections))
         for _ in range(7):
             await asyncio.get_running_loop().sock_sendall(sock, b"b" * 10_000)
         assert await status_of(sock) == 404
-        await until(lambda: not here.server.connections)
+        await wait_until(lambda: not here.server.connections)
 
 
-@run
+@async_test
 async def test_who_stops_in_the_middle_of_its_request_to_a_relay_is_answered_in_time() -> None:
     async with site() as here:
         assert await status_of(await relay_client(here, GET)) == 408
 
 
-@run
+@async_test
 async def test_half_a_request_is_answered_as_the_relay_ends() -> None:
     async with site() as here:
         half = await relay_client(here, GET)
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -11,10 +11,20 @@
 
 import pytest
 import uvloop
-from extproc_site import RawStream, Site, rows_of, status_of
-from helpers import UNSAFE, outcome, sends, started, submit, using_all_servers
+from extproc_site import ExtprocSite, RawStream, immediate_status, request_headers
+from helpers import UNSAFE, attempt_ended, sends, started_balancer, submit, use_all_servers
 from hold_ups import HoldUps
-from peers import SETTINGS, Message, World, read_message, reply, request, run, silent, until
+from peers import (
+    SETTINGS,
+    BalancerTestbed,
+    Message,
+    async_test,
+    never_responds,
+    read_message,
+    reply,
+    request,
+    wait_until,
+)
 
 from quartzford.backends.http_attempt import Attempt
 from quartzford.backends.upstream_connection import Connection
@@ -87,7 +97,7 @@
     monkeypatch.setattr(Connection, "connection_made", narrowed)
 
 
-async def listening(world: World, backlog: int, window: int = 0) -> socket.socket:
+async def listening(testbed: BalancerTestbed, backlog: int, window: int = 0) -> socket.socket:
     """A listener in the place of the only upstream. window: bytes that it takes unread, 0 for the usual."""
     server = socket.socket()
     if window:
@@ -95,9 +105,9 @@
     server.bind(("127.0.0.1", 0))
     server.listen(backlog)
     server.setblocking(False)
-    world.upstreams[0].port = server.getsockname()[1]
-    world.update(world.host(0))
-    await until(lambda: world.node.pool.upstreams["s0"].address[1] == world.upstreams[0].port)
+    testbed.upstreams[0].port = server.getsockname()[1]
+    testbed.update(testbed.list_row(0))
+    await wait_until(lambda: testbed.node.pool.upstreams["s0"].address[1] == testbed.upstreams[0].port)
     return server
 
 
@@ -110,17 +120,17 @@
     return got
 
 
-@run
+@async_test
 async def test_behind_a_connection_that_came_up_late() -> None:
     """The upstream's listen queue is full: the kernel's second try comes a second after the first."""
     loop = asyncio.get_running_loop()
     limits = SETTINGS["limits"] | {"connectTimeoutMs": 2500.0}
-    async with World(limits=limits) as world, HoldUps() as hold_ups:
-        server = await listening(world, backlog=0)
+    async with BalancerTestbed(limits=limits) as testbed, HoldUps() as hold_ups:
+        server = await listening(testbed, backlog=0)
         queued = socket.create_connection(server.getsockname())
         requested_at = time.monotonic()
-        answer = asyncio.ensure_future(world.submit(request("pay", b"", left="2900m")))
-        await until(lambda: world.node.pool.pending_connects)
+        answer = asyncio.ensure_future(testbed.submit(request("pay", b"", time_left="2900m")))
+        await wait_until(lambda: testbed.node.pool.pending_connects)
         (await loop.sock_accept(server))[0].close()
         reader, writer = await asyncio.open_connection(sock=(await loop.sock_accept(server))[0])
         message = await read_message(reader)
@@ -139,10 +149,10 @@
     """What is told holds at the request's last byte, or that byte never leaves."""
 
     async def test() -> None:
-        async with World() as world, HoldUps() as hold_ups:
-            server = await listening(world, backlog=8, window=2048)
+        async with BalancerTestbed() as testbed, HoldUps() as hold_ups:
+            server = await listening(testbed, backlog=8, window=2048)
             requested_at = time.monotonic()
-            answer = asyncio.ensure_future(world.submit(request("pay", b"b" * size, left="1500m")))
+            answer = asyncio.ensure_future(testbed.submit(request("pay", b"b" * size, time_left="1500m")))
             sock, _ = await asyncio.get_running_loop().sock_accept(server)
             await asyncio.sleep(0.9)  # unread for longer than what may be told late
             head, _, body = (await read_all(sock)).partition(b"\r\n\r\n")
@@ -150,7 +160,7 @@
             left = int(head.partition(b"X-Time-Left: ")[2].partition(b"u")[0]) / 1e6
             slack = TRANSIT_S + hold_ups.unplanned_s
             assert len(body) < size or 0 < left <= requested_at + 1.5 - received + slack
-            assert (await answer).status == 503 and world.outcomes()[0] == "connect_failed"
+            assert (await answer).status == 503 and testbed.outcomes()[0] == "connect_failed"
             sock.close()
             server.close()
 
@@ -163,17 +173,17 @@
     """held: with 0.15 s between each look at the clock and its write, which is all the slack there is."""
 
     async def test() -> None:
-        async with World(3) as world, HoldUps() as hold_ups:
+        async with BalancerTestbed(3) as testbed, HoldUps() as hold_ups:
             if held:
                 hold_up(monkeypatch, hold_ups)
             received_attempts: list[ReceivedAttempt] = []
-            for up in world.upstreams[:2]:
+            for up in testbed.upstreams[:2]:
                 up.script = noting(received_attempts, breaks)
-            world.upstreams[2].script = noting(received_attempts, serves)
+            testbed.upstreams[2].script = noting(received_attempts, serves)
             for left in (0.9, 0.4):
                 received_attempts.clear()
                 requested_at = time.monotonic()
-                await world.submit(request(left=f"{int(left * 1000)}m"))
+                await testbed.submit(request(time_left=f"{int(left * 1000)}m"))
                 assert received_attempts
                 assert_kept(
                     received_attempts,
@@ -188,47 +198,47 @@
 # ---- very little time left
 
 
-@run
+@async_test
 async def test_with_very_little_time_left_nothing_odd_follows() -> None:
     """An upstream may drop such a request unanswered: it isn't blamed, and an unsafe one goes nowhere."""
-    async with World(2) as world:
-        assert (await world.submit(request())).status == 200
-        for up in world.upstreams:
+    async with BalancerTestbed(2) as testbed:
+        assert (await testbed.submit(request())).status == 200
+        for up in testbed.upstreams:
             up.received.clear()
-            up.script = silent
+            up.script = never_responds
         for left in ("0m", "0u", "1u", "900u", "1m", "2m", "5m", "20m", "0.5m"):
-            before = sum(len(up.received) for up in world.upstreams)
-            answer = await world.submit(request("pay", b"", left=left))
+            before = sum(len(up.received) for up in testbed.upstreams)
+            answer = await testbed.submit(request("pay", b"", time_left=left))
             assert answer.status in (502, 503)
-            assert sum(len(up.received) for up in world.upstreams) <= before + 1
-        for up in world.upstreams:
+            assert sum(len(up.received) for up in testbed.upstreams) <= before + 1
+        for up in testbed.upstreams:
             assert all(0 < seconds(message) <= 0.02 for message in up.received)
-        assert not any(server.failure_rate for server in world.node.engine.balancer.ready)
+        assert not any(server.failure_rate for server in testbed.node.engine.balancer.ready)
 
 
-@run
+@async_test
 async def test_a_request_whose_time_ran_out_behind_another_is_not_sent() -> None:
     """The second of two on one connection waits for longer than its own time."""
-    async with World(2) as world:
+    async with BalancerTestbed(2) as testbed:
         gate = asyncio.Event()
 
         async def waits(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             writer.write(reply())
 
-        for up in world.upstreams:
+        for up in testbed.upstreams:
             up.script = waits
-        reader, writer = await world.connect()
-        writer.write(request("pay", b"") + request("pay", b"", left="50m"))
-        await until(lambda: any(client.waiting for client in world.node.front.clients))
-        (client,) = world.node.front.clients
+        reader, writer = await testbed.connect()
+        writer.write(request("pay", b"") + request("pay", b"", time_left="50m"))
+        await wait_until(lambda: any(client.waiting for client in testbed.node.front.clients))
+        (client,) = testbed.node.front.clients
         late = client.waiting[0][0].deadline
-        await until(lambda: world.node.clock.now() > late)
+        await wait_until(lambda: testbed.node.clock.now() > late)
         gate.set()
         assert (await read_message(reader)).status == 200
         assert (await read_message(reader)).status == 503
-        assert sum(len(up.received) for up in world.upstreams) == 1
-        assert world.outcomes() == ["ok"]
+        assert sum(len(up.received) for up in testbed.upstreams) == 1
+        assert testbed.outcomes() == ["ok"]
 
 
 @pytest.mark.parametrize("place", [(Attempt, "start"), (Connection, "begin")])
@@ -244,10 +254,10 @@
         usual(*arguments)
 
     async def test() -> None:
-        async with World(2) as world:
-            assert (await world.submit(request("pay", b"", left="100m"))).status == 503
-            assert set(world.outcomes()) == {"moot"}
-            assert not any(up.received for up in world.upstreams)
+        async with BalancerTestbed(2) as testbed:
+            assert (await testbed.submit(request("pay", b"", time_left="100m"))).status == 503
+            assert set(testbed.outcomes()) == {"moot"}
+            assert not any(up.received for up in testbed.upstreams)
 
     monkeypatch.setattr(owner, name, late)
     uvloop.run(test())
@@ -255,11 +265,11 @@
 
 @pytest.mark.parametrize("code", ["timeout", "reset", "connect_failed"])
 def test_an_attempt_shorter_than_an_answer_takes_blames_nobody(code: str) -> None:
-    balancer = using_all_servers(started(2))
+    balancer = use_all_servers(started_balancer(2))
     for number, budget in enumerate((10.0, 400.0)):
         (send,) = sends(submit(balancer, 0.0, number, UNSAFE.name, budget))
         spent = budget if code != "reset" else 1.0
-        balancer.handle(budget, outcome(send, 0, code, spent))
+        balancer.handle(budget, attempt_ended(send, 0, code, spent))
         blamed = balancer.servers[send.server].failure_rate > 0
         assert blamed == (budget > UNSAFE.latency_objective_ms)
 
@@ -285,14 +295,14 @@
         asyncio.get_running_loop().call_later(0.08, replied, self, reply)
 
     async def test() -> None:
-        async with Site(2) as site, HoldUps() as hold_ups:
+        async with ExtprocSite(2) as site, HoldUps() as hold_ups:
 
             def held(self: ReplyWriter, reply: Reply, now: float) -> bytes:
                 message = write(self, reply, now)
                 hold_ups.hold(SLACK_S)
                 return message
 
-            caller, rows = site.caller(), rows_of("c1", "read", left_s=1.5)
+            caller, rows = site.caller(), request_headers("c1", "read", left_s=1.5)
             requested_at = time.monotonic()
             raw = RawStream(caller)
             if again:
@@ -309,16 +319,16 @@
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_with_very_little_time_left_a_caller_never_gets_a_timeout_of_0() -> None:
-    async with Site(2) as site:
+    async with ExtprocSite(2) as site:
         caller = site.caller()
         for number, left in enumerate(("0m", "1u", "900u", "1m", "2m", "4m")):
             raw = RawStream(caller)
-            rows = [row for row in rows_of(f"c{number}", "pay") if row[0] != "x-time-left"]
+            rows = [row for row in request_headers(f"c{number}", "pay") if row[0] != "x-time-left"]
             reply = await raw.submit([*rows, ("x-time-left", left)])
-            if status_of(reply):
-                assert status_of(reply) == 503
+            if immediate_status(reply):
+                assert immediate_status(reply) == 503
             else:
                 assert min(timeouts_of(raw)) >= 0.001
                 raw.drop()
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -11,7 +11,17 @@
 
 import pytest
 import uvloop
-from peers import SETTINGS, Lag, Message, World, read_message, request, run, silent, until
+from peers import (
+    SETTINGS,
+    BalancerTestbed,
+    LoopLag,
+    Message,
+    async_test,
+    never_responds,
+    read_message,
+    request,
+    wait_until,
+)
 
 from quartzford.settings.configuration import read_config
 
@@ -44,33 +54,35 @@
     return {"classes": classes, "customers": tenants, "limits": limits}
 
 
-def reload(world: World, **settings: Any) -> None:
+def reload(testbed: BalancerTestbed, **settings: Any) -> None:
     """What SIGHUP does with a new file."""
-    port = world.discovery.port
+    port = testbed.discovery.port
     config = {
         "name": "n0",
-        "listen": f"127.0.0.1:{world.port}",
+        "listen": f"127.0.0.1:{testbed.port}",
         "discovery": f"127.0.0.1:{port}",
         "seed": "5",
         "limits": {"memory_mb": 192, "sockets": 1024},
         "known": {},
         "settings": SETTINGS | settings,
     }
-    world.node.reconfigure(read_config(json.dumps(config)))
+    testbed.node.reconfigure(read_config(json.dumps(config)))
 
 
 async def breaks(message: Message, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-def rich(world: World) -> None:
+def rich(testbed: BalancerTestbed) -> None:
     """Retries to spend: what is looked at is who may have any."""
-    world.node.engine.balancer.retry_budget = 10.0
+    testbed.node.engine.balancer.retry_budget = 10.0
 
 
 def request_bytes(name: str, keyed: bool = False, left: str = "2500m") -> bytes:
     fields = "Idempotency-Key: k9\r\n" if keyed else ""
-    return request(name, b"", fields, left=left).replace(b"X-Account: acme\r\n", b"X-Account: nobody\r\n")
+    return request(name, b"", fields, time_left=left).replace(
+        b"X-Account: acme\r\n", b"X-Account: nobody\r\n"
+    )
 
 
 @pytest.mark.parametrize("path", SITES, ids=[path.stem for path in SITES])
@@ -80,14 +92,14 @@
     site_settings = settings_of(path)
 
     async def test() -> None:
-        async with World(6, **site_settings) as world:
-            for up in world.upstreams:
+        async with BalancerTestbed(6, **site_settings) as testbed:
+            for up in testbed.upstreams:
                 up.script = breaks
             for one in site_settings["classes"]:
-                before = sum(len(up.received) for up in world.upstreams)
-                rich(world)
-                answer = await world.submit(request_bytes(one["name"], one["effect"] == "guarded", "2500m"))
-                sends = sum(len(up.received) for up in world.upstreams) - before
+                before = sum(len(up.received) for up in testbed.upstreams)
+                rich(testbed)
+                answer = await testbed.submit(request_bytes(one["name"], one["effect"] == "guarded", "2500m"))
+                sends = sum(len(up.received) for up in testbed.upstreams) - before
                 if one["effect"] == "single_shot":
                     assert sends == 1 and answer.status == 502
                 else:
@@ -99,7 +111,7 @@
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_classes_swapped_by_a_reload_leave_what_is_out_to_the_settings_it_came_with() -> None:
     """Held back at the upstreams: one that is unsafe and one that is safe; then the names change places."""
     limits = {**SETTINGS["limits"], "maxAttempts": 3}
@@ -109,78 +121,78 @@
         kind("right", "single_shot"),
         kind("new", "free"),
     ]
-    async with World(3, classes=before, limits=limits) as world:
+    async with BalancerTestbed(3, classes=before, limits=limits) as testbed:
         gate = asyncio.Event()
 
         async def held(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             writer.transport.abort()
 
-        for up in world.upstreams:
+        for up in testbed.upstreams:
             up.script = held
 
         def sends(name: str) -> int:
-            return sum(m.fields["x-service-class"] == name for up in world.upstreams for m in up.received)
+            return sum(m.fields["x-service-class"] == name for up in testbed.upstreams for m in up.received)
 
-        old = [asyncio.ensure_future(world.submit(request_bytes(name))) for name in ("left", "right")]
-        await until(lambda: sends("left") == sends("right") == 1)
-        reload(world, classes=after, limits=limits)
-        rich(world)
+        old = [asyncio.ensure_future(testbed.submit(request_bytes(name))) for name in ("left", "right")]
+        await wait_until(lambda: sends("left") == sends("right") == 1)
+        reload(testbed, classes=after, limits=limits)
+        rich(testbed)
         gate.set()
         assert [answer.status for answer in await asyncio.gather(*old)] == [502, 503]
         assert (sends("left"), sends("right")) == (1, 3)
         new = []
         for name in ("left", "right", "new"):
-            rich(world)
-            new.append(await world.submit(request_bytes(name)))
+            rich(testbed)
+            new.append(await testbed.submit(request_bytes(name)))
         assert [answer.status for answer in new] == [503, 502, 503]
         assert (sends("left"), sends("right"), sends("new")) == (4, 4, 3)
-        for up in world.upstreams:
-            up.script = silent
+        for up in testbed.upstreams:
+            up.script = never_responds
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        async with Lag() as lag:
-            await world.submit(request_bytes("left", left="2900m"))
-        assert loop.time() - begun < 1.2 + 2 * lag.worst  # the new limit of the same name
+        async with LoopLag() as lag:
+            await testbed.submit(request_bytes("left", left="2900m"))
+        assert loop.time() - begun < 1.2 + 2 * lag.max_lag_s  # the new limit of the same name
 
 
-@run
+@async_test
 async def test_tenants_with_names_alike_have_their_own_quota_and_a_site_without_any_has_none() -> None:
     tenants = [
         {"name": "norte", "quotaPerS": 500.0},
         {"name": "norte-alto", "quotaPerS": 5.0},
         {"name": "norte-alto-2", "quotaPerS": 50.0},
     ]
-    async with World(2, customers=tenants) as world:
-        quota = world.node.engine.balancer.admission.quota
+    async with BalancerTestbed(2, customers=tenants) as testbed:
+        quota = testbed.node.engine.balancer.admission.quota
         assert quota == {"norte": 0.5, "norte-alto": 0.005, "norte-alto-2": 0.05}
         for _ in range(40):
             text = request("pay", b"").replace(b"acme", b"norte-alto")
-            assert (await world.submit(text)).status == 200
-        admission = world.node.engine.balancer.admission
-        now = world.node.clock.unix_ms()
+            assert (await testbed.submit(text)).status == 200
+        admission = testbed.node.engine.balancer.admission
+        now = testbed.node.clock.unix_ms()
         assert admission.within_quota(now, "norte-alto") < 1.0 and set(admission.rates) == {"norte-alto"}
         text = request("pay", b"").replace(b"acme", b"norte")
-        assert (await world.submit(text)).status == 200 and admission.within_quota(now, "norte") == 1.0
-        reload(world, customers=[])
-        assert admission.quota == {} and (await world.submit(request("pay", b""))).status == 200
+        assert (await testbed.submit(text)).status == 200 and admission.within_quota(now, "norte") == 1.0
+        reload(testbed, customers=[])
+        assert admission.quota == {} and (await testbed.submit(request("pay", b""))).status == 200
         assert admission.within_quota(now, "norte-alto") == 1.0
 
 
-@run
+@async_test
 async def test_a_name_that_another_deployment_has_is_unknown_here_and_unsafe() -> None:
-    async with World(3, classes=[kind("only", "free")], customers=[]) as world:
-        for up in world.upstreams:
+    async with BalancerTestbed(3, classes=[kind("only", "free")], customers=[]) as testbed:
+        for up in testbed.upstreams:
             up.script = breaks
         for name in ("read", "consulta", "view-schedule", "Only", "on", "only-more"):
-            before = sum(len(up.received) for up in world.upstreams)
-            rich(world)
-            assert (await world.submit(request_bytes(name, keyed=True))).status in (502, 503)
-            sends = sum(len(up.received) for up in world.upstreams) - before
+            before = sum(len(up.received) for up in testbed.upstreams)
+            rich(testbed)
+            assert (await testbed.submit(request_bytes(name, keyed=True))).status in (502, 503)
+            sends = sum(len(up.received) for up in testbed.upstreams) - before
             assert sends == 1, name
-        rich(world)
-        await world.submit(request_bytes("only"))
-        assert sum(len(up.received) for up in world.upstreams) > 6
+        rich(testbed)
+        await testbed.submit(request_bytes("only"))
+        assert sum(len(up.received) for up in testbed.upstreams) > 6
 
 
 @pytest.mark.parametrize("left", ["abc", "", "-5m", "1e400m", "nanm", "infm", "999999999m", "12q", "5"])
@@ -189,15 +201,15 @@
     classes = [kind("pay", "single_shot", deadlineMs=800.0, sloMs=300.0, lateWorth=0.5)]
 
     async def test() -> None:
-        async with World(classes=classes) as world:
-            world.upstreams[0].script = silent
+        async with BalancerTestbed(classes=classes) as testbed:
+            testbed.upstreams[0].script = never_responds
             loop = asyncio.get_running_loop()
             begun = loop.time()
-            reader, writer = await world.connect()
-            writer.write(request("pay", b"", left=left))
-            async with Lag() as lag:
+            reader, writer = await testbed.connect()
+            writer.write(request("pay", b"", time_left=left))
+            async with LoopLag() as lag:
                 answer = await asyncio.wait_for(read_message(reader), 3)
-            assert answer.status >= 400 and loop.time() - begun < 1.2 + 2 * lag.worst
-            assert not world.node.engine.pending_requests and len(world.upstreams[0].received) <= 1
+            assert answer.status >= 400 and loop.time() - begun < 1.2 + 2 * lag.max_lag_s
+            assert not testbed.node.engine.pending_requests and len(testbed.upstreams[0].received) <= 1
 
     uvloop.run(test())
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -20,8 +20,8 @@
 import pytest
 import test_process
 import uvloop
-from helpers import started
-from peers import LIST_ROW, request, run, until
+from helpers import started_balancer
+from peers import LIST_ROW, async_test, request, wait_until
 from test_replacement import ReplacedBalancer, with_replaced_balancer
 
 from quartzford import atomic_file
@@ -251,7 +251,7 @@
     async def settle(self, seconds: float = 2.0) -> None:
         """Let so much time pass, and a write that it starts come to its end."""
         self.clock.advance(seconds)
-        await until(lambda: not self.writer.writing)
+        await wait_until(lambda: not self.writer.writing)
 
     def version(self) -> int:
         return int(decode(self.path.read_bytes()).table["seq"])
@@ -260,7 +260,7 @@
 def test_the_newest_list_is_written_once_the_disk_is_well_without_a_further_change(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    @run
+    @async_test
     async def test() -> None:
         site = Site(tmp_path / "last", monkeypatch)
         site.error = OSError(errno.ENOSPC, "No space left on device")
@@ -285,7 +285,7 @@
 def test_a_change_while_the_list_is_not_confirmed_is_written_when_it_is(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    @run
+    @async_test
     async def test() -> None:
         site = Site(tmp_path / "last", monkeypatch)
         site.confirmed = False
@@ -302,7 +302,7 @@
 def test_failures_in_a_row_are_one_line_whatever_their_errors(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    @run
+    @async_test
     async def test() -> None:
         site = Site(tmp_path / "last", monkeypatch)
         for number in range(100):
@@ -367,7 +367,7 @@
 
 
 def test_a_disk_that_hangs_is_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    @run
+    @async_test
     async def test() -> None:
         site, well = Site(tmp_path / "last", monkeypatch), threading.Event()
         monkeypatch.setattr(writing, "replace", lambda path, one: well.wait(20.0))
@@ -377,7 +377,7 @@
             site.clock.advance(30.0)
         assert len(site.log.lines) == 1 and "hangs" in site.log.lines[0]
         well.set()
-        await until(lambda: not site.writer.writing)
+        await wait_until(lambda: not site.writer.writing)
 
     test()
 
@@ -491,7 +491,7 @@
     """Failures in a row leave no descriptor and no file, and are one line."""
     errors = [OSError(errno.ENOSPC, "No space left on device")]
 
-    @run
+    @async_test
     async def test() -> None:
         faulty = FaultyOs(lambda call: errors[0] if errors and call == name else None)
         monkeypatch.setattr(unix_socket, "os", faulty)
@@ -519,7 +519,7 @@
 def test_the_socket_of_a_process_killed_before_it_took_over_the_path_is_removed(tmp_path: Path) -> None:
     (tmp_path / f"q.sock.{ended_process()}.tmp").write_bytes(b"")
 
-    @run
+    @async_test
     async def test() -> None:
         clock, log, loop = ManualClock(), Lines(), asyncio.get_running_loop()
         one = Handover(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
@@ -633,7 +633,7 @@
 
 def test_a_handed_over_state_cut_off_at_any_byte_is_refused() -> None:
     """A predecessor that is killed half way: nothing is taken from a part of its state."""
-    balancer = started(6)
+    balancer = started_balancer(6)
     listing: dict[str, Any] = {"seq": 1, "whole": True, "hosts": [LIST_ROW]}
     one = wire.BalancerState(wire.STATE_FORMAT, listing, 1, ["a", 1], True, 0, balancer.hand_over(5.0))
     data = b"".join(wire.split_state(one))
@@ -663,7 +663,7 @@
     def fails(*arguments: Any, **named: Any) -> None:
         raise OSError(errno.EIO, "fails")
 
-    @run
+    @async_test
     async def test() -> None:
         async with extproc_site.Site(2, workers=1) as site:
             monkeypatch.setattr(os, "unlink", fails)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 import pytest
-from helpers import RULES, entry, listed, sends, settings, started, using_all_servers
+from helpers import RULES, list_update, make_endpoint, sends, settings, started_balancer, use_all_servers
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
@@ -20,7 +20,7 @@
     """A steady stream of requests that are not tried again; what was sent where, and who was out."""
 
     def __init__(self, servers: int, per_s: float, seconds: float, fails: Fails, seed: int = 1) -> None:
-        self.balancer, self.rng = using_all_servers(started(servers, seed=seed)), random.Random(seed)
+        self.balancer, self.rng = use_all_servers(started_balancer(servers, seed=seed)), random.Random(seed)
         self.sent: list[tuple[float, int]] = []
         self.out: list[int] = []  # ejected, at each request
         due: list[tuple[float, int, io.Send]] = []
@@ -89,7 +89,7 @@
 def test_the_ejected_excuse_others_by_the_sends_that_are_spared(per_s: float, least: int, most: int) -> None:
     """Twelve of a hundred fail once, one after the other. Met once in ten seconds, each is left alone at its
     first failure; met every 50 ms, the first ones' failures are the yardstick of the others for a moment."""
-    balancer = using_all_servers(started(100))
+    balancer = use_all_servers(started_balancer(100))
     span, now = 1000.0 / per_s, 0.0
     for number in range(400):  # the rate that it knows
         now = number * span
@@ -112,14 +112,14 @@
 
 def test_a_list_that_empties_and_comes_back_while_a_request_waits() -> None:
     balancer = Balancer(settings(rules=RULES), 3)
-    balancer.handle(0.0, listed(range(3)))
+    balancer.handle(0.0, list_update(range(3)))
     balancer.handle(10.0, io.EndpointListUpdate("whole", ()))
     (wake,) = balancer.handle(20.0, io.Request(1, "pay", 800.0))
     assert isinstance(wake, io.SetTimer)
     for step in range(3):  # it goes on waiting
         (wake,) = balancer.handle(45.0 + 25.0 * step, io.Timer(wake.token))
         assert isinstance(wake, io.SetTimer)
-    balancer.handle(130.0, io.EndpointListUpdate("whole", (entry(7),)))
+    balancer.handle(130.0, io.EndpointListUpdate("whole", (make_endpoint(7),)))
     (send,) = balancer.handle(145.0, io.Timer(wake.token))
     assert isinstance(send, io.Send) and send.server == "s7"
     assert balancer.handle(200.0, io.AttemptEnded(1, 0, "s7", "ok", 55.0, True)) == []
@@ -137,11 +137,11 @@
 
 
 def test_the_last_ready_server_fails_after_it_has_left_the_list() -> None:
-    balancer = started(1)
+    balancer = started_balancer(1)
     attempts = []
     for number in range(3):
         attempts += sends(balancer.handle(100.0 * number, io.Request(number, "pay", 800.0)))
-    balancer.handle(310.0, io.EndpointListUpdate("changes", (entry(0, "draining"),)))
+    balancer.handle(310.0, io.EndpointListUpdate("changes", (make_endpoint(0, "draining"),)))
     for send in attempts:
         balancer.handle(320.0, io.AttemptEnded(send.request, 0, send.server, "reset", 20.0, True))
     assert not balancer.ready and balancer.servers["s0"].failure_rate > 0.35
--- a/tests/test_extproc_decisions.py
+++ b/tests/test_extproc_decisions.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import CLASSES, RULES, entry, settings
+from helpers import CLASSES, RULES, make_endpoint, settings
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
@@ -95,7 +95,7 @@
         self.backend = CallerBackend(self.engine, self.clock, 0.1)
         tokens = Tokens(b"k" * 16, b"life-one")
         self.service = DecisionService(self.engine, self.backend, self.clock, tokens, 0.2, 0.03, 1000)
-        self.entries = {n: entry(n) for n in range(servers)}
+        self.entries = {n: make_endpoint(n) for n in range(servers)}
         self.drained: dict[str, float] = {}
         self.list()
         self.engine.start()
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -15,8 +15,8 @@
 import grpc
 import pytest
 import uvloop
-from extproc_site import RawStream, Site, rows_of, status_of
-from peers import SETTINGS, run, until
+from extproc_site import ExtprocSite, RawStream, immediate_status, request_headers
+from peers import SETTINGS, async_test, wait_until
 
 from quartzford.serve import config_path
 from quartzford.settings.operator_checks import OperatorError
@@ -28,93 +28,96 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-@run
+@async_test
 async def test_workers_share_one_port_and_one_view_of_a_request() -> None:
-    async with Site(3, workers=2) as site:
+    async with ExtprocSite(3, workers=2) as site:
         callers = [site.caller() for _ in range(8)]
         done = await asyncio.gather(*(site.submit(c, "pay") for c in callers for _ in range(10)))
         assert [d.statuses for d in done] == [[200]] * 80
-        assert {site.runs(d.identity) for d in done} == {1}
+        assert {site.execution_count(d.identity) for d in done} == {1}
         raws = [RawStream(caller) for caller in callers]
-        replies = [await raw.submit(rows_of("same")) for raw in raws]
+        replies = [await raw.submit(request_headers("same")) for raw in raws]
         # Whichever workers these reached: one was told where to, all others that it is out.
-        assert sorted(map(status_of, replies)) == [0] + [409] * 7
+        assert sorted(map(immediate_status, replies)) == [0] + [409] * 7
 
 
-@run
+@async_test
 async def test_a_worker_killed_with_decisions_out() -> None:
     """What its callers had been told of may run: a cobro is not sent again, and service goes on."""
-    async with Site(3, workers=2, return_ms=100.0) as site:
+    async with ExtprocSite(3, workers=2, return_ms=100.0) as site:
         raws: list[RawStream] = []
         channels = set(site.front.channels)
         while len(raws) < 12 or not all(channel.streams for channel in channels):  # the kernel spreads them
             raws.append(RawStream(site.caller()))
-            await raws[-1].submit(rows_of(f"w{len(raws) - 1}"))
+            await raws[-1].submit(request_headers(f"w{len(raws) - 1}"))
         count = len(raws)
         assert site.open_requests() == count
         site.front.workers[0].kill()
-        await until(lambda: site.open_requests() < count)
-        await until(lambda: any(c.port for c in site.front.channels - channels), 30)  # its successor
+        await wait_until(lambda: site.open_requests() < count)
+        await wait_until(lambda: any(c.port for c in site.front.channels - channels), 30)  # its successor
         lost = [n for n in range(count) if f"w{n}" not in site.front.service.requests_by_identity]
         fresh = site.caller()
         for number in lost:
-            assert status_of(await RawStream(fresh).submit(rows_of(f"w{number}"))) == 409
+            assert immediate_status(await RawStream(fresh).submit(request_headers(f"w{number}"))) == 409
             token = raws[number].token()
-            assert status_of(await RawStream(fresh).submit(rows_of(f"w{number}", "pay", token))) == 502
+            assert (
+                immediate_status(await RawStream(fresh).submit(request_headers(f"w{number}", "pay", token)))
+                == 502
+            )
         assert 0 < len(lost) < count
         for number in set(range(count)) - set(lost):
-            assert status_of(await raws[number].report(200)) == 0
+            assert immediate_status(await raws[number].report(200)) == 0
         assert (await site.submit(site.caller(), "pay")).statuses == [200]
 
 
 async def decision_while_the_worker_is_stopped(
-    site: Site, name: str
+    site: ExtprocSite, name: str
 ) -> tuple[RawStream, asyncio.Task[Any], str]:
     """A request held until its worker stands still, then decided: who asked, its question, the nodo."""
     for upstream in site.upstreams:
         site.registry.notify(upstream, health="draining")
-    await until(lambda: not site.backend.hosts)
+    await wait_until(lambda: not site.backend.hosts)
     raw = RawStream(site.caller())
-    asking = asyncio.create_task(raw.submit(rows_of("c1", name)))
-    await until(lambda: site.open_requests() == 1)
+    asking = asyncio.create_task(raw.submit(request_headers("c1", name)))
+    await wait_until(lambda: site.open_requests() == 1)
     site.front.workers[0].send_signal(signal.SIGSTOP)
     for upstream in site.upstreams:
         site.registry.notify(upstream)
     (request,) = site.front.service.requests.values()
-    await until(lambda: request.attempt_stream is not None)
+    await wait_until(lambda: request.attempt_stream is not None)
     assert request.attempt is not None and not asking.done()
     return raw, asking, request.attempt.server
 
 
-@run
+@async_test
 async def test_a_worker_that_stood_still_gives_a_decision_back_unwritten() -> None:
     """The nodo drained meanwhile: the request goes elsewhere, and runs once."""
-    async with Site(3, workers=1) as site:
+    async with ExtprocSite(3, workers=1) as site:
         raw, asking, chosen = await decision_while_the_worker_is_stopped(site, "pay")
         upstream = site.upstreams[int(chosen[1:])]
         site.registry.notify(upstream, health="draining")
-        await until(lambda: chosen not in site.backend.hosts)
+        await wait_until(lambda: chosen not in site.backend.hosts)
         await asyncio.sleep(site.extproc.decision_valid_ms / 1000.0)
         site.front.workers[0].send_signal(signal.SIGCONT)
-        assert status_of(await asking) == 0
+        assert immediate_status(await asking) == 0
         assert raw.address() != f"127.0.0.1:{upstream.port}"
         assert site.node.engine.counts["written too late"] == site.node.engine.counts["moot"] == 1
         await raw.report(200)
         assert site.node.engine.counts["ok"] == 1 and not site.open_requests()
 
 
-@run
+@async_test
 async def test_a_caller_that_left_a_worker_that_stood_still_ran_nothing() -> None:
-    async with Site(3, workers=1) as site:
+    async with ExtprocSite(3, workers=1) as site:
         raw, asking, _ = await decision_while_the_worker_is_stopped(site, "pay")
         raw.drop()
         await asyncio.sleep(site.extproc.decision_valid_ms / 1000.0)
         site.front.workers[0].send_signal(signal.SIGCONT)
         with pytest.raises((asyncio.CancelledError, asyncio.InvalidStateError, grpc.aio.AioRpcError)):
             await asking
-        await until(lambda: not site.open_requests())
+        await wait_until(lambda: not site.open_requests())
         done = await site.submit(site.caller(), "pay", identity="c1")
-        assert done.statuses == [200] and site.runs("c1") == 1
+        assert done.statuses == [200] and site.execution_count("c1") == 1
 
 
 class Program:
@@ -198,17 +201,19 @@
             caller = it.caller()
             raws = [RawStream(caller) for _ in range(5)]
             for number, raw in enumerate(raws):
-                assert status_of(await raw.submit(rows_of(f"c{number}", left_s=2.9))) == 0
+                assert immediate_status(await raw.submit(request_headers(f"c{number}", left_s=2.9))) == 0
             assert caller.channel.get_state() is grpc.ChannelConnectivity.READY
             it.process.send_signal(signal.SIGTERM)
-            await until(lambda: caller.channel.get_state() is not grpc.ChannelConnectivity.READY)  # GOAWAY
+            await wait_until(
+                lambda: caller.channel.get_state() is not grpc.ChannelConnectivity.READY
+            )  # GOAWAY
             await until_refused(it.port)  # by the other worker too
             late = RawStream(caller)  # nothing new is taken: the caller is to ask another balancer
             with pytest.raises((grpc.aio.AioRpcError, asyncio.InvalidStateError)):
-                reply = await late.submit(rows_of("late"))
+                reply = await late.submit(request_headers("late"))
                 raise AssertionError(f"taken after GOAWAY: {reply}")
             for raw in raws:  # what is open finishes on its connection
-                assert status_of(await raw.report(200)) == 0
+                assert immediate_status(await raw.report(200)) == 0
                 await raw.call.done_writing()
             assert await asyncio.wait_for(it.process.wait(), 20) == 0
             await caller.close()
@@ -229,14 +234,14 @@
                 it.process.send_signal(signal.SIGHUP)
                 assert key in await it.said("reload")
             held = RawStream(caller)
-            await held.submit(rows_of("held"))
+            await held.submit(request_headers("held"))
             it.write('[extproc.headers]\ndestination = "x-goes-to"\n')
             it.process.send_signal(signal.SIGHUP)
             assert "in force" in await it.said("reload")
-            assert status_of(await held.report(200)) == 0
+            assert immediate_status(await held.report(200)) == 0
             for _ in range(200):
                 raw = RawStream(caller)
-                reply = await raw.submit(rows_of(f"n{_}"))
+                reply = await raw.submit(request_headers(f"n{_}"))
                 await raw.report(200)
                 names = {o.header.key for o in reply.request_headers.response.header_mutation.set_headers}
                 if "x-goes-to" in names:
@@ -371,7 +376,7 @@
 
 def test_a_key_file_that_is_short_or_missing_ends_the_start(tmp_path: Path) -> None:
     async def test(name: str) -> Any:
-        async with Site(1, token_key_file=name):
+        async with ExtprocSite(1, token_key_file=name):
             raise AssertionError("it started")
 
     short = tmp_path / "key"
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -11,8 +11,8 @@
 import pytest
 import uvloop
 from envoy.service.ext_proc.v3 import external_processor_pb2 as proto
-from extproc_site import RawStream, Site, rows_of, status_of
-from peers import SETTINGS, run, until
+from extproc_site import ExtprocSite, RawStream, immediate_status, request_headers
+from peers import SETTINGS, async_test, wait_until
 
 from quartzford.decision import interface as io
 from quartzford.fronts.extproc.token import Tokens
@@ -20,9 +20,9 @@
 from standins.caller import PROCESS, STAGES, Attempt, Headers
 
 
-@run
+@async_test
 async def test_a_request_goes_where_the_module_says_and_its_report_stays_here() -> None:
-    async with Site() as site:
+    async with ExtprocSite() as site:
         caller, heard, handle = site.caller(), [], site.node.engine.balancer.handle
 
         def watched(now: float, event: io.Event) -> list[io.Action]:
@@ -36,7 +36,7 @@
         for name in ("read", "book", "pay"):
             done = await site.submit(caller, name)
             assert done.statuses == [200] and len(done.attempts) == 1 and not done.reason
-            assert site.runs(done.identity) == 1
+            assert site.execution_count(done.identity) == 1
         assert site.node.engine.counts["ok"] == 3 and not site.node.engine.pending_requests
         # The nodos say queue 0 and util 1.0; the module is told, in the order of the settings.
         assert heard == [(0.0, 1.0)] * 3
@@ -45,13 +45,13 @@
 @pytest.mark.parametrize("opener", [False, True])
 def test_a_rejected_attempt_goes_elsewhere_by_a_new_decision(opener: bool) -> None:
     async def test() -> None:
-        async with Site(2) as site:
+        async with ExtprocSite(2) as site:
             site.upstreams[0].mode = "full"
             caller = site.caller(opener=opener)
             several = 0
             for _ in range(20):
                 done = await site.submit(caller, "pay")
-                assert done.statuses == [200] and site.runs(done.identity) == 1
+                assert done.statuses == [200] and site.execution_count(done.identity) == 1
                 several += len(done.attempts) > 1
                 assert len({a.address for a in done.attempts}) == len(done.attempts)
             assert several and not site.open_requests()
@@ -59,23 +59,23 @@
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_an_unsafe_request_that_may_have_run_fails_and_is_not_rejected() -> None:
-    async with Site(2) as site:
+    async with ExtprocSite(2) as site:
         for upstream in site.upstreams:
             upstream.mode = "error"
         caller = site.caller()
         done = await site.submit(caller, "pay")
         assert done.statuses == [502] and len(done.attempts) == 1 and not done.retry_after
         again = await site.submit(caller, "pay", identity=done.identity)
-        assert again.statuses == [409] and site.runs(done.identity) == 1
+        assert again.statuses == [409] and site.execution_count(done.identity) == 1
         read = await site.submit(caller, "read")
         assert len(read.attempts) > 1 and read.statuses in ([502], [503])
 
 
-@run
+@async_test
 async def test_what_never_ran_is_rejected_with_retry_after() -> None:
-    async with Site(2) as site:
+    async with ExtprocSite(2) as site:
         for upstream in site.upstreams:
             upstream.mode = "full"
         done = await site.submit(site.caller(), "pay", left_s=0.6)
@@ -83,9 +83,9 @@
         for upstream in site.upstreams:
             upstream.mode = "ok"
         # It surely did not run: the same request may come again.
-        await until(lambda: not site.open_requests())
+        await wait_until(lambda: not site.open_requests())
         again = await site.submit(site.caller(), "pay", identity=done.identity)
-        assert again.statuses == [200] and site.runs(done.identity) == 1
+        assert again.statuses == [200] and site.execution_count(done.identity) == 1
 
 
 @pytest.mark.parametrize(("name", "mode", "status"), [("pay", "full", 503), ("book", "error", 502)])
@@ -93,7 +93,7 @@
     """The nodo's own answer must not pass for a refusal of what may have run, nor the other way round."""
 
     async def test() -> None:
-        async with Site(4) as site:
+        async with ExtprocSite(4) as site:
             for upstream in site.upstreams:
                 upstream.mode = mode
             done = await site.submit(site.caller(retries=0), name)
@@ -102,10 +102,10 @@
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_a_tenant_over_its_quota_gets_429() -> None:
     customers = [{"name": "acme", "quotaPerS": 0.5}]
-    async with Site(1, settings={"customers": customers}) as site:
+    async with ExtprocSite(1, settings={"customers": customers}) as site:
         admission = site.node.engine.balancer.admission
         admission.shed, admission.refused, admission.shed_ms = 0.95, 1e4, site.node.clock.unix_ms()
         caller = site.caller()
@@ -118,63 +118,65 @@
 # ---- callers that leave
 
 
-@run
+@async_test
 async def test_a_stream_dropped_before_its_decision_surely_did_not_run() -> None:
-    async with Site(1) as site:
+    async with ExtprocSite(1) as site:
         site.registry.notify(site.upstreams[0], health="draining")
-        await until(lambda: not site.backend.hosts)
+        await wait_until(lambda: not site.backend.hosts)
         caller = site.caller()
         raw = RawStream(caller)
-        message = proto.ProcessingRequest(request_headers=_message(rows_of("x1")))
+        message = proto.ProcessingRequest(request_headers=_message(request_headers("x1")))
         await raw.call.write(message)
-        await until(site.open_requests)
+        await wait_until(site.open_requests)
         raw.drop()
-        await until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
+        await wait_until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
         site.registry.notify(site.upstreams[0])
-        await until(lambda: site.backend.hosts)
+        await wait_until(lambda: site.backend.hosts)
         done = await site.submit(caller, "pay", identity="x1")
-        assert done.statuses == [200] and site.runs("x1") == 1
+        assert done.statuses == [200] and site.execution_count("x1") == 1
 
 
 @pytest.mark.parametrize("stage", STAGES[1:])
 @pytest.mark.parametrize("name", ["pay", "book", "read"])
 def test_a_stream_dropped_after_its_decision_may_have_run(stage: str, name: str) -> None:
     async def test() -> None:
-        async with Site(2, return_ms=50.0) as site:
+        async with ExtprocSite(2, return_ms=50.0) as site:
             caller = site.caller()
             if stage == STAGES[2]:
                 for upstream in site.upstreams:
                     upstream.gate = asyncio.Event()
             done = await site.submit(caller, name, drop=stage)
             assert done.dropped == stage and not done.statuses
-            await until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
+            await wait_until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
             again = await site.submit(caller, name, identity=done.identity)
             assert again.statuses == [409]
-            assert site.runs(done.identity) == (1 if stage == STAGES[2] else 0)
+            assert site.execution_count(done.identity) == (1 if stage == STAGES[2] else 0)
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_an_unsafe_request_whose_decision_comes_after_its_caller_gave_up() -> None:
     """The caller never read it, but who can tell? It is neither sent again nor refused as harmless."""
-    async with Site(2, return_ms=50.0) as site:
+    async with ExtprocSite(2, return_ms=50.0) as site:
         processor, caller = site.front.processor, site.caller()
         assert processor is not None
         raw = RawStream(caller)
-        raw.headers = Headers(rows_of("c1"))
+        raw.headers = Headers(request_headers("c1"))
         await raw.call.write(proto.ProcessingRequest(request_headers=raw.headers.message(True, True)))
-        await until(lambda: any(w.decided for c in processor.callers for w in c.extproc_streams.values()))
+        await wait_until(
+            lambda: any(w.decided for c in processor.callers for w in c.extproc_streams.values())
+        )
         raw.drop()
-        await until(lambda: site.node.engine.counts["client gone"] == 1)
+        await wait_until(lambda: site.node.engine.counts["client gone"] == 1)
         again = await site.submit(caller, "pay", identity="c1")
-        assert again.statuses == [409] and site.runs("c1") == 0
+        assert again.statuses == [409] and site.execution_count("c1") == 0
 
 
-@run
+@async_test
 async def test_an_unsafe_request_whose_caller_gave_up_before_the_decision_was_written() -> None:
     """Nothing left us, so it surely did not run: its client may come again."""
-    async with Site(2, return_ms=50.0) as site:
+    async with ExtprocSite(2, return_ms=50.0) as site:
         assert site.front.processor is not None
         link, loop = site.front.processor.link, asyncio.get_running_loop()
         request_decision = link.request_decision
@@ -188,18 +190,18 @@
         caller = site.caller(message_timeout_s=0.1)
         done = await site.submit(caller, "pay")
         assert done.statuses == [504] and not done.attempts
-        await until(lambda: site.node.engine.counts["client gone"] == 1)
+        await wait_until(lambda: site.node.engine.counts["client gone"] == 1)
         link.request_decision = request_decision  # type: ignore[method-assign]
         again = await site.submit(site.caller(), "pay", identity=done.identity)
-        assert again.statuses == [200] and site.runs(done.identity) == 1
+        assert again.statuses == [200] and site.execution_count(done.identity) == 1
 
 
-@run
+@async_test
 async def test_a_request_whose_time_is_over_while_its_attempt_is_out_is_cut() -> None:
     """A caller that holds to no time-out of its own: its stream is ended, so that its client hears."""
-    async with Site(1) as site:
+    async with ExtprocSite(1) as site:
         raw = RawStream(site.caller())
-        assert status_of(await raw.submit(rows_of("c9", left_s=0.3))) == 0
+        assert immediate_status(await raw.submit(request_headers("c9", left_s=0.3))) == 0
         with pytest.raises(grpc.aio.AioRpcError) as error:
             await raw.call.read()
             await raw.report(200)
@@ -213,12 +215,12 @@
 @pytest.mark.parametrize(("name", "status"), [("pay", 409), ("read", 409)])
 def test_a_second_attempt_beside_one_in_flight_is_rejected(name: str, status: int) -> None:
     async def test() -> None:
-        async with Site(3, overlap_ms=30.0) as site:
+        async with ExtprocSite(3, overlap_ms=30.0) as site:
             caller = site.caller()
             one, two = RawStream(caller), RawStream(caller)
-            await one.submit(rows_of("c1", name))
-            assert status_of(await two.submit(rows_of("c1", name, one.token()))) == status
-            assert status_of(await one.report(200)) == 0 and not site.open_requests()
+            await one.submit(request_headers("c1", name))
+            assert immediate_status(await two.submit(request_headers("c1", name, one.token()))) == status
+            assert immediate_status(await one.report(200)) == 0 and not site.open_requests()
 
     uvloop.run(test())
 
@@ -228,17 +230,17 @@
     """Its stream ends with nothing reported, and the next one comes with the token, even a moment before."""
 
     async def test() -> None:
-        async with Site(4, overlap_ms=5000.0) as site:
+        async with ExtprocSite(4, overlap_ms=5000.0) as site:
             caller = site.caller()
             one, two = RawStream(caller), RawStream(caller)
-            await one.submit(rows_of("c1", name))
-            asking = asyncio.ensure_future(two.submit(rows_of("c1", name, one.token())))
-            await until(lambda: any(f.next_stream for f in site.front.service.requests.values()))
+            await one.submit(request_headers("c1", name))
+            asking = asyncio.ensure_future(two.submit(request_headers("c1", name, one.token())))
+            await wait_until(lambda: any(f.next_stream for f in site.front.service.requests.values()))
             one.drop()
             reply = await asking
             if not sent:
-                return _check(status_of(reply) == 502)
-            assert status_of(reply) == 0 and two.address()
+                return _check(immediate_status(reply) == 502)
+            assert immediate_status(reply) == 0 and two.address()
             if name == "book":  # only in its block are its repeats dropped
                 block = {f"127.0.0.1:{n.port}": n.block for n in site.upstreams}
                 assert block[two.address()] == block[one.address()]
@@ -253,12 +255,14 @@
     """Against what its operators are asked: it sends again unbidden, with the token, and reports nothing."""
 
     async def test() -> None:
-        async with Site(3) as site:
+        async with ExtprocSite(3) as site:
             for upstream in site.upstreams:
                 upstream.mode = "garble"
             caller = site.caller(retries_resets=True, retries=1)
             done = await site.submit(caller, name)
-            assert site.runs(done.identity) == len(done.attempts) == runs and len(done.statuses) == 1
+            assert (
+                site.execution_count(done.identity) == len(done.attempts) == runs and len(done.statuses) == 1
+            )
             assert done.statuses == [502] if name == "pay" else done.statuses[0] >= 500
             assert not site.journal.overlapping
 
@@ -268,13 +272,13 @@
 @pytest.mark.parametrize("connections", [1, 2])
 def test_the_same_id_on_two_streams_is_one_request(connections: int) -> None:
     async def test() -> None:
-        async with Site() as site:
+        async with ExtprocSite() as site:
             callers = [site.caller() for _ in range(connections)]
             one, two = RawStream(callers[0]), RawStream(callers[-1])
-            await one.submit(rows_of("c1"))
-            assert status_of(await two.submit(rows_of("c1"))) == 409
+            await one.submit(request_headers("c1"))
+            assert immediate_status(await two.submit(request_headers("c1"))) == 409
             await one.report(200)
-            assert status_of(await RawStream(callers[-1]).submit(rows_of("c1"))) == 409
+            assert immediate_status(await RawStream(callers[-1]).submit(request_headers("c1"))) == 409
 
     uvloop.run(test())
 
@@ -282,35 +286,44 @@
 # ---- what clients and strangers send
 
 
-@run
+@async_test
 async def test_a_token_that_is_not_ours_opens_nothing() -> None:
-    async with Site() as site:
+    async with ExtprocSite() as site:
         caller = site.caller()
         for text in ("x", "AAAA" * 20, "é", "=" * 9):
             assert (
-                status_of(await RawStream(caller).submit(rows_of("c1", "pay", ("x-quartzford-token", text))))
+                immediate_status(
+                    await RawStream(caller).submit(request_headers("c1", "pay", ("x-quartzford-token", text)))
+                )
                 == 400
             )
         one = RawStream(caller)
-        await one.submit(rows_of("c1"))
-        assert status_of(await RawStream(caller).submit(rows_of("other", "pay", one.token()))) == 400
+        await one.submit(request_headers("c1"))
+        assert (
+            immediate_status(await RawStream(caller).submit(request_headers("other", "pay", one.token())))
+            == 400
+        )
         await one.report(200)
         # Of a request that has ended: whatever it was, it is not sent again.
-        assert status_of(await RawStream(caller).submit(rows_of("c1", "pay", one.token()))) == 502
+        assert (
+            immediate_status(await RawStream(caller).submit(request_headers("c1", "pay", one.token()))) == 502
+        )
         # Of an earlier life, with a key that lasts.
         tokens = site.front.service.tokens
         tokens.key = Tokens(b"k" * 16, b"l" * 8).key
         old = Tokens(b"k" * 16, os.urandom(8)).make(3, "c7", site.node.clock.unix_ms() + 1e6)
         assert (
-            status_of(await RawStream(caller).submit(rows_of("c7", "pay", ("x-quartzford-token", old))))
+            immediate_status(
+                await RawStream(caller).submit(request_headers("c7", "pay", ("x-quartzford-token", old)))
+            )
             == 502
         )
         assert not site.journal.runs and site.node.engine.counts["token stale"] == 1
 
 
-@run
+@async_test
 async def test_a_destination_that_a_client_wrote_is_overwritten() -> None:
-    async with Site() as site:
+    async with ExtprocSite() as site:
         forged = (
             ("x-quartzford-destination", "127.0.0.1:9"),
             ("x-quartzford-retry", "1"),
@@ -318,10 +331,13 @@
         )
         done = await site.submit(site.caller(), "pay", extra=forged)
         assert done.statuses == [200] and done.attempts[0].address != "127.0.0.1:9"
-        brought = RawStream(site.caller(), opens=True)  # whoever opens a request has no token yet
-        assert status_of(await brought.submit(rows_of("c7", "pay", ("x-quartzford-token", "x")))) == 400
-        raw = RawStream(site.caller(), opens=True)
-        await raw.submit(rows_of("c8", "pay", *forged))
+        brought = RawStream(site.caller(), opens_request=True)  # whoever opens a request has no token yet
+        assert (
+            immediate_status(await brought.submit(request_headers("c7", "pay", ("x-quartzford-token", "x"))))
+            == 400
+        )
+        raw = RawStream(site.caller(), opens_request=True)
+        await raw.submit(request_headers("c8", "pay", *forged))
         assert raw.address() == "" and raw.token()[1]
 
 
@@ -336,37 +352,43 @@
 @pytest.mark.parametrize("raw_values", [True, False])
 def test_header_values_come_in_either_field(raw_values: bool) -> None:
     async def test() -> None:
-        async with Site() as site:
+        async with ExtprocSite() as site:
             done = await site.submit(site.caller(raw_values=raw_values), "book")
             assert done.statuses == [200] and site.journal.runs[0].key == f"k-{done.identity}"
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_requests_that_cannot_be_read() -> None:
-    async with Site() as site:
+    async with ExtprocSite() as site:
         caller = site.caller()
-        no_id = [row for row in rows_of("c1") if row[0] != "x-correlation-id"]
-        assert status_of(await RawStream(caller).submit(no_id)) == 400
+        no_id = [row for row in request_headers("c1") if row[0] != "x-correlation-id"]
+        assert immediate_status(await RawStream(caller).submit(no_id)) == 400
         assert (
-            status_of(await RawStream(caller).submit(rows_of("c1", "pay", ("x-correlation-id", "c2")))) == 400
+            immediate_status(
+                await RawStream(caller).submit(request_headers("c1", "pay", ("x-correlation-id", "c2")))
+            )
+            == 400
         )
         many = [(f"x-{n}", "v") for n in range(300)]
-        assert status_of(await RawStream(caller).submit(rows_of("c1", "pay", *many))) == 431
+        assert immediate_status(await RawStream(caller).submit(request_headers("c1", "pay", *many))) == 431
         assert (
-            status_of(await RawStream(caller).submit(rows_of("c1", "pay", ("x-long", "v" * 70_000)))) == 431
+            immediate_status(
+                await RawStream(caller).submit(request_headers("c1", "pay", ("x-long", "v" * 70_000)))
+            )
+            == 431
         )
-        odd = [row for row in rows_of("c3") if row[0] not in ("x-service-class", "x-time-left")]
+        odd = [row for row in request_headers("c3") if row[0] not in ("x-service-class", "x-time-left")]
         raw = RawStream(caller)
-        assert status_of(await raw.submit([*odd, ("x-time-left", "soon")])) == 0 and raw.address()
+        assert immediate_status(await raw.submit([*odd, ("x-time-left", "soon")])) == 0 and raw.address()
         assert site.node.engine.pending_requests and (await raw.report(200)) and not site.open_requests()
         assert not site.journal.runs
 
 
-@run
+@async_test
 async def test_bytes_that_are_no_message_end_their_stream_only() -> None:
-    async with Site() as site:
+    async with ExtprocSite() as site:
         caller = site.caller()
         plain = caller.channel.stream_stream(PROCESS)
         for data in (b"\xff\xff\xff", b"", b"x" * 300_000):
@@ -378,13 +400,13 @@
         assert (await site.submit(caller, "pay")).statuses == [200] and not site.open_requests()
 
 
-@run
+@async_test
 async def test_phases_that_were_not_requested_get_the_neutral_reply() -> None:
-    async with Site() as site:
+    async with ExtprocSite() as site:
         raw = RawStream(site.caller())
         reply = await raw.exchange(proto.ProcessingRequest(response_headers=_message([(":status", "200")])))
         assert reply.WhichOneof("response") == "response_headers"
-        reply = await raw.submit(rows_of("c1"))
+        reply = await raw.submit(request_headers("c1"))
         override = reply.mode_override
         assert (override.request_body_mode, override.response_body_mode) == (0, 0)
         assert override.response_header_mode == override.SEND
@@ -403,33 +425,33 @@
 STALL_S = 0.3  # longer than a decision stands
 
 
-@run
+@async_test
 async def test_an_upstream_that_drains_between_decision_and_send_gets_nothing() -> None:
-    async with Site(4, decision_valid_ms=5000.0) as site:
+    async with ExtprocSite(4, decision_valid_ms=5000.0) as site:
         caller = site.caller()
-        opener = RawStream(caller, opens=True)
-        await opener.submit(rows_of("c1"))
+        opener = RawStream(caller, opens_request=True)
+        await opener.submit(request_headers("c1"))
         (call,) = site.node.engine.pending_requests.values()
         assert call.attempt is not None
         chosen = call.attempt.server
         upstream = site.upstreams[int(chosen[1:])]
         site.registry.notify(upstream, health="draining")
-        await until(lambda: chosen not in site.backend.hosts)
+        await wait_until(lambda: chosen not in site.backend.hosts)
         raw = RawStream(caller)
-        await raw.submit(rows_of("c1", "pay", opener.token()))
+        await raw.submit(request_headers("c1", "pay", opener.token()))
         assert raw.address() != f"127.0.0.1:{upstream.port}" and site.node.engine.counts["moot"] == 1
         await raw.report(200)
 
 
-@run
+@async_test
 async def test_a_decision_that_waited_too_long_is_made_anew() -> None:
-    async with Site(4, decision_valid_ms=1000.0 * VALID_S, return_ms=2000.0) as site:
+    async with ExtprocSite(4, decision_valid_ms=1000.0 * VALID_S, return_ms=2000.0) as site:
         caller = site.caller()
-        opener = RawStream(caller, opens=True)
-        await opener.submit(rows_of("c1"))
+        opener = RawStream(caller, opens_request=True)
+        await opener.submit(request_headers("c1"))
         await asyncio.sleep(STALL_S)
         raw = RawStream(caller)
-        await raw.submit(rows_of("c1", "pay", opener.token()))
+        await raw.submit(request_headers("c1", "pay", opener.token()))
         assert raw.address() and site.node.engine.counts["moot"] == 1
         await raw.report(200)
         assert site.node.engine.counts["ok"] == 1
@@ -448,20 +470,20 @@
     assert sent.outcome == "200" and sent.at - sent.decided_at <= VALID_S
 
 
-@run
+@async_test
 async def test_a_caller_that_stalls_and_keeps_to_the_end_of_validity_sends_nothing_old() -> None:
-    async with Site(4, decision_valid_ms=1000.0 * VALID_S) as site:
+    async with ExtprocSite(4, decision_valid_ms=1000.0 * VALID_S) as site:
         done = await site.submit(site.caller(honours=True, stall_s=STALL_S), "pay")
         assert done.statuses == [200]
         assert_only_expired_before_the_last(done.attempts)
-        assert site.runs(done.identity) == 1
+        assert site.execution_count(done.identity) == 1
         counts = site.node.engine.counts
         assert counts["moot"] - counts["written too late"] == len(done.attempts) - 1
 
 
-@run
+@async_test
 async def test_what_a_client_says_of_the_validity_is_overwritten() -> None:
-    async with Site(4, decision_valid_ms=1000.0 * VALID_S) as site:
+    async with ExtprocSite(4, decision_valid_ms=1000.0 * VALID_S) as site:
         claim = (("x-quartzford-within", "60000"),)
         caller = site.caller(honours=True, stall_s=STALL_S)
         done = await site.submit(caller, "pay", extra=claim)
@@ -469,41 +491,44 @@
         assert_only_expired_before_the_last(done.attempts)
 
 
-@run
+@async_test
 async def test_an_opened_request_that_nobody_follows_up_is_given_up() -> None:
-    async with Site(return_ms=50.0) as site:
+    async with ExtprocSite(return_ms=50.0) as site:
         caller = site.caller()
-        opener = RawStream(caller, opens=True)
-        await opener.submit(rows_of("c1"))
-        await until(lambda: not site.open_requests())
+        opener = RawStream(caller, opens_request=True)
+        await opener.submit(request_headers("c1"))
+        await wait_until(lambda: not site.open_requests())
         assert site.node.engine.counts["client gone"] == 1
-        assert status_of(await RawStream(caller).submit(rows_of("c1", "pay", opener.token()))) == 502
+        assert (
+            immediate_status(await RawStream(caller).submit(request_headers("c1", "pay", opener.token())))
+            == 502
+        )
 
 
 # ---- many streams, and a caller that does not read
 
 
-@run
+@async_test
 async def test_a_thousand_streams_on_one_connection() -> None:
-    async with Site(4, settings={"tickMs": 1.0}) as site:
+    async with ExtprocSite(4, settings={"tickMs": 1.0}) as site:
         for upstream in site.upstreams:
             upstream.gate, upstream.queue = asyncio.Event(), 2000
         caller = site.caller()
         asking = [asyncio.ensure_future(site.submit(caller, "pay", left_s=20.0)) for _ in range(1000)]
-        await until(lambda: len(site.journal.runs) + sum(bool(t.done()) for t in asking) == 1000, 40)
+        await wait_until(lambda: len(site.journal.runs) + sum(bool(t.done()) for t in asking) == 1000, 40)
         for upstream in site.upstreams:
             upstream.gate.set()
         answers = await asyncio.gather(*asking)
         assert all(len(done.statuses) == 1 for done in answers)
-        assert not any(site.runs(done.identity) > 1 for done in answers)
+        assert not any(site.execution_count(done.identity) > 1 for done in answers)
         assert not site.open_requests() and not site.node.engine.pending_requests
 
 
-@run
+@async_test
 async def test_a_caller_that_reads_nothing_harms_only_itself() -> None:
     """Its windows are never opened again: what it is owed is held within them, and ends with its time."""
     classes = [{**c, "deadlineMs": 600.0, "sloMs": 500.0} for c in SETTINGS["classes"]]
-    async with Site(2, settings={"classes": classes}) as site:
+    async with ExtprocSite(2, settings={"classes": classes}) as site:
         deaf = h2.connection.H2Connection()
         deaf.initiate_connection()
         _, writer = await asyncio.open_connection("127.0.0.1", site.front.port, limit=1)
@@ -516,7 +541,9 @@
             ("content-type", "application/grpc"),
         ]
         for number in range(200):
-            message = proto.ProcessingRequest(request_headers=_message(rows_of(f"d{number}", left_s=0.5)))
+            message = proto.ProcessingRequest(
+                request_headers=_message(request_headers(f"d{number}", left_s=0.5))
+            )
             data, stream = message.SerializeToString(), 2 * number + 1
             deaf.send_headers(stream, grpc_headers)
             writer.write(deaf.data_to_send())
@@ -526,28 +553,28 @@
                     http2.FrameType.DATA, 0, stream, b"\0" + len(data).to_bytes(4, "big") + data
                 )
             )
-        await until(lambda: site.open_requests() >= 190)
+        await wait_until(lambda: site.open_requests() >= 190)
         assert site.front.processor is not None
         callers = site.front.processor.callers
         (connection,) = (c for c in callers if len(c.connection.streams) > 100)
         assert (await site.submit(site.caller(), "pay", left_s=0.5)).statuses == [200]
-        await until(lambda: not site.open_requests() and not connection.extproc_streams, 20)
+        await wait_until(lambda: not site.open_requests() and not connection.extproc_streams, 20)
         assert connection.transport.get_write_buffer_size() + len(connection.connection.output) < 300_000
         writer.transport.abort()
-        await until(lambda: connection not in callers)
+        await wait_until(lambda: connection not in callers)
 
 
-@run
+@async_test
 async def test_a_connection_has_so_many_streams_at_a_time() -> None:
     """The bound is told in SETTINGS; a caller that has heard of it lets a further stream wait."""
-    async with Site(most_streams=4) as site:
+    async with ExtprocSite(most_streams=4) as site:
         caller = site.caller()
         first = RawStream(caller)
-        await first.submit(rows_of("c0"))
+        await first.submit(request_headers("c0"))
         streams = [RawStream(caller) for _ in range(3)]
         for number, raw in enumerate(streams):
-            await raw.submit(rows_of(f"c{number + 1}"))
-        fifth = asyncio.ensure_future(RawStream(caller).submit(rows_of("c4")))
+            await raw.submit(request_headers(f"c{number + 1}"))
+        fifth = asyncio.ensure_future(RawStream(caller).submit(request_headers("c4")))
         other = await site.submit(site.caller(), "pay", identity="other")  # another connection has its own
         assert other.statuses == [200] and site.front.processor is not None
         # Where the caller waits for a stream to end, or opens a further connection, is its own affair.
@@ -555,4 +582,4 @@
         assert max(held) <= 4 and site.open_requests() in (4, 5)
         await first.report(200)
         await first.call.done_writing()
-        assert status_of(await fifth) == 0
+        assert immediate_status(await fifth) == 0
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -6,7 +6,19 @@
 from dataclasses import replace
 
 import pytest
-from helpers import FREE, RULES, entry, finals, outcome, reported, sends, serve, settings, started, submit
+from helpers import (
+    FREE,
+    RULES,
+    attempt_ended,
+    final_answers,
+    last_reported_load,
+    make_endpoint,
+    sends,
+    serve_request,
+    settings,
+    started_balancer,
+    submit,
+)
 from pytest import approx
 
 from quartzford.decision import interface as io
@@ -15,14 +27,14 @@
 
 def test_giving_up_early_needs_a_retry_to_spend() -> None:
     """An attempt cut short with an empty retry budget was a sure loss."""
-    balancer = started(8)
+    balancer = started_balancer(8)
     for n in range(100):
-        serve(balancer, n * 20.0, n)
+        serve_request(balancer, n * 20.0, n)
     first = sends(submit(balancer, 5_000.0, 500))[0]
     assert first.time_out_ms < FREE.latency_objective_ms / 2
     for n in range(40):  # spend the budget
         send = sends(submit(balancer, 5_001.0 + n, 600 + n))[0]
-        balancer.handle(5_001.5 + n, outcome(send, 0, "error", 0.5))
+        balancer.handle(5_001.5 + n, attempt_ended(send, 0, "error", 0.5))
     last = sends(submit(balancer, 5_100.0, 700))[0]
     assert last.time_out_ms > FREE.latency_objective_ms / 2
 
@@ -30,7 +42,7 @@
 def test_bounded_load_spreads_what_is_out() -> None:
     """A server above its share of what is out waits while others are below theirs."""
     for seed in range(20):
-        balancer = started(8, seed)
+        balancer = started_balancer(8, seed)
         taken = [sends(submit(balancer, 0.0, n))[0].server for n in range(8)]
         assert len(set(taken[:4])) == 4
         assert max(map(taken.count, taken)) == 2 or len(set(taken)) == 8
@@ -39,9 +51,9 @@
 def test_shares_follow_costs_within_few_answers_of_a_large_fleet() -> None:
     """At 60 servers single steps of Eq. 8 need thousands of answers; the mean of Eq. 8 does not."""
     balancer = Balancer(settings(prices=io.Prices(cross_zone=0.06)), 5)
-    balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n) for n in range(60))))
+    balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(make_endpoint(n) for n in range(60))))
     for n in range(300):
-        serve(balancer, n * 20.0, n)
+        serve_request(balancer, n * 20.0, n)
     own = sum(s.p for s in balancer.ready if s.entry.zone == "north")
     assert own > 0.65
     assert sum(s.p for s in balancer.ready) == approx(1.0)
@@ -51,7 +63,7 @@
     waits = []
     for seed in range(20):
         balancer = Balancer(settings(polls_list=True), seed)
-        first = balancer.handle(0.0, io.EndpointListUpdate("stale", (entry(0),)))
+        first = balancer.handle(0.0, io.EndpointListUpdate("stale", (make_endpoint(0),)))
         waits.append(next(a.after_ms for a in first if isinstance(a, io.SetTimer)))
         spans = []
         for n in range(5):
@@ -63,19 +75,19 @@
 
 
 def test_a_response_that_has_started_needs_no_final_answer() -> None:
-    balancer = started(2)
+    balancer = started_balancer(2)
     send = sends(submit(balancer, 0.0, 1, "feed"))[0]
     assert balancer.handle(5.0, io.ResponseStarted(1, 0, send.server, 5.0)) == []
-    assert balancer.handle(9_000.0, outcome(send, 0, "reset", 9_000.0, final=True)) == []
+    assert balancer.handle(9_000.0, attempt_ended(send, 0, "reset", 9_000.0, final=True)) == []
     assert not balancer.pending_requests
 
 
 def test_eq_6_to_8_on_numbers_worked_by_hand() -> None:
     """Two servers; the class is known to take 10 ms, so the first answer costs one usual latency."""
-    balancer = started(2)
+    balancer = started_balancer(2)
     balancer.latency.typical["read"], balancer.latency.answer_counts["read"] = 10.0, 100
     send = sends(submit(balancer, 0.0, 1))[0]
-    balancer.handle(10.0, outcome(send, 0, "ok", 10.0))
+    balancer.handle(10.0, attempt_ended(send, 0, "ok", 10.0))
     one, two = sorted(balancer.ready, key=lambda s: s.entry.server != send.server)
     # z = 0.5 * 1 for both, prev_cost = z, low = 0.6 * 0.5 = 0.3, high = 0.5, beta = 1 for both:
     # Eq. 8 with a = b = 0.078 takes 0.078 * 0.5 from the one that answered and gives it to the other.
@@ -87,7 +99,7 @@
     # A second answer at three usual latencies: usual = 10 + 0.05 * 20 = 11, y = 30 / 11, alpha = 0.5.
     p1 = one.p
     other = sends(submit(balancer, 20.0, 2))[0]
-    balancer.handle(50.0, outcome(other, 0, "ok", 30.0))
+    balancer.handle(50.0, attempt_ended(other, 0, "ok", 30.0))
     slow, quick = (one, two) if other.server == one.entry.server else (two, one)
     cost = 0.5 * (0.5 * 30 / 11) + 0.5 * 0.5
     assert slow.cost == approx(cost) and quick.cost == approx(0.5)
@@ -100,25 +112,25 @@
 
 def test_a_new_incarnation_does_not_answer_for_attempts_of_the_one_before() -> None:
     """Attempts lost with the old process made the new one late, failing and loaded from the start."""
-    balancer = started(2, report_fields=("depth",))
+    balancer = started_balancer(2, report_fields=("depth",))
     send = sends(submit(balancer, 0.0, 1, "pay"))[0]
     number = int(send.server[1:])
-    balancer.handle(10.0, io.EndpointListUpdate("changes", (entry(number, started=5.0),)))
+    balancer.handle(10.0, io.EndpointListUpdate("changes", (make_endpoint(number, started_ms=5.0),)))
     server = balancer.servers[send.server]
     assert (
         server in balancer.ready and not server.in_flight and sum(s.p for s in balancer.ready) == approx(1.0)
     )
-    late = outcome(send, 0, "reset", 2_000.0)._replace(report=(90.0,))
-    assert finals(balancer.handle(2_000.0, late)) == [io.Fail(1)]  # the request still gets its answer
-    assert (server.failure_rate, reported(server), server.ejections) == (0.0, 0.0, 0)
+    late = attempt_ended(send, 0, "reset", 2_000.0)._replace(report=(90.0,))
+    assert final_answers(balancer.handle(2_000.0, late)) == [io.Fail(1)]  # the request still gets its answer
+    assert (server.failure_rate, last_reported_load(server), server.ejections) == (0.0, 0.0, 0)
     now = sends(submit(balancer, 2_010.0, 2))[0]
-    balancer.handle(2_020.0, outcome(now, 0, "ok", 10.0)._replace(report=(4.0,)))
-    assert reported(balancer.servers[now.server]) == 4.0
+    balancer.handle(2_020.0, attempt_ended(now, 0, "ok", 10.0)._replace(report=(4.0,)))
+    assert last_reported_load(balancer.servers[now.server]) == 4.0
 
 
 def test_made_up_tenants_leave_no_entries_behind() -> None:
     """Each name that a client made up took a table entry for good."""
-    balancer = started(2, tenants=(io.Tenant("acme", 100.0),))
+    balancer = started_balancer(2, tenants=(io.Tenant("acme", 100.0),))
     for n, name in enumerate(("acme", *(f"made-up-{n}" for n in range(50)))):
         balancer.handle(float(n), io.Request(n, "read", 400.0, name))
     assert set(balancer.admission.rates) == {"acme", ""}
@@ -129,16 +141,16 @@
     rules = replace(
         RULES, slow_start_ms=1e6, overload_multiple=overload_multiple
     )  # by its age alone it stays cold
-    balancer = started(2, rules=rules)
+    balancer = started_balancer(2, rules=rules)
     for number in range(500):
-        serve(balancer, 10.0 * number, number)
-    balancer.handle(5_000.0, io.EndpointListUpdate("changes", (entry(2, started=4_999.0),)))
+        serve_request(balancer, 10.0 * number, number)
+    balancer.handle(5_000.0, io.EndpointListUpdate("changes", (make_endpoint(2, started_ms=4_999.0),)))
     counts = [0] * 12
     for step in range(1_200):
         now = 5_000.0 + 10.0 * step
         for send in sends(submit(balancer, now, 10_000 + step)):
             slow = send.server == "s2" and step >= 900
-            balancer.handle(now + 5.0, outcome(send, 0, "ok", 100.0 if slow else 5.0))
+            balancer.handle(now + 5.0, attempt_ended(send, 0, "ok", 100.0 if slow else 5.0))
             counts[step // 100] += send.server == "s2"
     return counts
 
@@ -154,7 +166,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_the_fastest_of_the_first_answers_does_not_make_the_others_late(seed: int) -> None:
     """Forty balancers that begin with it time out good servers by the hundred in their first second."""
-    balancer, rng = started(60, seed), random.Random(seed)
+    balancer, rng = started_balancer(60, seed), random.Random(seed)
     for n in range(12):
         submit(balancer, 0.0, n)
     coming = sorted((rng.expovariate(1 / 40.0) + 2.0, n) for n in range(12))
@@ -165,9 +177,9 @@
         again = sends(submit(balancer, spent, 100 + n))
         patience += [s.time_out_ms for s in again]
         for send in again:  # its client leaves
-            balancer.handle(spent, outcome(send, 0, "cancelled", 1.0, final=True))
+            balancer.handle(spent, attempt_ended(send, 0, "cancelled", 1.0, final=True))
     # A mean of 42 ms, of which the first answer to come had 3: it would have left the others 12 ms.
     assert min(patience) > 90.0
     for n in range(400):
-        serve(balancer, 500.0 + 20.0 * n, 1000 + n, latency=10.0)
+        serve_request(balancer, 500.0 + 20.0 * n, 1000 + n, latency_ms=10.0)
     assert balancer.latency.typical["read"] == approx(10.0, abs=0.5)  # the guess is forgotten
--- a/tests/test_frozen_data.py
+++ b/tests/test_frozen_data.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 import pytest
-from canonical import plain
+from canonical import to_json_types
 from test_replacement import learned_balancer
 from test_wirehost import play
 
@@ -228,8 +228,8 @@
 def freeze() -> dict[str, bytes]:
     """The frozen files' names and bytes, by the code as it is."""
     files = {name: kind.make() for name, kind in KINDS.items()}
-    values = {name: plain(KINDS[name].read(data)) for name, data in files.items()}
-    values |= {name: plain(read_settings(name)) for name in settings_files()}
+    values = {name: to_json_types(KINDS[name].read(data)) for name, data in files.items()}
+    values |= {name: to_json_types(read_settings(name)) for name in settings_files()}
     lines = ",\n".join(f"{json.dumps(name)}: {json.dumps(value)}" for name, value in values.items())
     files[VALUES.name] = f"{{\n{lines}\n}}\n".encode()
     return {f"{STORED.name}/{name}": data for name, data in files.items()}
@@ -243,7 +243,7 @@
 def test_what_was_written_is_read_and_written_again_the_same(name: str) -> None:
     kind, data = KINDS[name], (STORED / name).read_bytes()
     value = kind.read(data)
-    assert plain(value) == frozen_values(name)
+    assert to_json_types(value) == frozen_values(name)
     if kind.write is not None:
         assert kind.write(value) == data
     assert kind.make() == data
@@ -251,7 +251,7 @@
 
 @pytest.mark.parametrize("name", settings_files())
 def test_settings_mean_what_they_meant(name: str) -> None:
-    assert plain(read_settings(name)) == frozen_values(name)
+    assert to_json_types(read_settings(name)) == frozen_values(name)
 
 
 def test_each_frozen_file_is_read() -> None:
--- a/tests/test_frozen_relay.py
+++ b/tests/test_frozen_relay.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 import uvloop
-from peers import SETTINGS, reserved_port, until
-from transcript_site import HOST, ROOT, ListService, Transcript, read_wire
+from peers import SETTINGS, reserved_port, wait_until
+from transcript_site import HOST, ROOT, ListService, Transcript, read_raw_message
 
 FILE = Path(__file__).parent / "data" / "relay.txt"
 TIME_LIMIT_S = 60.0
@@ -112,7 +112,7 @@
     transcript.step(title)
     reader, writer = await asyncio.open_connection(HOST, port, limit=2**22)
     writer.write(data)
-    transcript.data("caller", (await read_wire(reader)).raw)
+    transcript.data("caller", (await read_raw_message(reader)).raw)
     rest = await reader.read()
     transcript.note("caller", f"closed, {len(rest)} bytes more")
     writer.close()
@@ -120,7 +120,7 @@
 
 async def relay_script(transcript: Transcript, service: ListService, port: int) -> Watcher:
     """Watches, calls for the list, calls that are none, a source that begins again; a watch that stands."""
-    await until(lambda: service.watches)
+    await wait_until(lambda: service.watches)
     first = Watcher(transcript, "first watcher", port)
     transcript.step("a watch of everything")
     await first.begin(0)
@@ -194,14 +194,14 @@
     settings = f'config = "balancer.json"\n[lists]\nrelays = ["{HOST}:{relay.port}"]\n'
     process = await spawn(folder, "serve", settings)
     try:
-        await until(lambda: relay.watches)
+        await wait_until(lambda: relay.watches)
         transcript.step("a change, and the end of the watch")
         relay.send(row(2))
         relay.end_watch()
-        await until(lambda: len(relay.watches) > 1)
+        await wait_until(lambda: len(relay.watches) > 1)
         transcript.step("the relay is gone")
         relay.stop()
-        await until(lambda: service.watches)
+        await wait_until(lambda: service.watches)
         process.send_signal(signal.SIGTERM)
         transcript.note("exit status", str(await asyncio.wait_for(process.wait(), 20)))
     finally:
--- a/tests/test_frozen_replacement.py
+++ b/tests/test_frozen_replacement.py
@@ -16,7 +16,7 @@
 
 import pytest
 import uvloop
-from peers import request, until
+from peers import request, wait_until
 from test_process import ROOT
 from test_replacement import ReplacedBalancer, replaced_balancer
 
@@ -88,7 +88,7 @@
                     task.result()  # raises what ended it
             return all(now >= mark + more for now, mark in zip(self.served, marks, strict=True))
 
-        await until(answered)
+        await wait_until(answered)
 
 
 async def replaced_back_and_forth(folder: Path, roots: list[Path]) -> None:
@@ -107,7 +107,7 @@
         await clients.stop()
         received = [
             message.fields.get("x-service-class")
-            for up in balancer.world.upstreams
+            for up in balancer.testbed.upstreams
             for message in up.received
         ]
         assert received.count("pay") == sum(clients.served[1::2])  # unsafe: each was run once
--- a/tests/test_frozen_transcript.py
+++ b/tests/test_frozen_transcript.py
@@ -14,8 +14,17 @@
 from pathlib import Path
 
 import uvloop
-from peers import until
-from transcript_site import CLASSES, HOST, REST_S, Client, Reply, Site, read_wire, reply
+from peers import wait_until
+from transcript_site import (
+    CLASSES,
+    HOST,
+    REUSE_DELAY_S,
+    Client,
+    ScriptedReply,
+    TranscriptSite,
+    read_raw_message,
+    reply,
+)
 
 FILE = Path(__file__).parent / "data" / "transcript.txt"
 TIME_LIMIT_S = 60.0
@@ -41,10 +50,10 @@
 
 
 KEY = "Idempotency-Key: k-1\r\n"
-Step = Callable[[Site], Awaitable[None]]
+Step = Callable[[TranscriptSite], Awaitable[None]]
 
 
-async def plain_requests(site: Site) -> None:
+async def plain_requests(site: TranscriptSite) -> None:
     """Each kind of request, well answered, on one connection of the client's."""
     client = await site.connect()
     hop = (
@@ -77,41 +86,41 @@
         (
             "interim answer",
             request("read", "b3"),
-            Reply(b"HTTP/1.1 103 Early Hints\r\nX-A: 1\r\n\r\n" + reply(b"well").data),
+            ScriptedReply(b"HTTP/1.1 103 Early Hints\r\nX-A: 1\r\n\r\n" + reply(b"well").data),
         ),
     ):
         site.transcript.step(title)
         site.script.append(answer)
         await client.submit(data)
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(REUSE_DELAY_S)
     site.transcript.step("an upgrade, answered as the plain request that it also is")
     site.script.append(reply(b"well"))
     upgrade = request("read", "b8", fields="Connection: upgrade\r\nUpgrade: websocket\r\n")
     await (await site.connect()).ask_and_end(upgrade)
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(REUSE_DELAY_S)
     site.transcript.step("health")
     await client.submit(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
     site.transcript.step("a HEAD request")
     site.script.append(reply(b""))
     await client.submit(request("read", "b4", "HEAD"), bodiless=True)
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(REUSE_DELAY_S)
     site.transcript.step("Expect: 100-continue")
     client.writer.write(request("pay", "b5", "POST", "Expect: 100-continue\r\n", b"body")[:-4])
     await client.answer()
     site.script.append(reply(b"paid"))
     await client.submit(b"body")
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(REUSE_DELAY_S)
     site.transcript.step("the client ends its connection")
     site.script.append(reply(b"well"))
     await client.ask_and_end(request("read", "b6", fields="Connection: close\r\n"))
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(REUSE_DELAY_S)
     site.transcript.step("HTTP/1.0")
     site.script.append(reply(b"well"))
     await (await site.connect()).ask_and_end(request("read", "b7", version="1.0"))
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(REUSE_DELAY_S)
 
 
-async def pipelined(site: Site) -> None:
+async def pipelined(site: TranscriptSite) -> None:
     """Three requests in one write; each upstream connection is closed, as its rest would depend on time."""
     site.transcript.step("pipelined")
     client = await site.connect()
@@ -119,13 +128,13 @@
     site.script.extend(reply(body, fields="Connection: close\r\n", close=True) for body in bodies)
     client.writer.write(b"".join(request("read", f"c{n}") for n in range(3)))
     # An answer and the next attempt are on their way at once: all answers are noted at the end.
-    wires = [await read_wire(client.reader) for _ in bodies]
+    wires = [await read_raw_message(client.reader) for _ in bodies]
     for wire in wires:
         site.transcript.data(client.label, wire.raw)
     client.leave()
 
 
-async def rejected(site: Site) -> None:
+async def rejected(site: TranscriptSite) -> None:
     """What is no request, or none that can be taken: no upstream hears of it."""
     start = b"GET / HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: d1\r\n"
     for title, data in (
@@ -144,7 +153,7 @@
         await (await site.connect()).ask_and_end(data)
 
 
-async def earn_retries(site: Site) -> None:
+async def earn_retries(site: TranscriptSite) -> None:
     """Each request earns a tenth of a retry, up to ten: enough for all failures that follow."""
     site.transcript.step("a hundred safe requests, that are not written down")
     await site.fresh(1)
@@ -157,10 +166,10 @@
     client.leave()
 
 
-async def failures(site: Site) -> None:
+async def failures(site: TranscriptSite) -> None:
     """Each way in which an attempt fails, for each kind of class; two upstreams that are new to all."""
-    lost = Reply(b"", reset=True)
-    half = Reply(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", close=True)
+    lost = ScriptedReply(b"", reset=True)
+    half = ScriptedReply(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", close=True)
     kinds = {
         "safe": request("read", "e1"),
         "keyed": request("book", "e2", "POST", KEY, b"a=1"),
@@ -175,7 +184,7 @@
         ("404", reply(b"none", "404 None")),
         ("a reset", lost),
         ("half an answer", half),
-        ("no HTTP", Reply(b"garbage\r\n\r\n", close=True)),
+        ("no HTTP", ScriptedReply(b"garbage\r\n\r\n", close=True)),
     ):
         for kind, data in kinds.items():
             site.transcript.step(f"{kind}: {failure}")
@@ -195,19 +204,24 @@
     client.leave()
 
 
-async def answers(site: Site) -> None:
+async def answers(site: TranscriptSite) -> None:
     """Answers of every framing, short and long."""
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     no_length = b"HTTP/1.1 200 OK\r\n\r\n"
     long_chunks = b"".join(b"%x\r\n%b\r\n" % (len(LONG_BODY), LONG_BODY) for _ in range(2)) + b"0\r\n\r\n"
     for title, name, answer, reframed in (
-        ("a chunked answer", "read", Reply(chunked + b"3\r\nabc\r\n0\r\n\r\n"), False),
-        ("an answer of no length", "read", Reply(no_length + b"until the end", close=True), False),
-        ("HTTP/1.0", "read", Reply(b"HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\nold", close=True), False),
+        ("a chunked answer", "read", ScriptedReply(chunked + b"3\r\nabc\r\n0\r\n\r\n"), False),
+        ("an answer of no length", "read", ScriptedReply(no_length + b"until the end", close=True), False),
+        (
+            "HTTP/1.0",
+            "read",
+            ScriptedReply(b"HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\nold", close=True),
+            False,
+        ),
         ("a long answer", "read", reply(LONG_BODY), False),
-        ("a long chunked answer", "read", Reply(chunked + long_chunks), True),
-        ("a long answer of no length", "read", Reply(no_length + LONG_BODY, close=True), True),
-        ("an answer of a streamed class", "feed", Reply(chunked + b"3\r\nabc\r\n0\r\n\r\n"), True),
+        ("a long chunked answer", "read", ScriptedReply(chunked + long_chunks), True),
+        ("a long answer of no length", "read", ScriptedReply(no_length + LONG_BODY, close=True), True),
+        ("an answer of a streamed class", "feed", ScriptedReply(chunked + b"3\r\nabc\r\n0\r\n\r\n"), True),
     ):
         site.transcript.step(title)
         await site.fresh(1)
@@ -217,7 +231,7 @@
         client.leave()
     site.transcript.step("a long answer that breaks off")
     await site.fresh(1)
-    site.script.append(Reply(reply(LONG_BODY).data[:-1], reset=True))
+    site.script.append(ScriptedReply(reply(LONG_BODY).data[:-1], reset=True))
     client = await site.connect()
     client.writer.write(request("read", "f2"))
     head = await client.reader.readuntil(b"\r\n\r\n")
@@ -229,20 +243,20 @@
     site.transcript.note(client.label, "whole" if complete else "broken off")
 
 
-async def client_leaves(site: Site) -> None:
+async def client_leaves(site: TranscriptSite) -> None:
     """A client that goes while its attempt is out; the connection of that attempt ends with it."""
     site.transcript.step("a client that goes")
     await site.fresh(1)
-    site.script.append(Reply(b"", hold=True))
+    site.script.append(ScriptedReply(b"", hold=True))
     ended = len(site.ended)
     client = await site.connect()
     client.writer.write(request("read", "g1"))
     await site.held.wait()
     client.leave()
-    await until(lambda: len(site.ended) > ended)
+    await wait_until(lambda: len(site.ended) > ended)
 
 
-async def list_changes(site: Site) -> None:
+async def list_changes(site: TranscriptSite) -> None:
     """The list: changes, a drain, none ready, a watch that ends, a line that can't be read."""
     site.transcript.step("an upstream drains: its idle connection ends, and another one takes over")
     (up,) = await site.fresh(1)
@@ -250,11 +264,11 @@
     for number in range(2):
         site.script.append(reply(b"well"))
         await client.submit(request("read", f"h{number}"))
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(REUSE_DELAY_S)
     other = await site.upstream()
     ended = len(site.ended)
     site.service.send(up.row("draining"), other.row())
-    await until(lambda: len(site.ended) > ended)
+    await wait_until(lambda: len(site.ended) > ended)
     site.transcript.note("closed", site.ended[-1])
     site.script.append(reply(b"well"))
     await client.submit(request("read", "h2"))
@@ -268,10 +282,10 @@
     site.transcript.step("the watch ends")
     watches = len(site.service.watches)
     site.service.end_watch()
-    await until(lambda: len(site.service.watches) > watches)
+    await wait_until(lambda: len(site.service.watches) > watches)
     site.transcript.step("a line that can't be read")
     site.service.write_line(b'{"seq": 1}')
-    await until(lambda: len(site.service.watches) > watches + 1)
+    await wait_until(lambda: len(site.service.watches) > watches + 1)
     site.transcript.step("served again")
     await site.fresh(2)
     site.script.append(reply(b"well"))
@@ -279,7 +293,7 @@
     client.leave()
 
 
-async def operators(site: Site) -> None:
+async def operators(site: TranscriptSite) -> None:
     """Calls at the second address."""
     site.transcript.step("operators")
     names = [up.name for up in await site.fresh(2)]
@@ -299,7 +313,7 @@
         writer.close()
 
 
-async def reloads(site: Site) -> None:
+async def reloads(site: TranscriptSite) -> None:
     """SIGHUP: a configuration that can't be used, then one with another list service and other classes."""
     client = await site.connect()
     site.transcript.step("SIGHUP: a configuration that can't be used")
@@ -317,15 +331,15 @@
     discovery = f"{HOST}:{site.service.port}"
     site.write_config(json.dumps(site.config | {"discovery": discovery, "settings": settings}))
     site.signal(signal.SIGHUP)
-    await until(lambda: site.service.watches)
+    await wait_until(lambda: site.service.watches)
     await site.figure("upstreams_known", 1)
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(REUSE_DELAY_S)
     site.script.append(reply(b"oh", "500 Oh", close=True))
     await client.submit(request("read", "i2"))
     client.leave()
 
 
-async def ends(site: Site, half: Client) -> None:
+async def ends(site: TranscriptSite, half: Client) -> None:
     """SIGTERM with a request out: it is answered, a new connection is served, and the process ends."""
     site.transcript.step("half a request, begun at the start")
     await half.answer()
@@ -353,7 +367,7 @@
 
 async def play(folder: Path) -> str:
     """The whole script; the transcript's text."""
-    site = Site(folder)
+    site = TranscriptSite(folder)
     try:
         site.transcript.step("the start")
         await site.start()
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from helpers import outcome, sends, settings, submit
+from helpers import attempt_ended, sends, settings, submit
 
 from bench.growth import BOUNDS, ResourceUse, compare, measure_day
 from bench.growth_site import ADDRESS, Day, site
@@ -51,7 +51,7 @@
             balancer.handle(now, io.EndpointListUpdate("changes", tuple(rows)))
         for send in sends(submit(balancer, now, number)):
             met.add(send.server)
-            balancer.handle(now + LATENCY_MS, outcome(send, 0, "ok", LATENCY_MS, final=True))
+            balancer.handle(now + LATENCY_MS, attempt_ended(send, 0, "ok", LATENCY_MS, final=True))
     return len(met)
 
 
@@ -114,10 +114,10 @@
     for number in range(40):
         now, balancer.retry_budget = 1_000.0 * number, 5.0
         (send,) = sends(submit(balancer, now, number, "book"))
-        (again,) = sends(balancer.handle(now + 5.0, outcome(send, 0, "reset", 5.0)))
+        (again,) = sends(balancer.handle(now + 5.0, attempt_ended(send, 0, "reset", 5.0)))
         assert again.server != send.server
         assert int(again.server[1:]) % CELLS == int(send.server[1:]) % CELLS
-        balancer.handle(now + 9.0, outcome(again, 1, "ok", 4.0))
+        balancer.handle(now + 9.0, attempt_ended(again, 1, "ok", 4.0))
 
 
 def test_a_successor_uses_what_the_process_before_used_of_large_cells() -> None:
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -13,11 +13,10 @@
 
 import pytest
 import uvloop
-from extproc_site import RawStream, rows_of
-from extproc_site import Site as ExtprocSite
-from helpers import ZONED, settings
+from extproc_site import ExtprocSite, RawStream, request_headers
+from helpers import KEYED_IN_ZONE, settings
 from hold_ups import HoldUps
-from peers import SETTINGS, Message, World, reply, request, silent, until
+from peers import SETTINGS, BalancerTestbed, Message, never_responds, reply, request, wait_until
 from test_extproc_decisions import Peer
 from test_extproc_decisions import World as ServiceWorld
 
@@ -59,7 +58,7 @@
 
     async def test() -> None:
         classes = [dict(kind, memorySpanMs=window_s * 1000.0) for kind in SETTINGS["classes"]]
-        async with World(2, classes=classes) as world, HoldUps() as hold_ups:
+        async with BalancerTestbed(2, classes=classes) as testbed, HoldUps() as hold_ups:
             received: list[float] = []
 
             async def breaks(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -67,14 +66,14 @@
                 if len(received) > 1:
                     return writer.write(reply())
                 hold_next_send(monkeypatch, hold_ups)
-                pending = world.node.engine.balancer.pending_requests.values()
+                pending = testbed.node.engine.balancer.pending_requests.values()
                 ends_ms = next(iter(pending)).possibly_ran_ms + window_s * 1000.0
-                await asyncio.sleep((ends_ms - world.node.clock.unix_ms()) / 1000.0 - remains_s)
+                await asyncio.sleep((ends_ms - testbed.node.clock.unix_ms()) / 1000.0 - remains_s)
                 writer.transport.abort()
 
-            for up in world.upstreams:
+            for up in testbed.upstreams:
                 up.script = breaks
-            answer = await world.submit(request("book", b"k"))
+            answer = await testbed.submit(request("book", b"k"))
             assert received[-1] - received[0] <= window_s + hold_ups.unplanned_s
             assert answer.status == (200 if len(received) == 2 else 502)
             if again and hold_ups.unplanned_s > remains_s - HELD_S - TRANSIT_S:
@@ -107,7 +106,7 @@
             monkeypatch.setattr(server.ExtprocStream, "_replied", later)
             monkeypatch.setattr(ReplyWriter, "write", held)
             raw = RawStream(site.caller())
-            await raw.submit(rows_of("c1"))
+            await raw.submit(request_headers("c1"))
             notified = time.monotonic()
             assert raw.address() and notified <= decided[-1] + GRACE_S + hold_ups.unplanned_s
             assert len(decided) == 1 or hold_ups.unplanned_s  # else it was not written too late
@@ -117,17 +116,17 @@
 
 def test_a_caller_gets_no_decision_to_send_past_the_keyed_window() -> None:
     """What stands for longer as a decision ends with its request's window, less what a hold-up may take."""
-    world = ServiceWorld()
-    world.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
-    first = Peer(world).submit(DecisionRequest("c1", "hold", 700.0, keyed=True))
-    begun = world.clock.at
+    testbed = ServiceWorld()
+    testbed.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
+    first = Peer(testbed).submit(DecisionRequest("c1", "hold", 700.0, keyed=True))
+    begun = testbed.clock.at
     notified = first.decision()
     assert notified is not None and notified.valid_until == pytest.approx(begun + 0.1)
-    world.clock.pass_time(0.12)
+    testbed.clock.pass_time(0.12)
     first.report("reset")
-    second = Peer(world).submit(DecisionRequest("c1", "hold", 700.0, keyed=True, token=notified.token))
+    second = Peer(testbed).submit(DecisionRequest("c1", "hold", 700.0, keyed=True, token=notified.token))
     again = second.decision()
-    assert again is not None and again.valid_until <= begun + ZONED.window_ms / 1000.0 - HELD_S
+    assert again is not None and again.valid_until <= begun + KEYED_IN_ZONE.window_ms / 1000.0 - HELD_S
 
 
 @pytest.mark.parametrize("reused", [False, True])
@@ -137,29 +136,29 @@
     """Discovery has written the news when the write is held up; the attempt begins within the grace."""
 
     async def test() -> None:
-        async with World(2) as world, HoldUps() as hold_ups:
+        async with BalancerTestbed(2) as testbed, HoldUps() as hold_ups:
             notified: list[float] = []
             began: list[float] = []
 
             def drain() -> None:
-                world.update(world.host(0, "draining"), world.host(1))
+                testbed.update(testbed.list_row(0, "draining"), testbed.list_row(1))
                 notified.append(time.monotonic())
 
             async def notes(message: Message, writer: asyncio.StreamWriter) -> None:
                 began.append(time.monotonic())
                 writer.write(reply())
 
-            world.update(world.host(1, "draining"))
-            await until(lambda: not world.node.pool.upstreams["s1"].ready)
+            testbed.update(testbed.list_row(1, "draining"))
+            await wait_until(lambda: not testbed.node.pool.upstreams["s1"].ready)
             if reused:
-                assert (await world.submit(request())).status == 200
+                assert (await testbed.submit(request())).status == 200
                 await asyncio.sleep(2 * MIN_IDLE_S)
-            world.upstreams[0].script = notes
+            testbed.upstreams[0].script = notes
             hold_next_send(monkeypatch, hold_ups, drain)
-            answers = await asyncio.gather(*(world.submit(request()) for _ in range(3)))
+            answers = await asyncio.gather(*(testbed.submit(request()) for _ in range(3)))
             assert {answer.status for answer in answers} == {200}
             assert began and max(began) <= notified[0] + GRACE_S + hold_ups.unplanned_s
-            assert (await world.submit(request())).status == 200 and world.upstreams[1].received
+            assert (await testbed.submit(request())).status == 200 and testbed.upstreams[1].received
 
     uvloop.run(test())
 
@@ -221,7 +220,7 @@
 
     The status of its answer; 0 where its connection ended with none.
     """
-    text = request(name, b"body", left="200m", method="POST")
+    text = request(name, b"body", time_left="200m", method="POST")
     with socket.create_connection(("127.0.0.1", port)) as sock:
         sock.sendall(text[:-1])
         wait_s = max(0.0, killed.result(KILL_KNOWN_S) - before_s - time.monotonic())
@@ -251,20 +250,20 @@
 
     async def test() -> None:
         classes = [dict(kind, deadlineMs=1000.0 * DEADLINE_S, sloMs=150.0) for kind in SETTINGS["classes"]]
-        async with World(2, classes=classes) as world:
+        async with BalancerTestbed(2, classes=classes) as testbed:
             if hangs:
-                for up in world.upstreams:
-                    up.script = silent
-            node, names = world.node, ("read", "pay", "book")
+                for up in testbed.upstreams:
+                    up.script = never_responds
+            node, names = testbed.node, ("read", "pay", "book")
             ends = note_ends(monkeypatch)
             known, threads = Future[float](), ThreadPoolExecutor(WRITERS)
             clients = [
-                node.loop.run_in_executor(threads, send_in_two, world.port, names[n % 3], known, 0.01 * n)
+                node.loop.run_in_executor(threads, send_in_two, testbed.port, names[n % 3], known, 0.01 * n)
                 for n in range(WRITERS)
             ]
-            stays = socket.create_connection(("127.0.0.1", world.port))
+            stays = socket.create_connection(("127.0.0.1", testbed.port))
             stays.sendall(request()[:-1])
-            await until(lambda: len([c for c in node.front.clients if c.in_message]) == WRITERS + 1)
+            await wait_until(lambda: len([c for c in node.front.clients if c.in_message]) == WRITERS + 1)
             async with HoldUps() as hold_ups:
                 node.terminate()
                 killed = node.shutdown.started_at + DEADLINE_S + KILL_MARGIN_S
@@ -293,21 +292,21 @@
 
     async def test() -> None:
         classes = [dict(kind, deadlineMs=1000.0 * deadline_s, sloMs=90.0) for kind in SETTINGS["classes"]]
-        async with World(classes=classes) as world:
-            shutdown, sock = world.node.shutdown, socket.socket()
+        async with BalancerTestbed(classes=classes) as testbed:
+            shutdown, sock = testbed.node.shutdown, socket.socket()
             accept_last = shutdown._accept_last
 
             def come_and_hold() -> None:
-                sock.connect(("127.0.0.1", world.port))
+                sock.connect(("127.0.0.1", testbed.port))
                 sock.sendall(request("pay", b"w"))
                 time.sleep(HELD_S)
                 accept_last()
 
             shutdown._accept_last = come_and_hold  # type: ignore[method-assign]
-            world.node.terminate()
-            await world.node.finished
+            testbed.node.terminate()
+            await testbed.node.finished
             sock.setblocking(False)
-            assert (await world.node.loop.sock_recv(sock, 4096)).startswith(
+            assert (await testbed.node.loop.sock_recv(sock, 4096)).startswith(
                 (b"HTTP/1.1 200", b"HTTP/1.1 503")
             )
             sock.close()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 
 import pytest
 from helpers import settings
-from syntax_trees import parsed
+from syntax_trees import parse_source
 
 from quartzford.decision import interface as io
 
@@ -30,7 +30,7 @@
         text = (ROOT / name).read_text()
         assert text.count("\n") <= FILE_LINES, name
         assert max(map(len, text.splitlines()), default=0) <= 110, name
-        for node in ast.walk(parsed(text)):
+        for node in ast.walk(parse_source(text)):
             if isinstance(node, ast.FunctionDef):
                 assert (node.end_lineno or 0) - node.lineno < FUNCTION_LINES, f"{name}: {node.name}"
     logic = (ROOT / DECISION / "logic.py").read_text().splitlines()
--- a/tests/test_list_chunks.py
+++ b/tests/test_list_chunks.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 import pytest
-from helpers import entry, settings, using_all_servers
+from helpers import make_endpoint, settings, use_all_servers
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from peers import World, run, until
+from peers import BalancerTestbed, async_test, wait_until
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
@@ -24,7 +24,7 @@
 
 
 def listing(complete: bool, *rows: tuple[int, str, float]) -> Listing:
-    entries = tuple(entry(n, state, started) for n, state, started in rows)
+    entries = tuple(make_endpoint(n, state, started) for n, state, started in rows)
     return Listing(1, complete, entries, tuple(("s", n) for n, _, _ in rows))
 
 
@@ -43,8 +43,8 @@
     update = listing(complete, *rows)
     one, other = Balancer(settings(), 1), Balancer(settings(), 1)
     for balancer in (one, other):
-        balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(entry(n) for n in before)))
-        using_all_servers(balancer)
+        balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(make_endpoint(n) for n in before)))
+        use_all_servers(balancer)
     one.handle(1.0, io.EndpointListUpdate("whole" if complete else "changes", update.entries))
     parts = list(split_into_chunks(update, other.servers, size))
     for part in parts:
@@ -113,34 +113,34 @@
     ]
 
 
-@run
+@async_test
 async def test_a_list_of_thousands_is_taken_in_beside_the_service() -> None:
-    async with World(1) as world:
-        pool, servers = world.node.pool, using_all_servers(world.node.engine.balancer).servers
-        world.update(*hosts(3000), complete=True)
-        await until(lambda: len(servers) == 3000, 30)
+    async with BalancerTestbed(1) as testbed:
+        pool, servers = testbed.node.pool, use_all_servers(testbed.node.engine.balancer).servers
+        testbed.update(*hosts(3000), complete=True)
+        await wait_until(lambda: len(servers) == 3000, 30)
         left = pool.upstreams.get("s0")  # swept out already, where this took long
         assert "s0" not in servers and (left is None or not left.ready)
-        updates = [e for e in world.events if isinstance(e, io.EndpointListUpdate)]
+        updates = [e for e in testbed.events if isinstance(e, io.EndpointListUpdate)]
         assert max(len(u.entries) for u in updates) <= 256 and updates[-1].kind == "changes"
         # A rolling deploy, and right behind it a drain of one that it brings back.
-        world.update(*hosts(2550, born_ms=7))
-        world.update(hosts(2)[1] | {"health": "draining", "born_ms": 7})
-        await until(lambda: servers["h2549"].entry.started_ms == 7.0, 30)
-        await until(lambda: servers["h1"].entry.state == "draining", 30)
+        testbed.update(*hosts(2550, born_ms=7))
+        testbed.update(hosts(2)[1] | {"health": "draining", "born_ms": 7})
+        await wait_until(lambda: servers["h2549"].entry.started_ms == 7.0, 30)
+        await wait_until(lambda: servers["h1"].entry.state == "draining", 30)
         assert sum(s.slot >= 0 for s in servers.values()) == 2999
-        world.update(*hosts(2200, health="gone"))
-        await until(lambda: len(servers) == 800, 30)
+        testbed.update(*hosts(2200, health="gone"))
+        await wait_until(lambda: len(servers) == 800, 30)
 
 
-@run
+@async_test
 async def test_a_long_line_that_is_broken_is_requested_again(monkeypatch: Any = None) -> None:
-    async with World(1) as world:
+    async with BalancerTestbed(1) as testbed:
         broken = json.dumps({"seq": 9, "whole": True, "hosts": hosts(2000)})[:-2]
-        before = len(world.events)
-        world.send_line(broken)
-        await until(lambda: world.node.watch.call is not None and len(world.events) > before, 30)
-        assert "s0" in world.node.engine.balancer.servers  # what discovery really has
+        before = len(testbed.events)
+        testbed.send_line(broken)
+        await wait_until(lambda: testbed.node.watch.call is not None and len(testbed.events) > before, 30)
+        assert "s0" in testbed.node.engine.balancer.servers  # what discovery really has
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -148,17 +148,17 @@
     """Read in threads, one after the other, with short lines between them."""
     monkeypatch.setattr(list_call, "LONG_BYTES", 2_000)
 
-    @run
+    @async_test
     async def test() -> None:
-        async with World(1) as world:
-            rng, servers = random.Random(seed), world.node.engine.balancer.servers
+        async with BalancerTestbed(1) as testbed:
+            rng, servers = random.Random(seed), testbed.node.engine.balancer.servers
             for number in range(30):
-                world.update(*hosts(rng.choice((1, 1, 5, 60)), born_ms=number + 1))
-            world.update(*hosts(1, born_ms=99))
-            await until(lambda: "h0" in servers and servers["h0"].entry.started_ms == 99.0, 30)
+                testbed.update(*hosts(rng.choice((1, 1, 5, 60)), born_ms=number + 1))
+            testbed.update(*hosts(1, born_ms=99))
+            await wait_until(lambda: "h0" in servers and servers["h0"].entry.started_ms == 99.0, 30)
             seen = [
                 e.entries[0].started_ms
-                for e in world.events
+                for e in testbed.events
                 if isinstance(e, io.EndpointListUpdate)
                 and e.kind == "changes"
                 and e.entries
--- a/tests/test_list_notifications.py
+++ b/tests/test_list_notifications.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from peers import Lag, Message, Peer, World, reply, run, until
+from peers import BalancerTestbed, LoopLag, Message, Peer, async_test, reply, wait_until
 
 TOLD_S = 6.0
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -26,44 +26,44 @@
         await asyncio.sleep(0.2)
 
 
-async def accepted(world: World, writer: asyncio.StreamWriter) -> None:
+async def accepted(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     """Not a byte."""
 
 
-async def head_only(world: World, writer: asyncio.StreamWriter) -> None:
+async def head_only(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     writer.write(HEAD)
 
 
-async def blanks(world: World, writer: asyncio.StreamWriter) -> None:
+async def blanks(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     await drip(writer, b"")
 
 
-async def half_a_line(world: World, writer: asyncio.StreamWriter) -> None:
+async def half_a_line(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     await drip(writer, b'{"seq":9,"whole":true,"hosts":[' + b" " * 50)
 
 
-async def turned_away(world: World, writer: asyncio.StreamWriter) -> None:
+async def turned_away(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     writer.write(reply(b"", "503 Busy", "Retry-After: 30\r\n"))
 
 
-async def reset(world: World, writer: asyncio.StreamWriter) -> None:
+async def reset(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     writer.write(HEAD + chunk(b'{"seq":9,"wh'))
     await writer.drain()
     writer.transport.abort()
 
 
-async def closed(world: World, writer: asyncio.StreamWriter) -> None:
+async def closed(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     writer.write(HEAD + chunk(b'{"seq":9,"whole":true,"hosts":['))
     writer.close()
 
 
-async def indented(world: World, writer: asyncio.StreamWriter) -> None:
+async def indented(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     """The change itself, over many lines, among them one that ends an object within it."""
-    assert world.current is not None
-    writer.write(HEAD + chunk(json.dumps(world.current, indent=2).encode() + b"\n"))
+    assert testbed.served_list is not None
+    writer.write(HEAD + chunk(json.dumps(testbed.served_list, indent=2).encode() + b"\n"))
 
 
-Bad = Callable[[World, asyncio.StreamWriter], Any]
+Bad = Callable[[BalancerTestbed, asyncio.StreamWriter], Any]
 CALLS: tuple[Bad, ...] = (
     accepted,
     head_only,
@@ -76,88 +76,88 @@
 )
 
 
-def site(polled: bool) -> World:
+def site(polled: bool) -> BalancerTestbed:
     mode = "subscribe" if polled else "automatic"
-    return World(2, registryMode=mode, nInstances=200 if polled else 1)
+    return BalancerTestbed(2, registryMode=mode, nInstances=200 if polled else 1)
 
 
-async def drained(world: World) -> float:
+async def drained(testbed: BalancerTestbed) -> float:
     """Until nothing more is sent to what drains, from now on."""
     loop = asyncio.get_running_loop()
-    world.version += 5
-    world.current = world.list(world.host(0, "draining"), world.host(1))
+    testbed.version += 5
+    testbed.served_list = testbed.endpoint_list(testbed.list_row(0, "draining"), testbed.list_row(1))
     before = loop.time()
-    await until(lambda: not world.node.pool.upstreams["s0"].ready, 20)
+    await wait_until(lambda: not testbed.node.pool.upstreams["s0"].ready, 20)
     return loop.time() - before
 
 
 async def after_a_call(bad: Bad, polled: bool) -> float:
     """The watch ends; the call that follows is the bad one, and the change comes just after it was made."""
-    async with site(polled) as world:
+    async with site(polled) as testbed:
         received = asyncio.Event()
 
         async def first(message: Message, writer: asyncio.StreamWriter) -> None:
-            world.discovery.script = world._discover
+            testbed.discovery.script = testbed._discover
             received.set()
             await asyncio.sleep(0)  # the change is there from now on
-            await bad(world, writer)
+            await bad(testbed, writer)
 
-        world.discovery.script = first
-        world.watches[-1].transport.abort()
+        testbed.discovery.script = first
+        testbed.watches[-1].transport.abort()
         await received.wait()
-        return await drained(world)
+        return await drained(testbed)
 
 
 async def after_silence(polled: bool) -> float:
     """The watch that stands says nothing more."""
-    async with site(polled) as world:
-        return await drained(world)
+    async with site(polled) as testbed:
+        return await drained(testbed)
 
 
 async def after_a_connect_that_hangs(polled: bool) -> float:
-    async with site(polled) as world:
+    async with site(polled) as testbed:
         with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
             held = [socket.socket() for _ in range(8)]
             for one in held:
                 one.setblocking(False)
                 one.connect_ex(full.getsockname())
-            well = world.node.watch.address
+            well = testbed.node.watch.address
             called = asyncio.Event()
 
             def hanging() -> tuple[str, int]:
-                world.node.watch.address = well
+                testbed.node.watch.address = well
                 called.set()
                 return "127.0.0.1", full.getsockname()[1]
 
-            world.node.watch.address = hanging
-            world.watches[-1].transport.abort()
+            testbed.node.watch.address = hanging
+            testbed.watches[-1].transport.abort()
             await called.wait()
-            took = await drained(world)
+            took = await drained(testbed)
             for one in held:
                 one.close()
             return took
 
 
 async def after_a_move_while_a_call_is_out(polled: bool) -> float:
-    async with site(polled) as world:
+    async with site(polled) as testbed:
         received = asyncio.Event()
 
         async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
             received.set()
 
-        world.discovery.script = silent
-        world.watches[-1].transport.abort()
+        testbed.discovery.script = silent
+        testbed.watches[-1].transport.abort()
         await received.wait()
-        moved = Peer(world._discover)
+        moved = Peer(testbed._discover)
         await moved.start()
-        world.node.watch.address = lambda: ("127.0.0.1", moved.port)
-        world.node.watch.follow_address()
-        took = await drained(world)
+        testbed.node.watch.address = lambda: ("127.0.0.1", moved.port)
+        testbed.node.watch.follow_address()
+        took = await drained(testbed)
         await moved.stop()
         return took
 
 
-@run
+@async_test
 async def test_a_change_is_acted_on_within_six_seconds_of_discovery_having_it() -> None:
     """Pushed, and asked by two hundred. Bytes that told nothing kept a call alive for good; Retry-After,
     spread intervals and patience were followed for longer."""
@@ -169,44 +169,46 @@
         rows[f"{way}, silence"] = after_silence(polled)
         rows[f"{way}, connect"] = after_a_connect_that_hangs(polled)
         rows[f"{way}, move"] = after_a_move_while_a_call_is_out(polled)
-    async with Lag() as lag:
+    async with LoopLag() as lag:
         took = dict(zip(rows, await asyncio.gather(*rows.values()), strict=True))
-    assert not {name: seconds for name, seconds in took.items() if seconds > TOLD_S + 2 * lag.worst}
+    assert not {name: seconds for name, seconds in took.items() if seconds > TOLD_S + 2 * lag.max_lag_s}
 
 
-@run
+@async_test
 async def test_names_with_braces_and_lines_that_are_no_object_do_not_hold_up_the_watch() -> None:
-    async with World(2) as world:
-        odd = world.host(1) | {"class": 'a"}{'}
-        text = json.dumps(world.list(world.host(0, "draining"), odd), indent=1)
-        world.send_chunk(text.encode() + b"\n\n")
-        await until(lambda: not world.node.pool.upstreams["s0"].ready, 2)
-        assert len(world.watches) == 1
-        world.version += 1
-        world.current = world.list(world.host(0), world.host(1))
-        world.send_line("{nonsense")
-        await until(lambda: world.node.pool.upstreams["s0"].ready, 2)
-
-
-@run
+    async with BalancerTestbed(2) as testbed:
+        odd = testbed.list_row(1) | {"class": 'a"}{'}
+        text = json.dumps(testbed.endpoint_list(testbed.list_row(0, "draining"), odd), indent=1)
+        testbed.send_chunk(text.encode() + b"\n\n")
+        await wait_until(lambda: not testbed.node.pool.upstreams["s0"].ready, 2)
+        assert len(testbed.watches) == 1
+        testbed.version += 1
+        testbed.served_list = testbed.endpoint_list(testbed.list_row(0), testbed.list_row(1))
+        testbed.send_line("{nonsense")
+        await wait_until(lambda: testbed.node.pool.upstreams["s0"].ready, 2)
+
+
+@async_test
 async def test_a_call_that_is_late_is_kept_beside_the_next_and_the_first_answer_counts() -> None:
     """A service that works through a long queue: to leave it would make its work for nobody."""
-    world = World(registryMode="subscribe")
+    testbed = BalancerTestbed(registryMode="subscribe")
     writers: list[asyncio.StreamWriter] = []
 
     async def queue(message: Message, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
 
-    world.discovery.script = queue
-    for peer in (*world.upstreams, world.discovery):
+    testbed.discovery.script = queue
+    for peer in (*testbed.upstreams, testbed.discovery):
         await peer.start()
-    await world.enter(wait_for_list=False)
-    await until(lambda: len(writers) == 2)  # the first one is not answered in its time
-    assert world.discovery.left == 0 and not world.node.watch.ever_answered
-    await world._discover(world.discovery.received[0], writers[0])
-    await until(lambda: world.node.watch.ever_answered and world.discovery.left == 1)  # the second one
-    world.version = 7
-    world.send_line(world.list(world.host(0)), writers[0])
-    await until(lambda: world.node.watch.version == 7)
-    assert world.node.watch.is_current() and world.node.watch.late_call is None
-    await world.__aexit__()
+    await testbed.start_balancer(wait_for_list=False)
+    await wait_until(lambda: len(writers) == 2)  # the first one is not answered in its time
+    assert testbed.discovery.closed_connections == 0 and not testbed.node.watch.ever_answered
+    await testbed._discover(testbed.discovery.received[0], writers[0])
+    await wait_until(
+        lambda: testbed.node.watch.ever_answered and testbed.discovery.closed_connections == 1
+    )  # the second one
+    testbed.version = 7
+    testbed.send_line(testbed.endpoint_list(testbed.list_row(0)), writers[0])
+    await wait_until(lambda: testbed.node.watch.version == 7)
+    assert testbed.node.watch.is_current() and testbed.node.watch.late_call is None
+    await testbed.__aexit__()
--- a/tests/test_load_command.py
+++ b/tests/test_load_command.py
@@ -9,16 +9,16 @@
 from pathlib import Path
 
 import pytest
-from load_helpers import command, server
+from load_helpers import delay_server, start_load_command
 
 
 def test_interruption_prints_what_was_measured(tmp_path: Path) -> None:
     def default_sigint() -> None:
         signal.signal(signal.SIGINT, signal.SIG_DFL)  # a shell starts background jobs with it ignored
 
-    with server("none") as (target, _):
+    with delay_server("none") as (target, _):
         path = tmp_path / "r.json"
-        process = command(
+        process = start_load_command(
             "--target",
             f"127.0.0.1:{target.port}",
             "--seconds",
@@ -43,8 +43,8 @@
     def few_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
 
-    with server("never") as (target, _):
-        process = command(
+    with delay_server("never") as (target, _):
+        process = start_load_command(
             "--target",
             f"127.0.0.1:{target.port}",
             "--seconds",
@@ -78,7 +78,7 @@
     ],
 )
 def test_what_cannot_be_done_is_one_line(arguments: list[str], reason: bytes) -> None:
-    process = command(*arguments)
+    process = start_load_command(*arguments)
     out, errors = process.communicate(timeout=60)
     errors = errors.replace(b"playing; Ctrl-C ends it\n", b"")
     assert process.returncode == 2 and reason in errors and errors.count(b"\n") == 1 and not out
@@ -86,10 +86,10 @@
 
 def test_a_trace_is_made_and_replayed_by_command(tmp_path: Path) -> None:
     path, a = tmp_path / "t.trace", tmp_path / "a.json"
-    made = command("--shape", "constant:100", "--seconds", "2", "--make-trace", str(path))
+    made = start_load_command("--shape", "constant:100", "--seconds", "2", "--make-trace", str(path))
     assert made.wait(60) == 0
-    with server("none") as (target, _):
-        process = command(
+    with delay_server("none") as (target, _):
+        process = start_load_command(
             "--target",
             f"127.0.0.1:{target.port}",
             "--trace",
@@ -105,6 +105,6 @@
     assert process.returncode == 0, (out, errors)
     result = json.loads(a.read_text())
     assert result["ended"] == len(path.read_text().splitlines()) - 2 and result["seconds"] < 2.0
-    compared = command("compare", str(a), str(a))
+    compared = start_load_command("compare", str(a), str(a))
     out, _ = compared.communicate(timeout=60)
     assert compared.returncode == 0 and b"1.000" in out
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from load_helpers import ONE_CLASS, server
+from load_helpers import ONE_CLASS, delay_server
 
 from quartzford.load.clients import SINGLE_ATTEMPT
 from quartzford.load.live import ProgressTotals
@@ -17,7 +17,7 @@
 
 
 def test_the_records_of_workers_are_merged_into_one_result() -> None:
-    with server("constant:1") as (target, _):
+    with delay_server("constant:1") as (target, _):
         result = play(
             LoadOptions(
                 target,
@@ -34,7 +34,7 @@
 
 
 def test_what_is_due_in_the_warm_up_is_played_and_not_measured() -> None:
-    with server("none") as (target, _):
+    with delay_server("none") as (target, _):
         load = LoadOptions(
             target,
             "constant:100",
@@ -52,7 +52,7 @@
 
 def test_a_worker_that_dies_is_said_to_have_given_no_result() -> None:
     """Its plan breaks on the way: the others' records stand, and the run is not sound."""
-    with server("none") as (target, _):
+    with delay_server("none") as (target, _):
         broken = LoadOptions(
             target, "constant:100", 0.5, workers=1, request_classes=(), behaviour=SINGLE_ATTEMPT
         )
@@ -61,7 +61,7 @@
 
 
 def test_a_closed_loop_waits_for_its_answers() -> None:
-    with server("constant:50") as (target, _):
+    with delay_server("constant:50") as (target, _):
         load = LoadOptions(
             target,
             seconds=2.0,
@@ -83,7 +83,7 @@
         TraceRow(0.1, "consulta", "t", "b"),
         TraceRow(0.3, "consulta", "t", "a"),
     )
-    with server("constant:200") as (target, _):
+    with delay_server("constant:200") as (target, _):
         load = LoadOptions(
             target,
             request_classes=ONE_CLASS,
@@ -103,7 +103,7 @@
 
 def test_workers_report_their_progress() -> None:
     seen: list[Any] = []
-    with server("none") as (target, _):
+    with delay_server("none") as (target, _):
         load = LoadOptions(
             target,
             "constant:200",
@@ -125,7 +125,7 @@
 
 
 def test_a_trace_at_five_times_2600_is_in_time_or_said_to_be_late() -> None:
-    with server("none") as (target, _):
+    with delay_server("none") as (target, _):
         load = LoadOptions(
             target, "constant:2600", 5.0, workers=3, request_classes=ONE_CLASS, behaviour=SINGLE_ATTEMPT
         )
@@ -138,7 +138,7 @@
 
 def test_a_result_of_any_size_reaches_a_parent_that_reads_it_late() -> None:
     """The attempt log is larger than the pipe's buffer, and the parent is busy when the worker sends it."""
-    with server("none") as (target, _):
+    with delay_server("none") as (target, _):
         load = LoadOptions(
             target,
             seconds=2.0,
--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -14,7 +14,7 @@
 
 import pytest
 import uvloop
-from load_helpers import ONE_CLASS, driven, server, worker_plan
+from load_helpers import ONE_CLASS, delay_server, run_load, worker_plan
 
 from quartzford.load.attempt import ClientAttempt
 from quartzford.load.clients import SINGLE_ATTEMPT, ClientBehaviour, RequestClass
@@ -26,8 +26,8 @@
 @pytest.mark.parametrize(("spec", "p50", "p99"), [("constant:40", 40, 40), ("two:10,80,0.05", 10, 80)])
 def test_a_server_of_known_delay_is_measured_as_it_is(spec: str, p50: float, p99: float) -> None:
     """Bounds wide enough for any machine; bench.loadgen holds the narrow ones."""
-    with server(spec) as (target, _):
-        record = driven(
+    with delay_server(spec) as (target, _):
+        record = run_load(
             LoadOptions(target, "constant:200", 3.0, request_classes=ONE_CLASS, behaviour=SINGLE_ATTEMPT)
         )
     got = histogram_summary(record.complete(record.latency))
@@ -37,14 +37,14 @@
 
 def test_a_server_frozen_for_a_second_shows_in_all_that_was_due_then() -> None:
     """What a closed loop hides: hundreds were due in that second, and each waited for the rest of it."""
-    with server("constant:2") as (target, process):
+    with delay_server("constant:2") as (target, process):
         timers = [
             threading.Timer(at, os.kill, (process.pid, number))
             for at, number in ((1.0, signal.SIGSTOP), (2.0, signal.SIGCONT))
         ]
         for timer in timers:
             timer.start()
-        record = driven(
+        record = run_load(
             LoadOptions(
                 target, "constant:300", 4.0, "fixed", request_classes=ONE_CLASS, behaviour=SINGLE_ATTEMPT
             )
@@ -60,9 +60,9 @@
 
 
 def test_latency_counts_the_wait_for_a_connection_and_service_does_not() -> None:
-    with server("constant:20") as (target, _):
+    with delay_server("constant:20") as (target, _):
         bounded = Target(target.host, target.port, connections=1)
-        record = driven(
+        record = run_load(
             LoadOptions(
                 bounded, "burst:100@0+0.3", 1.0, "fixed", request_classes=ONE_CLASS, behaviour=SINGLE_ATTEMPT
             )
@@ -79,8 +79,8 @@
 
 def test_a_server_that_never_answers_loses_no_request() -> None:
     request_classes = (RequestClass("cobro", deadline_s=0.4, effect="unsafe"),)
-    with server("never") as (target, _):
-        record = driven(
+    with delay_server("never") as (target, _):
+        record = run_load(
             LoadOptions(
                 target,
                 "constant:100",
@@ -139,7 +139,7 @@
             waiting.setblocking(False)
             waiting.connect_ex(full.getsockname())
         target = Target("127.0.0.1", full.getsockname()[1])
-        record = driven(
+        record = run_load(
             LoadOptions(
                 target,
                 "constant:4",
@@ -153,11 +153,11 @@
 
 
 def test_an_unreachable_server_is_retried_and_counted() -> None:
-    with server("none") as (target, process):
+    with delay_server("none") as (target, process):
         process.kill()
         process.wait()
         behaviour = ClientBehaviour(max_attempts=3, retry_wait_s=0.01)
-        record = driven(
+        record = run_load(
             LoadOptions(target, "constant:50", 0.5, "fixed", request_classes=ONE_CLASS, behaviour=behaviour)
         )
     assert record.outcomes == {"consulta unreachable": 25} and record.attempt_outcomes == {"unreachable": 75}
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -9,7 +9,7 @@
 
 import pytest
 import uvloop
-from peers import Message, World, reply, request, says, silent, until
+from peers import BalancerTestbed, Message, never_responds, reply, request, responds_with, wait_until
 
 from bench import fleetlog
 from quartzford.metrics import MetricsReporter, interval_of
@@ -29,30 +29,32 @@
     monkeypatch.setenv("QUARTZFORD_WAYS", "1")
 
     async def test() -> None:
-        async with World(2) as world:
-            reporter = MetricsReporter(world.node, 0.05)
+        async with BalancerTestbed(2) as testbed:
+            reporter = MetricsReporter(testbed.node, 0.05)
 
             async def away_once(message: Message, writer: asyncio.StreamWriter) -> None:
-                world.upstreams[0].script = world.upstreams[1].script = says(reply())
+                testbed.upstreams[0].script = testbed.upstreams[1].script = responds_with(reply())
                 writer.write(reply(b"", "503 Full", "X-Unprocessed: 1\r\n"))
 
-            world.upstreams[0].script = world.upstreams[1].script = away_once
-            assert (await world.submit(request())).status == 200
-            await until(lambda: reporter.previous.get("ends", {}).get("ok"))  # a line, and a connection rests
-            world.upstreams[0].script = world.upstreams[1].script = silent
-            reader, writer = await world.connect()
+            testbed.upstreams[0].script = testbed.upstreams[1].script = away_once
+            assert (await testbed.submit(request())).status == 200
+            await wait_until(
+                lambda: reporter.previous.get("ends", {}).get("ok")
+            )  # a line, and a connection rests
+            testbed.upstreams[0].script = testbed.upstreams[1].script = never_responds
+            reader, writer = await testbed.connect()
             writer.write(request("pay", b""))
-            await until(
+            await wait_until(
                 lambda: any(
-                    up.received[-1:] and up.received[-1].line.startswith("POST") for up in world.upstreams
+                    up.received[-1:] and up.received[-1].line.startswith("POST") for up in testbed.upstreams
                 )
             )
             writer.close()
-            await until(lambda: not world.node.engine.pending_requests)
-            world.update(world.host(0, "draining"))
-            await until(lambda: not world.node.pool.upstreams["s0"].ready)
-            said = len(world.node.engine.counts)
-            await until(lambda: len(reporter.previous["ends"]) == said)
+            await wait_until(lambda: not testbed.node.engine.pending_requests)
+            testbed.update(testbed.list_row(0, "draining"))
+            await wait_until(lambda: not testbed.node.pool.upstreams["s0"].ready)
+            said = len(testbed.node.engine.counts)
+            await wait_until(lambda: len(reporter.previous["ends"]) == said)
             assert reporter.traces == {}  # nothing is kept of what has ended
 
     uvloop.run(asyncio.wait_for(test(), 60))
