--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -7,8 +7,18 @@
 from typing import Any
 
 import pytest
-from helpers import FREE, KEYED, entry, finals, listed, outcome, sends, started, submit
-from peers import Message, World, read_message, reply, request, run, until
+from helpers import (
+    FREE,
+    KEYED_IN_CELL,
+    attempt_ended,
+    final_answers,
+    list_update,
+    make_endpoint,
+    sends,
+    started_balancer,
+    submit,
+)
+from peers import BalancerTestbed, Message, async_test, read_message, reply, request, wait_until
 
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
@@ -64,7 +74,7 @@
     for number in numbers:
         (send,) = sends(submit(balancer, now, number))
         found.append(send.server)
-        balancer.handle(now + 1, outcome(send, 0, "ok", 1.0))
+        balancer.handle(now + 1, attempt_ended(send, 0, "ok", 1.0))
     return found
 
 
@@ -72,20 +82,20 @@
     "meanwhile",
     [
         [],
-        [listed(range(4), "whole")],
-        [io.EndpointListUpdate("changes", (entry(0),))],
+        [list_update(range(4), "whole")],
+        [io.EndpointListUpdate("changes", (make_endpoint(0),))],
         [
-            io.EndpointListUpdate("changes", (entry(0, "draining"),)),
-            io.EndpointListUpdate("changes", (entry(0),)),
+            io.EndpointListUpdate("changes", (make_endpoint(0, "draining"),)),
+            io.EndpointListUpdate("changes", (make_endpoint(0),)),
         ],
-        [io.EndpointListUpdate("changes", (entry(0, "gone"),)), listed(range(4), "whole")],
-        [io.EndpointListUpdate("changes", (entry(0, started=900.0),))],
+        [io.EndpointListUpdate("changes", (make_endpoint(0, "gone"),)), list_update(range(4), "whole")],
+        [io.EndpointListUpdate("changes", (make_endpoint(0, started_ms=900.0),))],
         [io.MaintenanceChange("s0", True), io.MaintenanceChange("s0", True)],
     ],
     ids=["calm", "whole", "ready", "drained", "gone and back", "born anew", "twice"],
 )
 def test_what_is_out_by_hand_stays_out_until_it_is_put_back_cold(meanwhile: list[io.Event]) -> None:
-    balancer = started(4)
+    balancer = started_balancer(4)
     balancer.handle(10.0, io.MaintenanceChange("s0", True))
     for event in meanwhile:
         balancer.handle(20.0, event)
@@ -101,31 +111,31 @@
 
 
 def test_the_last_ready_server_out_by_hand_leaves_requests_to_their_end() -> None:
-    balancer = started(1)
+    balancer = started_balancer(1)
     balancer.handle(0.0, io.MaintenanceChange("s0", True))
     assert not sends(submit(balancer, 1.0, 1)) and not balancer.ready
-    assert finals(balancer.handle(900.0, io.Timer(2)))
+    assert final_answers(balancer.handle(900.0, io.Timer(2)))
     balancer.handle(950.0, io.MaintenanceChange("s0", False))
-    balancer.handle(951.0, io.EndpointListUpdate("changes", (entry(0, "draining"),)))
+    balancer.handle(951.0, io.EndpointListUpdate("changes", (make_endpoint(0, "draining"),)))
     assert not balancer.ready
 
 
 def test_a_keyed_request_whose_group_is_out_is_not_sent_elsewhere() -> None:
-    balancer = started(4, classes=(FREE, KEYED))
+    balancer = started_balancer(4, classes=(FREE, KEYED_IN_CELL))
     (send,) = sends(submit(balancer, 0.0, 1, "book"))
     home = balancer.servers[send.server].entry.cell
     for server in list(balancer.servers.values()):
         if server.entry.cell == home:
             balancer.handle(1.0, io.MaintenanceChange(server.entry.server, True))
-    assert not sends(balancer.handle(5.0, outcome(send, 0, "reset", 5.0)))
-    assert isinstance(finals(balancer.handle(100.0, io.Timer(2)))[0], io.Fail)  # past its window
+    assert not sends(balancer.handle(5.0, attempt_ended(send, 0, "reset", 5.0)))
+    assert isinstance(final_answers(balancer.handle(100.0, io.Timer(2)))[0], io.Fail)  # past its window
 
 
 # ---- on sockets
 
 
-async def call(world: World, data: bytes) -> Message:
-    reader, writer = await asyncio.open_connection("127.0.0.1", port_of(world))
+async def call(testbed: BalancerTestbed, data: bytes) -> Message:
+    reader, writer = await asyncio.open_connection("127.0.0.1", port_of(testbed))
     writer.write(data)
     try:
         return await asyncio.wait_for(read_message(reader), 20)
@@ -133,31 +143,31 @@
         writer.close()
 
 
-def port_of(world: World) -> int:
-    assert world.node.operations.listener is not None
-    return int(world.node.operations.listener.sockets[0].getsockname()[1])
+def port_of(testbed: BalancerTestbed) -> int:
+    assert testbed.node.operations.listener is not None
+    return int(testbed.node.operations.listener.sockets[0].getsockname()[1])
 
 
-async def put(world: World, way: str, name: str) -> int:
+async def put(testbed: BalancerTestbed, way: str, name: str) -> int:
     head = f"PUT /maintenance/{way} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(name)}\r\n\r\n{name}"
-    return (await call(world, head.encode())).status
+    return (await call(testbed, head.encode())).status
 
 
-async def figures(world: World) -> dict[str, int]:
-    body = (await call(world, b"GET /status/metrics HTTP/1.1\r\nHost: a\r\n\r\n")).body.decode()
+async def figures(testbed: BalancerTestbed) -> dict[str, int]:
+    body = (await call(testbed, b"GET /status/metrics HTTP/1.1\r\nHost: a\r\n\r\n")).body.decode()
     pairs = (line.partition("=") for line in body.splitlines())
     return {name: int(value) for name, _, value in pairs}
 
 
-class Watched(World):
+class Watched(BalancerTestbed):
     admin = "127.0.0.1:0"
 
 
-@run
+@async_test
 async def test_calls_are_answered_and_what_is_no_call_changes_nothing() -> None:
-    async with Watched(2) as world:
+    async with Watched(2) as testbed:
         status = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
-        assert (await call(world, status)).status == 200
+        assert (await call(testbed, status)).status == 200
         for line, wanted in (
             (b"GET /else", 404),
             (b"POST /status", 405),
@@ -165,57 +175,59 @@
             (b"DELETE /maintenance/enter", 405),
             (b"PUT /maintenance/enter", 400),
         ):
-            assert (await call(world, line + b" HTTP/1.1\r\nHost: a\r\n\r\n")).status == wanted, line
-        assert [await put(world, "enter", "s9"), await put(world, "exit", "s9")] == [404, 404]
-        silent = [await asyncio.open_connection("127.0.0.1", port_of(world)) for _ in range(50)]
-        assert (await call(world, status)).status == 200
+            assert (await call(testbed, line + b" HTTP/1.1\r\nHost: a\r\n\r\n")).status == wanted, line
+        assert [await put(testbed, "enter", "s9"), await put(testbed, "exit", "s9")] == [404, 404]
+        silent = [await asyncio.open_connection("127.0.0.1", port_of(testbed)) for _ in range(50)]
+        assert (await call(testbed, status)).status == 200
         open_call, reader = silent[-1][1], silent[-1][0]
         open_call.write(status[:10])
-        world.node.reconfigure(world.node.config)  # a reload while a call is open
+        testbed.node.reconfigure(testbed.node.config)  # a reload while a call is open
         open_call.write(status[10:])
         assert (await read_message(reader)).status == 200
-        assert not world.node.engine.balancer.in_maintenance
-        world.node.shutting_down = True
-        assert (await call(world, status)).status == 503
+        assert not testbed.node.engine.balancer.in_maintenance
+        testbed.node.shutting_down = True
+        assert (await call(testbed, status)).status == 503
         for _, writer in silent:
             writer.close()
 
 
-@run
+@async_test
 async def test_an_upstream_out_by_hand_gets_nothing_and_comes_back() -> None:
-    async with Watched(2) as world:
-        for up in world.upstreams:
-            assert await poll_until(world, up)
-        assert [await put(world, "enter", "s0"), await put(world, "enter", "s0")] == [200, 200]
-        before = len(world.upstreams[0].received)
-        await until(lambda: world.upstreams[0].left == len(world.upstreams[0].writers))  # nothing rests there
-        world.update(world.host(0), world.host(1), complete=True)
-        await until(lambda: world.node.watch.version == world.version)
+    async with Watched(2) as testbed:
+        for up in testbed.upstreams:
+            assert await poll_until(testbed, up)
+        assert [await put(testbed, "enter", "s0"), await put(testbed, "enter", "s0")] == [200, 200]
+        before = len(testbed.upstreams[0].received)
+        await wait_until(
+            lambda: testbed.upstreams[0].closed_connections == len(testbed.upstreams[0].writers)
+        )  # nothing rests there
+        testbed.update(testbed.list_row(0), testbed.list_row(1), complete=True)
+        await wait_until(lambda: testbed.node.watch.version == testbed.version)
         for _ in range(40):
-            assert (await world.submit(request())).status == 200
-        assert len(world.upstreams[0].received) == before
-        assert (await figures(world))["edge.upstreams_excluded"] == 1
-        assert await put(world, "exit", "s0") == 200
-        assert await poll_until(world, world.upstreams[0], before)
+            assert (await testbed.submit(request())).status == 200
+        assert len(testbed.upstreams[0].received) == before
+        assert (await figures(testbed))["edge.upstreams_excluded"] == 1
+        assert await put(testbed, "exit", "s0") == 200
+        assert await poll_until(testbed, testbed.upstreams[0], before)
 
 
-async def poll_until(world: World, up: Any, before: int = 0) -> bool:
+async def poll_until(testbed: BalancerTestbed, up: Any, before: int = 0) -> bool:
     for _ in range(2_000):
-        assert (await world.submit(request())).status == 200
+        assert (await testbed.submit(request())).status == 200
         if len(up.received) > before:
             return True
     return False
 
 
-@run
+@async_test
 async def test_figures_agree_with_what_the_peers_saw() -> None:
     """Retries, a client that leaves, long and broken answers, refusals before the module and by it."""
-    async with Watched(1) as world:
+    async with Watched(1) as testbed:
         saw = {"served": 0, "refused": 0, "failed": 0}
 
         async def seen(data: bytes) -> None:
             try:
-                status = (await world.submit(data)).status
+                status = (await testbed.submit(data)).status
             except asyncio.IncompleteReadError:
                 status = 0
             saw["served" if status == 200 else "refused" if status in (429, 503) else "failed"] += 1
@@ -229,13 +241,13 @@
             if data == long[:150_000] or not data:
                 writer.close()
 
-        world.upstreams[0].script = script
+        testbed.upstreams[0].script = script
         await seen(request())  # tried again
         await seen(request())  # streamed
         await seen(request())  # broken while it was streamed
         await seen(request("pay", b"p"))  # an error
         await seen(request("pay", b"p"))  # a reset
-        await seen(request(left="0m"))  # out of time
+        await seen(request(time_left="0m"))  # out of time
         await seen(request(fields="X-Big: " + "y" * 40_000 + "\r\n"))  # 431, its class was read
         await seen(request("pay", b"p", "Transfer-Encoding: chunked\r\n"))  # 400: framed in two ways
         await seen(request("pay", fields="Content-Length: 99999999\r\n"))  # 413
@@ -245,61 +257,61 @@
         async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
 
-        world.upstreams[0].script = wait
-        received = len(world.upstreams[0].received)
-        _, leaves = await world.connect()
+        testbed.upstreams[0].script = wait
+        received = len(testbed.upstreams[0].received)
+        _, leaves = await testbed.connect()
         leaves.write(request("pay", b"p"))
-        await until(lambda: len(world.upstreams[0].received) > received)
-        assert (await figures(world))["edge.in_flight"] == 1
+        await wait_until(lambda: len(testbed.upstreams[0].received) > received)
+        assert (await figures(testbed))["edge.in_flight"] == 1
         leaves.transport.abort()
-        await until(lambda: not world.node.engine.pending_requests)
-        shown = await figures(world)
+        await wait_until(lambda: not testbed.node.engine.pending_requests)
+        shown = await figures(testbed)
         for how, count in saw.items():
             assert sum(shown[f"edge.{how}.{name}"] for name in ("read", "book", "pay")) == count, how
-        assert shown["edge.attempts"] == len(world.upstreams[0].received)
+        assert shown["edge.attempts"] == len(testbed.upstreams[0].received)
         assert [shown[f"edge.rejected.{s}"] for s in (400, 408, 413, 431)] == [1] * 4
         assert shown["edge.in_flight"] == 0
         assert shown["edge.upstreams_known"] == 1
 
 
-@run
+@async_test
 async def test_no_second_address_means_no_second_listener() -> None:
-    async with World(1) as world:
-        assert world.node.operations.listener is None
+    async with BalancerTestbed(1) as testbed:
+        assert testbed.node.operations.listener is None
         with pytest.raises(OSError), socket.socket() as other:
             other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            other.bind(("127.0.0.1", world.port))
+            other.bind(("127.0.0.1", testbed.port))
 
 
-@run
+@async_test
 async def test_operators_are_answered_while_clients_and_memory_are_at_their_bounds() -> None:
-    async with Watched(1, sockets=128) as world:
+    async with Watched(1, sockets=128) as testbed:
         gate = asyncio.Event()
 
         async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             writer.write(reply())
 
-        world.upstreams[0].script = wait
+        testbed.upstreams[0].script = wait
         asking = []
-        for _ in range(world.node.front.max_clients + 5):
-            asking.append(asyncio.ensure_future(world.submit(request("pay", b"p"))))
-        await until(lambda: len(world.node.front.clients) >= world.node.front.max_clients)
-        world.node.budget.used += world.node.budget.limit  # all the memory that there is for bodies
+        for _ in range(testbed.node.front.max_clients + 5):
+            asking.append(asyncio.ensure_future(testbed.submit(request("pay", b"p"))))
+        await wait_until(lambda: len(testbed.node.front.clients) >= testbed.node.front.max_clients)
+        testbed.node.budget.used += testbed.node.budget.limit  # all the memory that there is for bodies
         began = asyncio.get_running_loop().time()
-        assert (await figures(world))["edge.in_flight"] >= 1
-        assert (await call(world, b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200
-        assert await put(world, "enter", "s0") == 200 and await put(world, "exit", "s0") == 200
+        assert (await figures(testbed))["edge.in_flight"] >= 1
+        assert (await call(testbed, b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200
+        assert await put(testbed, "enter", "s0") == 200 and await put(testbed, "exit", "s0") == 200
         assert asyncio.get_running_loop().time() - began < 5.0  # generous: one second is what callers wait
-        world.node.budget.used -= world.node.budget.limit
+        testbed.node.budget.used -= testbed.node.budget.limit
         gate.set()
         await asyncio.gather(*asking)
 
 
-@run
+@async_test
 async def test_ready_is_not_said_before_clients_can_connect() -> None:
     """The list is heard, and the address for clients does not listen yet."""
-    world, goes_on, begin = Watched(1), asyncio.Event(), Node._begin
+    testbed, goes_on, begin = Watched(1), asyncio.Event(), Node._begin
     status = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
 
     async def held_up(node: Node, known: Listing) -> None:
@@ -308,11 +320,11 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Node, "_begin", held_up)
-        starting = asyncio.ensure_future(world.__aenter__())
-        await until(lambda: hasattr(world, "node") and world.node.watch.ever_answered)
-        assert not world.node.front.accepting
-        assert (await call(world, status)).status == 503
+        starting = asyncio.ensure_future(testbed.__aenter__())
+        await wait_until(lambda: hasattr(testbed, "node") and testbed.node.watch.ever_answered)
+        assert not testbed.node.front.accepting
+        assert (await call(testbed, status)).status == 503
         goes_on.set()
         await starting
-    assert (await call(world, status)).status == 200
-    await world.__aexit__()
+    assert (await call(testbed, status)).status == 200
+    await testbed.__aexit__()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,16 @@
 
 import pytest
 import uvloop
-from peers import Message, World, read_message, reply, request, reserved_port, says, until
+from peers import (
+    BalancerTestbed,
+    Message,
+    read_message,
+    reply,
+    request,
+    reserved_port,
+    responds_with,
+    wait_until,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -50,11 +59,11 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.world = World()
-        self.up = self.world.upstreams[0]
+        self.testbed = BalancerTestbed()
+        self.up = self.testbed.upstreams[0]
 
     async def start(self) -> None:
-        for peer in (self.up, self.world.discovery):
+        for peer in (self.up, self.testbed.discovery):
             if not peer.port:
                 await peer.start()
         self.port = getattr(self, "port", 0) or reserved_port()
@@ -62,10 +71,10 @@
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
             "seed": "ab12",
-            "discovery": f"127.0.0.1:{self.world.discovery.port}",
+            "discovery": f"127.0.0.1:{self.testbed.discovery.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-            "known": self.world.list(self.world.host(0)),
-            "settings": self.world.settings,
+            "known": self.testbed.endpoint_list(self.testbed.list_row(0)),
+            "settings": self.testbed.settings,
         }
         self.process = await spawn(self.config, self.path, self.sockets)
         for _ in range(1000):
@@ -101,7 +110,7 @@
             it.process.kill()
         await it.process.wait()
         await it.up.stop()
-        await it.world.discovery.stop()
+        await it.testbed.discovery.stop()
 
 
 def test_sigterm_under_load_answers_all_and_exits_0(tmp_path: Path) -> None:
@@ -119,13 +128,13 @@
             it.up.script = wait
             held = asyncio.ensure_future(it.submit(request("pay", b"")))
             half[1].write(request("pay", b"body")[:-2])
-            await until(lambda: len(it.up.received) == 2)
+            await wait_until(lambda: len(it.up.received) == 2)
             it.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
             new = asyncio.ensure_future(it.submit(request("pay", b"")))
             kept[1].write(request("pay", b""))  # unsafe: it is sent once, however long it takes
             half[1].write(b"dy")
-            await until(lambda: len(it.up.received) == 5)
+            await wait_until(lambda: len(it.up.received) == 5)
             gate.set()
             answers = [await held, await new, await read_message(kept[0]), await read_message(half[0])]
             assert [a.status for a in answers] == [200] * 4
@@ -168,22 +177,22 @@
 
             it.up.script = wait
             held = asyncio.ensure_future(it.submit(request("pay", b"")))
-            await until(lambda: it.up.received)
+            await wait_until(lambda: it.up.received)
             it.path.write_text("{")
             it.process.send_signal(signal.SIGHUP)
             line = await asyncio.wait_for(it.process.stderr.readline(), 20)
             assert line.startswith(b"reload: not JSON") and it.process.returncode is None
-            await until(lambda: it.world.watches and not it.world.discovery.left)
-            elsewhere = World(2)  # knows of another upstream, and counts its versions anew
+            await wait_until(lambda: it.testbed.watches and not it.testbed.discovery.closed_connections)
+            elsewhere = BalancerTestbed(2)  # knows of another upstream, and counts its versions anew
             for peer in (*elsewhere.upstreams, elsewhere.discovery):
                 await peer.start()
-            elsewhere.version, elsewhere.upstreams[1].script = 0, says(reply(b"new"))
-            elsewhere.current = elsewhere.list(elsewhere.host(1))
+            elsewhere.version, elsewhere.upstreams[1].script = 0, responds_with(reply(b"new"))
+            elsewhere.served_list = elsewhere.endpoint_list(elsewhere.list_row(1))
             it.path.write_text(
                 json.dumps({**it.config, "discovery": f"127.0.0.1:{elsewhere.discovery.port}"})
             )
             it.process.send_signal(signal.SIGHUP)
-            await until(lambda: elsewhere.watches and it.world.discovery.left)
+            await wait_until(lambda: elsewhere.watches and it.testbed.discovery.closed_connections)
             gate.set()
             assert (await held).body == b"kept"
             assert (await it.submit(request("pay", b""))).body == b"new"
@@ -215,7 +224,7 @@
             assert it.process.stderr is not None
             crowd()
             await serves()
-            await it.world.discovery.stop()
+            await it.testbed.discovery.stop()
             crowd()
             await serves()
             it.process.send_signal(signal.SIGSTOP)
@@ -224,9 +233,9 @@
             await asyncio.sleep(0)
             it.process.send_signal(signal.SIGCONT)
             await asking
-            watches = len(it.world.watches)
-            await it.world.discovery.start(it.world.discovery.port)
-            await until(lambda: len(it.world.watches) > watches)
+            watches = len(it.testbed.watches)
+            await it.testbed.discovery.start(it.testbed.discovery.port)
+            await wait_until(lambda: len(it.testbed.watches) > watches)
             it.process.send_signal(signal.SIGHUP)
             assert b"in force" in await asyncio.wait_for(it.process.stderr.readline(), 20)
             crowd()
@@ -263,8 +272,8 @@
         pytest.param({"listen": "a:" + "9" * 5000}, "digits", id="port"),
         ({"limits": {"memory_mb": 1e305, "sockets": 10}}, "infinity"),
         pytest.param({"limits": {"memory_mb": 10**400, "sockets": 10}}, "too large", id="memory"),
-        ({"settings": {**World().settings, "report": {"fields": [["x"]]}}}, "report.fields"),
-        ({"settings": {**World().settings, "customers": [{"name": {}, "quotaPerS": 1}]}}, "name"),
+        ({"settings": {**BalancerTestbed().settings, "report": {"fields": [["x"]]}}}, "report.fields"),
+        ({"settings": {**BalancerTestbed().settings, "customers": [{"name": {}, "quotaPerS": 1}]}}, "name"),
         ({"listen": None}, "listen"),
         ({"listen": "127.0.0.1"}, "listen"),
         ({"discovery": "x:99999"}, "discovery"),
@@ -276,9 +285,9 @@
         ({"known": []}, "known"),
         ({"known": {"seq": 1, "whole": True, "hosts": [{}]}}, "known"),
         ({"settings": {}}, "guarantees"),
-        ({"settings": {**World().settings, "classes": []}}, "classes"),
-        ({"settings": {**World().settings, "myZone": None, "nInstances": 0}}, "balancers"),
-        ({"settings": {k: v for k, v in World().settings.items() if k != "myZone"}}, "myZone"),
+        ({"settings": {**BalancerTestbed().settings, "classes": []}}, "classes"),
+        ({"settings": {**BalancerTestbed().settings, "myZone": None, "nInstances": 0}}, "balancers"),
+        ({"settings": {k: v for k, v in BalancerTestbed().settings.items() if k != "myZone"}}, "myZone"),
     ],
 )
 def test_a_bad_configuration_ends_the_start_with_one_line(tmp_path: Path, change: Any, key: str) -> None:
@@ -289,7 +298,7 @@
             "discovery": "127.0.0.1:1",
             "seed": "1",
             "limits": {"memory_mb": 128, "sockets": 1024},
-            "settings": World().settings,
+            "settings": BalancerTestbed().settings,
             "known": {"seq": 1, "whole": True, "hosts": []},
         }
         process = await spawn(change if isinstance(change, str) else good | change, tmp_path / "c.json")
@@ -305,7 +314,7 @@
     """Before it can hear of signals it ends by this one, after that in order; nothing was taken yet."""
 
     async def test() -> None:
-        world = World()
+        testbed = BalancerTestbed()
         config = {
             "name": "n0",
             "listen": f"127.0.0.1:{reserved_port()}",
@@ -313,7 +322,7 @@
             "discovery": "127.0.0.1:1",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"seq": 0, "whole": True, "hosts": []},
-            "settings": world.settings,
+            "settings": testbed.settings,
         }
         process = await spawn(config, tmp_path / "config.json")
         await asyncio.sleep(after_s)
@@ -327,7 +336,7 @@
 def test_an_upstream_script_serves(tmp_path: Path) -> None:
     async def test() -> None:
         async with program(tmp_path) as it:
-            it.up.script = says(reply(b"from afar"))
+            it.up.script = responds_with(reply(b"from afar"))
             assert (await it.submit(request())).body == b"from afar"
 
     uvloop.run(test())
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -14,7 +14,7 @@
 
 import pytest
 import uvloop
-from peers import SETTINGS, read_message, run, until
+from peers import SETTINGS, async_test, read_message, wait_until
 
 from quartzford.decision import interface as io
 from quartzford.engine import LoopClock
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("keys", ["hashed", "plain", "none"])
 def test_requests_are_in_the_trace_with_their_keys_as_the_operator_wants(tmp_path: Path, keys: str) -> None:
-    @run
+    @async_test
     async def test() -> None:
         recorder, _ = open_recorder(tmp_path / "t", keys)
         for number in range(50):
@@ -71,7 +71,7 @@
     assert ("user" in (tmp_path / "t").read_text()) == ("user-1" in names) == (keys == "plain")
 
 
-@run
+@async_test
 async def test_a_full_file_ends_the_recording_with_a_complete_trace() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t"
@@ -87,11 +87,11 @@
 
 @pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no device that is full")
 def test_a_disk_that_fails_ends_the_recording_and_says_so() -> None:
-    @run
+    @async_test
     async def test() -> None:
         recorder, log = open_recorder(Path("/dev/full"))
         recorder.record(make_request(1), 0)
-        await until(lambda: log.lines)
+        await wait_until(lambda: log.lines)
         assert "No space left" in log.lines[0] and recorder.stopped
         recorder.record(make_request(2), 0)  # nothing is thrown, nothing waits
         recorder.close()
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import pytest
-from peers import Message, Peer, run, until
+from peers import Message, Peer, async_test, wait_until
 from test_relay_catalog import row
 
 from quartzford.engine import LoopClock, StderrLog
@@ -143,7 +143,7 @@
     await relay.start()
     made = Site(source, relay)
     try:
-        await until(lambda: relay.catalog.version is not None, 60.0)
+        await wait_until(lambda: relay.catalog.version is not None, 60.0)
         yield made
     finally:
         heartbeats.cancel()
@@ -161,7 +161,7 @@
             assert await old.line() == table(8, row("a"), row("b"))
             here.source.silent = True  # the line that decides is the one below
             behind, other = await here.call(9), await here.call(50)
-            await until(lambda: len(here.server.waiting) == 2)
+            await wait_until(lambda: len(here.server.waiting) == 2)
             here.source.send_line(table(9, row("a", block=7), complete=False))
             here.source.silent = False
             for watch in (current, old):
@@ -171,7 +171,7 @@
             assert await current.reader.readuntil(b"\n\r\n") == b"1\r\n\n\r\n"
             assert len(here.source.peer.received) == 1 and "index=0" in here.source.peer.received[0].line
 
-    run(main)()
+    async_test(main)()
 
 
 def test_what_is_no_call_for_the_list_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -197,7 +197,7 @@
             assert await silent.reader.read() == b"" and await slow.status() == 408
             assert await slow.reader.read() == b""
 
-    run(main)()
+    async_test(main)()
 
 
 def test_a_slow_watcher_gets_one_update_for_all_that_it_missed() -> None:
@@ -234,7 +234,7 @@
             )
             assert lines[-2]["seq"] == mid and len(lines) == mid - 8 + 2
 
-    run(main)()
+    async_test(main)()
 
 
 def test_63000_rows_and_watchers_that_hardly_read_hold_up_nobody() -> None:
@@ -265,7 +265,7 @@
                 assert [line["whole"] for line in lines] == [True, False]
                 assert received == {r["host"]: r for r in rows} | {"s5": row("s5", block=version)}
 
-    run(main)()
+    async_test(main)()
 
 
 @pytest.mark.parametrize("version", [3, 8])
@@ -286,7 +286,7 @@
                 == table(version + 1, row("d", block=2), complete=False)
             )
 
-    run(main)()
+    async_test(main)()
 
 
 GARBAGE = [
@@ -305,11 +305,11 @@
         async with site(*(row(f"s{n}") for n in range(100))) as here:
             assert (await (await here.watch(0)).line())["seq"] == 8
             here.source.send_line(table(11, row("c"), complete=False))
-            await until(lambda: here.relay.catalog.version == 11)
+            await wait_until(lambda: here.relay.catalog.version == 11)
             received = await (await here.watch(10)).line()
             assert received["whole"] and received["seq"] == 11
 
-    run(main)()
+    async_test(main)()
 
 
 def test_while_no_watch_on_the_source_stands_a_new_call_waits_for_it() -> None:
@@ -319,9 +319,9 @@
         async with site() as here:
             here.source.silent = True
             here.source.watches[-1].close()
-            await until(lambda: not here.relay.watch.is_current())
+            await wait_until(lambda: not here.relay.watch.is_current())
             call = await here.call(8)
-            await until(lambda: here.server.waiting)
+            await wait_until(lambda: here.server.waiting)
             here.source.now = table(3, row("z"))
             here.source.silent = False
             for writer in here.source.peer.writers:
@@ -330,7 +330,7 @@
             received = await call.line()
             assert received["seq"] == 3 and [one["host"] for one in received["hosts"]] == ["z"]
 
-    run(main)()
+    async_test(main)()
 
 
 @pytest.mark.parametrize("garbage", GARBAGE, ids=range(len(GARBAGE)))
@@ -340,13 +340,13 @@
             watch = await here.watch(8)
             await watch.line()
             here.source.send_line(garbage)
-            await until(lambda: len(here.source.peer.received) == 2)
+            await wait_until(lambda: len(here.source.peer.received) == 2)
             assert here.relay.catalog.version == 8 and len(here.server.watchers) == 1
-            await until(lambda: len(here.source.watches) == 2)
+            await wait_until(lambda: len(here.source.watches) == 2)
             here.source.send_line(table(9, row("a", block=1), complete=False))
             assert await watch.line() == table(9, row("a", block=1), complete=False)
 
-    run(main)()
+    async_test(main)()
 
 
 def test_cut_from_its_source_alone_it_says_so_and_the_return_costs_one_call() -> None:
@@ -364,16 +364,16 @@
                 await complete.status() == 200 and json.loads(await complete.reader.read()) == here.source.now
             )
             await here.source.peer.stop()
-            await until(lambda: here.relay.watch.counts["ended unreached"] >= 2)
+            await wait_until(lambda: here.relay.watch.counts["ended unreached"] >= 2)
             before = len(here.source.peer.received)
             here.source.silent = False
             await here.source.peer.start(here.source.peer.port)
-            await until(lambda: here.relay.watch.is_current())
+            await wait_until(lambda: here.relay.watch.is_current())
             back = await here.watch(8)
             assert await back.line() == table(8, complete=False)
             assert len(here.source.peer.received) == before + 1
 
-    run(main)()
+    async_test(main)()
 
 
 def test_complete_lists_keep_to_the_bound_and_other_calls_get_retry_after() -> None:
@@ -392,7 +392,7 @@
             assert json.loads(await first.reader.read())["hosts"] == rows
             assert len(here.server.watchers) == received[20:].count(200)
 
-    run(main)()
+    async_test(main)()
 
 
 def test_no_more_watchers_than_configured() -> None:
@@ -402,10 +402,10 @@
             full = await here.call(8)
             assert await full.status() == 503
             watches[0].writer.close()
-            await until(lambda: len(here.server.watchers) == 2)
+            await wait_until(lambda: len(here.server.watchers) == 2)
             await here.watch(8)
 
-    run(main)()
+    async_test(main)()
 
 
 def test_a_balancer_that_retries_soon_is_admitted_beyond_the_share() -> None:
@@ -419,7 +419,7 @@
             assert (await again.line())["seq"] == 8
             assert len(here.server.watchers) == 2
 
-    run(main)()
+    async_test(main)()
 
 
 def test_at_sigterm_watches_end_in_order_and_no_complete_list_is_sent(tmp_path: Path) -> None:
@@ -460,4 +460,4 @@
             heartbeats.cancel()
             await source.peer.stop()
 
-    run(main)()
+    async_test(main)()
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from peers import SETTINGS, Lag, Message, Peer, reply, run, until
+from peers import SETTINGS, LoopLag, Message, Peer, async_test, reply, wait_until
 
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.membership.addresses import RelayAddresses, SingleAddress
@@ -133,21 +133,21 @@
             call = self.watch.call
             return self.watch.is_current() and call is not None and call.target.address[1] == port
 
-        await until(there, seconds)
+        await wait_until(there, seconds)
 
     async def silent_beside(self, relay: Relay) -> None:
         """Until a call to a better place is out there beside the watch, and gets no answer."""
         self.calls.first_line_timeout = lambda: 30.0  # type: ignore[method-assign]
         relay.mode, before = "mute", len(relay.indexes)
-        await until(lambda: len(relay.indexes) > before and self.watch.candidate is not None)
+        await wait_until(lambda: len(relay.indexes) > before and self.watch.candidate is not None)
 
     def versions(self) -> list[int]:
         return [listing.version for listing in self.listings]
 
 
-@run
+@async_test
 async def test_a_start_is_one_call_and_an_ended_watch_goes_on_by_index_within_a_second() -> None:
-    async with Site(7, 7, 7) as site, Lag() as lag:
+    async with Site(7, 7, 7) as site, LoopLag() as lag:
         one, two, three = site.relays
         site.watch.start()
         await site.at(one)
@@ -156,12 +156,12 @@
         one.end_watches()
         await one.stop()
         await site.at(two)
-        assert site.watch.clock.now() - before <= 1.0 + 2 * lag.worst
+        assert site.watch.clock.now() - before <= 1.0 + 2 * lag.max_lag_s
         assert two.indexes == [7] and not site.listings[-1].complete and not three.indexes
         assert not any(relay.complete for relay in site.relays) and not site.source.received
 
 
-@run
+@async_test
 async def test_a_relay_that_accepts_and_says_nothing_is_kept_and_the_first_answer_counts() -> None:
     """The earlier relay's answer comes while the next is asked; then the other way round."""
     for first in (0, 1):
@@ -172,19 +172,19 @@
             site.watch.version = 7
             one.mode = two.mode = "mute"
             site.watch.start()
-            await until(lambda two=two: two.indexes)
-            assert one.indexes == [7] and one.left == 0
+            await wait_until(lambda two=two: two.indexes)
+            assert one.indexes == [7] and one.closed_connections == 0
             answering, other = (one, two) if first == 0 else (two, one)
             answering.begin(answering.writers[-1], 7)
             await site.at(answering)
-            await until(lambda other=other: other.left == 1)
+            await wait_until(lambda other=other: other.closed_connections == 1)
             assert site.watch.late_call is None and not three.indexes
             answering.change(8)
-            await until(lambda site=site: site.watch.version == 8)
+            await wait_until(lambda site=site: site.watch.version == 8)
             assert site.versions() == [7, 8]
 
 
-@run
+@async_test
 async def test_after_two_silent_relays_the_third_is_called_with_the_policys_own_timeout() -> None:
     async with Site(7, 7, 7) as site:
         site.watch.version = 7
@@ -194,7 +194,7 @@
         assert [relay.indexes for relay in site.relays] == [[7], [7], [7]]
 
 
-@run
+@async_test
 async def test_a_long_list_that_is_under_way_is_waited_for_and_not_requested_twice() -> None:
     """By index, of a relay that owes the whole: 45,000 rows, over four megabytes."""
     text = line(7, True, *(f"host-{number:010}" for number in range(45_000)))
@@ -204,17 +204,17 @@
         site.watch.version = 5
         one.mode = "mute"
         site.watch.start()
-        await until(lambda: one.indexes)
+        await wait_until(lambda: one.indexes)
         one.writers[-1].write(HEAD)
         one.tell(text[:200_000], one.writers[-1])
-        await until(lambda: site.watch.call is not None and site.watch.call.long_line_extra_time == 0.0)
+        await wait_until(lambda: site.watch.call is not None and site.watch.call.long_line_extra_time == 0.0)
         one.tell(text[200_000:], one.writers[-1])
         await site.at(one)
         assert len(text) > 4 * 2**20 and len(site.listings[0].entries) == 45_000
         assert not two.indexes and site.watch.counts["watched"] == 1
 
 
-@run
+@async_test
 async def test_a_relays_own_watch_requests_the_complete_list_again_after_each_watch() -> None:
     """Its source says `complete` false to index 0, and may have begun again by the next watch."""
     async with Site(7) as site:
@@ -225,17 +225,17 @@
         assert watch.last_line_at == -math.inf
         source.mode = "mute"
         watch.start()
-        await until(lambda: source.indexes)
+        await wait_until(lambda: source.indexes)
         writer = source.writers[-1]
         writer.write(HEAD)
         source.tell(line(7, False, "x", "y"), writer)
-        await until(lambda: watch.is_current() and site.listings)
+        await wait_until(lambda: watch.is_current() and site.listings)
         first = watch.last_line_at
         source.tell(b"\n", writer)
-        await until(lambda: watch.last_line_at > first)
+        await wait_until(lambda: watch.last_line_at > first)
         source.mode = "tell"
         writer.close()
-        await until(lambda: len(site.listings) == 2)
+        await wait_until(lambda: len(site.listings) == 2)
         assert source.indexes == [0, 0] and not source.complete
         assert [(listings.complete, len(listings.entries)) for listings in site.listings] == [
             (True, 2),
@@ -244,28 +244,28 @@
         watch.stop()
 
 
-@run
+@async_test
 async def test_back_at_the_first_relay_before_the_watch_that_stands_is_broken() -> None:
     async with Site(7, 7, back=0.2) as site:
         one, two = site.relays
         one.mode = "lost"
         site.watch.start()
         await site.at(two)
-        await until(lambda: len(one.indexes) >= 3)  # tried and turned away: the watch stands
-        assert len(two.watches) == 1 and two.left == 0
+        await wait_until(lambda: len(one.indexes) >= 3)  # tried and turned away: the watch stands
+        assert len(two.watches) == 1 and two.closed_connections == 0
         two.change(8)
-        await until(lambda: site.watch.version == 8)
+        await wait_until(lambda: site.watch.version == 8)
         await site.silent_beside(one)
         two.change(9)
-        await until(lambda: site.watch.version == 9)  # told while the better place is silent
+        await wait_until(lambda: site.watch.version == 9)  # told while the better place is silent
         one.mode, one.version = "tell", 9
         one.writers[-1].transport.abort()  # the next try is answered
         await site.at(one)
-        await until(lambda: two.left == 1)
+        await wait_until(lambda: two.closed_connections == 1)
         assert one.indexes[-1] == 9 and two.indexes == [0] and not site.listings[-1].complete
 
 
-@run
+@async_test
 async def test_who_is_behind_never_gets_its_older_list_over_a_newer_one() -> None:
     """The call beside was made at 7, and is answered by changes or a whole list when the watch has told 9."""
     for index in (7, 0):  # 0: the scripted relay tells the whole list
@@ -276,16 +276,16 @@
             await site.at(two)
             await site.silent_beside(one)
             two.change(9)
-            await until(lambda site=site: site.watch.version == 9)
+            await wait_until(lambda site=site: site.watch.version == 9)
             beside = site.watch.candidate
-            left = one.left
+            left = one.closed_connections
             one.begin(one.writers[-1], index)
-            await until(lambda one=one, left=left: one.left > left)
+            await wait_until(lambda one=one, left=left: one.closed_connections > left)
             assert beside is not site.watch.call and site.watch.version == 9 and site.watch.is_current()
-            assert site.versions() == [7, 9] and two.left == 0
+            assert site.versions() == [7, 9] and two.closed_connections == 0
 
 
-@run
+@async_test
 async def test_another_incarnation_notified_by_the_watch_ends_the_concurrent_call() -> None:
     async with Site(50, 50, back=0.2) as site:
         one, two = site.relays
@@ -293,16 +293,16 @@
         site.watch.start()
         await site.at(two)
         await site.silent_beside(one)
-        left = one.left
+        left = one.closed_connections
         two.version = 3
         two.tell(line(3, True, "new"))
-        await until(lambda: site.watch.version == 3 and one.left > left)
+        await wait_until(lambda: site.watch.version == 3 and one.closed_connections > left)
         one.mode, one.version = "tell", 4
         await site.at(one)
         assert site.versions() == [50, 3, 4]
 
 
-@run
+@async_test
 async def test_back_and_forth_between_relays_at_different_versions() -> None:
     """By index at both; a relay that is behind holds its answer until it has caught up."""
     async with Site(7, 9) as site:
@@ -316,43 +316,43 @@
         one.mode = "mute"  # it is at 7, and 9 ahead of it
         two.mode = "lost"
         two.end_watches()
-        await until(lambda: one.indexes[-1] == 9)
+        await wait_until(lambda: one.indexes[-1] == 9)
         one.mode, one.version = "tell", 9
         one.begin(one.writers[-1], 9)
-        await until(lambda: site.watch.is_current())
+        await wait_until(lambda: site.watch.is_current())
         one.change(10)
-        await until(lambda: site.watch.version == 10)
+        await wait_until(lambda: site.watch.version == 10)
         assert site.versions() == [7, 9, 9, 10]
         assert [listing.complete for listing in site.listings] == [True, False, False, False]
 
 
-@run
+@async_test
 async def test_relays_that_lost_the_source_give_a_list_to_who_starts_and_nobody_flaps() -> None:
     async with Site(7, 7, 7) as site:
         for relay in site.relays:
             relay.mode = "lost"
         site.watch.start()
-        await until(lambda: site.listings)
+        await wait_until(lambda: site.listings)
         assert sum(relay.complete for relay in site.relays) == 1 and site.watch.version == 7
-        await until(lambda: all(relay.indexes.count(7) >= 2 for relay in site.relays))
+        await wait_until(lambda: all(relay.indexes.count(7) >= 2 for relay in site.relays))
         assert len(site.listings) == 1 and not site.source.received
         site.relays[1].mode = "tell"
         await site.at(site.relays[1])
         assert sum(relay.complete for relay in site.relays) == 1 and not site.listings[-1].complete
 
 
-@run
+@async_test
 async def test_a_list_of_relays_that_lost_the_source_is_not_taken_over_a_newer_one_that_is_known() -> None:
     async with Site(7, 7) as site:
         site.watch.version = 9  # of the configuration, or a file
         for relay in site.relays:
             relay.mode = "lost"
         site.watch.start()
-        await until(lambda: all(relay.indexes.count(9) >= 3 for relay in site.relays))
+        await wait_until(lambda: all(relay.indexes.count(9) >= 3 for relay in site.relays))
         assert site.listings == [] and sum(relay.complete for relay in site.relays) == 1
 
 
-@run
+@async_test
 async def test_without_relays_the_source_is_called_directly_until_one_is_back() -> None:
     async with Site(7, 7, back=0.3) as site:
         one, two = site.relays
@@ -363,15 +363,15 @@
         await site.at(site.source)
         assert site.source.indexes == [7] and not site.listings[-1].complete
         site.source.change(8)
-        await until(lambda: site.watch.version == 8)
+        await wait_until(lambda: site.watch.version == 8)
         two.version = 8
         await two.start(two.port)
         await site.at(two)
-        await until(lambda: site.source.left == 1)
+        await wait_until(lambda: site.source.closed_connections == 1)
         assert two.indexes[-1] == 8 and site.source.indexes == [7] and not site.listings[-1].complete
 
 
-@run
+@async_test
 async def test_garbage_of_one_relay_is_followed_by_the_complete_list_of_the_next() -> None:
     async with Site(7, 7) as site:
         one, two = site.relays
@@ -382,13 +382,13 @@
         assert two.indexes == [0] and site.listings[-1].complete and len(site.listings) == 2
 
 
-@run
+@async_test
 async def test_a_moved_discovery_address_is_of_no_matter_while_a_relay_is_watched() -> None:
     async with Site(7, 7) as site:
         site.watch.start()
         await site.at(site.relays[0])
         site.watch.follow_address()
-        assert site.watch.version == 7 and site.watch.is_current() and site.relays[0].left == 0
+        assert site.watch.version == 7 and site.watch.is_current() and site.relays[0].closed_connections == 0
 
 
 def site_config(mode: str) -> dict[str, Any]:
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -18,8 +18,17 @@
 import msgspec
 import pytest
 import uvloop
-from helpers import entry, outcome, sends, settings, started, submit
-from peers import Message, World, read_message, reply, request, reserved_port, says, until
+from helpers import attempt_ended, make_endpoint, sends, settings, started_balancer, submit
+from peers import (
+    BalancerTestbed,
+    Message,
+    read_message,
+    reply,
+    request,
+    reserved_port,
+    responds_with,
+    wait_until,
+)
 from test_process import COMMAND, ROOT
 
 from quartzford.decision import interface as io
@@ -86,17 +95,17 @@
 
 def learned_balancer(**changes: Any) -> Balancer:
     """A balancer with a fast and a failing server, a cold one, one out by hand and one suspect."""
-    balancer = started(6, **changes)
+    balancer = started_balancer(6, **changes)
     balancer.handle(5.0, io.MaintenanceChange("s5", True))
-    balancer.handle(6.0, io.EndpointListUpdate("changes", (entry(4, started=5.0),)))
+    balancer.handle(6.0, io.EndpointListUpdate("changes", (make_endpoint(4, started_ms=5.0),)))
     for number in range(400):
         now = 10.0 + 5 * number
         for send in sends(submit(balancer, now, number)):
             bad = send.server == "s0"
             spent = 5.0 if send.server == "s1" else 20.0
-            actions = balancer.handle(now + 4, outcome(send, 0, "error" if bad else "ok", spent))
+            actions = balancer.handle(now + 4, attempt_ended(send, 0, "error" if bad else "ok", spent))
             for again in sends(actions):
-                balancer.handle(now + 4.5, outcome(again, 1, "ok", spent))
+                balancer.handle(now + 4.5, attempt_ended(again, 1, "ok", spent))
     return balancer
 
 
@@ -135,7 +144,12 @@
     old = learned_balancer()
     memory = old.hand_over(2_100.0)
     new = Balancer(settings(), 1)
-    new.handle(2_100.0, io.EndpointListUpdate("stale", (entry(0, started=2_000.0), entry(1), entry(9))))
+    new.handle(
+        2_100.0,
+        io.EndpointListUpdate(
+            "stale", (make_endpoint(0, started_ms=2_000.0), make_endpoint(1), make_endpoint(9))
+        ),
+    )
     new.inherit(2_100.0, memory)
     assert new.servers["s0"].failure_rate == 0.0 and sum(s.p for s in new.ready) == pytest.approx(1.0)
     assert new.servers["s9"].p > 0 and new.servers["s9"].cost == pytest.approx(new.servers["s1"].cost)
@@ -202,7 +216,7 @@
     """A balancer whose processes replace one another, in one folder."""
 
     def __init__(self, path: Path, upstreams: int) -> None:
-        self.path, self.world = path, World(upstreams)
+        self.path, self.testbed = path, BalancerTestbed(upstreams)
         self.processes: list[asyncio.subprocess.Process] = []
         self.admins: list[int] = []
         self.folder = path / "t"
@@ -210,17 +224,19 @@
 
     async def begin(self) -> None:
         self.folder.mkdir()
-        for peer in (*self.world.upstreams, self.world.discovery):
+        for peer in (*self.testbed.upstreams, self.testbed.discovery):
             await peer.start()
         self.port = reserved_port()
         self.config = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
             "seed": "ab12",
-            "discovery": f"127.0.0.1:{self.world.discovery.port}",
+            "discovery": f"127.0.0.1:{self.testbed.discovery.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self.world.list(*(self.world.host(n) for n in range(len(self.world.upstreams)))),
-            "settings": self.world.settings,
+            "known": self.testbed.endpoint_list(
+                *(self.testbed.list_row(n) for n in range(len(self.testbed.upstreams)))
+            ),
+            "settings": self.testbed.settings,
         }
         await self.start()
         await self.yes()
@@ -325,7 +341,7 @@
                 process.send_signal(signal.SIGCONT)
                 process.kill()
             await process.wait()
-        for peer in (*balancer.world.upstreams, balancer.world.discovery):
+        for peer in (*balancer.testbed.upstreams, balancer.testbed.discovery):
             await peer.stop()
 
 
@@ -358,18 +374,18 @@
     resting = await balancer.connect()
     assert (await resting.submit()).status == 200
     clients = [asyncio.ensure_future(client(n)) for n in range(len(kept))]
-    await until(lambda: min(served) > 5)
+    await wait_until(lambda: min(served) > 5)
     assert (await balancer.call("PUT /maintenance/enter", "s0")).status == 200
     for _ in range(2):
         marks = list(served)
         await balancer.replace()
-        await until(lambda marks=marks: all(a > b + 3 for a, b in zip(served, marks, strict=True)))
+        await wait_until(lambda marks=marks: all(a > b + 3 for a, b in zip(served, marks, strict=True)))
     stop.set()
     await asyncio.gather(*clients)
     assert (await resting.submit()).status == 200
     assert (await balancer.figures())["edge.upstreams_excluded"] == 1
-    received = len(balancer.world.upstreams[0].received)
-    assert (await balancer.submit()).status == 200 and len(balancer.world.upstreams[0].received) == received
+    received = len(balancer.testbed.upstreams[0].received)
+    assert (await balancer.submit()).status == 200 and len(balancer.testbed.upstreams[0].received) == received
     assert (await balancer.call("PUT /maintenance/exit", "s0")).status == 200
     await balancer.until_figure("upstreams_excluded", 0)
 
@@ -384,19 +400,19 @@
         await gate.wait()
         writer.write(reply(b"late"))
 
-    for up in balancer.world.upstreams:
+    for up in balancer.testbed.upstreams:
         up.script = wait
     kept, half = await balancer.connect(), await balancer.connect()
     pending = asyncio.ensure_future(kept.submit(request("pay", b"x")))
     half.writer.write(request("pay", b"body")[:-2])
-    await until(lambda: sum(len(up.received) for up in balancer.world.upstreams) == 1)
+    await wait_until(lambda: sum(len(up.received) for up in balancer.testbed.upstreams) == 1)
     old = balancer.processes[0]
     await balancer.start()
     await balancer.yes()
     await balancer.until_figure("in_flight", 1, at=0)
     old.send_signal(signal.SIGTERM)
     half.writer.write(b"dy")
-    await until(lambda: sum(len(up.received) for up in balancer.world.upstreams) == 2)
+    await wait_until(lambda: sum(len(up.received) for up in balancer.testbed.upstreams) == 2)
     gate.set()
     assert (await pending).body == b"late" and (await read_message(half.reader)).body == b"late"
     assert await asyncio.wait_for(old.wait(), 20) == 0
@@ -583,14 +599,16 @@
 
 @with_replaced_balancer
 async def test_a_replacement_during_a_drain_sends_nothing_there(balancer: ReplacedBalancer) -> None:
-    await until(lambda: balancer.world.watches)
-    balancer.world.current = balancer.world.list(balancer.world.host(0, "draining"), balancer.world.host(1))
-    balancer.world.update(balancer.world.host(0, "draining"))
+    await wait_until(lambda: balancer.testbed.watches)
+    balancer.testbed.served_list = balancer.testbed.endpoint_list(
+        balancer.testbed.list_row(0, "draining"), balancer.testbed.list_row(1)
+    )
+    balancer.testbed.update(balancer.testbed.list_row(0, "draining"))
     await balancer.replace()
-    received = len(balancer.world.upstreams[0].received)
+    received = len(balancer.testbed.upstreams[0].received)
     for _ in range(30):
         assert (await balancer.submit()).status == 200
-    assert len(balancer.world.upstreams[0].received) == received
+    assert len(balancer.testbed.upstreams[0].received) == received
 
 
 @with_replaced_balancer
@@ -598,14 +616,14 @@
     balancer: ReplacedBalancer,
 ) -> None:
     """The old one counts by the old discovery: changes since its number would be of another list."""
-    await until(lambda: balancer.world.watches)
-    balancer.world.version = 900
-    balancer.world.update(balancer.world.host(0))
-    elsewhere = World(3)
+    await wait_until(lambda: balancer.testbed.watches)
+    balancer.testbed.version = 900
+    balancer.testbed.update(balancer.testbed.list_row(0))
+    elsewhere = BalancerTestbed(3)
     for peer in (elsewhere.upstreams[2], elsewhere.discovery):
         await peer.start()
-    elsewhere.upstreams[2].script, elsewhere.version = says(reply(b"new")), 1_000
-    elsewhere.current = elsewhere.list(elsewhere.host(2))
+    elsewhere.upstreams[2].script, elsewhere.version = responds_with(reply(b"new")), 1_000
+    elsewhere.served_list = elsewhere.endpoint_list(elsewhere.list_row(2))
     balancer.config = {**balancer.config, "discovery": f"127.0.0.1:{elsewhere.discovery.port}"}
     old = balancer.processes[0]
     await balancer.start()  # while the old one still follows the old discovery
@@ -614,7 +632,7 @@
     old.send_signal(signal.SIGHUP)
     old.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(old.wait(), 20) == 0
-    await until(lambda: elsewhere.watches)
+    await wait_until(lambda: elsewhere.watches)
     assert not any("index=901" in message.line for message in elsewhere.discovery.received)
     for _ in range(1000):
         if (await balancer.submit()).body == b"new":
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,19 @@
 from typing import Any
 
 import pytest
-from helpers import CLASSES, RULES, entry, finals, listed, outcome, sends, serve, settings, started, submit
+from helpers import (
+    CLASSES,
+    RULES,
+    attempt_ended,
+    final_answers,
+    list_update,
+    make_endpoint,
+    sends,
+    serve_request,
+    settings,
+    started_balancer,
+    submit,
+)
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
@@ -39,7 +51,7 @@
         self.kind: dict[int, str] = {}
         self.history: dict[int, list[list[Any]]] = {}  # sent, server, code of each attempt
         self.ended: dict[int, float] = {}
-        self.state: dict[int, io.Endpoint] = {n: entry(n) for n in range(6)}
+        self.state: dict[int, io.Endpoint] = {n: make_endpoint(n) for n in range(6)}
         self.plan: list[tuple[str, float]] = []
         self.feed(io.EndpointListUpdate("stale", tuple(self.state.values())))
 
@@ -158,17 +170,17 @@
 
 @pytest.mark.parametrize("code", ["timeout", "error", "reset", "cancelled"])
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_refused(code: str) -> None:
-    balancer = started()
+    balancer = started_balancer()
     send = sends(submit(balancer, 0.0, 1, "pay"))[0]
-    actions = balancer.handle(20.0, outcome(send, 0, code, 20.0))
-    assert finals(actions) == [io.Fail(1)] and not sends(actions)
+    actions = balancer.handle(20.0, attempt_ended(send, 0, code, 20.0))
+    assert final_answers(actions) == [io.Fail(1)] and not sends(actions)
 
 
 @pytest.mark.parametrize(("spent", "again"), [(30.0, True), (59.5, False), (80.0, False)])
 def test_a_keyed_request_goes_again_in_its_group_and_window_only(spent: float, again: bool) -> None:
-    balancer = started(8)  # cells of two; the window is 60 ms from the first send
+    balancer = started_balancer(8)  # cells of two; the window is 60 ms from the first send
     send = sends(submit(balancer, 0.0, 1, "book"))[0]
-    actions = balancer.handle(spent, outcome(send, 0, "error", spent))
+    actions = balancer.handle(spent, attempt_ended(send, 0, "error", spent))
     if again:
         assert int(sends(actions)[0].server[1:]) // 2 == int(send.server[1:]) // 2
     else:
@@ -177,22 +189,22 @@
 
 @pytest.mark.parametrize("code", ["full", "connect_failed"])
 def test_a_proof_that_it_never_ran_lets_an_unsafe_request_go_on(code: str) -> None:
-    balancer = started()
+    balancer = started_balancer()
     send = sends(submit(balancer, 0.0, 1, "pay"))[0]
-    again = sends(balancer.handle(5.0, outcome(send, 0, code, 5.0)))
+    again = sends(balancer.handle(5.0, attempt_ended(send, 0, code, 5.0)))
     assert again and again[0].server != send.server
 
 
 def test_an_empty_list_holds_and_then_refuses_in_time() -> None:
     balancer = Balancer(settings(), 1)
-    actions = submit(balancer, 0.0, 1, "pay", budget=100.0)
+    actions = submit(balancer, 0.0, 1, "pay", budget_ms=100.0)
     now = 0.0
-    while not finals(actions):
+    while not final_answers(actions):
         wakes = [a for a in actions if isinstance(a, io.SetTimer)]
         assert wakes, "held without a timer"
         now += wakes[0].after_ms
         actions = balancer.handle(now, io.Timer(wakes[0].token))
-    assert finals(actions) == [io.Shed(1, 0.0)] and now <= 100.0
+    assert final_answers(actions) == [io.Shed(1, 0.0)] and now <= 100.0
 
 
 def cold_share(balancers: int, cold: int, warm: int, per_s: float, span_s: float) -> float:
@@ -201,15 +213,15 @@
     gap = 1_000.0 / per_s
     for b in range(balancers):
         balancer = Balancer(settings(balancers=balancers), b)
-        balancer.handle(0.0, listed(range(warm)))
+        balancer.handle(0.0, list_update(range(warm)))
         number, now = 0, b * gap / balancers
         while now < (4.0 + span_s) * 1_000.0:
             if number == int(4.0 * per_s):  # all hear of the newcomers at the same moment
-                update = tuple(entry(100 + n, started=3_900.0) for n in range(cold))
+                update = tuple(make_endpoint(100 + n, started_ms=3_900.0) for n in range(cold))
                 balancer.handle(now, io.EndpointListUpdate("changes", update))
             number, now = number + 1, now + gap
             for send in sends(submit(balancer, now, number)):
-                balancer.handle(now, outcome(send, 0, "ok", 1.0))
+                balancer.handle(now, attempt_ended(send, 0, "ok", 1.0))
                 if send.server == "s100":
                     arrivals.append(now)
     arrivals.sort()
@@ -235,24 +247,24 @@
     for seed in range(200):
         balancer = Balancer(settings(balancers=200), seed)
         balancer.latency.typical["read"], balancer.latency.answer_counts["read"] = 1.0, 100
-        balancer.handle(0.0, listed(range(8)))
+        balancer.handle(0.0, list_update(range(8)))
         for n in range(60):
             now = n * 100.0
             if n == 50:
-                balancer.handle(now, io.EndpointListUpdate("changes", (entry(100, started=now),)))
-            got += serve(balancer, now, n, latency=1.0) == "s100"
+                balancer.handle(now, io.EndpointListUpdate("changes", (make_endpoint(100, started_ms=now),)))
+            got += serve_request(balancer, now, n, latency_ms=1.0) == "s100"
     assert 20 < got < 90
 
 
 def test_a_fleet_of_cold_servers_is_paced_by_a_balancer_that_just_started() -> None:
     balancer = Balancer(settings(), 3)
-    balancer.handle(50_000.0, listed(range(4), started=49_990.0))
+    balancer.handle(50_000.0, list_update(range(4), started_ms=49_990.0))
     sent = sum(len(sends(submit(balancer, 50_000.0 + n, n))) for n in range(1_000))
     assert 0 < sent < 450  # about the ramp's part of 1,000 requests
 
 
 def test_stale_lists_drain_at_once() -> None:
     balancer = Balancer(settings(polls_list=True), 3)
-    rows = (entry(0), entry(1, "draining"), entry(2))
+    rows = (make_endpoint(0), make_endpoint(1, "draining"), make_endpoint(2))
     balancer.handle(0.0, io.EndpointListUpdate("stale", rows))
-    assert {serve(balancer, float(n), n) for n in range(60)} == {"s0", "s2"}
+    assert {serve_request(balancer, float(n), n) for n in range(60)} == {"s0", "s2"}
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -14,11 +14,11 @@
 import frozen_actions
 import pytest
 from canonical import ActionDigest, StreamDigest
-from helpers import reported
+from helpers import last_reported_load
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from streams_of_events import Plan, play, settings_of
+from streams_of_events import StreamPlan, play_stream, settings_of
 
 from quartzford.decision import automaton
 from quartzford.decision import interface as io
@@ -43,22 +43,22 @@
 from quartzford.decision.server import Server
 
 PLANS = {
-    "plain": Plan(servers=12, events=500),
-    "churn": Plan(servers=30, events=400, churn=0.2),
-    "across the arrays' bound": Plan(servers=50, events=400, churn=0.3),
-    "arrays": Plan(servers=97, events=400),
-    "wide": Plan(servers=300, events=200, churn=0.1),
-    "failing": Plan(servers=20, events=500, failure_rate=0.6),
-    "some failing": Plan(servers=21, events=800, failure_rate=0.02, bad=0.95, churn=0.01),
-    "some failing of many": Plan(
+    "plain": StreamPlan(servers=12, events=500),
+    "churn": StreamPlan(servers=30, events=400, churn=0.2),
+    "across the arrays' bound": StreamPlan(servers=50, events=400, churn=0.3),
+    "arrays": StreamPlan(servers=97, events=400),
+    "wide": StreamPlan(servers=300, events=200, churn=0.1),
+    "failing": StreamPlan(servers=20, events=500, failure_rate=0.6),
+    "some failing": StreamPlan(servers=21, events=800, failure_rate=0.02, bad=0.95, churn=0.01),
+    "some failing of many": StreamPlan(
         servers=70, events=800, failure_rate=0.02, bad=0.95, churn=0.01, step_ms=0.5
     ),
-    "overload": Plan(servers=8, events=800, slow=0.6, step_ms=0.5),
-    "tenants": Plan(servers=20, events=500, tenants=True, step_ms=0.7, slow=0.4),
-    "sized and cold": Plan(servers=60, events=400, sized=True, cold=0.9, churn=0.1),
-    "no reports": Plan(servers=60, events=300, reports=False),
-    "one": Plan(servers=1, events=200, churn=0.2),
-    "none": Plan(servers=0, events=200, churn=0.1),
+    "overload": StreamPlan(servers=8, events=800, slow=0.6, step_ms=0.5),
+    "tenants": StreamPlan(servers=20, events=500, tenants=True, step_ms=0.7, slow=0.4),
+    "sized and cold": StreamPlan(servers=60, events=400, sized=True, cold=0.9, churn=0.1),
+    "no reports": StreamPlan(servers=60, events=300, reports=False),
+    "one": StreamPlan(servers=1, events=200, churn=0.2),
+    "none": StreamPlan(servers=0, events=200, churn=0.1),
 }
 SEEDS = range(6)  # of each plan
 
@@ -115,7 +115,7 @@
     return balancer
 
 
-def both(plan: Plan, seed: int) -> dict[str, StreamDigest]:
+def both(plan: StreamPlan, seed: int) -> dict[str, StreamDigest]:
     """Play a stream in both forms, and hold one against the other; the digest of each one's actions."""
     settings = settings_of(plan)
     old, new = watched(Balancer(settings, seed)), watched(Balancer(settings, seed))
@@ -131,10 +131,12 @@
             for x, y in zip(one, other, strict=True):
                 assert x == y or (isinstance(x, float) and close(x, y)), (one, other)
 
-    play(plan, seed, [old, new], check)
+    play_stream(plan, seed, [old, new], check)
     assert [s.entry for s in old.ready] == [s.entry for s in new.ready]
     for a, b in zip(old.ready, new.ready, strict=True):
-        assert close(a.p, b.p) and close(a.cost, b.cost) and close(reported(a), reported(b))
+        assert (
+            close(a.p, b.p) and close(a.cost, b.cost) and close(last_reported_load(a), last_reported_load(b))
+        )
         assert (a.failure_rate, a.ejections, len(a.in_flight)) == (
             b.failure_rate,
             b.ejections,
@@ -219,13 +221,13 @@
 def test_both_forms_decide_alike_in_drawn_streams(
     seed: int, servers: int, churn: float, failure_rate: float, step_ms: float, flag: bool
 ) -> None:
-    both(Plan(servers, 120, churn, failure_rate, flag, flag, 0.2, step_ms, not flag), seed)
+    both(StreamPlan(servers, 120, churn, failure_rate, flag, flag, 0.2, step_ms, not flag), seed)
 
 
 def test_lists_serve_all_sizes_where_arrays_are_not_installed(monkeypatch: Any) -> None:
     monkeypatch.setattr(automaton, "load_arrays", lambda: None)
     balancer = Balancer(settings_of(PLANS["arrays"]), 1)
-    play(PLANS["arrays"], 1, [balancer], lambda answers: None)
+    play_stream(PLANS["arrays"], 1, [balancer], lambda answers: None)
     assert isinstance(balancer.endpoints.shares, PlainShares) and len(balancer.ready) > 80
 
 
@@ -240,7 +242,7 @@
                 key = type(action).__name__
                 seen[key] = seen.get(key, 0) + 1
 
-        play(plan, 1, [new], check)
+        play_stream(plan, 1, [new], check)
         ejected = sum(s.ejected_until > 0 for s in new.ready)
         seen["ejected"] = seen.get("ejected", 0) + ejected
         if name in ("arrays", "wide"):
@@ -326,7 +328,7 @@
 
 
 def test_all_cold_and_all_ejected_are_waited_for_and_served() -> None:
-    plan = Plan(servers=60, cold=1.0)
+    plan = StreamPlan(servers=60, cold=1.0)
     balancer = Balancer(settings_of(plan), 1)
     entries = tuple(io.Endpoint(f"s{n}", "z0", "std", n, "ready", 1.0, 900.0) for n in range(60))
     balancer.handle(1_000.0, io.EndpointListUpdate("stale", entries))
@@ -341,7 +343,7 @@
 
 
 def test_two_restarts_in_one_update_and_a_leaver_with_attempts_out() -> None:
-    balancer = Balancer(settings_of(Plan()), 1)
+    balancer = Balancer(settings_of(StreamPlan()), 1)
     one = io.Endpoint("s0", "z0", "std", 0, "ready", 1.0, 0.0)
     other = one._replace(server="s1")
     balancer.handle(0.0, io.EndpointListUpdate("stale", (one, other)))
@@ -360,9 +362,9 @@
 
 def test_sets_of_the_unusual_are_emptied_again() -> None:
     """What was failing, late or cold once must not be looked at for good."""
-    plan = Plan(servers=30, events=600, failure_rate=0.5, churn=0.1)
+    plan = StreamPlan(servers=30, events=600, failure_rate=0.5, churn=0.1)
     balancer = Balancer(settings_of(plan), 3)
-    play(plan, 3, [balancer], lambda answers: None)
+    play_stream(plan, 3, [balancer], lambda answers: None)
     now = 60_000.0
     for server in list(balancer.servers.values()):
         server.in_flight.clear()
@@ -380,7 +382,7 @@
 @pytest.mark.parametrize("said", [1e308, float("inf"), float("nan")])
 def test_a_report_beyond_all_bounds_leaves_p_a_probability(said: float) -> None:
     for servers in (4, 60):
-        balancer = Balancer(settings_of(Plan()), 1)
+        balancer = Balancer(settings_of(StreamPlan()), 1)
         entries = tuple(io.Endpoint(f"s{n}", "z0", "std", n, "ready", 1.0, 0.0) for n in range(servers))
         balancer.handle(0.0, io.EndpointListUpdate("stale", entries))
         for n in range(3 * servers):
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import LIST_ROW, Message, World, request, run, silent, until
+from peers import LIST_ROW, BalancerTestbed, Message, async_test, never_responds, request, wait_until
 
 from quartzford.membership import snapshot_writer as writing
 from quartzford.membership.listing import read_listing
@@ -111,9 +111,9 @@
     assert times.starts_of(listing.entries) == {"s0": 0.0, "s1": 9_000_000.0}
 
 
-def kept(world: World, path: Path, rule: SnapshotAgeLimits = RULE) -> SnapshotWriter:
-    """The node of a world keeps its list there."""
-    node = world.node
+def kept(testbed: BalancerTestbed, path: Path, rule: SnapshotAgeLimits = RULE) -> SnapshotWriter:
+    """The node of a testbed keeps its list there."""
+    node = testbed.node
     node.snapshot_writer = SnapshotWriter(
         str(path),
         rule,
@@ -127,35 +127,35 @@
     return node.snapshot_writer
 
 
-class Kept(World):
-    """A world whose balancer keeps its list; discovery is silent at its start if so wanted."""
+class Kept(BalancerTestbed):
+    """A testbed whose balancer keeps its list; discovery is silent at its start if so wanted."""
 
     def __init__(
         self, path: Path, rule: SnapshotAgeLimits = RULE, service_silent: bool = False, **settings: Any
     ) -> None:
         super().__init__(2, registryMode="subscribe", **settings)
-        self.path, self.rule, self.known = path, rule, {"seq": 0, "whole": True, "hosts": []}
+        self.path, self.rule, self.initial_list = path, rule, {"seq": 0, "whole": True, "hosts": []}
         if service_silent:
-            self.discovery.script = silent
+            self.discovery.script = never_responds
 
-    async def enter(self, heard: bool = True, listener: Any = None) -> None:
+    async def start_balancer(self, heard: bool = True, listener: Any = None) -> None:
         begin = keeping_node(self)
         try:
-            await super().enter(heard and self.discovery.script is not silent, listener)
+            await super().start_balancer(heard and self.discovery.script is not never_responds, listener)
         finally:
             begin()
 
 
-def keeping_node(world: Kept) -> Any:
+def keeping_node(testbed: Kept) -> Any:
     """Nodes that are made from now on keep their list; the way back."""
     from quartzford import node as module
 
     start = module.Node.start
 
     async def started(self: Any) -> None:
-        world.node = self
+        testbed.node = self
         if self.snapshot_writer is None:
-            kept(world, world.path, world.rule)
+            kept(testbed, testbed.path, testbed.rule)
         await start(self)
 
     module.Node.start = started  # type: ignore[method-assign]
@@ -172,11 +172,11 @@
     monkeypatch.setattr(writing, "WRITE_INTERVAL_S", 0.02)
     path = tmp_path / "last"
 
-    @run
+    @async_test
     async def test() -> None:
         first = Kept(path)
         async with first:
-            await until(path.exists)
+            await wait_until(path.exists)
         held = decode(path.read_bytes())
         assert {row["host"] for row in held.table["hosts"]} == {"s0", "s1"}
         second = Kept(path, service_silent=True)
@@ -206,33 +206,35 @@
     """Changes to the kept list are told; what its age made of the upstreams is forgotten with them."""
     path = tmp_path / "last"
 
-    @run
+    @async_test
     async def test() -> None:
-        world = Kept(path, rule, service_silent=True)
-        for up in world.upstreams:
+        testbed = Kept(path, rule, service_silent=True)
+        for up in testbed.upstreams:
             await up.start()
             up.start = still  # type: ignore[method-assign]
-        table = world.list(world.host(0), world.host(1))
+        table = testbed.endpoint_list(testbed.list_row(0), testbed.list_row(1))
         write_snapshot(str(path), Snapshot("the list", (time.time() - age_s) * 1000.0, table))
 
-        async with world:
-            fleet = world.node.engine.balancer.endpoints
+        async with testbed:
+            fleet = testbed.node.engine.balancer.endpoints
             assert len(fleet.ready) == 2 and len(fleet.slow_start.cold) == 2
-            upstream = world.node.pool.upstreams["s0"]
+            upstream = testbed.node.pool.upstreams["s0"]
 
             async def speaks(message: Message, writer: asyncio.StreamWriter) -> None:
                 assert "index=1" in message.line
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                world.watches.append(writer)
-                world.send_line({"seq": 2, "whole": False, "hosts": [world.host(1, "draining")]}, writer)
+                testbed.watches.append(writer)
+                testbed.send_line(
+                    {"seq": 2, "whole": False, "hosts": [testbed.list_row(1, "draining")]}, writer
+                )
 
-            world.discovery.script = speaks
-            for writer in world.discovery.writers:
+            testbed.discovery.script = speaks
+            for writer in testbed.discovery.writers:
                 writer.transport.abort()
-            await until(lambda: len(fleet.ready) == 1)
-            assert (await world.submit(request())).status == 200
+            await wait_until(lambda: len(fleet.ready) == 1)
+            assert (await testbed.submit(request())).status == 200
             assert not fleet.slow_start.cold and fleet.ready[0].entry.server == "s0"
-            assert world.node.pool.upstreams["s0"] is upstream  # the same incarnation
+            assert testbed.node.pool.upstreams["s0"] is upstream  # the same incarnation
 
     test()
 
@@ -250,14 +252,14 @@
     else:
         path.mkdir()
 
-    @run
+    @async_test
     async def test() -> None:
-        world = Kept(path)
-        async with world:
-            assert (await world.submit(request())).status == 200
-            writer = world.node.snapshot_writer
+        testbed = Kept(path)
+        async with testbed:
+            assert (await testbed.submit(request())).status == 200
+            writer = testbed.node.snapshot_writer
             assert writer is not None
-            await until(lambda: writer.last_error or writer.written)
+            await wait_until(lambda: writer.last_error or writer.written)
             assert bool(writer.written) == (how == "garbage")
 
     test()
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -9,7 +9,18 @@
 
 import pytest
 import uvloop
-from peers import Message, Peer, World, read_message, reply, request, run, says, silent, until
+from peers import (
+    BalancerTestbed,
+    Message,
+    Peer,
+    async_test,
+    never_responds,
+    read_message,
+    reply,
+    request,
+    responds_with,
+    wait_until,
+)
 
 from quartzford import node
 from quartzford.decision import interface as io
@@ -17,45 +28,45 @@
 from quartzford.membership.listing import read_listing
 
 
-def ready(world: World) -> set[str]:
-    return {name for name, up in world.node.pool.upstreams.items() if up.ready}
+def ready(testbed: BalancerTestbed) -> set[str]:
+    return {name for name, up in testbed.node.pool.upstreams.items() if up.ready}
 
 
-@run
+@async_test
 async def test_changes_drains_removals_and_complete_lists_are_followed() -> None:
-    async with World(3) as world:
-        assert ready(world) == {"s0", "s1", "s2"}
-        world.update(world.host(0, "draining"))
-        await until(lambda: ready(world) == {"s1", "s2"})
-        world.update(world.host(1, "gone"))
-        await until(lambda: ready(world) == {"s2"})
+    async with BalancerTestbed(3) as testbed:
+        assert ready(testbed) == {"s0", "s1", "s2"}
+        testbed.update(testbed.list_row(0, "draining"))
+        await wait_until(lambda: ready(testbed) == {"s1", "s2"})
+        testbed.update(testbed.list_row(1, "gone"))
+        await wait_until(lambda: ready(testbed) == {"s2"})
         for _ in range(5):
-            assert (await world.submit(request())).status == 200
-        assert [len(up.received) for up in world.upstreams] == [0, 0, 5]
-        world.update(world.host(1), complete=True)
-        await until(lambda: ready(world) == {"s1"})
-        hows = [e.kind for e in world.events if isinstance(e, io.EndpointListUpdate)]
+            assert (await testbed.submit(request())).status == 200
+        assert [len(up.received) for up in testbed.upstreams] == [0, 0, 5]
+        testbed.update(testbed.list_row(1), complete=True)
+        await wait_until(lambda: ready(testbed) == {"s1"})
+        hows = [e.kind for e in testbed.events if isinstance(e, io.EndpointListUpdate)]
         assert hows == ["stale", "whole", "changes", "changes", "whole"]
 
 
-@run
+@async_test
 async def test_a_drain_ends_idle_connections_and_lets_what_is_out_finish() -> None:
-    async with World(2) as world:
+    async with BalancerTestbed(2) as testbed:
         gate = asyncio.Event()
 
         async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             writer.write(reply(b"late"))
 
-        world.upstreams[0].script = world.upstreams[1].script = wait
-        asking = asyncio.ensure_future(world.submit(request("pay", b"")))
-        await until(lambda: world.upstreams[0].received or world.upstreams[1].received)
-        busy = 0 if world.upstreams[0].received else 1
-        world.update(world.host(busy, "draining"))
-        await until(lambda: len(ready(world)) == 1)
+        testbed.upstreams[0].script = testbed.upstreams[1].script = wait
+        asking = asyncio.ensure_future(testbed.submit(request("pay", b"")))
+        await wait_until(lambda: testbed.upstreams[0].received or testbed.upstreams[1].received)
+        busy = 0 if testbed.upstreams[0].received else 1
+        testbed.update(testbed.list_row(busy, "draining"))
+        await wait_until(lambda: len(ready(testbed)) == 1)
         gate.set()
         assert (await asking).body == b"late"
-        await until(lambda: world.upstreams[busy].left == 1)
+        await wait_until(lambda: testbed.upstreams[busy].closed_connections == 1)
 
 
 @pytest.mark.parametrize("how", ["ends", "bad line", "not a host", "version back", "stalls"])
@@ -63,68 +74,71 @@
     async def test() -> None:
         if how == "stalls":
             monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.3)
-        async with World(2) as world:
-            before = len(world.discovery.received)
-            world.version = 9
-            world.current = world.list(world.host(1))
+        async with BalancerTestbed(2) as testbed:
+            before = len(testbed.discovery.received)
+            testbed.version = 9
+            testbed.served_list = testbed.endpoint_list(testbed.list_row(1))
             if how == "ends":
-                world.send_chunk(b'{"seq":8,"whole":false,"ho')
-                world.watches[-1].transport.abort()
+                testbed.send_chunk(b'{"seq":8,"whole":false,"ho')
+                testbed.watches[-1].transport.abort()
             elif how == "bad line":
-                world.send_line("{nonsense")
+                testbed.send_line("{nonsense")
             elif how == "not a host":
-                world.send_line({"seq": 8, "whole": False, "hosts": [{"host": "s0", "health": "unwell"}]})
+                testbed.send_line({"seq": 8, "whole": False, "hosts": [{"host": "s0", "health": "unwell"}]})
             elif how == "version back":
-                world.send_line({"seq": 0, "whole": False, "hosts": []})
-            await until(lambda: ready(world) == {"s1"})
-            received = [message.line for message in world.discovery.received[before:]]
+                testbed.send_line({"seq": 0, "whole": False, "hosts": []})
+            await wait_until(lambda: ready(testbed) == {"s1"})
+            received = [message.line for message in testbed.discovery.received[before:]]
             if how in ("ends", "stalls"):
                 assert received[0].startswith("GET /catalog/members?stream=1&index=1 ")
             else:
                 assert received[0].startswith("GET /catalog/members ")
-            assert (await world.submit(request())).status == 200
+            assert (await testbed.submit(request())).status == 200
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_discovery_that_cannot_be_had_for_a_while() -> None:
-    async with World(2) as world:
-        port = world.discovery.port
-        await world.discovery.stop()
-        await until(lambda: world.node.watch.policy.failed_calls > 2)
-        assert (await world.submit(request())).status == 200
-        world.version, world.current = 5, None
-        await world.discovery.start(port)
-        await until(lambda: world.node.watch.version == 5)
+    async with BalancerTestbed(2) as testbed:
+        port = testbed.discovery.port
+        await testbed.discovery.stop()
+        await wait_until(lambda: testbed.node.watch.policy.failed_calls > 2)
+        assert (await testbed.submit(request())).status == 200
+        testbed.version, testbed.served_list = 5, None
+        await testbed.discovery.start(port)
+        await wait_until(lambda: testbed.node.watch.version == 5)
 
 
-@run
+@async_test
 async def test_the_list_is_heard_before_a_client_is() -> None:
     """A client that knew the process before comes as soon as the address listens. What its list said may be
     long untrue: what the agent holds counts as told from the start, and sends to s0 would break its drain."""
-    world = World(2)
-    for peer in (*world.upstreams, world.discovery):
+    testbed = BalancerTestbed(2)
+    for peer in (*testbed.upstreams, testbed.discovery):
         await peer.start()
-    world.known = world.list(world.host(0), world.host(1))
-    world.version, world.current = 3, world.list(world.host(0, "draining"), world.host(1))
+    testbed.initial_list = testbed.endpoint_list(testbed.list_row(0), testbed.list_row(1))
+    testbed.version, testbed.served_list = (
+        3,
+        testbed.endpoint_list(testbed.list_row(0, "draining"), testbed.list_row(1)),
+    )
     hold = asyncio.Event()
 
     async def late(message: Message, writer: asyncio.StreamWriter) -> None:
         await hold.wait()
-        await world._discover(message, writer)
+        await testbed._discover(message, writer)
 
-    world.discovery.script = late
-    entering = asyncio.ensure_future(world.enter())
-    await until(lambda: world.discovery.received)
-    assert world.node.front.listener is None and not world.node.watch.ever_answered
+    testbed.discovery.script = late
+    entering = asyncio.ensure_future(testbed.start_balancer())
+    await wait_until(lambda: testbed.discovery.received)
+    assert testbed.node.front.listener is None and not testbed.node.watch.ever_answered
     hold.set()
     await entering
-    assert world.node.front.listener is not None
+    assert testbed.node.front.listener is not None
     for _ in range(20):
-        assert (await world.submit(request())).status == 200
-    assert [len(up.received) for up in world.upstreams] == [0, 20]
-    await world.__aexit__()
+        assert (await testbed.submit(request())).status == 200
+    assert [len(up.received) for up in testbed.upstreams] == [0, 20]
+    await testbed.__aexit__()
 
 
 def test_sigterm_before_the_first_list(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -132,18 +146,18 @@
     monkeypatch.setattr(node, "LISTED_S", 3_600.0)
 
     async def test() -> None:
-        world = World(2)
-        for peer in (*world.upstreams, world.discovery):
+        testbed = BalancerTestbed(2)
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
-        world.discovery.script = silent
-        entering = asyncio.ensure_future(world.enter(wait_for_list=False))
-        await until(lambda: world.discovery.received)
-        world.node.terminate()
+        testbed.discovery.script = never_responds
+        entering = asyncio.ensure_future(testbed.start_balancer(wait_for_list=False))
+        await wait_until(lambda: testbed.discovery.received)
+        testbed.node.terminate()
         with pytest.raises(AssertionError):  # the helper's own: there is no server to ask
             await entering
-        await world.node.finished
-        assert world.node.front.listener is None and not world.node.watch.ever_answered
-        for peer in (*world.upstreams, world.discovery):
+        await testbed.node.finished
+        assert testbed.node.front.listener is None and not testbed.node.watch.ever_answered
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.stop()
 
     uvloop.run(asyncio.wait_for(test(), 30))
@@ -154,32 +168,32 @@
     monkeypatch.setattr(node, "LISTED_S", 3_600.0)
 
     async def test() -> None:
-        world = World(1)
-        for peer in (*world.upstreams, world.discovery):
+        testbed = BalancerTestbed(1)
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
-        world.discovery.script = silent
+        testbed.discovery.script = never_responds
         with socket.create_server(("127.0.0.1", 0)) as listener:
             reader, writer = await asyncio.open_connection(*listener.getsockname())
             writer.write(request())
-            await world.enter(wait_for_list=False, listener=listener)
+            await testbed.start_balancer(wait_for_list=False, listener=listener)
             assert (await read_message(reader)).status == 200
             writer.close()
-            await world.__aexit__()
+            await testbed.__aexit__()
 
     uvloop.run(asyncio.wait_for(test(), 30))
 
 
-@run
+@async_test
 async def test_a_discovery_that_says_nothing_holds_up_the_start_for_a_moment_only() -> None:
-    world = World(2)
-    for peer in (*world.upstreams, world.discovery):
+    testbed = BalancerTestbed(2)
+    for peer in (*testbed.upstreams, testbed.discovery):
         await peer.start()
-    world.discovery.script = silent
+    testbed.discovery.script = never_responds
     before = asyncio.get_running_loop().time()
-    await world.enter(wait_for_list=False)
+    await testbed.start_balancer(wait_for_list=False)
     assert asyncio.get_running_loop().time() - before > node.LISTED_S - 0.01
-    assert (await world.submit(request())).status == 200
-    await world.__aexit__()
+    assert (await testbed.submit(request())).status == 200
+    await testbed.__aexit__()
 
 
 @pytest.mark.parametrize("polled", [False, True])
@@ -192,89 +206,97 @@
     monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.9)
 
     async def test() -> None:
-        world = asking() if polled else World()
-        world.upstreams.append(Peer(says(reply())))
-        for peer in (*world.upstreams, world.discovery):
+        testbed = asking() if polled else BalancerTestbed()
+        testbed.upstreams.append(Peer(responds_with(reply())))
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
-        world.known = world.list(world.host(0))
-        world.version, world.current = 4, world.list(world.host(1))
+        testbed.initial_list = testbed.endpoint_list(testbed.list_row(0))
+        testbed.version, testbed.served_list = 4, testbed.endpoint_list(testbed.list_row(1))
 
         async def moody(message: Message, writer: asyncio.StreamWriter) -> None:
-            received = len(world.discovery.received)
+            received = len(testbed.discovery.received)
             if received == 1:
                 return
             if received == 2:
                 await asyncio.sleep(0.2)
-            await world._discover(message, writer)
+            await testbed._discover(message, writer)
 
-        world.discovery.script = moody
-        await world.enter()
-        await until(lambda: ready(world) == {"s1"})
+        testbed.discovery.script = moody
+        await testbed.start_balancer()
+        await wait_until(lambda: ready(testbed) == {"s1"})
         for _ in range(5):
-            assert (await world.submit(request())).status == 200
-        assert [len(up.received) for up in world.upstreams] == [0, 5] and len(world.discovery.received) == 2
-        await world.__aexit__()
+            assert (await testbed.submit(request())).status == 200
+        assert [len(up.received) for up in testbed.upstreams] == [0, 5] and len(
+            testbed.discovery.received
+        ) == 2
+        await testbed.__aexit__()
 
     uvloop.run(asyncio.wait_for(test(), 30))
 
 
-@run
+@async_test
 async def test_a_line_without_end_and_an_answer_that_is_no_list() -> None:
-    async with World() as world:
-        for script in (says(reply(b"", "503 Down")), says(b"garbage\r\n\r\n"), says(b"", close=True)):
-            world.discovery.script = script
-            before = len(world.discovery.received)
-            world.discovery.writers[-1].transport.abort()
-            await until(lambda before=before: len(world.discovery.received) > before + 1)  # type: ignore[misc]
-        world.discovery.script = world._discover
-        watches = len(world.watches)
-        await until(lambda: len(world.watches) > watches)
+    async with BalancerTestbed() as testbed:
+        for script in (
+            responds_with(reply(b"", "503 Down")),
+            responds_with(b"garbage\r\n\r\n"),
+            responds_with(b"", close=True),
+        ):
+            testbed.discovery.script = script
+            before = len(testbed.discovery.received)
+            testbed.discovery.writers[-1].transport.abort()
+            await wait_until(lambda before=before: len(testbed.discovery.received) > before + 1)  # type: ignore[misc]
+        testbed.discovery.script = testbed._discover
+        watches = len(testbed.watches)
+        await wait_until(lambda: len(testbed.watches) > watches)
         for _ in range(5):
-            world.send_chunk(b"x" * 1_000_000)
-        await until(lambda: len(world.watches) > watches + 1)
-        assert (await world.submit(request())).status == 200
+            testbed.send_chunk(b"x" * 1_000_000)
+        await wait_until(lambda: len(testbed.watches) > watches + 1)
+        assert (await testbed.submit(request())).status == 200
 
 
-def asking(**settings: Any) -> World:
+def asking(**settings: Any) -> BalancerTestbed:
     """One service for the whole fleet."""
-    return World(registryMode="subscribe", **settings)
+    return BalancerTestbed(registryMode="subscribe", **settings)
 
 
-@run
+@async_test
 async def test_a_shared_list_service_is_called_at_once_by_a_small_fleet_and_again_after_an_end() -> None:
-    async with asking() as world:
-        watches = len(world.watches)
-        assert watches == 1 and world.node.watch.counts["watched"] == 1
-        world.watches[-1].transport.abort()
-        await until(lambda: len(world.watches) > watches)
-        assert world.node.watch.counts["ended closed"] == 1
+    async with asking() as testbed:
+        watches = len(testbed.watches)
+        assert watches == 1 and testbed.node.watch.counts["watched"] == 1
+        testbed.watches[-1].transport.abort()
+        await wait_until(lambda: len(testbed.watches) > watches)
+        assert testbed.node.watch.counts["ended closed"] == 1
 
 
-@run
+@async_test
 async def test_a_call_that_was_accepted_is_waited_for_and_a_trickle_is_an_answer() -> None:
     """An agent's silence of 1.5 s ends a call; a service that has a queue is let work."""
-    world = asking()
+    testbed = asking()
     step = asyncio.Event()
 
     async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
         loop, began = asyncio.get_running_loop(), asyncio.get_running_loop().time()
         await asyncio.sleep(1.55)
-        complete = json.dumps(world.list(world.host(0))).encode() + b"\n"
+        complete = json.dumps(testbed.endpoint_list(testbed.list_row(0))).encode() + b"\n"
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for number, at in enumerate(range(0, len(complete), 40), 1):
             piece = complete[at : at + 40]
             writer.write(b"%x\r\n%b\r\n" % (len(piece), piece))
             await asyncio.sleep(max(0.0, began + 1.55 + 0.05 * number - loop.time()))
-        world.watches.append(writer)
+        testbed.watches.append(writer)
         step.set()
 
-    world.discovery.script = slow
-    async with world:
+    testbed.discovery.script = slow
+    async with testbed:
         await step.wait()
-        await until(lambda: world.node.watch.ever_answered)
-        counts = {name: count for name, count in world.node.watch.counts.items() if name != "kept"}
+        await wait_until(lambda: testbed.node.watch.ever_answered)
+        counts = {name: count for name, count in testbed.node.watch.counts.items() if name != "kept"}
         assert (
-            len(world.discovery.received) == 1 and counts == {"watched": 1} and world.node.watch.is_current()
+            len(testbed.discovery.received) == 1
+            and counts == {"watched": 1}
+            and testbed.node.watch.is_current()
         )
 
 
@@ -291,17 +313,17 @@
     """An hour is more than a balancer may go without asking (here one second)."""
 
     async def test() -> None:
-        world = asking(guarantees={**World().settings["guarantees"], "askEveryMs": 1_000.0})
+        testbed = asking(guarantees={**BalancerTestbed().settings["guarantees"], "askEveryMs": 1_000.0})
         received: list[float] = []
 
         async def busy(message: Message, writer: asyncio.StreamWriter) -> None:
             received.append(asyncio.get_running_loop().time())
             if len(received) > 1:
-                return await world._discover(message, writer)
+                return await testbed._discover(message, writer)
             writer.write(reply(b"", "503 Busy", field + "\r\n" if field else ""))
 
-        world.discovery.script = busy
-        async with world:
+        testbed.discovery.script = busy
+        async with testbed:
             assert least - 0.002 <= received[1] - received[0] <= most  # the loop's clock counts milliseconds
 
     uvloop.run(test())
@@ -347,17 +369,17 @@
         read_listing(json.dumps({"seq": 1, "whole": True, "hosts": [row | change]}).encode())
 
 
-@run
+@async_test
 async def test_a_process_that_stood_still_reads_what_has_come_before_it_takes_a_watch_for_silent() -> None:
     """The timer is found far too late: what came meanwhile is unread. Only once: silence goes on to count."""
-    async with World(1) as world:
-        watch, now = world.node.watch, world.node.clock.now
+    async with BalancerTestbed(1) as testbed:
+        watch, now = testbed.node.watch, testbed.node.clock.now
         call = watch.call
         assert call is not None
-        world.node.clock.now = lambda: now() + 10.0  # type: ignore[method-assign]
+        testbed.node.clock.now = lambda: now() + 10.0  # type: ignore[method-assign]
         call._timed_out()
-        world.update(world.host(0, "draining"))
-        await until(lambda: watch.version == world.version)
+        testbed.update(testbed.list_row(0, "draining"))
+        await wait_until(lambda: watch.version == testbed.version)
         assert watch.call is call and not watch.counts["ended silent"]
         call._timed_out()
         assert watch.counts["ended silent"] == 1
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -11,7 +11,18 @@
 
 import pytest
 import uvloop
-from peers import Message, Script, World, read_message, reply, request, run, says, silent, until
+from peers import (
+    BalancerTestbed,
+    Message,
+    Script,
+    async_test,
+    never_responds,
+    read_message,
+    reply,
+    request,
+    responds_with,
+    wait_until,
+)
 
 from quartzford.decision import interface as io
 from quartzford.settings.header_values import REPORT_ALIASES, read_report
@@ -35,54 +46,60 @@
 @pytest.mark.parametrize(
     ("script", "code", "status"),
     [
-        (says(reply()), "ok", 200),
-        (says(reply(b"", "500 Oops")), "error", 502),
-        (says(reply(b"", "404 Not Found")), "error", 502),
-        (says(reply(b"", "503 Busy")), "error", 502),
-        (says(reply(b"", "503 Busy", "X-Unprocessed: 0\r\n")), "error", 502),
-        (says(reply(b"", "500 Oops", "X-Unprocessed: 1\r\n")), "error", 502),
-        (says(reply(b"", "503 Busy", "X-Unprocessed: 1\r\n")), "full", 503),
-        (says(reply(b"", "504 Over", "x-unprocessed: 1\r\n")), "full", 503),
-        (says(b"garbage\r\n\r\n"), "reset", 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), "reset", 502),
-        (says(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 70_000), "reset", 502),
-        (says(b"HTTP/1.1 200 O", close=True), "reset", 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", close=True), "reset", 502),
-        (says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhal", close=True), "reset", 502),
-        (says(b"", close=True), "reset", 502),
+        (responds_with(reply()), "ok", 200),
+        (responds_with(reply(b"", "500 Oops")), "error", 502),
+        (responds_with(reply(b"", "404 Not Found")), "error", 502),
+        (responds_with(reply(b"", "503 Busy")), "error", 502),
+        (responds_with(reply(b"", "503 Busy", "X-Unprocessed: 0\r\n")), "error", 502),
+        (responds_with(reply(b"", "500 Oops", "X-Unprocessed: 1\r\n")), "error", 502),
+        (responds_with(reply(b"", "503 Busy", "X-Unprocessed: 1\r\n")), "full", 503),
+        (responds_with(reply(b"", "504 Over", "x-unprocessed: 1\r\n")), "full", 503),
+        (responds_with(b"garbage\r\n\r\n"), "reset", 502),
+        (responds_with(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), "reset", 502),
+        (responds_with(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 70_000), "reset", 502),
+        (responds_with(b"HTTP/1.1 200 O", close=True), "reset", 502),
+        (responds_with(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", close=True), "reset", 502),
+        (
+            responds_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhal", close=True),
+            "reset",
+            502,
+        ),
+        (responds_with(b"", close=True), "reset", 502),
         (resets(b""), "reset", 502),
         (resets(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"), "reset", 502),
-        (silent, "timeout", 502),
+        (never_responds, "timeout", 502),
     ],
 )
 def test_every_way_an_attempt_ends(script: Script, code: str, status: int) -> None:
     async def test() -> None:
-        async with World() as world:
-            world.upstreams[0].script = script
-            answer = await world.submit(request("pay", b"", left="300m"))
+        async with BalancerTestbed() as testbed:
+            testbed.upstreams[0].script = script
+            answer = await testbed.submit(request("pay", b"", time_left="300m"))
             assert answer.status == status
-            assert set(world.outcomes()) == {code}
+            assert set(testbed.outcomes()) == {code}
             assert (
-                code == "full" or len(world.upstreams[0].received) == 1
+                code == "full" or len(testbed.upstreams[0].received) == 1
             )  # unsafe: not sent again if it may have run
-            world.upstreams[0].script = says(reply())
-            await until(lambda: not world.node.engine.pending_requests and world.node.budget.used == 0)
+            testbed.upstreams[0].script = responds_with(reply())
+            await wait_until(
+                lambda: not testbed.node.engine.pending_requests and testbed.node.budget.used == 0
+            )
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_a_refused_connection_never_ran() -> None:
-    async with World(2) as world:
-        await world.upstreams[0].stop()
+    async with BalancerTestbed(2) as testbed:
+        await testbed.upstreams[0].stop()
         for _ in range(8):
-            assert (await world.submit(request("pay", b""))).status == 200
-        assert set(world.outcomes()) == {"ok", "connect_failed"}
+            assert (await testbed.submit(request("pay", b""))).status == 200
+        assert set(testbed.outcomes()) == {"ok", "connect_failed"}
 
 
-@run
+@async_test
 async def test_a_connection_that_never_comes_up_fails_in_time() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         full = socket.socket()  # a backlog that is full: connections to it stay unanswered
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -91,17 +108,17 @@
         for sock in held:
             sock.setblocking(False)
             sock.connect_ex(address)
-        world.update(world.host(0, dial=f"{address[0]}:{address[1]}"))
-        await until(lambda: world.node.pool.upstreams["s0"].address == address)
-        answer = await world.submit(request("pay", b"", left="600m"))
-        assert answer.status == 503 and set(world.outcomes()) == {"connect_failed"}
+        testbed.update(testbed.list_row(0, dial=f"{address[0]}:{address[1]}"))
+        await wait_until(lambda: testbed.node.pool.upstreams["s0"].address == address)
+        answer = await testbed.submit(request("pay", b"", time_left="600m"))
+        assert answer.status == 503 and set(testbed.outcomes()) == {"connect_failed"}
         for sock in (*held, full):
             sock.close()
 
 
-@run
+@async_test
 async def test_a_break_in_the_middle_of_the_request_never_ran() -> None:
-    async with World(2) as world:
+    async with BalancerTestbed(2) as testbed:
         stalled = asyncio.Event()
 
         async def stall(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -111,21 +128,21 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(stall, "127.0.0.1", 0, limit=1000)
-        world.upstreams[0].port = server.sockets[0].getsockname()[1]
-        world.update(world.host(0), world.host(1, "draining"))
-        await until(lambda: not world.node.pool.upstreams["s1"].ready)
-        asking = asyncio.ensure_future(world.submit(request("pay", b"b" * 12_000_000)))
+        testbed.upstreams[0].port = server.sockets[0].getsockname()[1]
+        testbed.update(testbed.list_row(0), testbed.list_row(1, "draining"))
+        await wait_until(lambda: not testbed.node.pool.upstreams["s1"].ready)
+        asking = asyncio.ensure_future(testbed.submit(request("pay", b"b" * 12_000_000)))
         await stalled.wait()
-        world.update(world.host(0, "gone"), world.host(1))
+        testbed.update(testbed.list_row(0, "gone"), testbed.list_row(1))
         answer = await asking
-        assert answer.status == 200 and world.outcomes()[0] == "connect_failed"
-        assert len(world.upstreams[1].received[0].body) == 12_000_000
+        assert answer.status == 200 and testbed.outcomes()[0] == "connect_failed"
+        assert len(testbed.upstreams[1].received[0].body) == 12_000_000
         server.close()
 
 
-@run
+@async_test
 async def test_a_decision_that_aged_while_connecting_is_not_written(monkeypatch: Any = None) -> None:
-    async with World(2) as world:
+    async with BalancerTestbed(2) as testbed:
         loop = asyncio.get_running_loop()
         gate, connect = asyncio.Event(), loop.sock_connect
 
@@ -139,45 +156,48 @@
                 await gate.wait()
                 await connect(sock, address)
 
-        world.node.pool.loop = Loop()  # type: ignore[assignment]
-        world.update(world.host(1, "draining"))
-        await until(lambda: not world.node.pool.upstreams["s1"].ready)
-        asking = asyncio.ensure_future(world.submit(request("pay", b"")))
-        await until(lambda: any(isinstance(a, io.Send) for a in world.actions))
-        world.update(world.host(0, "draining"), world.host(1))
-        await until(lambda: world.node.pool.upstreams["s1"].ready)
+        testbed.node.pool.loop = Loop()  # type: ignore[assignment]
+        testbed.update(testbed.list_row(1, "draining"))
+        await wait_until(lambda: not testbed.node.pool.upstreams["s1"].ready)
+        asking = asyncio.ensure_future(testbed.submit(request("pay", b"")))
+        await wait_until(lambda: any(isinstance(a, io.Send) for a in testbed.actions))
+        testbed.update(testbed.list_row(0, "draining"), testbed.list_row(1))
+        await wait_until(lambda: testbed.node.pool.upstreams["s1"].ready)
         gate.set()
         assert (await asking).status == 200
-        assert world.outcomes() == ["moot", "ok"] and world.upstreams[0].received == []
+        assert testbed.outcomes() == ["moot", "ok"] and testbed.upstreams[0].received == []
 
 
-@run
+@async_test
 async def test_the_connection_of_an_attempt_ends_before_the_next_goes_out() -> None:
-    async with World(2) as world:
+    async with BalancerTestbed(2) as testbed:
         open_at: list[int] = []
 
         async def hang(message: Message, writer: asyncio.StreamWriter) -> None:
-            first = world.upstreams[0] if world.upstreams[0].received else world.upstreams[1]
-            if sum(len(up.received) for up in world.upstreams) == 2:
-                await until(lambda: world.upstreams[0].left + world.upstreams[1].left == 1)
-                open_at.append(first.left)
+            first = testbed.upstreams[0] if testbed.upstreams[0].received else testbed.upstreams[1]
+            if sum(len(up.received) for up in testbed.upstreams) == 2:
+                await wait_until(
+                    lambda: testbed.upstreams[0].closed_connections + testbed.upstreams[1].closed_connections
+                    == 1
+                )
+                open_at.append(first.closed_connections)
                 writer.write(reply())
 
-        for up in world.upstreams:
+        for up in testbed.upstreams:
             up.script = hang
-        world.node.engine.balancer.latency.typical["read"] = 20.0
-        assert (await world.submit(request())).status == 200
-        assert world.outcomes() == ["timeout", "ok"] and len(open_at) == 1
+        testbed.node.engine.balancer.latency.typical["read"] = 20.0
+        assert (await testbed.submit(request())).status == 200
+        assert testbed.outcomes() == ["timeout", "ok"] and len(open_at) == 1
 
 
-@run
+@async_test
 async def test_reports_reach_the_module_in_its_order_and_bad_ones_do_not() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         fields = 'X-Backend-Load: {"inflight":7,"util":0.5,"queue":2}\r\n'
-        world.upstreams[0].script = says(reply(fields=fields))
-        answer = await world.submit(request())
+        testbed.upstreams[0].script = responds_with(reply(fields=fields))
+        answer = await testbed.submit(request())
         assert "x-backend-load" not in answer.fields
-        (outcome,) = (e for e in world.events if isinstance(e, io.AttemptEnded))
+        (outcome,) = (e for e in testbed.events if isinstance(e, io.AttemptEnded))
         assert outcome.report == (2.0, 0.5)  # the settings say depth, load_share
     # By the names of the settings too: upstreams that write these were taken for idle, all of them.
     assert read_report(b'{"load_share":0.5,"depth":4.404}', ("depth", "load_share")) == (4.404, 0.5)
@@ -197,9 +217,9 @@
         assert read_report(text, ("depth",)) == ()
 
 
-@run
+@async_test
 async def test_an_answer_that_has_begun_is_waited_for() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
 
         async def dribble(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n")
@@ -207,40 +227,40 @@
                 await asyncio.sleep(0.06)
                 writer.write(b"d")
 
-        world.upstreams[0].script = dribble
-        world.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
-        assert (await world.submit(request())).body == b"dddddd"
-        assert world.outcomes() == ["ok"] and len(world.upstreams[0].received) == 1
+        testbed.upstreams[0].script = dribble
+        testbed.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
+        assert (await testbed.submit(request())).body == b"dddddd"
+        assert testbed.outcomes() == ["ok"] and len(testbed.upstreams[0].received) == 1
 
 
-@run
+@async_test
 async def test_an_answer_that_begins_and_stops_is_given_up() -> None:
-    async with World() as world:
-        world.upstreams[0].script = says(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nd")
-        world.node.engine.balancer.latency.typical["read"] = 20.0
-        await world.submit(request())
-        first = next(e for e in world.events if isinstance(e, io.AttemptEnded))
+    async with BalancerTestbed() as testbed:
+        testbed.upstreams[0].script = responds_with(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nd")
+        testbed.node.engine.balancer.latency.typical["read"] = 20.0
+        await testbed.submit(request())
+        first = next(e for e in testbed.events if isinstance(e, io.AttemptEnded))
         assert first.code == "timeout" and first.spent_ms < 2000.0
 
 
 # ---- a loop that is held up
 
 
-@run
+@async_test
 async def test_an_answer_that_came_while_the_loop_was_held_up_is_not_late() -> None:
     """The timer of the attempt's time is due in the turn in which its upstream goes on."""
-    async with World(2) as world:
+    async with BalancerTestbed(2) as testbed:
 
         async def answers(message: Message, writer: asyncio.StreamWriter) -> None:
             loop = asyncio.get_running_loop()
             loop.call_later(0.01, time.sleep, 0.3)  # nothing is read between two timers
             loop.call_later(0.02, writer.write, reply(b"in time"))
 
-        for up in world.upstreams:
+        for up in testbed.upstreams:
             up.script = answers
-        world.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
-        assert (await world.submit(request())).body == b"in time"
-        assert world.outcomes() == ["ok"] and sum(len(up.received) for up in world.upstreams) == 1
+        testbed.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
+        assert (await testbed.submit(request())).body == b"in time"
+        assert testbed.outcomes() == ["ok"] and sum(len(up.received) for up in testbed.upstreams) == 1
 
 
 @pytest.mark.parametrize("place", ["before the call", "behind the call"])
@@ -248,7 +268,7 @@
     """The timer of a quarter of a second is due ahead of it; the call: of the system, to connect."""
 
     async def test() -> None:
-        async with World() as world:
+        async with BalancerTestbed() as testbed:
             loop = asyncio.get_running_loop()
             held_up = 0
 
@@ -271,10 +291,10 @@
                         await asyncio.sleep(0)
                     await loop.sock_connect(sock, address)
 
-            world.node.pool.loop = Loop()  # type: ignore[assignment]
-            answer = await world.submit(request("pay", b""))
-            assert (world.outcomes(), answer.status) == (["ok"], 200)
-            assert len(world.upstreams[0].writers) == 1 and held_up
+            testbed.node.pool.loop = Loop()  # type: ignore[assignment]
+            answer = await testbed.submit(request("pay", b""))
+            assert (testbed.outcomes(), answer.status) == (["ok"], 200)
+            assert len(testbed.upstreams[0].writers) == 1 and held_up
 
     uvloop.run(test())
 
@@ -293,15 +313,15 @@
             % (size, body),
             "close": b"HTTP/1.1 200 OK\r\n\r\n" + body,
         }
-        async with World() as world:
-            world.upstreams[0].script = says(heads[framing], close=framing == "close")
-            reader, writer = await world.connect()
+        async with BalancerTestbed() as testbed:
+            testbed.upstreams[0].script = responds_with(heads[framing], close=framing == "close")
+            reader, writer = await testbed.connect()
             for _ in range(2):
                 writer.write(request("pay", b""))
                 assert (await read_message(reader)).body == body
-            started = [e for e in world.events if isinstance(e, io.ResponseStarted)]
-            assert bool(started) == (size > 65_536) and set(world.outcomes()) == {"ok"}
-            assert world.node.budget.used == 0 and not world.node.pool.streams
+            started = [e for e in testbed.events if isinstance(e, io.ResponseStarted)]
+            assert bool(started) == (size > 65_536) and set(testbed.outcomes()) == {"ok"}
+            assert testbed.node.budget.used == 0 and not testbed.node.pool.streams
 
     uvloop.run(test())
 
@@ -310,24 +330,24 @@
 @pytest.mark.parametrize("framing", [b"Content-Length: 300000", b"Transfer-Encoding: chunked"])
 def test_a_long_answer_that_breaks_is_seen_to_be_broken(framing: bytes, old: bool) -> None:
     async def test() -> None:
-        async with World() as world:
+        async with BalancerTestbed() as testbed:
             half = b"%x\r\n" % LONG if b"chunked" in framing else b""
-            world.upstreams[0].script = resets(
+            testbed.upstreams[0].script = resets(
                 b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n" + half + b"h" * 150_000
             )
             submitted = request("pay", b"")
-            answered = world.submit(submitted.replace(b"HTTP/1.1", b"HTTP/1.0") if old else submitted)
+            answered = testbed.submit(submitted.replace(b"HTTP/1.1", b"HTTP/1.0") if old else submitted)
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await answered
-            await until(lambda: world.outcomes())
-            assert world.outcomes() == ["reset"] and len(world.upstreams[0].received) == 1
+            await wait_until(lambda: testbed.outcomes())
+            assert testbed.outcomes() == ["reset"] and len(testbed.upstreams[0].received) == 1
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_an_answer_that_may_become_long_is_passed_on_when_its_time_is_up() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
 
         async def dribble(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -338,15 +358,15 @@
                 await asyncio.sleep(max(0.0, began + 0.023 * number - time.monotonic()))
             writer.write(b"0\r\n\r\n")
 
-        world.upstreams[0].script = dribble
-        answer = await world.submit(request("pay", b"", left="400m"))
+        testbed.upstreams[0].script = dribble
+        answer = await testbed.submit(request("pay", b"", time_left="400m"))
         assert answer.status == 200 and answer.body == b"d" * 81_920
-        assert world.outcomes() == ["ok"]
+        assert testbed.outcomes() == ["ok"]
 
 
-@run
+@async_test
 async def test_a_slow_reader_holds_the_upstream_back() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         size = 24_000_000
         written = 0
 
@@ -358,12 +378,12 @@
                 written += 100_000
                 await writer.drain()
 
-        world.upstreams[0].script = pour
-        reader, writer = await asyncio.open_connection("127.0.0.1", world.port, limit=1000)
-        world.clients.append(writer)
+        testbed.upstreams[0].script = pour
+        reader, writer = await asyncio.open_connection("127.0.0.1", testbed.port, limit=1000)
+        testbed.clients.append(writer)
         writer.write(request("pay", b""))
-        await until(lambda: any(c.write_blocked for c in world.node.front.clients))
-        (client,) = world.node.front.clients
+        await wait_until(lambda: any(c.write_blocked for c in testbed.node.front.clients))
+        (client,) = testbed.node.front.clients
         assert client.transport.get_write_buffer_size() < 2_000_000
         assert written < size  # what is under way lies in the kernel's buffers, not here
         await reader.readuntil(b"\r\n\r\n")
@@ -373,54 +393,56 @@
 # ---- clients that leave
 
 
-@run
+@async_test
 async def test_a_client_that_leaves_takes_its_attempt_along() -> None:
-    async with World() as world:
-        world.upstreams[0].script = silent
-        _, writer = await world.connect()
+    async with BalancerTestbed() as testbed:
+        testbed.upstreams[0].script = never_responds
+        _, writer = await testbed.connect()
         writer.write(request("pay", b""))
-        await until(lambda: world.upstreams[0].received)
+        await wait_until(lambda: testbed.upstreams[0].received)
         writer.close()
-        await until(lambda: world.upstreams[0].left == 1)
-        assert world.outcomes() == ["cancelled"] and any(
-            isinstance(e, io.ClientDisconnected) for e in world.events
+        await wait_until(lambda: testbed.upstreams[0].closed_connections == 1)
+        assert testbed.outcomes() == ["cancelled"] and any(
+            isinstance(e, io.ClientDisconnected) for e in testbed.events
         )
-        assert not world.node.engine.pending_requests and world.node.budget.used == 0
+        assert not testbed.node.engine.pending_requests and testbed.node.budget.used == 0
 
 
-@run
+@async_test
 async def test_a_client_that_leaves_while_its_request_waits_or_is_answered() -> None:
-    async with World() as world:
-        world.update(world.host(0, "draining"))
-        await until(lambda: not world.node.pool.upstreams["s0"].ready)
-        _, writer = await world.connect()
+    async with BalancerTestbed() as testbed:
+        testbed.update(testbed.list_row(0, "draining"))
+        await wait_until(lambda: not testbed.node.pool.upstreams["s0"].ready)
+        _, writer = await testbed.connect()
         writer.write(request("pay", b"held"))
-        await until(lambda: world.node.engine.pending_requests)
+        await wait_until(lambda: testbed.node.engine.pending_requests)
         writer.close()
-        await until(lambda: not world.node.engine.pending_requests)
-        assert world.outcomes() == [] and world.node.budget.used == 0
-        world.update(world.host(0))
-        await until(lambda: world.node.pool.upstreams["s0"].ready)
+        await wait_until(lambda: not testbed.node.engine.pending_requests)
+        assert testbed.outcomes() == [] and testbed.node.budget.used == 0
+        testbed.update(testbed.list_row(0))
+        await wait_until(lambda: testbed.node.pool.upstreams["s0"].ready)
 
         async def half(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"h" * 150_000)
 
-        world.upstreams[0].script = half
-        reader, writer = await world.connect()
+        testbed.upstreams[0].script = half
+        reader, writer = await testbed.connect()
         writer.write(request("pay", b""))
         await reader.readexactly(100_000)
         writer.transport.abort()
-        await until(lambda: world.upstreams[0].left == 1 and not world.node.front.clients)
-        assert not world.node.pool.streams and world.node.budget.used == 0
+        await wait_until(
+            lambda: testbed.upstreams[0].closed_connections == 1 and not testbed.node.front.clients
+        )
+        assert not testbed.node.pool.streams and testbed.node.budget.used == 0
 
 
 # ---- bounds
 
 
-@run
+@async_test
 async def test_a_request_that_the_module_lost_is_answered_by_its_time() -> None:
-    async with World() as world:
-        handle = world.node.engine.balancer.handle
+    async with BalancerTestbed() as testbed:
+        handle = testbed.node.engine.balancer.handle
 
         def forgetful(now: float, event: io.Event) -> list[io.Action]:
             actions = handle(now, event)
@@ -430,61 +452,61 @@
                 return []
             return actions
 
-        world.node.engine.balancer.handle = forgetful  # type: ignore[method-assign]
-        assert (await world.submit(request("pay", b"", left="300m"))).status == 500
-        assert (await world.submit(request("pay", b"", left="100m"))).status == 500
-        world.node.engine.balancer.handle = handle  # type: ignore[method-assign]
-        assert (await world.submit(request("pay", b""))).status == 200
+        testbed.node.engine.balancer.handle = forgetful  # type: ignore[method-assign]
+        assert (await testbed.submit(request("pay", b"", time_left="300m"))).status == 500
+        assert (await testbed.submit(request("pay", b"", time_left="100m"))).status == 500
+        testbed.node.engine.balancer.handle = handle  # type: ignore[method-assign]
+        assert (await testbed.submit(request("pay", b""))).status == 200
 
 
-@run
+@async_test
 async def test_pipelined_requests_that_are_never_taken_give_their_bytes_back() -> None:
-    async with World() as world:
-        world.upstreams[0].script = silent
-        _, writer = await world.connect()
+    async with BalancerTestbed() as testbed:
+        testbed.upstreams[0].script = never_responds
+        _, writer = await testbed.connect()
         writer.write(request("pay", b"first") + request("pay", b"second") * 3)
-        await until(lambda: world.upstreams[0].received and world.node.budget.used > 20)
+        await wait_until(lambda: testbed.upstreams[0].received and testbed.node.budget.used > 20)
         writer.transport.abort()
-        await until(lambda: not world.node.front.clients)
-        assert world.node.budget.used == 0
+        await wait_until(lambda: not testbed.node.front.clients)
+        assert testbed.node.budget.used == 0
 
 
-@run
+@async_test
 async def test_upstreams_that_accept_and_say_nothing_cannot_use_up_the_descriptors() -> None:
-    async with World(sockets=80) as world:
-        world.upstreams[0].script = silent
-        submitted = [world.submit(request("pay", b"", left="700m")) for _ in range(25)]
+    async with BalancerTestbed(sockets=80) as testbed:
+        testbed.upstreams[0].script = never_responds
+        submitted = [testbed.submit(request("pay", b"", time_left="700m")) for _ in range(25)]
         statuses = {answer.status for answer in await asyncio.gather(*submitted)}
         assert statuses <= {502, 503}
-        assert len(world.upstreams[0].writers) <= world.node.pool.max_connections
-        world.upstreams[0].script = says(reply())
-        await until(lambda: not world.node.pool.connections)
+        assert len(testbed.upstreams[0].writers) <= testbed.node.pool.max_connections
+        testbed.upstreams[0].script = responds_with(reply())
+        await wait_until(lambda: not testbed.node.pool.connections)
         for _ in range(100):  # after nothing but time-outs little is let in, until these are forgotten
-            if (status := (await world.submit(request("pay", b""))).status) != 503:
+            if (status := (await testbed.submit(request("pay", b""))).status) != 503:
                 break
             await asyncio.sleep(0.1)
         assert status == 200
 
 
-@run
+@async_test
 async def test_requests_that_upstreams_find_fault_with_do_not_spoil_their_health() -> None:
     """Bad clients got sound upstreams ejected, and were tried up to four times each."""
-    async with World(3) as world:
-        for up in world.upstreams:
-            up.script = says(reply(b"", "400 Bad Request"))
+    async with BalancerTestbed(3) as testbed:
+        for up in testbed.upstreams:
+            up.script = responds_with(reply(b"", "400 Bad Request"))
         for number in range(6):
-            assert (await world.submit(request())).status == 502
-            assert sum(len(up.received) for up in world.upstreams) == number + 1
-        assert set(world.outcomes()) == {"error"}
-        servers = world.node.engine.balancer.servers.values()
+            assert (await testbed.submit(request())).status == 502
+            assert sum(len(up.received) for up in testbed.upstreams) == number + 1
+        assert set(testbed.outcomes()) == {"error"}
+        servers = testbed.node.engine.balancer.servers.values()
         assert [(s.failure_rate, s.ejections, len(s.in_flight)) for s in servers] == [(0.0, 0, 0)] * 3
         assert (
-            world.node.engine.balancer.endpoints.ejection.failure_rate_sum == 0.0
-            and not world.node.engine.pending_requests
+            testbed.node.engine.balancer.endpoints.ejection.failure_rate_sum == 0.0
+            and not testbed.node.engine.pending_requests
         )
-        for up in world.upstreams:
-            up.script = says(reply(b"", "500 Oops"))
-        await world.submit(request("pay", b""))
+        for up in testbed.upstreams:
+            up.script = responds_with(reply(b"", "500 Oops"))
+        await testbed.submit(request("pay", b""))
         assert max(s.failure_rate for s in servers) > 0.0
 
 
@@ -497,33 +519,33 @@
     """Deep nesting and figures past a float's range raised through the parser, and made a reset of it."""
 
     async def test() -> None:
-        async with World() as world:
-            world.upstreams[0].script = says(
+        async with BalancerTestbed() as testbed:
+            testbed.upstreams[0].script = responds_with(
                 b"HTTP/1.1 200 OK\r\nX-Backend-Load: " + report + b"\r\nContent-Length: 4\r\n\r\ndone"
             )
-            assert (await world.submit(request("pay", b""))).body == b"done"
-            assert world.outcomes() == ["ok"]
-            assert [e.report for e in world.events if isinstance(e, io.AttemptEnded)] == [()]
+            assert (await testbed.submit(request("pay", b""))).body == b"done"
+            assert testbed.outcomes() == ["ok"]
+            assert [e.report for e in testbed.events if isinstance(e, io.AttemptEnded)] == [()]
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_a_break_is_not_the_end_of_an_answer_without_length() -> None:
     """Half an answer, cut off by a reset, was served as if it were whole."""
-    async with World() as world:
-        world.upstreams[0].script = resets(b"HTTP/1.1 200 OK\r\n\r\nhalf of it")
-        assert (await world.submit(request("pay", b""))).status == 502
-        assert world.outcomes() == ["reset"]
+    async with BalancerTestbed() as testbed:
+        testbed.upstreams[0].script = resets(b"HTTP/1.1 200 OK\r\n\r\nhalf of it")
+        assert (await testbed.submit(request("pay", b""))).status == 502
+        assert testbed.outcomes() == ["reset"]
 
 
-@run
+@async_test
 async def test_what_stands_behind_an_answer_is_no_part_of_it() -> None:
     """Fields of a second answer in the same bytes were passed on with the first, and its report believed."""
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         more = 'X-Second: yes\r\nX-Backend-Load: {"queue":9,"util":1}\r\n'
-        world.upstreams[0].script = says(reply(b"first") + reply(b"second", fields=more))
-        answer = await world.submit(request("pay", b""))
+        testbed.upstreams[0].script = responds_with(reply(b"first") + reply(b"second", fields=more))
+        answer = await testbed.submit(request("pay", b""))
         assert answer.body == b"first" and "x-second" not in answer.fields
-        assert [e.report for e in world.events if isinstance(e, io.AttemptEnded)] == [()]
-        await until(lambda: not world.node.pool.connections)
+        assert [e.report for e in testbed.events if isinstance(e, io.AttemptEnded)] == [()]
+        await wait_until(lambda: not testbed.node.pool.connections)
--- a/tests/test_sockets_requests.py
+++ b/tests/test_sockets_requests.py
@@ -7,24 +7,34 @@
 
 import pytest
 import uvloop
-from peers import Message, World, read_message, reply, request, run, says, silent, until
+from peers import (
+    BalancerTestbed,
+    Message,
+    async_test,
+    never_responds,
+    read_message,
+    reply,
+    request,
+    responds_with,
+    wait_until,
+)
 
 from quartzford.decision import interface as io
 
 
-@run
+@async_test
 async def test_each_effect_with_each_framing_arrives_unchanged() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         for name, body in itertools.product(("read", "book", "pay"), (b"", b"x" * 5000)):
-            answer = await world.submit(
+            answer = await testbed.submit(
                 request(name, body, path="/api/a?b=c%20d&e", fields="Cookie: sid=7\r\n")
             )
-            received = world.upstreams[0].received[-1]
+            received = testbed.upstreams[0].received[-1]
             assert (answer.status, answer.body) == (200, b"done")
             assert received.line == f"{'GET' if name == 'read' else 'POST'} /api/a?b=c%20d&e HTTP/1.1"
             assert received.body == body and received.fields["x-correlation-id"] == "c1"
             assert received.fields.get("idempotency-key") == ("k1" if name == "book" else None)
-            event = next(e for e in reversed(world.events) if isinstance(e, io.Request))
+            event = next(e for e in reversed(testbed.events) if isinstance(e, io.Request))
             assert (event.service_class, event.tenant, event.key, event.keyed) == (
                 name,
                 "acme",
@@ -32,49 +42,49 @@
                 name == "book",
             )
         chunked = b"4\r\nwiki\r\n6;x=y\r\npedia.\r\n0\r\n\r\n"
-        answer = await world.submit(request("pay", fields="Transfer-Encoding: chunked\r\n") + chunked)
-        assert answer.status == 200 and world.upstreams[0].received[-1].body == b"wikipedia."
-        answer = await world.submit(request("read"))
-        assert answer.status == 200 and "content-length" not in world.upstreams[0].received[-1].fields
+        answer = await testbed.submit(request("pay", fields="Transfer-Encoding: chunked\r\n") + chunked)
+        assert answer.status == 200 and testbed.upstreams[0].received[-1].body == b"wikipedia."
+        answer = await testbed.submit(request("read"))
+        assert answer.status == 200 and "content-length" not in testbed.upstreams[0].received[-1].fields
 
 
-@run
+@async_test
 async def test_a_request_in_pieces_of_one_byte() -> None:
-    async with World() as world:
-        reader, writer = await world.connect()
+    async with BalancerTestbed() as testbed:
+        reader, writer = await testbed.connect()
         for byte in request("pay", b"body"):
             writer.write(bytes((byte,)))
             await asyncio.sleep(0)
         assert (await read_message(reader)).status == 200
-        assert world.upstreams[0].received[0].body == b"body"
+        assert testbed.upstreams[0].received[0].body == b"body"
 
 
-@run
+@async_test
 async def test_an_answer_in_pieces_and_after_an_interim_one() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
 
         async def slowly(message: Message, writer: asyncio.StreamWriter) -> None:
             for byte in b"HTTP/1.1 103 Early Hints\r\n\r\n" + reply(b"piecemeal", fields="X-Kind: a\r\n"):
                 writer.write(bytes((byte,)))
                 await asyncio.sleep(0)
 
-        world.upstreams[0].script = slowly
-        answer = await world.submit(request())
+        testbed.upstreams[0].script = slowly
+        answer = await testbed.submit(request())
         assert (answer.status, answer.body, answer.fields["x-kind"]) == (200, b"piecemeal", "a")
 
 
-@run
+@async_test
 async def test_close_and_http_1_0_on_the_client_side() -> None:
-    async with World() as world:
-        reader, writer = await world.connect()
+    async with BalancerTestbed() as testbed:
+        reader, writer = await testbed.connect()
         writer.write(request(fields="Connection: close\r\n"))
         assert (await read_message(reader)).fields["connection"] == "close"
         assert await reader.read() == b""
-        reader, writer = await world.connect()
+        reader, writer = await testbed.connect()
         writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
         assert (await read_message(reader)).body == b"done"
         assert await reader.read() == b""
-        reader, writer = await world.connect()
+        reader, writer = await testbed.connect()
         for _ in range(2):
             writer.write(request(fields="Connection: keep-alive\r\n").replace(b"HTTP/1.1", b"HTTP/1.0"))
             assert (await read_message(reader)).fields["connection"] == "keep-alive"
@@ -91,96 +101,96 @@
 )
 def test_an_upstream_connection_that_may_not_be_kept_is_not(answer: bytes) -> None:
     async def test() -> None:
-        async with World() as world:
-            world.upstreams[0].script = says(answer)
+        async with BalancerTestbed() as testbed:
+            testbed.upstreams[0].script = responds_with(answer)
             for _ in range(2):
-                assert (await world.submit(request())).body == b"done"
-            assert len(world.upstreams[0].writers) == 2
+                assert (await testbed.submit(request())).body == b"done"
+            assert len(testbed.upstreams[0].writers) == 2
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_an_answer_without_length_ends_with_its_connection() -> None:
-    async with World() as world:
-        world.upstreams[0].script = says(b"HTTP/1.1 200 OK\r\n\r\nto the end", close=True)
-        assert (await world.submit(request())).body == b"to the end"
-        world.upstreams[0].script = says(
+    async with BalancerTestbed() as testbed:
+        testbed.upstreams[0].script = responds_with(b"HTTP/1.1 200 OK\r\n\r\nto the end", close=True)
+        assert (await testbed.submit(request())).body == b"to the end"
+        testbed.upstreams[0].script = responds_with(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
         )
-        assert (await world.submit(request())).body == b"hi"
+        assert (await testbed.submit(request())).body == b"hi"
 
 
-@run
+@async_test
 async def test_bytes_on_an_idle_upstream_connection_end_it() -> None:
-    async with World() as world:
-        await world.submit(request())
-        world.upstreams[0].writers[0].write(reply(b"stray"))
-        await until(lambda: world.upstreams[0].left == 1)
-        assert (await world.submit(request())).body == b"done"
-        assert len(world.upstreams[0].writers) == 2
+    async with BalancerTestbed() as testbed:
+        await testbed.submit(request())
+        testbed.upstreams[0].writers[0].write(reply(b"stray"))
+        await wait_until(lambda: testbed.upstreams[0].closed_connections == 1)
+        assert (await testbed.submit(request())).body == b"done"
+        assert len(testbed.upstreams[0].writers) == 2
 
 
-@run
+@async_test
 async def test_expect_100_continue() -> None:
-    async with World() as world:
-        reader, writer = await world.connect()
+    async with BalancerTestbed() as testbed:
+        reader, writer = await testbed.connect()
         complete = request("pay", b"body", "Expect: 100-continue\r\n")
         writer.write(complete[:-4])
         assert (await read_message(reader, head_only=True)).status == 100
         writer.write(complete[-4:])
         assert (await read_message(reader)).status == 200
-        assert "expect" not in world.upstreams[0].received[0].fields
+        assert "expect" not in testbed.upstreams[0].received[0].fields
 
 
-@run
+@async_test
 async def test_pipelined_requests_are_answered_in_order() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
 
         async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(reply(message.line.encode()))
 
-        world.upstreams[0].script = echo
-        reader, writer = await world.connect()
+        testbed.upstreams[0].script = echo
+        reader, writer = await testbed.connect()
         writer.write(b"".join(request(path=f"/{n}") for n in range(40)))
         for n in range(40):
             assert (await read_message(reader)).body == f"GET /{n} HTTP/1.1".encode()
 
 
-@run
+@async_test
 async def test_time_left_in_both_units_and_as_what_is_left() -> None:
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         for text, most in (("900m", 900_000), ("800000u", 800_000), ("soon", 3_000_000), ("-1m", 3_000_000)):
-            assert (await world.submit(request("pay", b"", left=text))).status == 200
-            left = world.upstreams[0].received[-1].fields["x-time-left"]
+            assert (await testbed.submit(request("pay", b"", time_left=text))).status == 200
+            left = testbed.upstreams[0].received[-1].fields["x-time-left"]
             assert left.endswith("u") and 0.25 * most < int(left[:-1]) <= most
-        answer = await world.submit(request("pay", b"").replace(b"X-Time-Left: 2500m\r\n", b""))
+        answer = await testbed.submit(request("pay", b"").replace(b"X-Time-Left: 2500m\r\n", b""))
         assert answer.status == 200
-        budgets = [e.budget_ms for e in world.events if isinstance(e, io.Request)]
+        budgets = [e.budget_ms for e in testbed.events if isinstance(e, io.Request)]
         assert budgets == [900.0, 800.0, 3000.0, 3000.0, 3000.0]
 
 
-@run
+@async_test
 async def test_a_request_without_an_answer_ends_by_its_time() -> None:
-    async with World() as world:
-        world.upstreams[0].script = silent
-        answer = await world.submit(request("pay", b"", left="200m"))
-        assert answer.status == 502 and world.outcomes() == ["timeout"]
-        assert (await world.submit(request("read", left="0m"))).status == 503
+    async with BalancerTestbed() as testbed:
+        testbed.upstreams[0].script = never_responds
+        answer = await testbed.submit(request("pay", b"", time_left="200m"))
+        assert answer.status == 502 and testbed.outcomes() == ["timeout"]
+        assert (await testbed.submit(request("read", time_left="0m"))).status == 503
 
 
-@run
+@async_test
 async def test_an_unknown_class_is_unsafe_and_a_keyless_one_is_not_repeated() -> None:
-    async with World(2) as world:
-        for up in world.upstreams:
-            up.script = says(b"", close=True)
-        assert (await world.submit(request("book", b""))).status == 502
-        before = sum(len(up.received) for up in world.upstreams)
+    async with BalancerTestbed(2) as testbed:
+        for up in testbed.upstreams:
+            up.script = responds_with(b"", close=True)
+        assert (await testbed.submit(request("book", b""))).status == 502
+        before = sum(len(up.received) for up in testbed.upstreams)
         assert before >= 2
         keyless = request("book", b"").replace(b"Idempotency-Key: k1\r\n", b"")
         for number, data in enumerate((keyless, request("what", b""), request("pay", b"")), 1):
-            assert (await world.submit(data)).status == 502
-            assert sum(len(up.received) for up in world.upstreams) == before + number
+            assert (await testbed.submit(data)).status == 502
+            assert sum(len(up.received) for up in testbed.upstreams) == before + number
 
 
 LONG = b"X-Filler: " + b"f" * 40_000 + b"\r\n"
@@ -212,44 +222,44 @@
 )
 def test_what_is_no_request_is_answered_and_closed(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with World() as world:
-            reader, writer = await world.connect()
+        async with BalancerTestbed() as testbed:
+            reader, writer = await testbed.connect()
             writer.write(data)
             answer = await read_message(reader)
             assert answer.status == status and answer.fields["connection"] == "close"
             assert await reader.read() == b""
-            assert world.upstreams[0].received == [] and world.node.budget.used == 0
-            assert (await world.submit(request())).status == 200
+            assert testbed.upstreams[0].received == [] and testbed.node.budget.used == 0
+            assert (await testbed.submit(request())).status == 200
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_an_oversized_chunked_body_is_answered_while_it_comes() -> None:
-    async with World() as world:
-        reader, writer = await world.connect()
+    async with BalancerTestbed() as testbed:
+        reader, writer = await testbed.connect()
         writer.write(request("pay", fields="Transfer-Encoding: chunked\r\n"))
         piece = b"100000\r\n" + b"p" * 0x100000 + b"\r\n"
         for _ in range(33):
             writer.write(piece)
         assert (await read_message(reader)).status == 413
-        await until(lambda: world.node.budget.used == 0)
-        assert world.upstreams[0].received == []
+        await wait_until(lambda: testbed.node.budget.used == 0)
+        assert testbed.upstreams[0].received == []
 
 
-@run
+@async_test
 async def test_health_answers_once_requests_can_be_served() -> None:
-    world = World()
-    world.known = {"seq": 0, "whole": True, "hosts": []}
-    world.current = {"seq": 1, "whole": True, "hosts": []}
+    testbed = BalancerTestbed()
+    testbed.initial_list = {"seq": 0, "whole": True, "hosts": []}
+    testbed.served_list = {"seq": 1, "whole": True, "hosts": []}
     health = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
-    async with world:
-        assert (await world.submit(health)).status == 503
-        world.update(world.host(0))
-        await until(lambda: world.node.ready())
-        assert (await world.submit(health)).status == 200
-        assert (await world.submit(request(path="/_healthy"))).status == 200
-        assert len(world.upstreams[0].received) == 1
+    async with testbed:
+        assert (await testbed.submit(health)).status == 503
+        testbed.update(testbed.list_row(0))
+        await wait_until(lambda: testbed.node.ready())
+        assert (await testbed.submit(health)).status == 200
+        assert (await testbed.submit(request(path="/_healthy"))).status == 200
+        assert len(testbed.upstreams[0].received) == 1
 
 
 @pytest.mark.parametrize(
@@ -259,19 +269,19 @@
     """Both went upstream, and each reader could take another one."""
 
     async def test() -> None:
-        async with World() as world:
-            assert (await world.submit(request("pay", b"", fields=twice))).status == 400
-            assert world.upstreams[0].received == []
+        async with BalancerTestbed() as testbed:
+            assert (await testbed.submit(request("pay", b"", fields=twice))).status == 400
+            assert testbed.upstreams[0].received == []
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_connection_can_not_take_the_id_or_the_key_away() -> None:
     """A client could name them hop by hop, and its repeats were no longer dropped."""
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         named = "X-Mine: 1\r\nConnection: keep-alive, X-Correlation-Id, idempotency-key, X-Mine\r\n"
-        assert (await world.submit(request("book", b"", fields=named))).status == 200
-        fields = world.upstreams[0].received[0].fields
+        assert (await testbed.submit(request("book", b"", fields=named))).status == 200
+        fields = testbed.upstreams[0].received[0].fields
         assert fields["x-correlation-id"] == "c1" and fields["idempotency-key"] == "k1"
         assert "x-mine" not in fields
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -6,37 +6,41 @@
 
 import pytest
 import uvloop
-from peers import SETTINGS, Message, World, read_message, reply, request, run, until
+from peers import SETTINGS, BalancerTestbed, Message, async_test, read_message, reply, request, wait_until
 
 from quartzford.backends.connection_pool import MIN_IDLE_S, Upstream
 from quartzford.resource_limits import BASE_DESCRIPTORS
 
 
-@run
+@async_test
 async def test_a_connection_that_served_is_used_again() -> None:
     """A connection that never reached the idle pool was neither used nor closed."""
-    async with World() as world:
+    async with BalancerTestbed() as testbed:
         for _ in range(6):
-            assert (await world.submit(request())).status == 200
+            assert (await testbed.submit(request())).status == 200
             idle_until = asyncio.get_running_loop().time() + MIN_IDLE_S
-            await until(lambda idle_until=idle_until: asyncio.get_running_loop().time() > idle_until)  # type: ignore[misc]
-        assert len(world.upstreams[0].writers) == 1 and len(world.node.pool.connections) == 1
-        assert len(world.node.pool.upstreams["s0"].idle) == 1
-        world.update(world.host(0, "draining"))
-        await until(lambda: world.upstreams[0].left == 1 and not world.node.pool.connections)
+            await wait_until(lambda idle_until=idle_until: asyncio.get_running_loop().time() > idle_until)  # type: ignore[misc]
+        assert len(testbed.upstreams[0].writers) == 1 and len(testbed.node.pool.connections) == 1
+        assert len(testbed.node.pool.upstreams["s0"].idle) == 1
+        testbed.update(testbed.list_row(0, "draining"))
+        await wait_until(
+            lambda: testbed.upstreams[0].closed_connections == 1 and not testbed.node.pool.connections
+        )
 
 
-@run
+@async_test
 async def test_housekeeping_runs_from_the_start() -> None:
     """With no sweep nothing ended idle connections or slow heads, or forgot upstreams that went."""
     limits = {**SETTINGS["limits"], "connIdleMs": 600.0}
-    async with World(2, limits=limits) as world:
-        assert (await world.submit(request())).status == 200
-        await until(lambda: not world.node.pool.connections)
-        await until(lambda: world.upstreams[0].left + world.upstreams[1].left == 1)
-        world.update(world.host(1, "gone"))
-        await until(lambda: "s1" not in world.node.pool.upstreams)
-        reader, writer = await world.connect()
+    async with BalancerTestbed(2, limits=limits) as testbed:
+        assert (await testbed.submit(request())).status == 200
+        await wait_until(lambda: not testbed.node.pool.connections)
+        await wait_until(
+            lambda: testbed.upstreams[0].closed_connections + testbed.upstreams[1].closed_connections == 1
+        )
+        testbed.update(testbed.list_row(1, "gone"))
+        await wait_until(lambda: "s1" not in testbed.node.pool.upstreams)
+        reader, writer = await testbed.connect()
         writer.write(b"GET /api HTTP/1.1\r\nX-Half:")
         assert (await asyncio.wait_for(read_message(reader), 20)).status == 408
 
@@ -46,34 +50,35 @@
     """Clients may hold a third of the descriptors for requests; each of these needs a second one upstream."""
 
     async def test() -> None:
-        async with World(2, sockets=sockets) as world:
+        async with BalancerTestbed(2, sockets=sockets) as testbed:
             gate, client_count = asyncio.Event(), sockets // 3
 
             async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
                 await gate.wait()
                 writer.write(reply())
 
-            for up in world.upstreams:
+            for up in testbed.upstreams:
                 up.script = wait
-            asking = [asyncio.ensure_future(world.submit(request("pay", b""))) for _ in range(client_count)]
-            await until(
-                lambda: sum(len(up.received) for up in world.upstreams) + len(world.outcomes())
+            asking = [asyncio.ensure_future(testbed.submit(request("pay", b""))) for _ in range(client_count)]
+            await wait_until(
+                lambda: sum(len(up.received) for up in testbed.upstreams) + len(testbed.outcomes())
                 >= client_count
             )
             gate.set()
             assert {answer.status for answer in await asyncio.gather(*asking)} == {200}
             assert (
-                world.node.front.max_clients + world.node.pool.max_connections <= sockets - BASE_DESCRIPTORS
+                testbed.node.front.max_clients + testbed.node.pool.max_connections
+                <= sockets - BASE_DESCRIPTORS
             )
 
     uvloop.run(test())
 
 
-@run
+@async_test
 async def test_clients_that_say_nothing_or_half_a_request_are_ended_in_time() -> None:
     """Each was held for 6 s, 10 s or for good; descriptors are few, and 3 s is what they are owed."""
-    async with World() as world:
-        silent_one, kept, head, body, drip = [await world.connect() for _ in range(5)]
+    async with BalancerTestbed() as testbed:
+        silent_one, kept, head, body, drip = [await testbed.connect() for _ in range(5)]
         kept[1].write(request())
         assert (await read_message(kept[0])).status == 200
         head[1].write(request("pay", b"body")[:50])
@@ -91,20 +96,24 @@
         assert not answer.done()  # it may take longer than those, but not for ever
         assert (await answer).status == 408
         task.cancel()
-        await until(lambda: not world.node.front.clients)
-        assert len(world.upstreams[0].received) == 1 and world.node.budget.used == 0
+        await wait_until(lambda: not testbed.node.front.clients)
+        assert len(testbed.upstreams[0].received) == 1 and testbed.node.budget.used == 0
 
 
-@run
+@async_test
 async def test_a_sweep_looks_at_those_upstreams_alone_that_rest_or_have_gone() -> None:
     """Thousands are not gone through four times a second; what has gone is forgotten all the same."""
-    async with World(2) as world:
-        rows = [world.host(0), world.host(1), *(world.host(0, host=f"x{n}") for n in range(3_000))]
-        world.update(*rows, complete=True)
-        await until(lambda: len(world.node.pool.upstreams) == 3_002)
-        world.update(*(row | {"health": "draining"} for row in rows[2:1_000]))
-        world.update(*(row | {"health": "gone"} for row in rows[2:900]))
-        await until(lambda: len(world.node.pool.upstreams) == 3_002 - 898)
+    async with BalancerTestbed(2) as testbed:
+        rows = [
+            testbed.list_row(0),
+            testbed.list_row(1),
+            *(testbed.list_row(0, host=f"x{n}") for n in range(3_000)),
+        ]
+        testbed.update(*rows, complete=True)
+        await wait_until(lambda: len(testbed.node.pool.upstreams) == 3_002)
+        testbed.update(*(row | {"health": "draining"} for row in rows[2:1_000]))
+        testbed.update(*(row | {"health": "gone"} for row in rows[2:900]))
+        await wait_until(lambda: len(testbed.node.pool.upstreams) == 3_002 - 898)
         looked: list[str] = []
         expire = Upstream.expire
 
@@ -115,8 +124,8 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Upstream, "expire", counted)
             for _ in range(8):
-                assert (await world.submit(request())).status == 200
+                assert (await testbed.submit(request())).status == 200
             looked.clear()
-            world.node.pool.sweep()
+            testbed.node.pool.sweep()
         assert 1 <= len(looked) <= 8
-        assert all(not up.ready for up in world.node.pool.retired) and len(world.node.pool.retired) == 100
+        assert all(not up.ready for up in testbed.node.pool.retired) and len(testbed.node.pool.retired) == 100
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from peers import own_address, read_message, run, until
+from peers import async_test, own_address, read_message, wait_until
 
 from standins import listservice
 from standins.execution_journal import Execution, ExecutionJournal
@@ -67,13 +67,13 @@
     return StandInUpstream(f"s{number}", journal, capacity=100.0, queue=3, warm_s=10.0)
 
 
-@run
+@async_test
 async def test_a_second_copy_is_seen_and_one_that_was_given_up_is_not() -> None:
     upstreams, journal, registry = await start_upstreams(2, make)
     upstreams[0].mode = "swallow"
     one, two, three = await dial(upstreams[0]), await dial(upstreams[1]), await dial(upstreams[1])
     one[1].write(unclassified_request("c1"))
-    await until(lambda: len(journal.runs) == 1)
+    await wait_until(lambda: len(journal.runs) == 1)
     two[1].write(unclassified_request("c1"))
     assert (await read_message(two[0])).status == 200
     assert journal.overlapping == 1 and journal.duplicate_executions("") == ["c1"]
@@ -87,14 +87,14 @@
         await peer.stop()
 
 
-@run
+@async_test
 async def test_a_full_a_draining_and_a_cold_upstream() -> None:
     (upstream,), journal, registry = await start_upstreams(1, make)
     upstream.gate = asyncio.Event()
     links = [await dial(upstream) for _ in range(6)]
     for number, (_, writer) in enumerate(links):
         writer.write(unclassified_request(f"c{number}"))
-    await until(lambda: len(journal.runs) + journal.rejected == 6)
+    await wait_until(lambda: len(journal.runs) + journal.rejected == 6)
     assert journal.rejected >= 1
     full = await read_message(links[-1][0])
     assert full.status == 503 and full.fields["x-unprocessed"] == "1" and "x-backend-load" in full.fields
@@ -113,12 +113,12 @@
         await peer.stop()
 
 
-@run
+@async_test
 async def test_the_registry_notifies_its_watchers_and_records_when() -> None:
     upstreams, _, registry = await start_upstreams(2, make)
     reader, writer = await asyncio.open_connection("127.0.0.1", registry.port)
     writer.write(b"GET /catalog/members?stream=1&index=0 HTTP/1.1\r\n\r\n")
-    await until(lambda: registry.watchers)
+    await wait_until(lambda: registry.watchers)
     registry.notify(upstreams[0], health="draining")
     text = b""
     while b"draining" not in text:
@@ -155,7 +155,7 @@
     ).encode()
 
 
-@run
+@async_test
 async def test_a_block_drops_repeats_of_a_key_and_another_block_does_not() -> None:
     upstreams, journal, registry = await start_upstreams(
         3, lambda n, journal: StandInUpstream(f"s{n}", journal, block=n // 2)
@@ -170,7 +170,7 @@
         await peer.stop()
 
 
-@run
+@async_test
 async def test_cores_work_side_by_side_and_the_queue_waits() -> None:
     (upstream,), journal, registry = await start_upstreams(
         1, lambda n, journal: StandInUpstream("s0", journal, capacity=20.0, cores=2, latency_s=0.0, queue=2)
@@ -178,7 +178,7 @@
     links = [await dial(upstream) for _ in range(5)]
     for number, (_, writer) in enumerate(links):
         writer.write(classified_request(f"c{number}"))
-        await until(lambda seen=number + 1: len(journal.runs) + journal.rejected == seen)
+        await wait_until(lambda seen=number + 1: len(journal.runs) + journal.rejected == seen)
     assert upstream.busy(asyncio.get_running_loop().time()) <= 2
     statuses = [(await read_message(reader)).status for reader, _ in links]
     assert statuses == [200, 200, 200, 200, 503]  # two run, two wait, one is too many
@@ -186,7 +186,7 @@
         await peer.stop()
 
 
-@run
+@async_test
 async def test_waiting_work_whose_client_left_is_dropped() -> None:
     (upstream,), journal, registry = await start_upstreams(
         1, lambda n, journal: StandInUpstream("s0", journal, capacity=5.0, latency_s=0.0)
@@ -194,46 +194,46 @@
     one, two, three = [await dial(upstream) for _ in range(3)]
     for number, (_, writer) in enumerate((one, two, three)):
         writer.write(classified_request(f"c{number}"))
-        await until(lambda seen=number + 1: len(journal.runs) == seen)
+        await wait_until(lambda seen=number + 1: len(journal.runs) == seen)
     assert upstream.waiting() == 2
     two[1].transport.abort()
-    await until(lambda: upstream.waiting() == 1)
+    await wait_until(lambda: upstream.waiting() == 1)
     assert (await read_message(one[0])).status == (await read_message(three[0])).status == 200
     for peer in (registry, upstream):
         await peer.stop()
 
 
-@run
+@async_test
 async def test_connections_are_capped_cost_work_and_are_closed_when_idle() -> None:
     (upstream,), journal, registry = await start_upstreams(
         1, lambda n, journal: StandInUpstream("s0", journal, most_connections=2, connect_s=0.01, idle_s=0.3)
     )
     links = [await dial(upstream) for _ in range(3)]
-    await until(lambda: len(upstream.connections) == 3)
+    await wait_until(lambda: len(upstream.connections) == 3)
     before = upstream.cores_free_at[0]
     assert before > 0.0  # three handshakes of work
     links[2][1].write(classified_request("c2"))
     answer = await read_message(links[2][0])
     assert answer.status == 503 and answer.fields["x-unprocessed"] == "1" and journal.rejected == 1
     assert await asyncio.wait_for(links[0][0].read(), 20) == b""  # closed by the upstream
-    await until(lambda: not upstream.connections)
+    await wait_until(lambda: not upstream.connections)
     for peer in (registry, upstream):
         await peer.stop()
 
 
-@run
+@async_test
 async def test_a_fleets_faults_are_scripted_and_its_account_read_over_http() -> None:
     one = Fleet(Plan(upstreams=2, faults="drain@0:1"))
     await one.start()
     one.begin()
-    await until(lambda: one.registry.drains)
+    await wait_until(lambda: one.registry.drains)
     reader, writer = await asyncio.open_connection("127.0.0.1", one.registry.port)
     writer.write(b"GET /books HTTP/1.1\r\nHost: a\r\n\r\n")
     account = json.loads((await read_message(reader)).body)
     assert [d[0] for d in account["drains"]] == ["s0001"] and account["drains"][0][3] is None
-    await until(lambda: one.journal.restarts, 30)
+    await wait_until(lambda: one.journal.restarts, 30)
     assert [b[:2] for b in one.account()["births"]] == [["s0001", 1]]
-    await until(lambda: one.account()["drains"][0][3] is not None)
+    await wait_until(lambda: one.account()["drains"][0][3] is not None)
     one.stop()
     for peer in (one.registry, *one.upstreams):
         await peer.stop()
@@ -280,7 +280,7 @@
 LIST_REQUEST = b"GET /catalog/members HTTP/1.1\r\nHost: l\r\n\r\n"
 
 
-@run
+@async_test
 async def test_a_list_service_crashes_in_the_middle_of_a_watchs_answer_once() -> None:
     service = listservice.Service(listservice.Plan(crash_after=1, crash_s=0.1, versions_restart=True))
     service.replace_list([{"host": f"s{n}", "health": "ready"} for n in range(50)])
@@ -291,8 +291,8 @@
     with pytest.raises(asyncio.IncompleteReadError) as cut:
         await reader.readuntil(b"}\n")  # the end of the list
     assert b'"host": "s0"' in cut.value.partial and b'"host": "s49"' not in cut.value.partial
-    await until(lambda: service.server is None)
-    await until(lambda: service.server is not None)
+    await wait_until(lambda: service.server is None)
+    await wait_until(lambda: service.server is not None)
     assert service.version == 1 and len(service.rows) == 50
     reader, writer = await asyncio.open_connection("127.0.0.1", service.port)
     writer.write(LIST_REQUEST)
@@ -301,7 +301,7 @@
     service.stop()
 
 
-@run
+@async_test
 async def test_a_list_service_that_is_too_slow_rejects_and_its_account_says_so() -> None:
     plan = listservice.Plan(per_s=0.5, overload=listservice.Overload.REJECTS, retry_after="3")
     service = listservice.Service(plan)
@@ -309,7 +309,7 @@
     links = [await asyncio.open_connection("127.0.0.1", service.port) for _ in range(3)]
     for number, (_, writer) in enumerate(links):
         writer.write(LIST_REQUEST)
-        await until(lambda seen=number + 1: len(service.calls) == seen)
+        await wait_until(lambda seen=number + 1: len(service.calls) == seen)
     rejected = await read_message(links[2][0])
     assert rejected.status == 503 and rejected.fields["retry-after"] == "3"
     reader, writer = await asyncio.open_connection("127.0.0.1", service.port)
@@ -320,14 +320,14 @@
     service.stop()
 
 
-@run
+@async_test
 async def test_a_list_service_is_unresponsive_for_a_span() -> None:
     service = listservice.Service(listservice.Plan(per_s=1000.0, unresponsive=((0, 60),)))
     await service.start()
     service.begin(asyncio.get_running_loop().time() - 1.0)
     reader, writer = await asyncio.open_connection("127.0.0.1", service.port)
     writer.write(LIST_REQUEST)
-    await until(lambda: service.calls)
+    await wait_until(lambda: service.calls)
     await asyncio.sleep(0.1)
     assert service.is_unresponsive() and not service.answers and not service.queue
     service.stop()
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-from syntax_trees import parsed
+from syntax_trees import parse_source
 
 PACKAGE = Path(__file__).resolve().parent.parent / "quartzford"
 HEAVY = {"grpc", "envoy", "google"}
@@ -17,7 +17,7 @@
 def imports(path: Path) -> set[str]:
     """The modules that a file names at its top level or anywhere else, also for type checking only."""
     found: set[str] = set()
-    for node in ast.walk(parsed(path.read_text())):
+    for node in ast.walk(parse_source(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             found.add(node.module)
             found |= {f"{node.module}.{alias.name}" for alias in node.names}
@@ -44,12 +44,12 @@
         for _ in range(20):
             for _ in range(20):
                 ParsesAtItsEnd()
-            assert parsed(text).body
+            assert parse_source(text).body
     finally:
         gc.set_threshold(*thresholds)
 
 
-def graph() -> dict[str, set[str]]:
+def import_graph() -> dict[str, set[str]]:
     files = {}
     for path in PACKAGE.rglob("*.py"):
         parts = ("quartzford", *path.relative_to(PACKAGE).with_suffix("").parts)
@@ -58,7 +58,7 @@
 
 
 def test_no_module_imports_itself_by_a_detour() -> None:
-    edges = graph()
+    edges = import_graph()
     # A package's face stands for its parts: who imports the face is not in a circle with its own package.
     edges = {name: {to for to in out if not name.startswith(to + ".")} for name, out in edges.items()}
     done: set[str] = set()
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from peers import World, request, run, until
+from peers import BalancerTestbed, async_test, request, wait_until
 
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
@@ -167,25 +167,25 @@
     assert len(subset.cells) < 200 and len(subset.order) == len(subset.cells)
 
 
-@run
+@async_test
 async def test_a_balancer_with_a_subset_sends_within_it_and_keeps_its_drains() -> None:
-    async with World(4) as world:
-        node = world.node
+    async with BalancerTestbed(4) as testbed:
+        node = testbed.node
         node.subset = Subset("n0", 2)
-        hosts = [world.host(n, block=n // 2) for n in range(4)]
-        world.update(*hosts, complete=True)
-        await until(lambda: len(node.engine.balancer.ready) == 2)
+        hosts = [testbed.list_row(n, block=n // 2) for n in range(4)]
+        testbed.update(*hosts, complete=True)
+        await wait_until(lambda: len(node.engine.balancer.ready) == 2)
         used = {s.entry.server for s in node.engine.balancer.ready}
         assert used in ({"s0", "s1"}, {"s2", "s3"})
         for _ in range(10):
-            assert (await world.submit(request())).status == 200
-        assert {f"s{n}" for n, up in enumerate(world.upstreams) if up.received} <= used
+            assert (await testbed.submit(request())).status == 200
+        assert {f"s{n}" for n, up in enumerate(testbed.upstreams) if up.received} <= used
         number = int(min(used)[1:])
-        world.update(world.host(number, "draining", block=number // 2))
-        await until(lambda: not node.pool.upstreams[f"s{number}"].ready)
+        testbed.update(testbed.list_row(number, "draining", block=number // 2))
+        await wait_until(lambda: not node.pool.upstreams[f"s{number}"].ready)
         other = {"s0", "s1", "s2", "s3"} - used  # has come in, whole
-        await until(lambda: other <= {s.entry.server for s in node.engine.balancer.ready})
-        before = len(world.upstreams[number].received)
+        await wait_until(lambda: other <= {s.entry.server for s in node.engine.balancer.ready})
+        before = len(testbed.upstreams[number].received)
         for _ in range(10):
-            assert (await world.submit(request())).status == 200
-        assert len(world.upstreams[number].received) == before
+            assert (await testbed.submit(request())).status == 200
+        assert len(testbed.upstreams[number].received) == before
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,8 +14,8 @@
 
 import pytest
 import uvloop
-from peers import SETTINGS, World, request, reserved_port, run, until
-from system_calls import Faults, exchange, process, status
+from peers import SETTINGS, BalancerTestbed, async_test, request, reserved_port, wait_until
+from system_calls import Faults, quartzford_process, send_and_read, status_code
 
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.fronts.listener import Listener, bind
@@ -75,7 +75,7 @@
     async def ready(self) -> None:
         """Wait until the list has come and the balancer serves."""
         for _ in range(1000):
-            if status(await exchange(self.port, HEALTH)) == 200:
+            if status_code(await send_and_read(self.port, HEALTH)) == 200:
                 return
             await asyncio.sleep(0.02)
         raise AssertionError("it was never ready")
@@ -88,7 +88,7 @@
         data = data.replace(b": c1\r\n", b": c%d\r\n" % self.number).replace(
             b": k1\r\n", b": k%d\r\n" % self.number
         )
-        return status(await exchange(self.port, data))
+        return status_code(await send_and_read(self.port, data))
 
     async def load(self, count: int) -> list[int]:
         """So many requests, some of them at once; their statuses."""
@@ -132,7 +132,7 @@
     await it.start(folder)
     try:
         environment = faults.environment(it.ports()) | {"EDGE_CONFIG": str(it.path)}
-        async with process(environment=environment):
+        async with quartzford_process(environment=environment):
             await it.ready()
             yield it
     finally:
@@ -148,8 +148,8 @@
     "socket": Faults({"socket": ("ENFILE", "ENOBUFS")}, one_in=3),
     "connect": Faults({"connect": ("ENFILE", "ENOBUFS", "EADDRNOTAVAIL", "ENETUNREACH")}, one_in=3),
     "waits are interrupted": Faults({"wait": ("EINTR",)}, one_in=3),
-    "halves of writes": Faults(short="write"),
-    "seven bytes a read": Faults(short="read"),
+    "halves of writes": Faults(short_transfers="write"),
+    "seven bytes a read": Faults(short_transfers="read"),
     "reads find the connection broken": Faults({"read": ("ETIMEDOUT", "EHOSTUNREACH")}, one_in=12),
 }
 # Attempts of these may have run, and what is unsafe then fails; of the others all are served.
@@ -198,7 +198,7 @@
     [
         pytest.param(ACCEPT, id="accept"),
         pytest.param(
-            Faults({"socket": ("ENFILE", "ENOBUFS")}, one_in=10**6, first=4), id="socket at the start"
+            Faults({"socket": ("ENFILE", "ENOBUFS")}, one_in=10**6, first_calls=4), id="socket at the start"
         ),
     ],
 )
@@ -215,12 +215,14 @@
         operator = tmp_path / "operator.toml"
         operator.write_text(f'config = "{it.path}"\n[extproc]\nlisten = "127.0.0.1:{extproc}"\nworkers = 0\n')
         try:
-            async with process("serve", "--operator", str(operator), environment=faults.environment()) as one:
+            async with quartzford_process(
+                "serve", "--operator", str(operator), environment=faults.environment()
+            ) as one:
                 await said(one, b"listening on port")
                 await it.ready()
                 for _ in range(15):
-                    answers = await asyncio.gather(*(exchange(it.admin, STATUS) for _ in range(10)))
-                    assert {status(answer) for answer in answers} == {200}
+                    answers = await asyncio.gather(*(send_and_read(it.admin, STATUS) for _ in range(10)))
+                    assert {status_code(answer) for answer in answers} == {200}
                     frames = await asyncio.gather(*(settings_frame(extproc) for _ in range(10)))
                     assert set(frames) == {SETTINGS_FRAME}
         finally:
@@ -244,11 +246,13 @@
             "relays = 1\nbalancers = 10\n"
         )
         try:
-            async with process("relay", "--operator", str(operator), environment=faults.environment()) as one:
+            async with quartzford_process(
+                "relay", "--operator", str(operator), environment=faults.environment()
+            ) as one:
                 await said(one, b" upstreams")
                 for _ in range(15):
-                    answers = await asyncio.gather(*(exchange(port, LIST) for _ in range(10)))
-                    assert {status(answer) for answer in answers} == {200}
+                    answers = await asyncio.gather(*(send_and_read(port, LIST) for _ in range(10)))
+                    assert {status_code(answer) for answer in answers} == {200}
         finally:
             service.stop()
 
@@ -288,17 +292,17 @@
 def test_whom_an_error_of_connect_blames(error: int, code: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What this machine has run out of ejects nobody, however often; a way that does not lead there does."""
 
-    @run
+    @async_test
     async def test() -> None:
-        async with World(2) as world:
-            FailingSocket.error, FailingSocket.port, FailingSocket.left = error, world.upstreams[0].port, 30
+        async with BalancerTestbed(2) as testbed:
+            FailingSocket.error, FailingSocket.port, FailingSocket.left = error, testbed.upstreams[0].port, 30
             with monkeypatch.context() as patch:
                 patch.setattr(socket, "socket", FailingSocket)
                 for _ in range(30):
-                    assert (await world.submit(request())).status == 200
-            codes = set(world.outcomes())
+                    assert (await testbed.submit(request())).status == 200
+            codes = set(testbed.outcomes())
             assert codes == {code, "ok"}
-            ejected = world.node.engine.balancer.endpoints.excluded_count()
+            ejected = testbed.node.engine.balancer.endpoints.excluded_count()
             assert ejected == (1 if code == "connect_failed" else 0)
 
     test()
@@ -335,27 +339,27 @@
 def test_an_error_of_this_machine_is_no_failure_of_the_list_service(error: int, failures: int) -> None:
     """Three connects in a row fail: the call goes on, or three have failed."""
 
-    @run
+    @async_test
     async def test() -> None:
-        world, lists = World(1), Lists()
-        for peer in (*world.upstreams, world.discovery):
+        testbed, lists = BalancerTestbed(1), Lists()
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
         loop: Any = FailingLoop(asyncio.get_running_loop(), error)
         clock = LoopClock(loop)
-        addresses = SingleAddress(lambda: ("127.0.0.1", world.discovery.port))
+        addresses = SingleAddress(lambda: ("127.0.0.1", testbed.discovery.port))
         policy = AgentCallPolicy(Random(1), 0.25)
         watch = ListWatch(lists, addresses, policy, clock, StderrLog(clock.now), loop)
         watch.start()
-        await until(lambda: lists.heard)
+        await wait_until(lambda: lists.heard)
         assert not loop.left and watch.counts["ended unreached"] == failures
         watch.stop()
-        for peer in (*world.upstreams, world.discovery):
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.stop()
 
     test()
 
 
-@run
+@async_test
 async def test_connections_accepted_when_accepting_stops_are_opened_and_the_others_wait() -> None:
     """Whoever accepts there next gets the rest: nobody is reset."""
     loop = asyncio.get_running_loop()
@@ -377,7 +381,7 @@
     await listener.opened()
     assert len(opened) == accepted < 3
     listener.start()
-    await until(lambda: len(opened) == 3)
+    await wait_until(lambda: len(opened) == 3)
     listener.close()
     for client in clients:
         client.close()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -12,7 +12,7 @@
 
 import msgspec
 import pytest
-from peers import SETTINGS, Message, World, reserved_port, run, until
+from peers import SETTINGS, BalancerTestbed, Message, async_test, reserved_port, wait_until
 from test_extproc_decisions import FakeClock, Quiet
 
 from quartzford.control import ControlSide, InheritedStarts, assemble
@@ -339,31 +339,31 @@
 def test_two_processes_of_one_line_with_a_step_between_their_starts(
     skew_ms: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    @run
+    @async_test
     async def test() -> None:
-        world = World(4, guarantees=GUARANTEES)
-        for peer in (*world.upstreams, world.discovery):
+        testbed = BalancerTestbed(4, guarantees=GUARANTEES)
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
-        world.current = world.list(world.host(0), world.host(1), complete=True)
+        testbed.served_list = testbed.endpoint_list(testbed.list_row(0), testbed.list_row(1), complete=True)
         config = read_config(
             json.dumps(
                 {
                     "name": "n0",
                     "listen": f"127.0.0.1:{reserved_port()}",
                     "seed": "5",
-                    "discovery": f"127.0.0.1:{world.discovery.port}",
-                    "known": world.current,
+                    "discovery": f"127.0.0.1:{testbed.discovery.port}",
+                    "known": testbed.served_list,
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                    "settings": world.settings,
+                    "settings": testbed.settings,
                 }
             )
         )
         loop = asyncio.get_running_loop()
         nodes = [Node(config, loop, folder=str(tmp_path))]
         await nodes[0].start()
-        await until(lambda: world.watches and nodes[0].watch.ever_answered)
-        world.update(world.host(2, born=time.time() * 1000.0 + skew_ms))
-        await until(lambda: "s2" in nodes[0].engine.balancer.servers)
+        await wait_until(lambda: testbed.watches and nodes[0].watch.ever_answered)
+        testbed.update(testbed.list_row(2, born=time.time() * 1000.0 + skew_ms))
+        await wait_until(lambda: "s2" in nodes[0].engine.balancer.servers)
 
         step_machine_clock(monkeypatch, skew_ms)
         nodes.append(Node(config, loop, folder=str(tmp_path)))
@@ -372,16 +372,16 @@
             node.clock.unix_ms() - node.engine.balancer.servers["s2"].slow_start_from_ms for node in nodes
         ]
         assert ages[1] == pytest.approx(ages[0], abs=100.0) and 0.0 <= ages[1] < COLD_MS
-        await until(lambda: len(world.watches) > 1)
-        world.update(world.host(3, born=time.time() * 1000.0 - HOUR_MS))
-        await until(lambda: "s3" in nodes[1].engine.balancer.servers)
+        await wait_until(lambda: len(testbed.watches) > 1)
+        testbed.update(testbed.list_row(3, born=time.time() * 1000.0 - HOUR_MS))
+        await wait_until(lambda: "s3" in nodes[1].engine.balancer.servers)
         assert nodes[1].engine.balancer.servers["s3"] in nodes[1].engine.balancer.endpoints.slow_start.cold
         for node in reversed(nodes):
             node.control.stop()
             node.front.stop_listening()
             if node.handover is not None:
                 node.handover.stop()
-        for peer in (*world.upstreams, world.discovery):
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.stop()
 
     test()
@@ -393,7 +393,7 @@
 def test_a_step_after_the_start_moves_neither_clock_nor_token_nor_trace(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    @run
+    @async_test
     async def test() -> None:
         clock = LoopClock(asyncio.get_running_loop())
         tokens = Tokens(b"k" * 16, b"life-one")
@@ -421,10 +421,10 @@
 
 @SKEWS
 def test_a_date_to_come_back_at_is_taken_against_the_answers_own_date(skew_ms: float) -> None:
-    @run
+    @async_test
     async def test() -> None:
         heard: list[float] = []
-        world = World(1, registryMode="subscribe")
+        testbed = BalancerTestbed(1, registryMode="subscribe")
 
         async def turned_away(message: Message, writer: asyncio.StreamWriter) -> None:
             now = time.time() + skew_ms / 1000.0
@@ -434,22 +434,22 @@
                 "Content-Length: 0\r\n\r\n".encode()
             )
 
-        for peer in (*world.upstreams, world.discovery):
+        for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
-        world.discovery.script = turned_away
-        world.known = world.list(world.host(0), complete=True)
-        enter = asyncio.ensure_future(world.enter(wait_for_list=False))
-        await until(lambda: hasattr(world, "node"))
-        delay_after = world.node.watch.policy.delay_after
+        testbed.discovery.script = turned_away
+        testbed.initial_list = testbed.endpoint_list(testbed.list_row(0), complete=True)
+        enter = asyncio.ensure_future(testbed.start_balancer(wait_for_list=False))
+        await wait_until(lambda: hasattr(testbed, "node"))
+        delay_after = testbed.node.watch.policy.delay_after
 
         def recorded_delay(end: Any, took: float, retry_after: float = 0.0) -> float:
             heard.append(retry_after)
             return delay_after(end, took, retry_after)
 
-        world.node.watch.policy.delay_after = recorded_delay  # type: ignore[method-assign]
-        await until(lambda: heard)
+        testbed.node.watch.policy.delay_after = recorded_delay  # type: ignore[method-assign]
+        await wait_until(lambda: heard)
         assert heard[0] == 5.0
         await enter
-        await world.__aexit__()
+        await testbed.__aexit__()
 
     test()
--- a/tests/test_workingset.py
+++ b/tests/test_workingset.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from helpers import entry, listed, outcome, sends, settings, started, submit
+from helpers import attempt_ended, list_update, make_endpoint, sends, settings, started_balancer, submit
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
@@ -101,24 +101,26 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_random_lists_keep_the_books_of_the_module(seed: int) -> None:
     """In use is just what the list has ready, operators let, and the cells in use hold, whatever happens."""
-    rng, balancer, now = random.Random(seed), started(60, seed=seed), 0.0
+    rng, balancer, now = random.Random(seed), started_balancer(60, seed=seed), 0.0
     for step in range(400):
         now += rng.expovariate(1 / 50.0)
         kind = rng.random()
         numbers = [rng.randrange(80) for _ in range(rng.randrange(1, 6))]
         if kind < 0.15:
             states = rng.choice(("ready", "draining", "gone"))
-            rows = tuple(entry(n, states, rng.choice((0.0, now))) for n in numbers)
+            rows = tuple(make_endpoint(n, states, rng.choice((0.0, now))) for n in numbers)
             balancer.handle(now, io.EndpointListUpdate("changes", rows))
         elif kind < 0.2:
-            moved = tuple(entry(n)._replace(cell=rng.randrange(40)) for n in numbers)  # to another cell
+            moved = tuple(
+                make_endpoint(n)._replace(cell=rng.randrange(40)) for n in numbers
+            )  # to another cell
             balancer.handle(now, io.EndpointListUpdate("changes", moved))
         elif kind < 0.25:
             balancer.handle(now, io.MaintenanceChange(f"s{numbers[0]}", rng.random() < 0.5))
         else:
             for send in sends(submit(balancer, now, step)):
                 code = rng.choice(("ok", "ok", "error"))
-                balancer.handle(now, outcome(send, 0, code, 5.0, final=True))
+                balancer.handle(now, attempt_ended(send, 0, code, 5.0, final=True))
         endpoints = balancer.endpoints
         usable = {
             n
@@ -144,35 +146,37 @@
     eight goes there for twenty seconds and more."""
     swallowed = sent = 0
     for seed in range(5):
-        balancer = started(200, seed=seed)
+        balancer = started_balancer(200, seed=seed)
         for n in range(300):
             now = 100.0 * n
             for send in sends(balancer.handle(now, io.Request(n, "pay", 800.0))):
                 bad = int(send.server[1:]) % 8 == 0
                 swallowed, sent = swallowed + (bad and now > 5_000.0), sent + (now > 5_000.0)
-                balancer.handle(now + 50.0, outcome(send, 0, "timeout" if bad else "ok", 50.0, final=True))
+                balancer.handle(
+                    now + 50.0, attempt_ended(send, 0, "timeout" if bad else "ok", 50.0, final=True)
+                )
     assert swallowed / sent < 0.04, swallowed / sent
 
 
 def test_a_keyed_request_goes_again_in_its_cell() -> None:
     balancer = Balancer(settings(), 2)
-    balancer.handle(0.0, listed(range(100)))
+    balancer.handle(0.0, list_update(range(100)))
     for n in range(40):
         now, balancer.retry_budget = 1_000.0 * n, 5.0
         (send,) = sends(submit(balancer, now, n, "book"))
-        (again,) = sends(balancer.handle(now + 5.0, outcome(send, 0, "reset", 5.0)))
+        (again,) = sends(balancer.handle(now + 5.0, attempt_ended(send, 0, "reset", 5.0)))
         assert int(again.server[1:]) // 2 == int(send.server[1:]) // 2
-        balancer.handle(now + 9.0, outcome(again, 1, "ok", 4.0))
+        balancer.handle(now + 9.0, attempt_ended(again, 1, "ok", 4.0))
 
 
 def test_a_successor_uses_what_the_process_before_used() -> None:
-    before = started(100, seed=1)
+    before = started_balancer(100, seed=1)
     for n in range(50):
         for send in sends(submit(before, 100.0 * n, n)):
-            before.handle(100.0 * n + 5.0, outcome(send, 0, "ok", 5.0))
+            before.handle(100.0 * n + 5.0, attempt_ended(send, 0, "ok", 5.0))
     memory = before.hand_over(5_000.0)
-    after = started(100, seed=2)
-    after.handle(5_001.0, listed(range(100)))
+    after = started_balancer(100, seed=2)
+    after.handle(5_001.0, list_update(range(100)))
     after.inherit(5_002.0, memory)
     used = {s.entry.server for s in before.ready}
     assert used <= {s.entry.server for s in after.ready}
--- a/tests/transcript_site.py
+++ b/tests/transcript_site.py
@@ -20,12 +20,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from peers import SETTINGS, own_address, reserved_port, until
+from peers import SETTINGS, own_address, reserved_port, wait_until
 
 ROOT = Path(__file__).resolve().parent.parent
 COMMAND = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 HOST = own_address()
-REST_S = 0.03  # an upstream's connection is used again once it has rested for 10 ms
+REUSE_DELAY_S = 0.03  # an upstream's connection is used again once it has rested for 10 ms
 LONG_LINE = 400  # bytes; of longer ones the transcript has length and digest
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 MASKS = (
@@ -109,7 +109,7 @@
         return self.raw.partition(b"\r\n\r\n")[0] + b"\r\n\r\n"
 
 
-async def read_wire(reader: asyncio.StreamReader, bodiless: bool = False) -> Wire:
+async def read_raw_message(reader: asyncio.StreamReader, bodiless: bool = False) -> Wire:
     """The next message, every byte of it; IncompleteReadError where it breaks off."""
     raw = await reader.readuntil(b"\r\n\r\n")
     line, *rest = raw.decode("latin-1").rstrip().split("\r\n")
@@ -133,7 +133,7 @@
     return Wire(raw, fields, body)
 
 
-class Reply(NamedTuple):
+class ScriptedReply(NamedTuple):
     """What an upstream does with an attempt. reset, close: how it ends its connection, once it has written.
 
     hold: it writes once the site releases it, or never, if its peer goes first.
@@ -147,16 +147,16 @@
 
 def reply(
     body: bytes = b"done", status: str = "200 OK", fields: str = "", close: bool = False, hold: bool = False
-) -> Reply:
+) -> ScriptedReply:
     """A reply of a stated length."""
     head = f"HTTP/1.1 {status}\r\n{fields}Content-Length: {len(body)}\r\n\r\n"
-    return Reply(head.encode() + body, close, hold=hold)
+    return ScriptedReply(head.encode() + body, close, hold=hold)
 
 
 class Upstream:
     """One upstream; what it does with each attempt stands in its site's script."""
 
-    def __init__(self, site: Site, number: int) -> None:
+    def __init__(self, site: TranscriptSite, number: int) -> None:
         self.site, self.name = site, f"s{number}"
         self.label = ""
         self.connections = 0
@@ -185,7 +185,7 @@
         connection, attempts = 0, 0
         try:
             while True:
-                wire = await read_wire(reader)
+                wire = await read_raw_message(reader)
                 attempts += 1
                 if not connection:
                     self.connections += 1
@@ -206,7 +206,7 @@
             writer.close()
 
     async def _carry_out(
-        self, what: Reply, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, what: ScriptedReply, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         """Whether the connection goes on."""
         if what.hold:
@@ -251,7 +251,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                wire = await read_wire(reader)
+                wire = await read_raw_message(reader)
                 self.transcript.data(self.label, wire.raw)
                 complete = json.dumps(self.table(True, list(self.rows.values()))).encode()
                 if b"stream=1" in wire.raw:
@@ -296,7 +296,7 @@
     """A client's connection; what it is answered is written down."""
 
     def __init__(
-        self, site: Site, label: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, site: TranscriptSite, label: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.site, self.label, self.reader, self.writer = site, label, reader, writer
 
@@ -307,7 +307,7 @@
 
     async def answer(self, bodiless: bool = False, reframed: bool = False) -> Wire:
         """Read an answer. reframed: its chunks depend on how it came; the transcript has its body whole."""
-        wire = await read_wire(self.reader, bodiless)
+        wire = await read_raw_message(self.reader, bodiless)
         self.site.transcript.data(self.label, wire.head + wire.body if reframed else wire.raw)
         return wire
 
@@ -330,13 +330,13 @@
         self.writer.close()
 
 
-class Site:
+class TranscriptSite:
     """A balancer in a process of its own, and all that it speaks with."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.transcript = Transcript()
-        self.script: deque[Reply] = deque()  # for the next attempts, whichever upstream they come to
+        self.script: deque[ScriptedReply] = deque()  # for the next attempts, whichever upstream they come to
         self.held = asyncio.Event()  # an upstream holds an attempt
         self.released = asyncio.Event()  # it may answer
         self.ended: list[str] = []  # upstreams' connections
@@ -390,8 +390,8 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         await self.until_operators_hear("/status", "ready")
-        await until(lambda: self.service.watches)
-        await asyncio.sleep(REST_S)
+        await wait_until(lambda: self.service.watches)
+        await asyncio.sleep(REUSE_DELAY_S)
 
     async def stop(self) -> None:
         """End all that still runs."""
@@ -427,7 +427,7 @@
         reader, writer = await asyncio.open_connection(HOST, self.admin)
         try:
             writer.write(f"{line} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
-            return await read_wire(reader)
+            return await read_raw_message(reader)
         finally:
             writer.close()
 
@@ -453,5 +453,5 @@
             rows.append((await self.upstream()).row("draining"))
         self.service.send(*rows, complete=True)
         await self.figure("upstreams_known", len(rows))
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(REUSE_DELAY_S)
         return upstreams
