--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -27,7 +27,7 @@
 from bench.capacity_page import PageError, replace_blocks, stale_blocks
 from bench.capacity_target import DiscoveryProtocol, ProgramBounds, Target
 from bench.common import ROOT
-from quartzford.decision.workingset import LEAST, MEET_MS
+from quartzford.decision.workingset import MIN_SERVERS_IN_USE, TARGET_SEND_INTERVAL_MS
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, SHARED_FIRST_LINE_TIMEOUT_S, SMALL_FLEET_SIZE
 from quartzford.membership.line_splitter import MAX_LINE_BYTES
 from quartzford.node import LISTS_PER_S
@@ -49,8 +49,8 @@
         spread_s=NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S,
         small_fleet=SMALL_FLEET_SIZE,
         line_bytes=MAX_LINE_BYTES,
-        revisit_s=MEET_MS / 1000.0,
-        min_working_set=LEAST,
+        revisit_s=TARGET_SEND_INTERVAL_MS / 1000.0,
+        min_working_set=MIN_SERVERS_IN_USE,
         log_lines_per_s=LOG_LINES_PER_S,
         relay=importlib.util.find_spec("quartzford.relay") is not None,
     )
--- a/quartzford/decision/admission.py
+++ b/quartzford/decision/admission.py
@@ -20,7 +20,7 @@
 from quartzford.decision import interface as io
 from quartzford.decision.estimates import Rate
 
-LATE_FROM = 0.9  # share of the latency objective from which an attempt counts as late
+LATE_OBJECTIVE_SHARE = 0.9  # share of the latency objective from which an attempt counts as late
 LATE_TARGET = 0.4  # share of late attempts that is borne if what would be shed has the average weight
 STARTUP_MS = 1_000.0  # nothing is predicted for so long; and the most that is shed grows from 0 over it
 MAX_SHED = 0.95
@@ -66,17 +66,17 @@
 
     def __init__(self, settings: io.Settings, rng: random.Random) -> None:
         self.rng = rng
-        self.rates: dict[str, Rate] = {}  # by tenant
-        self.ends = 0.0  # work that came back; this and the next four fade over `window_ms`
-        self.good = 0.0  # of it, what came back in time
-        self.refused = 0.0  # work that was shed
+        self.tenant_rates: dict[str, Rate] = {}  # by tenant
+        self.completed_work = 0.0  # work that came back; this and the next four fade over `window_ms`
+        self.in_time_work = 0.0  # of it, what came back in time
+        self.shed_work = 0.0  # work that was shed
         self.exposure = 0.0  # attempts in flight, times the milliseconds that they were
         self.answers = 0.0  # attempts that were answered, whenever and however
         self.in_flight = 0  # attempts
         self.busy_since_ms = math.inf  # since when attempts are sent
-        self.shed = 0.0  # share of the work that is to be shed
-        self.shed_ms = 0.0  # when the fading figures were last brought up to date
-        self.marginal = FIRST_MARGINAL  # weight of what is shed last, over the mean weight
+        self.shed_share = 0.0  # share of the work that is to be shed
+        self.decayed_ms = 0.0  # when the fading figures were last brought up to date
+        self.marginal_weight = FIRST_MARGINAL  # weight of what is shed last, over the mean weight
         self.offers: deque[tuple[float, str]] = deque(maxlen=MAX_OFFERS)
         self.mean_objective_ms = settings.classes[0].latency_objective_ms  # smoothed
         self.mean_latency = FIRST_GUESS * self.mean_objective_ms  # mean of typical latencies, smoothed
@@ -88,14 +88,14 @@
         objectives_ms = [kind.latency_objective_ms for kind in settings.classes]
         # The counts remember a mean objective: so late is it known how a request has ended, and no later.
         self.window_ms = sum(objectives_ms) / len(objectives_ms)
-        self.quota = {
+        self.quota_per_ms = {
             tenant.name: tenant.quota_per_s / 1000.0 / settings.balancers for tenant in settings.tenants
         }
 
     @property
     def late_share(self) -> float:
         """The share of late ones among the attempts that ended."""
-        return 1.0 - (self.good + ASSUMED_GOOD) / (self.ends + ASSUMED_GOOD)
+        return 1.0 - (self.in_time_work + ASSUMED_GOOD) / (self.completed_work + ASSUMED_GOOD)
 
     # ---- requests
 
@@ -103,27 +103,27 @@
         self, now: float, kind: io.ServiceClass, tenant: str, typical_latency: Callable[[str], float]
     ) -> bool:
         """Whether a tenant's request is admitted. typical_latency: of a class, by its name, in ms."""
-        self.rates.setdefault(self._known(tenant), Rate()).add(now)
+        self.tenant_rates.setdefault(self._known(tenant), Rate()).add(now)
         within = self.within_quota(now, tenant)
         factor = round(within + (1 - within) * self.settings.over_quota_weight, 1)
         self.offers.append(Offer(kind.priority_weight * factor, kind.name))
-        if self.shed > 0 or self.predicted_late_share() > self._late_target():
+        if self.shed_share > 0 or self.predicted_late_share() > self._late_target():
             self._update_shed(now)
-        if self.shed <= 0 and self.rng.random() < UNRANKED_SHARE:
+        if self.shed_share <= 0 and self.rng.random() < UNRANKED_SHARE:
             return True
         ranking = self._rank(typical_latency)
-        shed_work = self.shed * ranking.total
+        shed_work = self.shed_share * ranking.total
         if ranking.lower <= shed_work <= ranking.lower + ranking.same:
-            self.marginal = ranking.marginal()
+            self.marginal_weight = ranking.marginal()
         if self.rng.random() * ranking.same < ranking.lower + ranking.same - shed_work:
             return True
         self._decay(now)
-        self.refused += typical_latency(kind.name) / self.mean_latency
+        self.shed_work += typical_latency(kind.name) / self.mean_latency
         return False
 
     def _known(self, tenant: str) -> str:
         """The tenant; "" for one that the settings don't know: made-up names leave no entries."""
-        return tenant if tenant in self.quota else ""
+        return tenant if tenant in self.quota_per_ms else ""
 
     def _rank(self, typical_latency: Callable[[str], float]) -> Ranking:
         """Rank the latest offer among those that are remembered.
@@ -148,11 +148,11 @@
 
     def within_quota(self, now: float, tenant: str) -> float:
         """The part of a tenant's present rate that is within its quota; 1 where tenants have none."""
-        if not self.quota:
+        if not self.quota_per_ms:
             return 1.0
         known = self._known(tenant)
-        rate = self.rates[known].read(now)
-        return min(1.0, self.quota.get(known, 0.0) / max(rate, MIN_RATE))
+        rate = self.tenant_rates[known].read(now)
+        return min(1.0, self.quota_per_ms.get(known, 0.0) / max(rate, MIN_RATE))
 
     # ---- attempts
 
@@ -172,9 +172,9 @@
         self.mean_objective_ms += LATENCY_WEIGHT * (objective_ms - self.mean_objective_ms)
         self._decay(now)
         work = typical_latency / self.mean_latency
-        self.ends += work
+        self.completed_work += work
         if not late:
-            self.good += work
+            self.in_time_work += work
         self._update_shed(now)
 
     # ---- the share that is shed
@@ -185,13 +185,13 @@
         Latencies are taken for three stages alike (Erlang): one alone would call a twentieth late in calm.
         """
         # No rate to go by: a crowd after a rest is not a queue yet, nor what opens all its connections first.
-        if self.answers < PRIOR_ANSWERS or self.shed_ms - self.busy_since_ms < STARTUP_MS:
+        if self.answers < PRIOR_ANSWERS or self.decayed_ms - self.busy_since_ms < STARTUP_MS:
             return 0.0
         waiting = min(self.exposure, self.in_flight * self.window_ms)  # of late, and at this moment
         answers = self.answers + PRIOR_ANSWERS
         x = (
             STAGES
-            * LATE_FROM
+            * LATE_OBJECTIVE_SHARE
             * self.mean_objective_ms
             * answers
             / (waiting + PRIOR_ANSWERS * self.mean_latency)
@@ -199,25 +199,27 @@
         return (1.0 + x + x * x / 2.0) * math.exp(-x)
 
     def _late_target(self) -> float:
-        return LATE_TARGET * self.marginal
+        return LATE_TARGET * self.marginal_weight
 
     def _decay(self, now: float) -> None:
         """Let what is counted fade up to this moment."""
-        remaining = math.exp(min(0.0, self.shed_ms - now) / self.window_ms)
-        self.ends *= remaining
-        self.good *= remaining
-        self.refused *= remaining
+        remaining = math.exp(min(0.0, self.decayed_ms - now) / self.window_ms)
+        self.completed_work *= remaining
+        self.in_time_work *= remaining
+        self.shed_work *= remaining
         self.exposure = self.exposure * remaining + self.in_flight * self.window_ms * (1.0 - remaining)
         self.answers *= remaining
-        self.shed_ms = now
+        self.decayed_ms = now
 
     def _update_shed(self, now: float) -> None:
         self._decay(now)
         target = self._late_target()
         late = max(self.late_share, self.predicted_late_share())
-        admitted = (self.ends + ASSUMED_GOOD) / (self.ends + self.refused + ASSUMED_GOOD)
+        admitted = (self.completed_work + ASSUMED_GOOD) / (
+            self.completed_work + self.shed_work + ASSUMED_GOOD
+        )
         growth = (1.0 + RELEASE) / (1.0 - target) * (1.0 - late)
         headroom = HEADROOM * max(0.0, 1.0 - late / target)
         # Ten late ends are all that is known just after a start, and as often the start's own as a crowd's.
         most = MAX_SHED * min(1.0, (now - self.busy_since_ms) / STARTUP_MS)
-        self.shed = max(0.0, min(most, 1.0 - admitted * (growth + headroom)))
+        self.shed_share = max(0.0, min(most, 1.0 - admitted * (growth + headroom)))
--- a/quartzford/decision/endpoint_set.py
+++ b/quartzford/decision/endpoint_set.py
@@ -92,7 +92,7 @@
         """Use those that the process before used, as far as they may be."""
         self.shares = self.layout(self.shares, len(self.ready) + len(names))
         self._begin_changes()
-        self._join_all(self.working_set.take(names))
+        self._join_all(self.working_set.restore(names))
         self._commit()
 
     def set_maintenance(self, name: str, out: bool) -> None:
@@ -121,7 +121,7 @@
         server = self.servers.get(name)
         if server is None or server.entry.state != "ready" or server.slot >= 0:
             return
-        if self.working_set.put(name, server.entry.cell):
+        if self.working_set.add_candidate(name, server.entry.cell):
             self._join(server)
 
     def _begin_changes(self) -> None:
@@ -141,8 +141,8 @@
 
     def _choose(self) -> bool:
         """Take servers into use, or leave some; between begin and commit. Whether any."""
-        wanted = self.working_set.wanted(self.traffic.arrivals.read(self.now))
-        taken, left = self.working_set.choose(wanted, self._not_ejected)
+        wanted = self.working_set.target_count(self.traffic.arrivals.read(self.now))
+        taken, left = self.working_set.update(wanted, self._not_ejected)
         self._join_all(taken)
         for name in left:
             self._leave(self.servers[name])
@@ -169,11 +169,11 @@
             self._exclude(server)
         elif self.working_set.cell_of.get(entry.server) != entry.cell:
             self._leave(server)
-            if self.working_set.put(entry.server, entry.cell):
+            if self.working_set.add_candidate(entry.server, entry.cell):
                 self._join(server)
         elif server.slot >= 0 and (changed or dated):
             self.shares.move(server.slot, self._place(entry))
-            self.slow_start.begin_again(server, self._slow_start_from_ms(server))
+            self.slow_start.update_slow_start(server, self._slow_start_from_ms(server))
         return None
 
     def _incarnation(self, entry: io.Endpoint) -> Server:
@@ -204,23 +204,23 @@
     def _join(self, server: Server) -> None:
         """Take a server into use."""
         server.clear_health()
-        self.slow_start.join(self.now, server)
+        self.slow_start.initialize_budget(self.now, server)
         server.slot = self.shares.join(self._place(server.entry), len(server.in_flight))
         self.ready.append(server)
-        self.slow_start.begin(server, self._slow_start_from_ms(server))
+        self.slow_start.begin_slow_start(server, self._slow_start_from_ms(server))
 
     def _leave(self, server: Server) -> None:
         """Send a server nothing new, if it is in use."""
         if server.slot < 0:
             return
         self.shares.leave(server.slot)
-        self.ejection.leave_use(server)
+        self.ejection.remove_from_use(server)
         server.slot = NO_SLOT
-        self.slow_start.leave_use(server)
+        self.slow_start.remove_from_use(server)
 
     def _exclude(self, server: Server) -> None:
         """Send a server nothing new, whatever its cell does."""
-        self.working_set.drop(server.entry.server)
+        self.working_set.remove_candidate(server.entry.server)
         self._leave(server)
 
     def _remove_all_but(self, listed: set[str]) -> None:
@@ -248,7 +248,7 @@
 
     def attempt_started(self, server: Server, key: AttemptKey, attempt: OutstandingAttempt) -> None:
         """An attempt is being sent to the server."""
-        self.slow_start.sent(server)
+        self.slow_start.charge_send(server)
         server.in_flight[key] = attempt
         if len(server.in_flight) == 1:
             self.responsiveness.track_oldest(server, key, attempt)
@@ -270,7 +270,7 @@
         self.traffic.answers.add(self.now)
         self.responsiveness.answer_received(self.now, server)
         if in_time:
-            self.slow_start.answered_in_time(self.now, server)
+            self.slow_start.record_timely_answer(self.now, server)
 
     def record_rejection(self, server: Server, service_class: str) -> None:
         """The server has rejected a request of this class as too much."""
--- a/quartzford/decision/learned_state.py
+++ b/quartzford/decision/learned_state.py
@@ -84,21 +84,27 @@
     peaks: tuple[tuple[float, float], ...] = ()
     retry_budget: float = 0.0
     tenants: dict[str, LearnedRate] = field(default_factory=dict)
-    ends: float = 0.0
-    good: float = 0.0
-    refused: float = 0.0
-    shed: float = 0.0
-    shed_ms: float = 0.0
-    marginal: float = 0.5
+    completed_work: float = 0.0
+    in_time_work: float = 0.0
+    shed_work: float = 0.0
+    shed_share: float = 0.0
+    decayed_ms: float = 0.0
+    marginal_weight: float = 0.5
     offers: tuple[tuple[float, str], ...] = ()
 
     def __post_init__(self) -> None:
-        require_not_negative(self, "ends", "good", "refused", "shed", "shed_ms", "marginal")
+        require_not_negative(
+            self, "completed_work", "in_time_work", "shed_work", "shed_share", "decayed_ms", "marginal_weight"
+        )
         figures = [figure for peak in self.peaks for figure in peak]
         figures += [priority_weight for priority_weight, _ in self.offers]
         figures += [*self.maintenance_ended.values(), *self.typical_latencies.values()]
         for number in figures:
             if not 0 <= number < float("inf"):
                 raise ValueError(f"{number!r} is not a figure of 0 or more")
-        if not -1e6 < self.retry_budget <= 1e6 or self.shed > 1 or self.good > self.ends:
-            raise ValueError("retry_budget, shed or good is out of bounds")
+        if (
+            not -1e6 < self.retry_budget <= 1e6
+            or self.shed_share > 1
+            or self.in_time_work > self.completed_work
+        ):
+            raise ValueError("retry_budget, shed_share or in_time_work is out of bounds")
--- a/quartzford/decision/logic.py
+++ b/quartzford/decision/logic.py
@@ -15,12 +15,12 @@
 from enum import StrEnum
 
 from quartzford.decision import interface as io
-from quartzford.decision.admission import LATE_FROM, Admission
+from quartzford.decision.admission import LATE_OBJECTIVE_SHARE, Admission
 from quartzford.decision.endpoint_set import EndpointSet
 from quartzford.decision.interface import Outcome
 from quartzford.decision.latency import LatencyEstimates
 from quartzford.decision.list_polling import ListPolling
-from quartzford.decision.memory import MAX_RETRY_BUDGET, recall, remember
+from quartzford.decision.memory import MAX_RETRY_BUDGET, export_learned_state, restore_learned_state
 from quartzford.decision.request_state import RequestState
 from quartzford.decision.server import AttemptKey, OutstandingAttempt, Server
 
@@ -135,7 +135,7 @@
     def hand_over(self, now_ms: float) -> io.LearnedState:
         """What the successor is to know; from now on this one only ends what it has."""
         self._advance(now_ms)
-        state = remember(self)
+        state = export_learned_state(self)
         self.retry_budget /= 2
         self.endpoints.slow_start.handed_over = True
         return state
@@ -149,7 +149,7 @@
     def inherit(self, now_ms: float, state: io.LearnedState) -> None:
         """Take what the predecessor knew, after an update of the endpoint list."""
         self._advance(now_ms)
-        recall(self, state)
+        restore_learned_state(self, state)
 
     # ---- requests
 
@@ -162,7 +162,7 @@
         self.pending_requests[request.request] = pending
         if self.shutting_down:
             self._shed_or_fail(pending, EndCause.SHUTDOWN)
-        elif self.admission.admit(self.now, kind, request.tenant, self.latency.of_name):
+        elif self.admission.admit(self.now, kind, request.tenant, self.latency.typical_for_name):
             self._dispatch(pending)
         else:
             over_quota = self.admission.within_quota(self.now, request.tenant) < 1.0
@@ -220,7 +220,7 @@
 
     def _send(self, pending: RequestState, server: Server, left: float) -> None:
         kind = pending.kind
-        typical = max(self.latency.of(kind), MIN_TYPICAL_SHARE * kind.latency_objective_ms)
+        typical = max(self.latency.typical_for(kind), MIN_TYPICAL_SHARE * kind.latency_objective_ms)
         timeout = self._attempt_timeout(pending, typical, left)
         attempt = OutstandingAttempt(self.now + SUSPECT_MULTIPLE * typical, typical, timeout, kind)
         self.endpoints.attempt_started(server, AttemptKey(pending.number, pending.sends), attempt)
@@ -325,7 +325,7 @@
         succeeded = code == Outcome.OK
         rejected = code == Outcome.FULL
         if succeeded:
-            in_time = spent <= GOOD_ANSWER_MULTIPLE * self.latency.of(kind)
+            in_time = spent <= GOOD_ANSWER_MULTIPLE * self.latency.typical_for(kind)
             self.endpoints.answer_received(server, in_time)
             self.latency.add(self.now, kind, spent)
         elif rejected:
@@ -335,10 +335,10 @@
         if code in NO_ANSWER and not unreachable and attempt.timeout < attempt.typical_latency:
             return  # it was given less time than an answer takes: that says nothing of the server
         self.endpoints.record_result(server, failed, unreachable)
-        typical = self.latency.of_name(kind.name)
+        typical = self.latency.typical_for_name(kind.name)
         rejected_again = rejected and event.attempt >= REJECTED_AGAIN
         if succeeded or rejected_again or code == Outcome.TIMEOUT:
-            late = rejected_again or spent > LATE_FROM * kind.latency_objective_ms
+            late = rejected_again or spent > LATE_OBJECTIVE_SHARE * kind.latency_objective_ms
             self.admission.record_outcome(self.now, late, typical, kind.latency_objective_ms)
         if not succeeded:
             spent = min(FAILURE_PENALTY * self.latency.peaks.largest(self.now), attempt.timeout)
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -16,7 +16,7 @@
 from quartzford.decision.endpoint_set import EndpointSet
 from quartzford.decision.estimates import Rate
 from quartzford.decision.latency import LatencyEstimates
-from quartzford.decision.outlier_ejection import EJECT_ABOVE, EJECT_MS
+from quartzford.decision.outlier_ejection import EJECT_ABOVE_FAILURE_RATE, EJECT_MS
 from quartzford.decision.server import Server
 
 MAX_RETRY_BUDGET = 10.0
@@ -33,7 +33,7 @@
     now: float
 
 
-def remember(balancer: Learner) -> io.LearnedState:
+def export_learned_state(balancer: Learner) -> io.LearnedState:
     """All that has been learnt, at this instant; half of the retry budget."""
     endpoints = balancer.endpoints
     admission = balancer.admission
@@ -44,21 +44,21 @@
         maintenance_ended=dict(endpoints.maintenance_ended),
         arrivals=_rate(endpoints.traffic.arrivals),
         answers=_rate(endpoints.traffic.answers),
-        typical_latencies=dict(balancer.latency.typical),
+        typical_latencies=dict(balancer.latency.typical_latencies),
         peaks=tuple(balancer.latency.peaks.pairs),
         retry_budget=balancer.retry_budget / 2,
-        tenants={name: _rate(rate) for name, rate in admission.rates.items()},
-        ends=admission.ends,
-        good=admission.good,
-        refused=admission.refused,
-        shed=admission.shed,
-        shed_ms=max(0.0, admission.shed_ms),
-        marginal=admission.marginal,
+        tenants={name: _rate(rate) for name, rate in admission.tenant_rates.items()},
+        completed_work=admission.completed_work,
+        in_time_work=admission.in_time_work,
+        shed_work=admission.shed_work,
+        shed_share=admission.shed_share,
+        decayed_ms=max(0.0, admission.decayed_ms),
+        marginal_weight=admission.marginal_weight,
         offers=tuple(admission.offers),
     )
 
 
-def recall(balancer: Learner, state: io.LearnedState) -> None:
+def restore_learned_state(balancer: Learner, state: io.LearnedState) -> None:
     """Put it into a balancer that has the list; servers that either does not know stay as they are."""
     endpoints = balancer.endpoints
     now = balancer.now
@@ -94,28 +94,28 @@
     server.ejected_until = learned.ejected_until
     if learned.suspect:  # what is in flight stays with the predecessor: passed over for a while
         server.ejected_until = max(server.ejected_until, now + EJECT_MS)
-    if server.failure_rate > EJECT_ABOVE or server.ejected_until > now:
+    if server.failure_rate > EJECT_ABOVE_FAILURE_RATE or server.ejected_until > now:
         ejection.unhealthy[server] = None
     server.tokens = learned.tokens
     server.tokens_ms = min(learned.tokens_ms, now)
-    endpoints.slow_start.begin(server, min(learned.slow_start_from_ms, now))
+    endpoints.slow_start.begin_slow_start(server, min(learned.slow_start_from_ms, now))
 
 
 def _recall_admission(admission: Admission, state: io.LearnedState, now: float) -> None:
     for tenant, rate in state.tenants.items():
-        if tenant in admission.quota or not tenant:
-            admission.rates[tenant] = _read(rate, now)
-    admission.ends = state.ends
-    admission.good = state.good
-    admission.refused = state.refused
-    admission.shed = state.shed
-    admission.marginal = state.marginal
-    admission.shed_ms = min(state.shed_ms, now)
-    if state.ends > 0:
+        if tenant in admission.quota_per_ms or not tenant:
+            admission.tenant_rates[tenant] = _read(rate, now)
+    admission.completed_work = state.completed_work
+    admission.in_time_work = state.in_time_work
+    admission.shed_work = state.shed_work
+    admission.shed_share = state.shed_share
+    admission.marginal_weight = state.marginal_weight
+    admission.decayed_ms = min(state.decayed_ms, now)
+    if state.completed_work > 0:
         admission.busy_since_ms = now - STARTUP_MS  # it is no start for what was learnt
 
 
-def rebase(state: io.LearnedState, by_ms: float) -> io.LearnedState:
+def shift_times(state: io.LearnedState, by_ms: float) -> io.LearnedState:
     """The same state with its moments on another clock's scale, which is ahead by so many milliseconds.
 
     0 stands for never, or long ago, on either scale.
@@ -128,7 +128,7 @@
         answers=_rebase_rate(state.answers, by_ms),
         peaks=tuple((_rebase_moment(at, by_ms), latency) for at, latency in state.peaks),
         tenants={name: _rebase_rate(rate, by_ms) for name, rate in state.tenants.items()},
-        shed_ms=_rebase_moment(state.shed_ms, by_ms),
+        decayed_ms=_rebase_moment(state.decayed_ms, by_ms),
     )
 
 
--- a/quartzford/decision/outlier_ejection.py
+++ b/quartzford/decision/outlier_ejection.py
@@ -13,7 +13,7 @@
 from quartzford.decision.server import Server
 
 FAIL_WEIGHT = 0.4  # of one result in a server's failure rate
-EJECT_ABOVE = 0.35  # failure rate that ejects, above what all of the fleet fails
+EJECT_ABOVE_FAILURE_RATE = 0.35  # failure rate that ejects, above what all of the fleet fails
 EJECT_MS = 1_000.0  # first ejection at the least; doubles while the server goes on failing
 EJECT_MAX_MS = 8_000.0
 EJECT_MAX_VISITS = 8  # an ejection lasts at most so many times as long as from one send to the next
@@ -51,17 +51,17 @@
         failures of others are no excuse: the servers of a lost zone would excuse each other.
         """
         self.set_failure_rate(server, server.failure_rate + FAIL_WEIGHT * (failed - server.failure_rate))
-        if server.failure_rate > EJECT_ABOVE:
+        if server.failure_rate > EJECT_ABOVE_FAILURE_RATE:
             self.unhealthy[server] = None
         if not failed:
-            if server.failure_rate < EJECT_ABOVE:
+            if server.failure_rate < EJECT_ABOVE_FAILURE_RATE:
                 server.ejections = 0
             return False
-        if now < server.ejected_until or server.failure_rate <= EJECT_ABOVE:
+        if now < server.ejected_until or server.failure_rate <= EJECT_ABOVE_FAILURE_RATE:
             return False
         send_interval = max(1, len(self.ready)) / max(MIN_RATE, self.traffic.arrivals.read(now))
         allowance = 0.0 if unreachable else FLEET_FACTOR * self._others_failure_rate(server, send_interval)
-        if server.failure_rate <= EJECT_ABOVE + allowance or not self._may_eject_one_more(now):
+        if server.failure_rate <= EJECT_ABOVE_FAILURE_RATE + allowance or not self._may_eject_one_more(now):
             return False
         self._eject(now, server, send_interval)
         return True
@@ -84,7 +84,7 @@
             self.failure_rate_sum += failure_rate - server.failure_rate
         server.failure_rate = failure_rate
 
-    def leave_use(self, server: Server) -> None:
+    def remove_from_use(self, server: Server) -> None:
         """The server is about to leave use: its failures count no more among those of the fleet."""
         self.failure_rate_sum -= server.failure_rate
 
@@ -116,7 +116,7 @@
         slots = []
         for server in list(self.unhealthy):
             # Past its ejection, one that has failed gets one trial at a time: only a success can clear it.
-            on_trial = server.failure_rate > EJECT_ABOVE
+            on_trial = server.failure_rate > EJECT_ABOVE_FAILURE_RATE
             until = max(server.ejected_until, server.rejecting_until.get(service_class, 0.0))
             if server.slot >= 0 and (now < until or (on_trial and server.in_flight)):
                 slots.append(server.slot)
--- a/quartzford/decision/responsiveness.py
+++ b/quartzford/decision/responsiveness.py
@@ -12,7 +12,7 @@
 from quartzford.decision.server import AttemptKey, OutstandingAttempt, Server
 
 UNRESPONSIVE_MULTIPLE = 2.0  # unresponsive: nothing answered for so many typical latencies ...
-UNRESPONSIVE_IN_FLIGHT = 3  # ... with so many attempts out
+UNRESPONSIVE_MIN_IN_FLIGHT = 3  # ... with so many attempts out
 
 
 class Responsiveness:
@@ -22,17 +22,17 @@
         self.servers = servers
         self.overdue: dict[Server, None] = {}  # the oldest attempt was past its due when last looked at
         self.unresponsive: dict[Server, None] = {}  # answered nothing for long when last looked at
-        self.oldest_due: Deadlines[tuple[Server, AttemptKey]] = Deadlines(self._is_oldest)
+        self.oldest_attempt_deadlines: Deadlines[tuple[Server, AttemptKey]] = Deadlines(self._is_oldest)
         self.answers_due: Deadlines[tuple[Server, float]] = Deadlines(self._is_awaited)
 
     def track_oldest(self, server: Server, key: AttemptKey, attempt: OutstandingAttempt) -> None:
         """This attempt is the oldest that is out at the server now."""
-        self.oldest_due.push(attempt.overdue_from_ms, (server, key), self._expected_deadlines())
+        self.oldest_attempt_deadlines.push(attempt.overdue_from_ms, (server, key), self._expected_deadlines())
 
     def answer_received(self, now: float, server: Server) -> None:
         """The server has answered; with several attempts out the next answer is expected in time."""
         server.unresponsive_from_ms = math.inf
-        if len(server.in_flight) < UNRESPONSIVE_IN_FLIGHT:
+        if len(server.in_flight) < UNRESPONSIVE_MIN_IN_FLIGHT:
             return
         oldest = next(iter(server.in_flight.values()))
         server.unresponsive_from_ms = now + UNRESPONSIVE_MULTIPLE * oldest.typical_latency
@@ -54,7 +54,7 @@
 
     def update(self, now: float) -> None:
         """Take in the servers whose deadlines have passed."""
-        for server, _ in self.oldest_due.passed(now):
+        for server, _ in self.oldest_attempt_deadlines.passed(now):
             self.overdue[server] = None
         for server, _ in self.answers_due.passed(now):
             self.unresponsive[server] = None
@@ -97,4 +97,4 @@
 
 def is_unresponsive(server: Server, now: float) -> bool:
     """Whether it has answered nothing for long, with several attempts out."""
-    return server.unresponsive_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
+    return server.unresponsive_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_MIN_IN_FLIGHT
--- a/quartzford/decision/slow_start.py
+++ b/quartzford/decision/slow_start.py
@@ -60,23 +60,23 @@
         """The set of servers in use, or their sizes, have changed."""
         self._total_units = None
 
-    def join(self, now: float, server: Server) -> None:
+    def initialize_budget(self, now: float, server: Server) -> None:
         """Take in a server. Its budget begins at a random phase: all balancers may get it at once."""
         server.tokens = self.rng.random()
         server.tokens_ms = now
 
-    def begin(self, server: Server, slow_start_from_ms: float) -> None:
+    def begin_slow_start(self, server: Server, slow_start_from_ms: float) -> None:
         """A server warms up from this moment on, in ms; 0: it did so long ago."""
         server.slow_start_from_ms = slow_start_from_ms
         if slow_start_from_ms > 0:
             self.cold[server] = None
 
-    def begin_again(self, server: Server, slow_start_from_ms: float) -> None:
+    def update_slow_start(self, server: Server, slow_start_from_ms: float) -> None:
         """A server in use has another row: it may be warming up, or not any more."""
         server.slow_start_from_ms = slow_start_from_ms
         self.cold[server] = None
 
-    def leave_use(self, server: Server) -> None:
+    def remove_from_use(self, server: Server) -> None:
         """The server has left use."""
         self.cold.pop(server, None)
 
@@ -86,12 +86,12 @@
             server.tokens = 0.0
             server.tokens_ms = now
 
-    def sent(self, server: Server) -> None:
+    def charge_send(self, server: Server) -> None:
         """A request was sent to the server."""
         if server in self.cold:
             server.tokens -= SEND_COST
 
-    def answered_in_time(self, now: float, server: Server) -> None:
+    def record_timely_answer(self, now: float, server: Server) -> None:
         """The server has answered in good time."""
         if server in self.cold:
             server.timely_answers = (
--- a/quartzford/decision/workingset.py
+++ b/quartzford/decision/workingset.py
@@ -3,12 +3,14 @@
 A balancer that sends ten requests a second over two hundred servers meets each once in twenty seconds. Its P
 is a blind draw, what it knows of a server is old when it is used, and one that swallows requests costs every
 balancer a request before any of them leaves it alone. So it uses as many servers as it meets about every
-MEET_MS: what one of these shows is still true at the next send there. All balancers together use all servers:
-each takes cells in an order of its own (rendezvous hashing, Thaler and Ravishankar 1996, with its own salt).
+TARGET_SEND_INTERVAL_MS: what one of these shows is still true at the next send there. All balancers
+together use all servers: each takes cells in an order of its own (rendezvous hashing, Thaler and Ravishankar
+1996, with its own salt).
 
 The unit is the cell, as a keyed request may go again only where its repeats are dropped. Of a cell larger
-than PART only the first servers by the same hashing are used: how many servers a balancer meets follows from
-its own traffic, and not from the size of cells. docs/spread.md holds what was seen, weighed and measured.
+than SERVERS_PER_CELL_PART only the first servers by the same hashing are used: how many servers a balancer
+meets follows from its own traffic, and not from the size of cells. docs/spread.md holds what was seen,
+weighed and measured.
 """
 
 from __future__ import annotations
@@ -20,10 +22,12 @@
 from itertools import chain
 from typing import NamedTuple
 
-MEET_MS = 1_500.0  # a server in use is met about this often
-LEAST = 16  # servers in use at the least
-PART = LEAST // 2  # larger cells are used in part: so the least are of two cells, and a retry has others
-SLACK = 1.5  # of what is wanted, that may be in use before cells are left: one that flaps moves no others
+TARGET_SEND_INTERVAL_MS = 1_500.0  # a server in use is met about this often
+MIN_SERVERS_IN_USE = 16  # servers in use at the least
+# Larger cells are used in part: so the least are of two cells, and a retry has others.
+SERVERS_PER_CELL_PART = MIN_SERVERS_IN_USE // 2
+# Of what is wanted, that may be in use before cells are left: one that flaps moves no others.
+MAX_IN_USE_MULTIPLE = 1.5
 
 Able = Callable[[str], bool]  # whether a server counts, by its name (it is not ejected, say)
 
@@ -43,11 +47,11 @@
 
     def __init__(self, salt: int) -> None:
         self.salt = blake2b(str(salt).encode(), digest_size=16).digest()
-        self.meet_ms = MEET_MS
+        self.target_send_interval_ms = TARGET_SEND_INTERVAL_MS
         self.cell_of: dict[str, int] = {}  # of each server that may be used
         self.cells: dict[int, dict[str, None]] = {}  # these servers by cell
         self.order: list[tuple[int, int]] = []  # score and cell, least first
-        self.ranked: dict[int, list[tuple[int, str]]] = {}  # of larger cells: score and server
+        self.ranked_servers: dict[int, list[tuple[int, str]]] = {}  # of larger cells: score and server
         self.used: dict[int, dict[str, None]] = {}  # servers in use, by cell
         self.size = 0  # servers in use
 
@@ -58,9 +62,9 @@
 
     # ---- servers that may be used
 
-    def put(self, name: str, cell: int) -> bool:
+    def add_candidate(self, name: str, cell: int) -> bool:
         """This server may be used; whether it is in use at once, as all others of its cell are."""
-        self.drop(name)
+        self.remove_candidate(name)
         self.cell_of[name] = cell
         if cell not in self.cells:
             self.cells[cell] = {}
@@ -72,7 +76,7 @@
             self._use(name)
         return complete
 
-    def drop(self, name: str) -> None:
+    def remove_candidate(self, name: str) -> None:
         """This server may not be used."""
         cell = self.cell_of.get(name)
         if cell is None:
@@ -86,18 +90,18 @@
             self.order.remove((self._score(cell), cell))
 
     def _rank(self, name: str, cell: int) -> None:
-        if cell in self.ranked:
-            insort(self.ranked[cell], (self._score(name), name))
-        elif len(self.cells[cell]) > PART:
-            self.ranked[cell] = sorted((self._score(other), other) for other in self.cells[cell])
+        if cell in self.ranked_servers:
+            insort(self.ranked_servers[cell], (self._score(name), name))
+        elif len(self.cells[cell]) > SERVERS_PER_CELL_PART:
+            self.ranked_servers[cell] = sorted((self._score(other), other) for other in self.cells[cell])
 
     def _unrank(self, name: str, cell: int) -> None:
-        if cell not in self.ranked:
+        if cell not in self.ranked_servers:
             return
-        ranked = self.ranked[cell]
+        ranked = self.ranked_servers[cell]
         del ranked[bisect_left(ranked, (self._score(name), name))]
-        if len(ranked) <= PART:
-            del self.ranked[cell]
+        if len(ranked) <= SERVERS_PER_CELL_PART:
+            del self.ranked_servers[cell]
 
     # ---- servers in use
 
@@ -120,7 +124,7 @@
         cell = self.cell_of.get(name)
         return cell is not None and name in self.used.get(cell, ())
 
-    def take(self, names: list[str]) -> list[str]:
+    def restore(self, names: list[str]) -> list[str]:
         """Use these and what shares a small cell with them, as far as they may be; those not used before."""
         taken = []
         for name in names:
@@ -135,20 +139,20 @@
         cell = self.cell_of.get(name)
         if cell is None:
             return []
-        return [name] if cell in self.ranked else list(self.cells[cell])
+        return [name] if cell in self.ranked_servers else list(self.cells[cell])
 
-    def wanted(self, per_ms: float) -> int:
+    def target_count(self, per_ms: float) -> int:
         """How many servers to use at so many requests a millisecond: what is known of each stays fresh."""
-        return max(LEAST, round(min(len(self.cell_of), per_ms * self.meet_ms)))
+        return max(MIN_SERVERS_IN_USE, round(min(len(self.cell_of), per_ms * self.target_send_interval_ms)))
 
-    def choose(self, wanted: int, able: Able) -> Change:
+    def update(self, wanted: int, able: Able) -> Change:
         """Take servers into use, and leave some.
 
         In use are at least the first cells of the order that have enough able servers, of large cells a
         part. So a newcomer gets its share of the balancers at once, and what fails stays in use, with the
         next of the order beside it.
         """
-        if self.size == len(self.cell_of) <= SLACK * wanted:
+        if self.size == len(self.cell_of) <= MAX_IN_USE_MULTIPLE * wanted:
             return NO_CHANGE
         first = self._first(wanted, able)
         taken = [name for names in first.values() for name in names if not self.in_use(name)]
@@ -174,7 +178,7 @@
         """Cells in the order of their use; of large ones the first parts, then the second, and so on."""
         large: deque[tuple[int, Iterator[list[str]]]] = deque()
         for _, cell in self.order:
-            if cell not in self.ranked:
+            if cell not in self.ranked_servers:
                 yield cell, list(self.cells[cell])
                 continue
             parts = self._parts(cell, able)
@@ -188,13 +192,13 @@
                 large.append((cell, parts))
 
     def _parts(self, cell: int, able: Able) -> Iterator[list[str]]:
-        """A large cell's servers in parts of PART able ones each; the last may have fewer."""
+        """A large cell's servers in parts of SERVERS_PER_CELL_PART able ones each; the last may be less."""
         part: list[str] = []
         counted = 0
-        for _, name in self.ranked[cell]:
+        for _, name in self.ranked_servers[cell]:
             part.append(name)
             counted += able(name)
-            if counted == PART:
+            if counted == SERVERS_PER_CELL_PART:
                 yield part
                 part = []
                 counted = 0
@@ -202,14 +206,14 @@
             yield part
 
     def _surplus(self, first: dict[int, list[str]], wanted: int, able: Able) -> list[str]:
-        """What is in use beyond SLACK times what is wanted, the last of the order first."""
+        """What is in use beyond MAX_IN_USE_MULTIPLE times what is wanted, the last of the order first."""
         total = sum(map(able, chain.from_iterable(self.used.values())))
         left: list[str] = []
-        if total <= SLACK * wanted:
+        if total <= MAX_IN_USE_MULTIPLE * wanted:
             return left
         for _, cell in reversed(self.order):
             for names in self._spare(cell, first):
-                if total <= SLACK * wanted:
+                if total <= MAX_IN_USE_MULTIPLE * wanted:
                     return left
                 left += names
                 total -= sum(map(able, names))
--- a/quartzford/handover_state.py
+++ b/quartzford/handover_state.py
@@ -11,7 +11,7 @@
 
 from quartzford.control import ControlSide, InheritedStarts
 from quartzford.decision import interface as io
-from quartzford.decision.memory import rebase
+from quartzford.decision.memory import shift_times
 from quartzford.engine import Clock
 from quartzford.membership.addresses import Address
 from quartzford.membership.listing import Listing, read_listing
@@ -72,7 +72,7 @@
     starts = None
     if state.anchor_ms is not None:  # else of an earlier version, which took the two scales for one
         shift_ms = own_anchor_ms - state.anchor_ms
-        memory = rebase(state.memory, shift_ms)
+        memory = shift_times(state.memory, shift_ms)
         starts = _shift_starts(state, same_discovery, shift_ms)
     busy_clients = max(0, state.busy_clients)
     return InheritedState(listing, version, memory, starts, busy_clients, state.discovery_answered)
--- a/quartzford/metrics.py
+++ b/quartzford/metrics.py
@@ -172,9 +172,9 @@
             "out": endpoints.shares.total_in_flight,
             "ejected": len(endpoints.ejection.ejected(endpoints.now)),
             "suspect": len(set(endpoints.responsiveness.suspects(endpoints.now))),
-            "shed": round(balancer.admission.shed, 3),
+            "shed": round(balancer.admission.shed_share, 3),
             "late": round(balancer.admission.late_share, 3),
-            "usual": {name: round(usual, 1) for name, usual in balancer.latency.typical.items()},
+            "usual": {name: round(usual, 1) for name, usual in balancer.latency.typical_latencies.items()},
             "retry_budget": round(balancer.retry_budget, 1),
             "entropy": round(-sum(p * math.log2(p) for p in shares), 2),
         }
--- a/quartzford/replacement/encoded_learned_state.py
+++ b/quartzford/replacement/encoded_learned_state.py
@@ -61,7 +61,17 @@
 class EncodedLearnedState(
     msgspec.Struct,
     frozen=True,
-    rename={"in_maintenance": "by_hand", "maintenance_ended": "back", "typical_latencies": "usual"},
+    rename={
+        "in_maintenance": "by_hand",
+        "maintenance_ended": "back",
+        "typical_latencies": "usual",
+        "completed_work": "ends",
+        "in_time_work": "good",
+        "shed_work": "refused",
+        "shed_share": "shed",
+        "decayed_ms": "shed_ms",
+        "marginal_weight": "marginal",
+    },
 ):
     """A LearnedState."""
 
@@ -74,12 +84,12 @@
     peaks: tuple[tuple[float, float], ...] = ()
     retry_budget: float = 0.0
     tenants: dict[str, EncodedRate] = msgspec.field(default_factory=dict)
-    ends: float = 0.0
-    good: float = 0.0
-    refused: float = 0.0
-    shed: float = 0.0
-    shed_ms: float = 0.0
-    marginal: float = 0.5
+    completed_work: float = 0.0
+    in_time_work: float = 0.0
+    shed_work: float = 0.0
+    shed_share: float = 0.0
+    decayed_ms: float = 0.0
+    marginal_weight: float = 0.5
     offers: tuple[tuple[float, str], ...] = ()
 
     @classmethod
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -74,7 +74,7 @@
 
 def use_all_servers(balancer: Balancer) -> Balancer:
     """The same with all servers in its working set, however thin its traffic."""
-    balancer.endpoints.working_set.meet_ms = float("inf")
+    balancer.endpoints.working_set.target_send_interval_ms = float("inf")
     balancer.endpoints.traffic.arrivals.add(0.0)
     balancer.endpoints.refresh_working_set(at_once=True)
     return balancer
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -121,7 +121,7 @@
 
     async def test() -> None:
         async with BalancerTestbed(3) as testbed:
-            testbed.node.engine.balancer.latency.typical["read"] = 20.0
+            testbed.node.engine.balancer.latency.typical_latencies["read"] = 20.0
             received = 0
 
             async def script(message: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -80,9 +80,9 @@
         sizes = dict(tables(testbed.node))
         assert len(sizes) > 40, "the walk has not reached the parts"
         for part in (
-            ".typical",
+            ".typical_latencies",
             ".ended",
-            ".oldest_due.heap",
+            ".oldest_attempt_deadlines.heap",
             ".rows",
             ".opened",
             ".rejecting_until",
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -164,18 +164,20 @@
         {"name": "norte-alto-2", "quotaPerS": 50.0},
     ]
     async with BalancerTestbed(2, customers=tenants) as testbed:
-        quota = testbed.node.engine.balancer.admission.quota
+        quota = testbed.node.engine.balancer.admission.quota_per_ms
         assert quota == {"norte": 0.5, "norte-alto": 0.005, "norte-alto-2": 0.05}
         for _ in range(40):
             text = request("pay", b"").replace(b"acme", b"norte-alto")
             assert (await testbed.submit(text)).status == 200
         admission = testbed.node.engine.balancer.admission
         now = testbed.node.clock.unix_ms()
-        assert admission.within_quota(now, "norte-alto") < 1.0 and set(admission.rates) == {"norte-alto"}
+        assert admission.within_quota(now, "norte-alto") < 1.0 and set(admission.tenant_rates) == {
+            "norte-alto"
+        }
         text = request("pay", b"").replace(b"acme", b"norte")
         assert (await testbed.submit(text)).status == 200 and admission.within_quota(now, "norte") == 1.0
         reload(testbed, customers=[])
-        assert admission.quota == {} and (await testbed.submit(request("pay", b""))).status == 200
+        assert admission.quota_per_ms == {} and (await testbed.submit(request("pay", b""))).status == 200
         assert admission.within_quota(now, "norte-alto") == 1.0
 
 
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -107,7 +107,7 @@
     customers = [{"name": "acme", "quotaPerS": 0.5}]
     async with ExtprocSite(1, settings={"customers": customers}) as site:
         admission = site.node.engine.balancer.admission
-        admission.shed, admission.refused, admission.shed_ms = 0.95, 1e4, site.node.clock.unix_ms()
+        admission.shed_share, admission.shed_work, admission.decayed_ms = 0.95, 1e4, site.node.clock.unix_ms()
         caller = site.caller()
         answers = [await site.submit(caller, "read") for _ in range(40)]
         statuses = [done.statuses[0] for done in answers]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -85,7 +85,7 @@
 def test_eq_6_to_8_on_numbers_worked_by_hand() -> None:
     """Two servers; the class is known to take 10 ms, so the first answer costs one usual latency."""
     balancer = started_balancer(2)
-    balancer.latency.typical["read"], balancer.latency.answer_counts["read"] = 10.0, 100
+    balancer.latency.typical_latencies["read"], balancer.latency.answer_counts["read"] = 10.0, 100
     send = sends(submit(balancer, 0.0, 1))[0]
     balancer.handle(10.0, attempt_ended(send, 0, "ok", 10.0))
     one, two = sorted(balancer.ready, key=lambda s: s.entry.server != send.server)
@@ -133,7 +133,7 @@
     balancer = started_balancer(2, tenants=(io.Tenant("acme", 100.0),))
     for n, name in enumerate(("acme", *(f"made-up-{n}" for n in range(50)))):
         balancer.handle(float(n), io.Request(n, "read", 400.0, name))
-    assert set(balancer.admission.rates) == {"acme", ""}
+    assert set(balancer.admission.tenant_rates) == {"acme", ""}
 
 
 def from_cold(overload_multiple: float) -> list[int]:
@@ -182,4 +182,4 @@
     assert min(patience) > 90.0
     for n in range(400):
         serve_request(balancer, 500.0 + 20.0 * n, 1000 + n, latency_ms=10.0)
-    assert balancer.latency.typical["read"] == approx(10.0, abs=0.5)  # the guess is forgotten
+    assert balancer.latency.typical_latencies["read"] == approx(10.0, abs=0.5)  # the guess is forgotten
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,7 +12,12 @@
 from bench.growth_site import ADDRESS, Day, site
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
-from quartzford.decision.workingset import LEAST, PART, SLACK, WorkingSet
+from quartzford.decision.workingset import (
+    MAX_IN_USE_MULTIPLE,
+    MIN_SERVERS_IN_USE,
+    SERVERS_PER_CELL_PART,
+    WorkingSet,
+)
 
 CELLS = 8
 LATENCY_MS = 20.0
@@ -29,7 +34,7 @@
 def filled(salt: int, servers: int) -> WorkingSet:
     working = WorkingSet(salt)
     for number in range(servers):
-        working.put(f"s{number}", number % CELLS)
+        working.add_candidate(f"s{number}", number % CELLS)
     return working
 
 
@@ -62,8 +67,8 @@
 ) -> None:
     """Also where all newcomers are of one cell, whichever place the balancer's order gives it."""
     few, many = (first_meetings(count, seed, cell_of_newcomers) for count in (200, 3_200))
-    assert LEAST <= few <= 2 * LEAST
-    assert many <= few + LEAST
+    assert MIN_SERVERS_IN_USE <= few <= 2 * MIN_SERVERS_IN_USE
+    assert many <= few + MIN_SERVERS_IN_USE
 
 
 def test_every_server_of_a_large_cell_is_used_by_its_share_of_the_balancers() -> None:
@@ -71,11 +76,11 @@
     salts, used = 600, Counter[str]()
     for salt in range(salts):
         working = filled(salt, 200)
-        working.choose(LEAST, always_usable)
+        working.update(MIN_SERVERS_IN_USE, always_usable)
         for number in range(200, 216):
-            working.put(f"s{number}", number % CELLS)
-        working.choose(LEAST, always_usable)
-        assert LEAST <= working.size <= SLACK * LEAST
+            working.add_candidate(f"s{number}", number % CELLS)
+        working.update(MIN_SERVERS_IN_USE, always_usable)
+        assert MIN_SERVERS_IN_USE <= working.size <= MAX_IN_USE_MULTIPLE * MIN_SERVERS_IN_USE
         used.update(name for names in working.used.values() for name in names)
     mean = sum(used.values()) / 216
     reach = 4 * mean**0.5
@@ -91,20 +96,22 @@
         name = f"s{rng.randrange(120)}"
         match rng.randrange(4):
             case 0 | 1:
-                working.put(name, rng.randrange(4))
+                working.add_candidate(name, rng.randrange(4))
             case 2:
-                working.drop(name)
+                working.remove_candidate(name)
             case _:
                 ejected ^= {name}
-        wanted = rng.randrange(LEAST, 60)
-        working.choose(wanted, lambda name, out=frozenset(ejected): name not in out)
+        wanted = rng.randrange(MIN_SERVERS_IN_USE, 60)
+        working.update(wanted, lambda name, out=frozenset(ejected): name not in out)
         used = {name for names in working.used.values() for name in names}
         usable = [name for name in working.cell_of if name not in ejected]
         assert len(used) == working.size and used <= working.cell_of.keys()
         assert len(used - ejected) >= min(wanted, len(usable))
-        assert len(used - ejected) <= max(SLACK * wanted, wanted + PART)
-        assert working.ranked.keys() == {cell for cell, names in working.cells.items() if len(names) > PART}
-        for cell, ranked in working.ranked.items():
+        assert len(used - ejected) <= max(MAX_IN_USE_MULTIPLE * wanted, wanted + SERVERS_PER_CELL_PART)
+        assert working.ranked_servers.keys() == {
+            cell for cell, names in working.cells.items() if len(names) > SERVERS_PER_CELL_PART
+        }
+        for cell, ranked in working.ranked_servers.items():
             assert ranked == sorted(ranked) and {name for _, name in ranked} == working.cells[cell].keys()
 
 
@@ -122,10 +129,10 @@
 
 def test_a_successor_uses_what_the_process_before_used_of_large_cells() -> None:
     before, after = filled(1, 400), filled(2, 400)
-    before.choose(LEAST, always_usable)
+    before.update(MIN_SERVERS_IN_USE, always_usable)
     names = [name for used in before.used.values() for name in used]
-    assert after.take(names) == names and after.size == len(names)
-    assert after.take(["unknown"]) == []
+    assert after.restore(names) == names and after.size == len(names)
+    assert after.restore(["unknown"]) == []
 
 
 def test_the_bounds_are_those_of_the_standing_table() -> None:
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -36,7 +36,12 @@
     """Shed to its bound, a balancer of few requests heard a good end a second, and believed it late."""
     balancer = started_balancer(4)
     admission = balancer.admission
-    admission.shed, admission.shed_ms, admission.ends, admission.refused = 0.95, 1_000.0, 20.0, 400.0
+    admission.shed_share, admission.decayed_ms, admission.completed_work, admission.shed_work = (
+        0.95,
+        1_000.0,
+        20.0,
+        400.0,
+    )
     admitted = []
     for number in range(600):
         now = 1_000.0 + 50.0 * number
@@ -70,8 +75,10 @@
     admitted = {"read": 0, "pay": 0}
     for n in range(2_000):
         name = ("read", "pay")[n % 2]
-        balancer.latency.typical["read"] = balancer.latency.typical["pay"] = 20.0 + 0.1 * n
-        balancer.admission.shed, balancer.admission.shed_ms = 0.75, float(n)
+        balancer.latency.typical_latencies["read"] = balancer.latency.typical_latencies["pay"] = (
+            20.0 + 0.1 * n
+        )
+        balancer.admission.shed_share, balancer.admission.decayed_ms = 0.75, float(n)
         admitted[name] += not final_answers(submit(balancer, float(n), n, name))
     assert admitted["read"] == 0 and 350 < admitted["pay"] < 650
 
@@ -167,4 +174,4 @@
 def test_what_is_shed_at_a_start_grows_with_what_can_be_known(
     until_ms: float, late_until_ms: float, learnt: bool, least: float, most: float
 ) -> None:
-    assert least <= shed_after(0.0, until_ms, late_until_ms, learnt).shed <= most
+    assert least <= shed_after(0.0, until_ms, late_until_ms, learnt).shed_share <= most
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -139,7 +139,7 @@
         out[send.server].append(send)
     silent, other = ("s0", "s1") if len(out["s0"]) >= len(out["s1"]) else ("s1", "s0")
     balancer.handle(now + 1.0, attempt_ended(out[silent][0], 0, "ok", 1.0))
-    later = now + 3.0 * balancer.latency.typical["read"]  # what is out is due after four
+    later = now + 3.0 * balancer.latency.typical_latencies["read"]  # what is out is due after four
     for send in out[other]:
         balancer.handle(later - 1.0, attempt_ended(send, 0, "ok", 40.0))
     assert {s.server for n in range(2_000, 2_040) for s in sends(submit(balancer, later, n))} == {other}
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -128,7 +128,7 @@
     for name, values in after.items():
         assert values == pytest.approx(before[name], abs=1e-9), name
     assert (
-        new.latency.typical == old.latency.typical
+        new.latency.typical_latencies == old.latency.typical_latencies
         and new.retry_budget + old.retry_budget == pytest.approx(budget)
     )
     # One budget for the cold server: the old process has none of it left, the new one what was left.
@@ -188,8 +188,8 @@
         (lambda: _table(format=99), "format 99"),
         (lambda: {"format": None}, "format None"),
         (lambda: _table(memory=None), "memory"),
-        (lambda: _memory(shed=float("nan")), "shed"),
-        (lambda: _memory(good=1e6), "good"),
+        (lambda: _memory(shed=float("nan")), "shed_share"),
+        (lambda: _memory(good=1e6), "in_time_work"),
         (lambda: _memory(retry_budget=1e300), "retry_budget"),
         (lambda: _memory(usual={"read": float("inf")}), "inf"),
         (lambda: _memory(peaks=[[1.0, -5.0]]), "-5.0"),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -246,7 +246,7 @@
     got = 0
     for seed in range(200):
         balancer = Balancer(settings(balancers=200), seed)
-        balancer.latency.typical["read"], balancer.latency.answer_counts["read"] = 1.0, 100
+        balancer.latency.typical_latencies["read"], balancer.latency.answer_counts["read"] = 1.0, 100
         balancer.handle(0.0, list_update(range(8)))
         for n in range(60):
             now = n * 100.0
--- a/tests/test_sameness.py
+++ b/tests/test_sameness.py
@@ -38,8 +38,8 @@
     Shares,
 )
 from quartzford.decision.logic import Balancer
-from quartzford.decision.outlier_ejection import EJECT_ABOVE
-from quartzford.decision.responsiveness import UNRESPONSIVE_IN_FLIGHT
+from quartzford.decision.outlier_ejection import EJECT_ABOVE_FAILURE_RATE
+from quartzford.decision.responsiveness import UNRESPONSIVE_MIN_IN_FLIGHT
 from quartzford.decision.server import Server
 
 PLANS = {
@@ -85,9 +85,11 @@
 
     def doubtful(server: Server) -> bool:
         oldest = next(iter(server.in_flight.values()), None)
-        unresponsive = server.unresponsive_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_IN_FLIGHT
+        unresponsive = (
+            server.unresponsive_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_MIN_IN_FLIGHT
+        )
         out = now < max(server.ejected_until, server.rejecting_until.get(kind.name, 0.0))
-        trial = server.failure_rate > EJECT_ABOVE and oldest is not None
+        trial = server.failure_rate > EJECT_ABOVE_FAILURE_RATE and oldest is not None
         return out or trial or unresponsive or (oldest is not None and oldest.overdue_from_ms < now)
 
     cold = [
@@ -376,7 +378,7 @@
         and not endpoints.responsiveness.overdue
         and not endpoints.slow_start.cold
     )
-    assert len(endpoints.responsiveness.oldest_due) <= 1
+    assert len(endpoints.responsiveness.oldest_attempt_deadlines) <= 1
 
 
 @pytest.mark.parametrize("said", [1e308, float("inf"), float("nan")])
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -185,7 +185,7 @@
 
         for up in testbed.upstreams:
             up.script = hang
-        testbed.node.engine.balancer.latency.typical["read"] = 20.0
+        testbed.node.engine.balancer.latency.typical_latencies["read"] = 20.0
         assert (await testbed.submit(request())).status == 200
         assert testbed.outcomes() == ["timeout", "ok"] and len(open_at) == 1
 
@@ -228,7 +228,7 @@
                 writer.write(b"d")
 
         testbed.upstreams[0].script = dribble
-        testbed.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
+        testbed.node.engine.balancer.latency.typical_latencies["read"] = 20.0  # patience ends after 80 ms
         assert (await testbed.submit(request())).body == b"dddddd"
         assert testbed.outcomes() == ["ok"] and len(testbed.upstreams[0].received) == 1
 
@@ -237,7 +237,7 @@
 async def test_an_answer_that_begins_and_stops_is_given_up() -> None:
     async with BalancerTestbed() as testbed:
         testbed.upstreams[0].script = responds_with(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nd")
-        testbed.node.engine.balancer.latency.typical["read"] = 20.0
+        testbed.node.engine.balancer.latency.typical_latencies["read"] = 20.0
         await testbed.submit(request())
         first = next(e for e in testbed.events if isinstance(e, io.AttemptEnded))
         assert first.code == "timeout" and first.spent_ms < 2000.0
@@ -258,7 +258,7 @@
 
         for up in testbed.upstreams:
             up.script = answers
-        testbed.node.engine.balancer.latency.typical["read"] = 20.0  # patience ends after 80 ms
+        testbed.node.engine.balancer.latency.typical_latencies["read"] = 20.0  # patience ends after 80 ms
         assert (await testbed.submit(request())).body == b"in time"
         assert testbed.outcomes() == ["ok"] and sum(len(up.received) for up in testbed.upstreams) == 1
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -17,7 +17,7 @@
 
 from quartzford.control import ControlSide, InheritedStarts, assemble
 from quartzford.decision import interface as io
-from quartzford.decision.memory import rebase
+from quartzford.decision.memory import shift_times
 from quartzford.engine import LoopClock
 from quartzford.fronts.extproc.token import InvalidToken, Tokens
 from quartzford.membership import start_times
@@ -251,10 +251,10 @@
         arrivals=rate,
         peaks=((1_700.0, 30.0),),
         tenants={"acme": rate},
-        shed_ms=1_800.0,
+        decayed_ms=1_800.0,
         offers=((1.0, "read"),),
     )
-    moved = rebase(memory, HOUR_MS)
+    moved = shift_times(memory, HOUR_MS)
     first, second = moved.servers
     assert (first.ejected_until, first.tokens_ms, first.slow_start_from_ms) == tuple(
         at + HOUR_MS for at in (2_500.0, 1_900.0, 1_500.0)
@@ -263,8 +263,8 @@
     assert moved.maintenance_ended == {"s2": 1_200.0 + HOUR_MS}
     assert moved.peaks == ((1_700.0 + HOUR_MS, 30.0),)
     assert moved.tenants["acme"] == io.LearnedRate(1_000.0 + HOUR_MS, 2_000.0 + HOUR_MS, 3.0)
-    assert moved.arrivals == moved.tenants["acme"] and moved.shed_ms == 1_800.0 + HOUR_MS
-    assert rebase(moved, -HOUR_MS) == memory and moved.answers == memory.answers
+    assert moved.arrivals == moved.tenants["acme"] and moved.decayed_ms == 1_800.0 + HOUR_MS
+    assert shift_times(moved, -HOUR_MS) == memory and moved.answers == memory.answers
 
 
 @SKEWS
@@ -281,7 +281,7 @@
     inherited = InheritedStarts(
         before.side.list_known_ms() + by_ms, {name: at + by_ms for name, at in starts.items()}
     )
-    after.side.begin(lines(2, *listing, complete=True), 2, rebase(memory, by_ms), inherited)
+    after.side.begin(lines(2, *listing, complete=True), 2, shift_times(memory, by_ms), inherited)
     assert after.age_ms("s4") == pytest.approx(before.age_ms("s4"), abs=1.0)
     assert after.balancer.servers["s4"].tokens == before.balancer.servers["s4"].tokens
     after.hears(lines(3, row(5, born)))
--- a/tests/test_workingset.py
+++ b/tests/test_workingset.py
@@ -10,7 +10,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.decision.logic import Balancer
-from quartzford.decision.workingset import LEAST, SLACK, WorkingSet
+from quartzford.decision.workingset import MAX_IN_USE_MULTIPLE, MIN_SERVERS_IN_USE, WorkingSet
 
 
 def able(_: str) -> bool:
@@ -21,7 +21,7 @@
     working = WorkingSet(salt)
     for cell in range(cells):
         for n in range(each):
-            working.put(f"c{cell}n{n}", cell)
+            working.add_candidate(f"c{cell}n{n}", cell)
     return working
 
 
@@ -33,8 +33,8 @@
     ("per_s", "servers", "least", "most"),
     [
         (0.0, 4, 4, 4),
-        (0.0, 200, LEAST, 20),
-        (10.0, 200, LEAST, 20),
+        (0.0, 200, MIN_SERVERS_IN_USE, 20),
+        (10.0, 200, MIN_SERVERS_IN_USE, 20),
         (40.0, 200, 60, 64),
         (400.0, 200, 200, 200),
     ],
@@ -43,7 +43,7 @@
     per_s: float, servers: int, least: int, most: int
 ) -> None:
     working = filled(1, servers // 4)
-    working.choose(working.wanted(per_s / 1000.0), able)
+    working.update(working.target_count(per_s / 1000.0), able)
     assert least <= 4 * len(working.used) <= most
 
 
@@ -51,7 +51,7 @@
     used: Counter[int] = Counter()
     for salt in range(400):
         working = filled(salt, 40)
-        working.choose(LEAST, able)
+        working.update(MIN_SERVERS_IN_USE, able)
         used.update(working.used.keys())
     # Drawn by each alone: forty each, and four deviations of a binomial draw from it at the most.
     assert len(used) == 40 and min(used.values()) > 16 and max(used.values()) < 64
@@ -62,40 +62,40 @@
     new = 0
     for salt in range(200):
         working = filled(salt, 40)
-        working.choose(LEAST, able)
+        working.update(MIN_SERVERS_IN_USE, able)
         before = set(working.used)
         for cell in range(40, 60):
             for n in range(4):
-                working.put(f"c{cell}n{n}", cell)
-        taken, left = working.choose(LEAST, able)
+                working.add_candidate(f"c{cell}n{n}", cell)
+        taken, left = working.update(MIN_SERVERS_IN_USE, able)
         cells_taken, cells_left = cells_of(working, taken), cells_of(working, left)
         assert cells_taken == working.used.keys() - before and cells_left == before - working.used.keys()
         assert len(taken) == 4 * len(cells_taken) and len(left) == 4 * len(cells_left)
         assert all(cell >= 40 for cell in cells_taken) and len(left) <= len(taken)
-        assert 4 * len(working.used) <= SLACK * LEAST
+        assert 4 * len(working.used) <= MAX_IN_USE_MULTIPLE * MIN_SERVERS_IN_USE
         new += sum(cell >= 40 for cell in working.used)
-    assert 0.25 < new / (200 * LEAST / 4) < 0.42
+    assert 0.25 < new / (200 * MIN_SERVERS_IN_USE / 4) < 0.42
 
 
 def test_what_fails_stays_beside_what_takes_its_part_and_a_flap_moves_nothing() -> None:
     working = filled(3, 40)
-    working.choose(LEAST, able)
+    working.update(MIN_SERVERS_IN_USE, able)
     before = set(working.used)
     bad = min(before)
-    taken, left = working.choose(LEAST, lambda name: not name.startswith(f"c{bad}n"))
+    taken, left = working.update(MIN_SERVERS_IN_USE, lambda name: not name.startswith(f"c{bad}n"))
     assert len(cells_of(working, taken)) == 1 and len(taken) == 4
     assert not left and bad in working.used
     for _ in range(20):  # well and bad again
-        assert working.choose(LEAST, able) == ([], [])
-        assert working.choose(LEAST, lambda name: not name.startswith(f"c{bad}n")) == ([], [])
+        assert working.update(MIN_SERVERS_IN_USE, able) == ([], [])
+        assert working.update(MIN_SERVERS_IN_USE, lambda name: not name.startswith(f"c{bad}n")) == ([], [])
 
 
 def test_where_nothing_is_able_all_are_used_and_left_again() -> None:
     working = filled(5, 40)
-    working.choose(LEAST, lambda name: False)
+    working.update(MIN_SERVERS_IN_USE, lambda name: False)
     assert len(working.used) == 40
-    working.choose(LEAST, able)
-    assert LEAST <= 4 * len(working.used) <= SLACK * LEAST
+    working.update(MIN_SERVERS_IN_USE, able)
+    assert MIN_SERVERS_IN_USE <= 4 * len(working.used) <= MAX_IN_USE_MULTIPLE * MIN_SERVERS_IN_USE
 
 
 @pytest.mark.parametrize("seed", range(4))
