--- a/tests/canonical.py
+++ b/tests/canonical.py
@@ -1,9 +1,10 @@
-"""A canonical text for what the program computes, so that two versions of it can be compared to the bit.
+"""Canonical text encoding of the program's values, which allows bit-exact comparison of two versions.
 
-Values are written in the order in which their type declares its fields, without the names of types or fields:
-a field or a class may be renamed, and the text stays. What a rename does change stands here, in one place:
-`ACTION_TAGS` has a fixed word for each kind of action, and `FROZEN_WORDS` the fixed word for each of the
-program's own terms that is itself a value (an outcome's code, say) and has been renamed since.
+The encoding contains the values of a record in the order in which its type declares the fields. It omits the
+names of types and fields, so that renaming a field or a class leaves the text unchanged. Two tables hold the
+words that would otherwise change with a rename: `ACTION_TAGS` has a fixed word for each type of action, and
+`FROZEN_WORDS` has the fixed word for each enum value (for example, an outcome's code) that was renamed after
+the frozen files were written.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
     io.Watch: "watch",
     io.Log: "log",
 }
-FROZEN_WORDS: dict[str, str] = {}  # a value's present word: the word that the frozen files have for it
+FROZEN_WORDS: dict[str, str] = {}  # current spelling of a value -> its spelling in the frozen files
 
 
 def to_json_types(value: Any) -> Any:
-    """The value in JSON's types: records as lists of their fields' values, in the order of declaration."""
+    """Return the value in JSON types: a record becomes the list of its field values in declaration order."""
     if is_dataclass(value) and not isinstance(value, type):
         return [to_json_types(getattr(value, field.name)) for field in fields(value)]
     if isinstance(value, msgspec.Struct):
@@ -46,34 +47,37 @@
         return FROZEN_WORDS.get(value, value)
     if value is None or isinstance(value, bool | int | float):
         return value
-    raise TypeError(f"{type(value).__name__}: no canonical text for it")
+    raise TypeError(f"{type(value).__name__}: no canonical encoding for this type")
 
 
 def canonical_text(value: Any) -> str:
-    """One line. JSON has the shortest text that gives the same float again; 1 and 1.0 differ."""
+    """Return the value as one line of JSON.
+
+    JSON writes the shortest text that parses to the same float; the integer 1 and the float 1.0 differ.
+    """
     return json.dumps(to_json_types(value))
 
 
 class StreamDigest(NamedTuple):
-    """How many actions a stream brought forth, and the SHA-256 of their text."""
+    """Number of actions that a module returned for an event stream, and the SHA-256 of their text."""
 
     count: int
     sha256: str
 
 
 class ActionDigest:
-    """Digest of a stream of actions, event by event."""
+    """Accumulates the digest of a sequence of actions, one event at a time."""
 
     def __init__(self) -> None:
         self._hash = hashlib.sha256()
         self._count = 0
 
     def add(self, actions: list[io.Action]) -> None:
-        """The answer to one event."""
+        """Add the actions that the module returned for one event."""
         lines = [f"{ACTION_TAGS[type(action)]} {canonical_text(action)}\n" for action in actions]
         self._count += len(lines)
         self._hash.update("".join([*lines, "\n"]).encode())
 
     def result(self) -> StreamDigest:
-        """What was added so far."""
+        """Return the count and digest of all actions added so far."""
         return StreamDigest(self._count, self._hash.hexdigest())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests have in common: collections of garbage that do not hold the test process up."""
+"""Pytest configuration: keeps garbage collections in the test process short."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def pytest_collection_finish(session: pytest.Session) -> None:
-    """Leave what all tests share out of later collections of garbage.
+    """Exclude the objects that exist after test collection from later garbage collections.
 
-    Modules, classes and parameters of the whole suite are some hundred thousand objects. To go through them
-    holds this process, and the loops in it, up for 0.1 s each time, and for longer on a slow machine.
+    The modules, classes and parameters of the whole suite are some hundred thousand objects. Traversing them
+    blocks this process, and the event loops in it, for 0.1 s per collection, and longer on a slow machine.
     """
     gc.collect()
     gc.freeze()
--- a/tests/extproc_site.py
+++ b/tests/extproc_site.py
@@ -1,4 +1,4 @@
-"""A site for the external processor's tests: upstreams, a balancer in this process, a calling proxy."""
+"""Test site of the external processor: upstreams, a balancer in this process, and calling proxies."""
 
 from __future__ import annotations
 
@@ -22,19 +22,21 @@
 
 
 class ExtprocSite:
-    """Stand-in upstreams with a journal, one balancer with the processor on, and any number of callers."""
+    """Stand-in upstreams with a journal, a balancer with the external processor enabled, and its callers."""
 
     def __init__(self, upstreams: int = 3, workers: int = 0, settings: Any = None, **extproc: Any) -> None:
-        self.count, self.settings = upstreams, SETTINGS | (settings or {})
+        self.upstream_count, self.settings = upstreams, SETTINGS | (settings or {})
         self.extproc = ExtprocSettings(listen="127.0.0.1:0", workers=workers, **extproc)
         self.callers: list[CallerProxy] = []
-        self.number = 0
+        self.request_count = 0
 
     async def __aenter__(self) -> ExtprocSite:
-        def make(number: int, journal: Any) -> StandInUpstream:
+        def make_upstream(number: int, journal: Any) -> StandInUpstream:
             return StandInUpstream(f"s{number}", journal, block=number // 2)
 
-        self.upstreams, self.journal, self.registry = await start_upstreams(self.count, make)
+        self.upstreams, self.journal, self.registry = await start_upstreams(
+            self.upstream_count, make_upstream
+        )
         config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -58,8 +60,8 @@
         return self
 
     def ports(self) -> list[int]:
-        """Ports of the processor's workers that listen."""
-        return [line.port for line in self.front.channels if line.port]
+        """Return the ports of the processor's workers that are listening."""
+        return [channel.port for channel in self.front.channels if channel.port]
 
     async def __aexit__(self, *error: object) -> None:
         for caller in self.callers:
@@ -72,15 +74,15 @@
             await upstream.stop()
 
     def caller(self, **policy: Any) -> CallerProxy:
-        """A calling proxy with this CallerPolicy, which lasts as long as the site."""
+        """Return a new calling proxy with this CallerPolicy; the site closes it at its end."""
         caller = CallerProxy(f"127.0.0.1:{self.front.port}", CallerPolicy(**policy), random.Random(7))
         self.callers.append(caller)
         return caller
 
     def exchange(self, name: str = "read", identity: str = "") -> Exchange:
-        """The record of a new request of a class."""
-        self.number += 1
-        return Exchange(identity or f"c{self.number}", name, self.node.clock.now())
+        """Return the record of a new request of this service class."""
+        self.request_count += 1
+        return Exchange(identity or f"c{self.request_count}", name, self.node.clock.now())
 
     async def submit(
         self,
@@ -92,23 +94,26 @@
         identity: str = "",
         extra: tuple[tuple[str, str], ...] = (),
     ) -> Exchange:
-        """One client request through the caller, until its end; drop: the stage at which it leaves."""
+        """Send one client request through the caller and wait until it ends.
+
+        left_s: the client's remaining time. drop: the stage at which the client disconnects, if any.
+        """
         exchange = self.exchange(name, identity)
         key = f"k-{exchange.identity}" if name == "book" else ""
         rows = [*request_rows(exchange.identity, name, left_s, "acme", key), *extra]
         return await caller.handle(exchange, rows, left_s + 0.5, drop)
 
     def execution_count(self, identity: str) -> int:
-        """How many times upstreams executed a request."""
+        """Return how many times upstreams executed a request."""
         return sum(run.identity == identity for run in self.journal.runs)
 
     def open_requests(self) -> int:
-        """Requests that the processor holds."""
+        """Return the number of requests that the external processor keeps state of."""
         return len(self.front.service.requests)
 
 
 class RawStream:
-    """One stream of a caller that the test drives message by message."""
+    """One processing stream of a caller, which the test drives message by message."""
 
     def __init__(self, caller: CallerProxy, opens_request: bool = False) -> None:
         metadata = (("x-quartzford-role", "open"),) if opens_request else ()
@@ -116,7 +121,7 @@
         self.headers = Headers([])
 
     async def submit(self, rows: list[tuple[str, str]], raw: bool = True) -> Any:
-        """Request a decision; the reply, whose mutation is applied to the headers."""
+        """Request a decision, apply the reply's mutation to `headers`, and return the reply."""
         self.headers = Headers(list(rows))
         message = proto.ProcessingRequest(request_headers=self.headers.message(raw, True))
         reply = await self.exchange(message)
@@ -124,12 +129,12 @@
         return reply
 
     async def exchange(self, message: Any) -> Any:
-        """Send a message; the reply."""
+        """Send a message and return the reply."""
         await self.call.write(message)
         return await asyncio.wait_for(self.call.read(), 20)
 
     async def report(self, status: int, *rows: tuple[str, str], details: str = "via_upstream") -> Any:
-        """Report an attempt's response; the reply, whose mutation is applied to `answer`."""
+        """Report an attempt's response, apply the reply's mutation to `answer`, and return the reply."""
         answer = Headers([(":status", str(status)), *rows])
         message = proto.ProcessingRequest(response_headers=answer.message(True, True))
         fields = message.attributes["envoy.filters.http.ext_proc"].fields
@@ -140,11 +145,11 @@
         return reply
 
     def address(self) -> str:
-        """The upstream's address that was decided on."""
+        """Return the address of the upstream that was chosen."""
         return self.headers.get("x-quartzford-destination")
 
     def token(self) -> tuple[str, str]:
-        """The header that binds a later stream to this one's request."""
+        """Return the header that associates a later stream with this stream's request."""
         return ("x-quartzford-token", self.headers.get("x-quartzford-token"))
 
     def drop(self) -> None:
@@ -153,12 +158,12 @@
 
 
 def immediate_status(reply: Any) -> int:
-    """The status of an ImmediateResponse; 0 if the reply is none."""
+    """Return the status of an ImmediateResponse; 0 if the reply is of another type."""
     code: int = reply.immediate_response.status.code
     return code
 
 
 def request_headers(identity: str, name: str = "pay", *extra: tuple[str, str], left_s: float = 2.5) -> Any:
-    """The headers of a client's request of a class, with further ones."""
+    """Return the headers of a client's request of this service class, followed by `extra`."""
     key = f"k-{identity}" if name == "book" else ""
     return [*request_rows(identity, name, left_s, "acme", key), *extra]
--- a/tests/freeze_behaviour.py
+++ b/tests/freeze_behaviour.py
@@ -1,17 +1,17 @@
-"""Write down how the program behaves now, for the tests that show that it stays so.
+"""Record the program's current behaviour as reference files for the regression tests.
 
     python -m tests.freeze_behaviour
 
-from the repository's root, with the code that is to be frozen committed. It writes under tests/data/:
+Run it from the repository's root after committing the code to be frozen. It writes under tests/data/:
 
-    actions.sha256    actions of the decision module             compared by test_sameness.py
-    transcript.txt    bytes on the sockets of a scripted site    compared by test_frozen_transcript.py
-    relay.txt         bytes of a relay, and to relays            compared by test_frozen_relay.py
-    stored/           files, messages and settings               compared by test_frozen_data.py
-    FROZEN_COMMIT     the commit whose code wrote all these      run by test_frozen_replacement.py
+    actions.sha256    digests of the decision module's actions          compared by test_sameness.py
+    transcript.txt    bytes on the sockets of a scripted site           compared by test_frozen_transcript.py
+    relay.txt         bytes of a relay, and of a balancer to a relay    compared by test_frozen_relay.py
+    stored/           files, messages and settings                      compared by test_frozen_data.py
+    FROZEN_COMMIT     hash of the commit whose code wrote these files   run by test_frozen_replacement.py
 
-Commit these files by themselves, right behind that commit. They are not written anew for a change that is to
-keep behaviour; a commit that changes behaviour writes them anew and says what differs.
+Commit these files in a commit of their own, directly after the frozen commit. Do not regenerate them for a
+change that must preserve behaviour. A commit that changes behaviour regenerates them and says what differs.
 """
 
 from __future__ import annotations
@@ -24,40 +24,43 @@
 TESTS = Path(__file__).resolve().parent
 ROOT = TESTS.parent
 DATA = TESTS / "data"
-PRODUCT = ("quartzford", "deploy")  # what the frozen commit is needed for
-FREEZERS = ("test_sameness", "test_frozen_data", "test_frozen_transcript", "test_frozen_relay")
+PRODUCT_PATHS = ("quartzford", "deploy")  # paths whose last change defines the frozen commit
+FREEZING_MODULES = ("test_sameness", "test_frozen_data", "test_frozen_transcript", "test_frozen_relay")
 
 
 def git(*arguments: str) -> str:
-    """Standard output of a git command in this repository; CalledProcessError where it fails."""
+    """Return the standard output of a git command in this repository.
+
+    Raises CalledProcessError if the command fails.
+    """
     done = subprocess.run(["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True)
     return done.stdout.strip()
 
 
 def frozen_commit() -> str:
-    """The last commit that changed the product, or HEAD where that is a merge.
+    """Return the last commit that changed the product, or HEAD if a merge brought later changes.
 
-    SystemExit where changes of it are not committed.
+    Raises SystemExit if the product has uncommitted changes.
     """
-    if git("status", "--porcelain", "--", *PRODUCT):
-        raise SystemExit(f"{', '.join(PRODUCT)}: commit or undo the changes first")
-    changed_last = git("log", "-1", "--format=%H", "--", *PRODUCT)
-    changed_since = git("diff", "--name-only", changed_last, "HEAD", "--", *PRODUCT)
+    if git("status", "--porcelain", "--", *PRODUCT_PATHS):
+        raise SystemExit(f"{', '.join(PRODUCT_PATHS)}: uncommitted changes; commit or revert them first")
+    changed_last = git("log", "-1", "--format=%H", "--", *PRODUCT_PATHS)
+    changed_since = git("diff", "--name-only", changed_last, "HEAD", "--", *PRODUCT_PATHS)
     return git("rev-parse", "HEAD") if changed_since else changed_last
 
 
 def main() -> None:
-    """Write all files; those that went before are replaced."""
+    """Write all files, replacing those of an earlier run."""
     files = {"FROZEN_COMMIT": f"{frozen_commit()}\n".encode()}
-    sys.path[:0] = [str(TESTS), str(ROOT)]  # as pytest has them
-    for name in FREEZERS:
-        files |= importlib.import_module(name).freeze()  # each has one: names and bytes of its files
+    sys.path[:0] = [str(TESTS), str(ROOT)]  # the import paths that pytest sets up
+    for name in FREEZING_MODULES:
+        files |= importlib.import_module(name).freeze()  # returns names and bytes of the module's files
     for name, data in files.items():
         path = DATA / name
         path.parent.mkdir(parents=True, exist_ok=True)
         changed = not path.exists() or path.read_bytes() != data
         path.write_bytes(data)
-        print(f"{'written' if changed else 'as before'}: {path.relative_to(ROOT)}")
+        print(f"{'written' if changed else 'unchanged'}: {path.relative_to(ROOT)}")
 
 
 if __name__ == "__main__":
--- a/tests/frozen_actions.py
+++ b/tests/frozen_actions.py
@@ -1,6 +1,6 @@
-"""The frozen digests of the actions that the decision module answers to the streams of events.
+"""Frozen digests of the actions that the decision module returns for the generated event streams.
 
-One line for each stream and form of the figures ("lists" are Python's, "arrays" numpy's):
+The file has one line for each stream and storage form ("lists": Python lists, "arrays": numpy arrays):
     sha256 count form seed plan
 """
 
@@ -16,7 +16,7 @@
 
 
 class Stream(NamedTuple):
-    """One stream of events, played in one form of the figures."""
+    """An event stream that is played to a module with one storage form of the server columns."""
 
     plan: str
     seed: int
@@ -24,13 +24,13 @@
 
 
 def encode(digests: Iterable[tuple[Stream, StreamDigest]]) -> bytes:
-    """The file's bytes."""
+    """Return the bytes of the file."""
     lines = [f"{d.sha256} {d.count} {s.form} {s.seed} {s.plan}\n" for s, d in digests]
     return "".join(lines).encode()
 
 
 def decode(data: bytes) -> dict[Stream, StreamDigest]:
-    """The digests of a file's bytes."""
+    """Return the digests that the bytes of a file contain."""
     digests = {}
     for line in data.decode().splitlines():
         sha256, count, form, seed, plan = line.split(" ", 4)
@@ -39,5 +39,5 @@
 
 
 def load() -> dict[Stream, StreamDigest]:
-    """The frozen digests."""
+    """Return the digests of the frozen file."""
     return decode(FILE.read_bytes())
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
-"""Small tools for driving a Balancer by hand, and the classes and rules of a made-up site.
+"""Functions that drive a Balancer event by event, and the classes and rules of a sample site.
 
-Not a simulator: every event is written by the test.
+This is no simulator: each test supplies every event itself. All times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def settings(**changes: object) -> io.Settings:
-    """Settings of a small made-up site."""
+    """Return the settings of a small sample site, with these fields replaced."""
     values: dict[str, object] = {
         "zone": "north",
         "balancers": 1,
@@ -53,7 +53,7 @@
 def make_endpoint(
     number: int, state: str = "ready", started_ms: float = 0.0, units: float = 1.0
 ) -> io.Endpoint:
-    """Server s<number>; cells of two, zones in turn by cell."""
+    """Return the endpoint s<number>. Two servers form a cell, and cells alternate between the zones."""
     cell = number // 2
     return io.Endpoint(f"s{number}", ZONES[cell % 2], "std", cell, state, units, started_ms)
 
@@ -61,19 +61,19 @@
 def list_update(
     numbers: Iterable[int], kind: str = "stale", started_ms: float = 0.0
 ) -> io.EndpointListUpdate:
-    """An update of the list with these servers; kind: a ListUpdateKind."""
+    """Return an endpoint list update with these servers. kind: a ListUpdateKind."""
     return io.EndpointListUpdate(kind, tuple(make_endpoint(n, started_ms=started_ms) for n in numbers))
 
 
 def started_balancer(servers: int = 4, seed: int = 7, **changes: object) -> Balancer:
-    """A balancer whose list has this many warm servers."""
+    """Return a balancer whose endpoint list has this many servers, all past their slow start."""
     balancer = Balancer(settings(**changes), seed)
     balancer.handle(0.0, list_update(range(servers)))
     return balancer
 
 
 def use_all_servers(balancer: Balancer) -> Balancer:
-    """The same with all servers in its working set, however thin its traffic."""
+    """Put all servers into the balancer's working set, whatever its request rate, and return the balancer."""
     balancer.endpoints.working_set.target_send_interval_ms = float("inf")
     balancer.endpoints.traffic.arrivals.add(0.0)
     balancer.endpoints.refresh_working_set(at_once=True)
@@ -81,38 +81,38 @@
 
 
 def last_reported_load(server: Server) -> float:
-    """The load of its last report; 0 if it is not ready."""
+    """Return the load in the server's last report; 0 if the server is not ready."""
     return float(server.owner.shares.reported_load[server.slot]) if server.slot >= 0 else 0.0
 
 
 def sends(actions: list[io.Action]) -> list[io.Send]:
-    """The attempts among these actions."""
+    """Return the attempts among these actions."""
     return [a for a in actions if isinstance(a, io.Send)]
 
 
 def final_answers(actions: list[io.Action]) -> list[io.Action]:
-    """The final answers among these actions that are not an upstream's."""
+    """Return the final answers among these actions that the balancer gives itself (Shed, Fail)."""
     return [a for a in actions if isinstance(a, io.Shed | io.Fail)]
 
 
 def submit(
     balancer: Balancer, now: float, number: int, name: str = "read", budget_ms: float = 400.0
 ) -> Actions:
-    """What the balancer does with a new request; budget_ms: its time left."""
+    """Return the balancer's actions for a new request. budget_ms: time until the request's deadline."""
     return balancer.handle(now, io.Request(number, name, budget_ms))
 
 
 def attempt_ended(
-    send: io.Send, attempt: int, code: str, spent: float, final: bool = False
+    send: io.Send, attempt: int, code: str, spent_ms: float, final: bool = False
 ) -> io.AttemptEnded:
-    """The end of an attempt; code: an Outcome, spent: in milliseconds."""
-    return io.AttemptEnded(send.request, attempt, send.server, code, spent, final or code == "ok")
+    """Return the event that ends an attempt. code: an Outcome."""
+    return io.AttemptEnded(send.request, attempt, send.server, code, spent_ms, final or code == "ok")
 
 
 def serve_request(
     balancer: Balancer, now: float, number: int, latency_ms: float = 10.0, name: str = "read"
 ) -> str:
-    """A request that is answered after so many milliseconds; the server that it went to."""
+    """Play a request that is answered after `latency_ms`, and return the name of its server."""
     send = sends(submit(balancer, now, number, name))[0]
     balancer.handle(now + latency_ms, attempt_ended(send, 0, "ok", latency_ms))
     return send.server
--- a/tests/load_helpers.py
+++ b/tests/load_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the load generator share: servers of known delay, one worker, the command."""
+"""Helpers of the load generator's tests: servers with a known delay, a single worker, and the command."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @contextmanager
 def delay_server(spec: str) -> Iterator[tuple[Target, subprocess.Popen[bytes]]]:
-    """Run a server within the block. spec: its delay, as standins.delay reads it."""
+    """Run a server while the block runs. spec: its delay, in the syntax of standins.delay."""
     process = subprocess.Popen(
         [sys.executable, "-m", "standins.delay", spec], cwd=ROOT, stdout=subprocess.PIPE
     )
@@ -37,7 +37,7 @@
 
 
 def worker_plan(load: LoadOptions, start: float | None = None) -> WorkerPlan:
-    """Return the plan of a load's only worker. start: on the monotonic clock, in seconds; None: now."""
+    """Return the plan of a load's only worker. start: seconds on the monotonic clock; None: now."""
     requests = plan_requests(load, 0)
     return WorkerPlan(
         load.target,
@@ -50,7 +50,7 @@
 
 
 def run_load(load: LoadOptions) -> Record:
-    """Play a load with one worker in this process, and return what it measured."""
+    """Run a load with one worker in this process, and return the record of its measurements."""
 
     async def main() -> Record:
         record = Record(load.request_classes)
@@ -61,7 +61,7 @@
 
 
 def start_load_command(*arguments: str, **options: Any) -> subprocess.Popen[bytes]:
-    """Start `quartzford load` with piped output. options: of Popen."""
+    """Start `quartzford load` with piped output. options: keyword arguments of Popen."""
     return subprocess.Popen(
         [sys.executable, "-m", "quartzford", "load", *arguments],
         cwd=ROOT,
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small scripted peers on loopback sockets: an upstream, discovery, and a client. Not a load rig."""
+"""Scripted peers on loopback sockets: upstreams, a list service and clients. Not for load tests."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class Message(NamedTuple):
-    """A request or a response as it came; names of fields in lower case."""
+    """A received HTTP request or response. `fields` are its headers, with names in lower case."""
 
     line: str
     fields: dict[str, str]
@@ -70,19 +70,19 @@
 
     @property
     def status(self) -> int:
-        """The status of a response."""
+        """Status code of a response."""
         return int(self.line.split()[1])
 
 
 async def wait_until(condition: Callable[[], object], seconds: float = 8.0) -> None:
-    """Wait until a condition holds; the time is only there to end a test that fails."""
-    end = time.monotonic() + seconds
+    """Poll until a condition holds; the assertion fails after `seconds`, so that a failing test ends."""
+    deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, "the condition never came"
+        assert time.monotonic() < deadline, "the condition did not hold in time"
         await asyncio.sleep(0.005)
 
 
-LIST_ROW = {  # an upstream in an endpoint list, as the list service writes it
+LIST_ROW = {  # an upstream's row in an endpoint list, in the list service's format
     "host": "s0",
     "dial": "127.0.0.1:1",
     "site": "north",
@@ -97,21 +97,24 @@
 
 
 class LoopLag:
-    """How late this loop was at most while the block ran: a busy machine is no fault of the program."""
+    """Context manager that measures the maximum lag of the event loop while its block runs.
+
+    Tests add the lag to their time limits, because a busy machine is no fault of the program.
+    """
 
     async def __aenter__(self) -> LoopLag:
         self.max_lag_s = 0.0
-        self.task = asyncio.ensure_future(self._tick())
+        self.ticking = asyncio.ensure_future(self._tick())
         return self
 
     async def __aexit__(self, *error: object) -> None:
         self._max_lag_s = self.max_lag_s
-        self._ticked = math.inf  # nothing counts any more
-        self.task.cancel()
+        self._ticked = math.inf  # stops the measurement
+        self.ticking.cancel()
 
     @property
     def max_lag_s(self) -> float:
-        """Seconds; also of a hold-up that the loop has just come out of, with the tick still to run."""
+        """Maximum lag in seconds, including a hold-up that just ended and that no tick has measured yet."""
         return max(self._max_lag_s, time.monotonic() - self._ticked - TICK_S)
 
     @max_lag_s.setter
@@ -126,7 +129,10 @@
 
 
 async def read_message(reader: asyncio.StreamReader, head_only: bool = False) -> Message:
-    """The next message; head_only: without its body. IncompleteReadError if it is incomplete."""
+    """Read the next message. head_only: without its body.
+
+    Raises IncompleteReadError if the connection ends before the end of the message.
+    """
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     line, *rest = head.rstrip().split("\r\n")
     fields = {k.lower(): v.strip() for k, _, v in (part.partition(":") for part in rest)}
@@ -145,13 +151,13 @@
 
 
 def own_address() -> str:
-    """A loopback address that this process has for itself: no stranger calls a port there by mistake."""
+    """Return a loopback address for this process alone: no other process calls its ports by mistake."""
     number = os.getpid() % (64 * 256 * 256)
     return f"127.{64 + number // 65_536}.{number // 256 % 256}.{number % 256}"
 
 
 def reply(body: bytes = b"done", status: str = "200 OK", fields: str = "") -> bytes:
-    """A response as an upstream writes it; fields: further header lines, each with its end."""
+    """Return the bytes of an upstream's response. fields: further header lines, each with its CRLF."""
     return f"HTTP/1.1 {status}\r\n{fields}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -159,7 +165,7 @@
 
 
 def responds_with(data: bytes, close: bool = False) -> Script:
-    """A script that writes these bytes to each request."""
+    """Return a script that answers each request with these bytes."""
 
     async def script(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -170,27 +176,27 @@
 
 
 async def never_responds(message: Message, writer: asyncio.StreamWriter) -> None:
-    """Answers nothing."""
+    """Script that never answers."""
 
 
 class Peer:
-    """A server whose responses are scripted by the test; it keeps the requests that came."""
+    """A server that a script of the test answers for; it records the requests that it receives."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.received: list[Message] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.closed_connections = 0  # connections that have ended
+        self.closed_connections = 0
         self.server: asyncio.Server | None = None
         self.port = 0
 
     async def start(self, port: int = 0) -> None:
-        """Listen on the loopback interface; port 0: at one that the kernel chooses."""
+        """Listen on the loopback interface. port 0: the kernel chooses the port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Refuse connections, and reset open ones."""
+        """Stop listening, and reset open connections."""
         if self.server is not None:
             self.server.close()
         for writer in self.writers:
@@ -212,7 +218,7 @@
 
 
 class BalancerTestbed:
-    """A balancer in this process, between peers that follow their scripts."""
+    """A balancer in this process, between scripted upstreams, a scripted list service and clients."""
 
     def __init__(
         self, upstreams: int = 1, memory_mb: float = 192, sockets: int = 1024, **settings: Any
@@ -227,10 +233,10 @@
         self.events: list[io.Event] = []
         self.actions: list[io.Action] = []
         self.clients: list[asyncio.StreamWriter] = []
-        self.tasks: list[asyncio.Task[None]] = []  # of peers that a test makes itself
+        self.tasks: list[asyncio.Task[None]] = []  # tasks of peers that a test creates itself
 
     def list_row(self, number: int, health: str = "ready", born: float = 0, **changes: Any) -> dict[str, Any]:
-        """An upstream's row in the list, with these fields changed."""
+        """Return an upstream's row in the endpoint list, with these fields replaced. born: milliseconds."""
         return {
             "host": f"s{number}",
             "dial": f"127.0.0.1:{self.upstreams[number].port}",
@@ -243,7 +249,7 @@
         } | changes
 
     def endpoint_list(self, *hosts: dict[str, Any], complete: bool = True) -> dict[str, Any]:
-        """A list of these rows at the current version, or changes of it."""
+        """Return a list message at the current version; if `complete` is false, its rows are changes."""
         return {"seq": self.version, "whole": complete, "hosts": list(hosts)}
 
     async def _discover(self, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -259,21 +265,21 @@
         self.watches.append(writer)
         self.send_line(complete, writer)
 
-    served_list: dict[str, Any] | None = None  # the list that discovery has, instead of all upstreams
+    served_list: dict[str, Any] | None = None  # the list that the list service serves; None: all upstreams
 
-    admin_addr = ""  # the address of the operators' interface
+    admin_addr = ""  # address of the operators' interface; empty: none
 
     def send_line(self, line: str | dict[str, Any], writer: asyncio.StreamWriter | None = None) -> None:
-        """Send a line on a watch, by default the latest."""
+        """Send a line on a watch, by default on the latest one."""
         text = (line if isinstance(line, str) else json.dumps(line)) + "\n"
         self.send_chunk(text.encode(), writer)
 
     def send_chunk(self, data: bytes, writer: asyncio.StreamWriter | None = None) -> None:
-        """Send bytes on a watch, by default the latest, as one chunk."""
+        """Send bytes as one chunk on a watch, by default on the latest one."""
         (writer or self.watches[-1]).write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def update(self, *hosts: dict[str, Any], complete: bool = False) -> None:
-        """Send changes, or a complete list, on the latest watch."""
+        """Increment the list's version and send these changes, or a complete list, on the latest watch."""
         self.version += 1
         self.send_line(self.endpoint_list(*hosts, complete=complete))
 
@@ -284,9 +290,9 @@
         return self
 
     async def start_balancer(self, wait_for_list: bool = True, listener: socket.socket | None = None) -> None:
-        """Start the balancer, its peers being up; wait_for_list: and wait until it has a list.
+        """Start the balancer; its peers must be listening already.
 
-        listener: that of a process before it.
+        wait_for_list: wait until the balancer has received a list. listener: taken over from a predecessor.
         """
         known = self.initial_list or self.endpoint_list(
             *(self.list_row(n) for n in range(len(self.upstreams)))
@@ -305,13 +311,13 @@
         self.node._listener = listener
         handle = self.node.engine.balancer.handle
 
-        def watched(now: float, event: io.Event) -> list[io.Action]:
+        def recording_handle(now: float, event: io.Event) -> list[io.Action]:
             self.events.append(event)
             actions = handle(now, event)
             self.actions.extend(actions)
             return actions
 
-        self.node.engine.balancer.handle = watched  # type: ignore[method-assign]
+        self.node.engine.balancer.handle = recording_handle  # type: ignore[method-assign]
         await self.node.start()
         assert self.node.front.listener is not None
         self.port = self.node.front.listener.sockets[0].getsockname()[1]
@@ -327,19 +333,19 @@
             await peer.stop()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A client's connection to the balancer, which lasts as long as the testbed."""
+        """Open a client's connection to the balancer; the testbed closes it at its end."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port, limit=2**22)
         self.clients.append(writer)
         return reader, writer
 
     async def submit(self, data: bytes) -> Message:
-        """Send a request on a connection of its own; the response."""
+        """Send a request on a new connection and return the response."""
         reader, writer = await self.connect()
         writer.write(data)
         return await read_message(reader)
 
     def outcomes(self) -> list[str]:
-        """The outcomes of all attempts so far."""
+        """Return the outcomes of all attempts so far."""
         return [e.code for e in self.events if isinstance(e, io.AttemptEnded)]
 
 
@@ -351,7 +357,7 @@
     time_left: str = "2500m",
     path: str = "/api",
 ) -> bytes:
-    """A request of a class as a client writes it; time_left: as in X-Time-Left."""
+    """Return the bytes of a client's request of this service class. time_left: value of X-Time-Left."""
     method = method or ("GET" if name == "read" else "POST")
     head = f"{method} {path} HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: c1\r\nX-Service-Class: {name}\r\n"
     head += f"X-Account: acme\r\nX-Time-Left: {time_left}\r\n"
@@ -363,7 +369,7 @@
 
 
 def async_test(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
-    """A test that is a coroutine, on the loop that the balancer runs on."""
+    """Decorator that runs a coroutine test on uvloop, the event loop of the balancer, with a time limit."""
 
     def wrapped() -> None:
         uvloop.run(asyncio.wait_for(test(), 60))
--- a/tests/relay_site.py
+++ b/tests/relay_site.py
@@ -1,4 +1,4 @@
-"""Relays as processes between a list service and balancers' control sides, with proxies between them."""
+"""Test site of relays: relay processes between a list service and list clients, with fault proxies."""
 
 from __future__ import annotations
 
@@ -24,8 +24,9 @@
 from quartzford.membership.relay_call_policy import RelayCallPolicy
 from standins.listservice import Plan, Service
 
-RECEIVE_BYTES = 32 * 1024  # of a proxy's socket: who is before it is soon in the middle of what it writes
-READ_BYTES = 16 * 1024  # of a proxy
+# A small receive buffer at a proxy's socket makes its peer block early, in the middle of a long write.
+RECEIVE_BUFFER_BYTES = 32 * 1024
+MAX_READ_BYTES = 16 * 1024  # per read of a proxy
 
 
 def list_row(name: str, health: str = "ready", born: float = 0.0, port: int = 9) -> dict[str, Any]:
@@ -46,9 +47,11 @@
 
 
 class FaultProxy:
-    """A TCP proxy. blocked: bytes wait in both directions, as in a cut; response_delay_s:, of answers alone.
+    """A TCP proxy between a service and its callers that injects faults.
 
-    allowed_bytes: so many bytes of answers pass, and then none.
+    blocked: bytes wait in both directions, as in a network partition. refusing: new connections are closed.
+    response_delay_s: delay of the service's bytes only. allowed_bytes: number of bytes from the service that
+    still pass; None: no limit.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -58,8 +61,8 @@
         self.response_delay_s = 0.0
         self.allowed_bytes: int | None = None
         self.connection_count = 0
-        self.forwarded_bytes = 0  # bytes of answers that passed
-        self.withheld_bytes = 0  # answers that came from the service and do not pass
+        self.forwarded_bytes = 0  # bytes from the service that passed
+        self.withheld_bytes = 0  # bytes from the service that are held back
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.server: asyncio.Server | None = None
@@ -79,13 +82,13 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def reset_connections(self) -> None:
-        """Reset all connections."""
+        """Reset all open connections."""
         for writer in list(self.writers):
             with suppress(RuntimeError):
                 writer.transport.abort()
 
-    def _start_task(self, do: Awaitable[None]) -> asyncio.Task[None]:
-        task = asyncio.ensure_future(do)
+    def _start_task(self, work: Awaitable[None]) -> asyncio.Task[None]:
+        task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
@@ -101,18 +104,18 @@
                 return
             await self._wait_while_blocked(self.blocked)
             sock = socket.socket()
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_connect(sock, self.target)
-            answers, service = await asyncio.open_connection(sock=sock, limit=READ_BYTES)
+            answers, service = await asyncio.open_connection(sock=sock, limit=MAX_READ_BYTES)
             self.writers.add(service)
             try:
                 both = [
-                    self._start_task(self._up(reader, service)),
-                    self._start_task(self._down(answers, writer)),
+                    self._start_task(self._forward_requests(reader, service)),
+                    self._start_task(self._forward_answers(answers, writer)),
                 ]
                 await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
-                if not both[0].done():  # the service has ended: what it sent passes in full
+                if not both[0].done():  # the service closed the connection: forward all that it sent
                     both[0].cancel()
                 else:
                     both[1].cancel()
@@ -120,7 +123,7 @@
             finally:
                 self.writers.discard(service)
                 service.transport.abort()
-        except (OSError, asyncio.CancelledError):  # its end: nothing waits for this task but `stop`
+        except (OSError, asyncio.CancelledError):  # only `stop` waits for this task
             writer.transport.abort()
         finally:
             self.writers.discard(writer)
@@ -131,20 +134,20 @@
         while self.blocked:
             await asyncio.sleep(0.005)
 
-    async def _up(self, reader: asyncio.StreamReader, service: asyncio.StreamWriter) -> None:
+    async def _forward_requests(self, reader: asyncio.StreamReader, service: asyncio.StreamWriter) -> None:
         with suppress(OSError):
-            while data := await reader.read(READ_BYTES):
+            while data := await reader.read(MAX_READ_BYTES):
                 await self._wait_while_blocked(self.blocked)
                 service.write(data)
 
-    async def _down(self, answers: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward_answers(self, answers: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(64)
 
         async def read() -> None:
             data = b"-"
             while data:
                 with suppress(OSError):
-                    data = await answers.read(READ_BYTES)
+                    data = await answers.read(MAX_READ_BYTES)
                 await queue.put((time.monotonic() + self.response_delay_s, data))
 
         self._start_task(read())
@@ -154,9 +157,9 @@
                 await asyncio.sleep(max(0.0, at - time.monotonic()))
                 if not data:
                     return
-                await self._pass(data, writer)
+                await self._forward(data, writer)
 
-    async def _pass(self, data: bytes, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, data: bytes, writer: asyncio.StreamWriter) -> None:
         while data:
             while self.blocked or self.allowed_bytes == 0:
                 self.withheld_bytes = len(data)
@@ -172,7 +175,7 @@
 
 
 class RelayProcess:
-    """`quartzford relay` as a process, one proxy before the source, one before the relay."""
+    """A `quartzford relay` process with a proxy in front of its source and a proxy in front of itself."""
 
     def __init__(self, folder: Path, source_proxy: FaultProxy, proxy: FaultProxy, relays: int) -> None:
         self.folder = folder
@@ -184,7 +187,7 @@
         self.reading: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start a process; its proxy connects balancers to it."""
+        """Start a process, and forward its proxy's connections to it."""
         file = self.folder / f"relay-{self.proxy.address[1]}.toml"
         file.write_text(
             f'[relay]\nlisten = "127.0.0.1:0"\nsource = "127.0.0.1:{self.source_proxy.address[1]}"\n'
@@ -221,7 +224,7 @@
         self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """Send SIGKILL and wait until the process is gone."""
+        """Send SIGKILL, and wait until the process has ended."""
         self.send_signal(signal.SIGKILL)
         self.proxy.refusing = True
         assert self.process is not None
@@ -236,7 +239,10 @@
 
 
 class ListClient:
-    """A balancer's control side: its watch, its call policy and its rows, and what it received when."""
+    """The part of a balancer that receives the endpoint list: watch, call policy and rows.
+
+    It records each listing that it receives, with the time on the monotonic clock.
+    """
 
     def __init__(
         self,
@@ -250,7 +256,9 @@
         loop = asyncio.get_running_loop()
         self.clock = LoopClock(loop)
         self.addresses = RelayAddresses(name, [proxy.address for proxy in relays], lambda: direct.address)
-        rng = random.Random(seed)  # a name depends on the kernel's ports
+        rng = random.Random(
+            seed
+        )  # not seeded with the name: the name depends on ports that the kernel chooses
         self.calls = RelayCallPolicy(self.addresses, fleet_size, 50.0, 10.0, rng, self.clock.now)
         self.calls.better_address_delay = lambda: return_delay_s  # type: ignore[method-assign]
         self.registry = Registry()
@@ -262,7 +270,7 @@
         self.received.append((time.monotonic(), listing))
 
     def is_connected_to(self, proxy: FaultProxy) -> bool:
-        """Whether the watch stands at this proxy."""
+        """Return whether the current watch is connected through this proxy."""
         call = self.watch.call
         return self.watch.is_current() and call is not None and call.target.address == proxy.address
 
@@ -276,17 +284,17 @@
         return {row["host"]: row for row in self.registry.table()["hosts"]}
 
     def ended_watch_count(self) -> int:
-        """Watches that stood and ended, not rejected calls."""
+        """Return the number of established watches that ended; rejected calls do not count."""
         counts = self.watch.counts
         return counts["ended closed"] + counts["ended silent"] + counts["ended in order"]
 
     def received_at(self, version: int) -> float:
-        """When it received that version or a later one; infinity if not yet."""
+        """Return when the client received this version or a later one; infinity if it has not."""
         return next((at for at, listing in self.received if listing.version >= version), float("inf"))
 
 
 class RelaySite:
-    """A list service in this loop, relays, and the balancers that a test starts."""
+    """A list service in this loop, relay processes, and the list clients that a test adds."""
 
     def __init__(self, folder: Path, hosts: list[dict[str, Any]]) -> None:
         self.folder, self.hosts = folder, hosts
@@ -329,34 +337,41 @@
         return_delay_s: float = 600.0,
         direct: FaultProxy | None = None,
     ) -> ListClient:
-        """A new balancer whose first relays are these; started, and at none yet."""
+        """Start a list client that prefers these relays, in this order; it is not connected yet.
+
+        Its name is chosen so that its own order of the relays begins with `order`. fleet_size: number of
+        balancers that the call policy assumes. return_delay_s: delay before it tries a better relay.
+        """
         proxies = [relay.proxy for relay in self.relays]
-        wanted = [proxies[number].address for number in order]
+        preferred = [proxies[number].address for number in order]
         number = len(self.balancers) * 1_000_000
         while True:
             seed = len(self.balancers)
-            one = ListClient(
+            client = ListClient(
                 f"b{number}", proxies, direct or self.direct_proxy, fleet_size, return_delay_s, seed
             )
-            if list(one.addresses.order[: len(wanted)]) == wanted:
+            if list(client.addresses.order[: len(preferred)]) == preferred:
                 break
             number += 1
-        self.balancers.append(one)
-        one.watch.start()
-        return one
+        self.balancers.append(client)
+        client.watch.start()
+        return client
 
     async def wait_until_current(self, *balancers: ListClient, seconds: float = 20.0) -> None:
-        """Wait until these, or all, have a watch and the source's rows."""
-        whom = balancers or self.balancers
-        await wait_until(lambda: all(one.watch.is_current() for one in whom), seconds)
-        await wait_until(lambda: all(self.has_current_rows(one) for one in whom), seconds)
+        """Wait until these list clients, or all, have a watch and the source's current rows."""
+        clients = balancers or self.balancers
+        await wait_until(lambda: all(one.watch.is_current() for one in clients), seconds)
+        await wait_until(lambda: all(self.has_current_rows(one) for one in clients), seconds)
 
     def has_current_rows(self, balancer: ListClient) -> bool:
-        """Whether it has the source's version, and its rows exactly."""
+        """Return whether the list client has the source's version and exactly its rows."""
         return balancer.watch.version == self.service.version and balancer.rows() == self.service.rows
 
     def change_rows(self, *names: str, **changes: Any) -> tuple[float, int]:
-        """Change these rows at the source, or all where none is named: when, and to which version."""
+        """Change the rows with these names at the source, or all rows if no name is given.
+
+        Returns the time of the change and the new version.
+        """
         hosts = [
             host | changes if not names or host["host"] in names else host
             for host in self.service.rows.values()
@@ -368,17 +383,20 @@
     async def wait_until_received(
         self, version: int, balancers: list[ListClient], seconds: float = 30.0
     ) -> float:
-        """Wait until all have received a version: when the last of them had it."""
+        """Wait until all these clients have received a version; return when the last of them received it."""
         await wait_until(lambda: all(one.received_at(version) < float("inf") for one in balancers), seconds)
         return max(one.received_at(version) for one in balancers)
 
     async def wait_for_heartbeat(self, proxy: FaultProxy) -> None:
-        """Wait until something has just passed: the most time is left until silence is noticed."""
+        """Wait until a heartbeat or other bytes have just passed.
+
+        From then on, the longest possible time passes until the client detects that the service is silent.
+        """
         before = proxy.forwarded_bytes
         await wait_until(lambda: proxy.forwarded_bytes > before)
 
     def start_incarnation(self, version: int, hosts: list[dict[str, Any]]) -> None:
-        """Begin another incarnation of the source at this version."""
+        """Replace the source's state by that of a new incarnation at this version."""
         service = self.service
         service.rows = {host["host"]: host for host in hosts}
         service.version, service.removed = version, {}
@@ -386,31 +404,31 @@
         service.encoded_whole = 0, b""
 
     def send_line(self, text: bytes) -> None:
-        """Send a line on the source's watches, as it is."""
+        """Send a line, without any check, on all watches at the source."""
         for watch in self.service.watches:
             watch.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
 
 @asynccontextmanager
 async def relay_site(relays: int, hosts: list[dict[str, Any]]) -> AsyncIterator[RelaySite]:
-    """Source and relays, all with a list; ends what was started, also when the test fails."""
+    """Run a source and relays that all have a list; stop everything at the end, also if the test fails."""
     with TemporaryDirectory() as folder:
-        made = RelaySite(Path(folder), hosts)
+        started_site = RelaySite(Path(folder), hosts)
         try:
-            await made.start(relays)
-            yield made
+            await started_site.start(relays)
+            yield started_site
         finally:
-            await made.stop()
+            await started_site.stop()
 
 
 async def reset_lag(lag: LoopLag) -> None:
-    """Leave out how late this loop was at the start."""
+    """Discard the lag of this loop so far, which includes the site's start."""
     await asyncio.sleep(0.02)
     lag.max_lag_s = 0.0
 
 
 async def run_together(*parts: Callable[[], Awaitable[None]]) -> None:
-    """Run independent cases at the same time; the first that fails ends all."""
+    """Run independent cases concurrently; the first failure cancels all of them."""
     async with asyncio.TaskGroup() as tasks:
         for part in parts:
             tasks.create_task(part())  # type: ignore[arg-type]
--- a/tests/syntax_trees.py
+++ b/tests/syntax_trees.py
@@ -1,4 +1,4 @@
-"""Syntax trees of source texts, for tests of the program's structure."""
+"""Parses source texts for the tests of the program's structure."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 
 def parse_source(text: str) -> ast.Module:
-    """The syntax tree of a source text.
+    """Return the syntax tree of a source text.
 
-    No garbage is collected meanwhile. `ast.parse` keeps its depth in the interpreter's state: a finalizer
-    that parses too, as the traceback of a task's exception that nobody took does in Python 3.11, makes the
-    outer call fail with "SystemError: AST constructor recursion depth mismatch".
+    Garbage collection is disabled during the call, because `ast.parse` keeps its recursion depth in the
+    interpreter's state. If a finalizer calls the parser too, the outer call fails with "SystemError: AST
+    constructor recursion depth mismatch". Python 3.11 has such a finalizer: it parses source lines to print
+    the traceback of a task's exception that was never retrieved.
     """
     enabled = gc.isenabled()
     gc.disable()
--- a/tests/system_calls.py
+++ b/tests/system_calls.py
@@ -1,4 +1,4 @@
-"""Processes of ours whose system calls fail: a preloaded library, compiled here, and how it is told."""
+"""Runs quartzford processes whose system calls fail: compiles, configures and preloads the shim library."""
 
 from __future__ import annotations
 
@@ -20,14 +20,16 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SOURCE = Path(__file__).with_name("system_calls_shim.c")
-READY_S = 20.0
+ANSWER_TIMEOUT_S = 20.0
 
 
 @dataclass(frozen=True)
 class Faults:
-    """Which calls fail. errors: by call, as system_calls_shim.c names them; one_in: how many calls fail.
+    """Configuration of the injected faults.
 
-    first_calls: so many calls fail before that. short_transfers: "read", "write" or both.
+    errors: names of errnos by call, with the call names of system_calls_shim.c. one_in: one call in this many
+    fails. first_calls: number of initial calls that all fail, before `one_in` applies.
+    short_transfers: "read", "write" or both.
     """
 
     errors: dict[str, tuple[str, ...]] = field(default_factory=dict)
@@ -37,15 +39,18 @@
     seed: int = 1
 
     def environment(self, ports: Iterable[int] = ()) -> dict[str, str]:
-        """The variables of a process with these faults. ports: of peers whose connections' reads fail."""
-        listed = [
+        """Return the environment variables of a process with these faults.
+
+        ports: ports of the peers; reads fail only on connections to them.
+        """
+        fault_specs = [
             f"{call}:{getattr(errno, name)}:{self.one_in}"
             for call, names in self.errors.items()
             for name in names
         ]
         return {
             "LD_PRELOAD": str(library()),
-            "FAULTS": " ".join(listed),
+            "FAULTS": " ".join(fault_specs),
             "FAULT_PORT": " ".join(map(str, ports)),
             "FAULT_FIRST": str(self.first_calls),
             "FAULT_SHORT": self.short_transfers,
@@ -54,33 +59,33 @@
 
 
 @cache
-def _compiled() -> Path | None:
+def _compile_library() -> Path | None:
     compiler = shutil.which("cc")
     if compiler is None:
         return None
-    target = Path(tempfile.mkdtemp(prefix="quartzford-shim-")) / "shim.so"
+    library_path = Path(tempfile.mkdtemp(prefix="quartzford-shim-")) / "shim.so"
     options = ["-O1", "-Wall", "-Wextra", "-Werror", "-shared", "-fPIC"]
-    subprocess.run([compiler, *options, "-o", str(target), str(SOURCE), "-ldl"], check=True)
-    return target
+    subprocess.run([compiler, *options, "-o", str(library_path), str(SOURCE), "-ldl"], check=True)
+    return library_path
 
 
 def library() -> Path:
-    """The compiled library; the test is skipped, and says so, where there is no compiler."""
-    target = _compiled()
-    if target is None:
-        reason = "no C compiler: system calls that fail are not tested here"
+    """Return the path of the compiled library; skip the test with a warning if there is no C compiler."""
+    library_path = _compile_library()
+    if library_path is None:
+        reason = "no C compiler: skipping the tests of failing system calls"
         warnings.warn(reason, stacklevel=2)
         pytest.skip(reason)
-    return target
+    return library_path
 
 
 @asynccontextmanager
 async def quartzford_process(
     *arguments: str, environment: dict[str, str]
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """`python -m quartzford ARGUMENTS`, killed at the end if it still runs."""
+    """Run `python -m quartzford ARGUMENTS`; kill the process at the end if it still runs."""
     base = {name: value for name, value in os.environ.items() if name not in ("EDGE_CONFIG", "TMPDIR")}
-    one = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-B",
         "-m",
@@ -91,22 +96,22 @@
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        yield one
+        yield process
     finally:
         with suppress(ProcessLookupError):
-            one.kill()
-        await one.wait()
+            process.kill()
+        await process.wait()
 
 
 async def send_and_read(port: int, data: bytes) -> bytes:
-    """What a new connection brings for these bytes, up to its end; b"" where it breaks."""
+    """Send these bytes on a new connection and return all that it answers; b"" if the connection fails."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
         return b""
     writer.write(data)
     try:
-        return await asyncio.wait_for(reader.read(), READY_S)
+        return await asyncio.wait_for(reader.read(), ANSWER_TIMEOUT_S)
     except OSError:
         return b""
     finally:
@@ -114,5 +119,5 @@
 
 
 def status_code(answer: bytes) -> int:
-    """The status of an answer; 0 where there is none."""
+    """Return the HTTP status of an answer; 0 if there is none."""
     return int(answer.split(b" ", 2)[1]) if answer.startswith(b"HTTP/1.1 ") else 0
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,8 +1,8 @@
-"""The pages on the architecture name nothing that the code does not have, and draw its imports as they are.
+"""Checks the architecture pages against the code: the names that they use, and their diagram of imports.
 
-In docs/ARCHITECTURE.md and docs/glossary.md everything in backticks is code and has to exist: a path, a
+In docs/ARCHITECTURE.md and docs/glossary.md everything in backticks is code and must exist: a path, a
 command, a module, a class, a function, a constant, or a member of a class. Words of protocols and settings
-stand in italics.
+are in italics.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 ROOT = PACKAGE.parent
 PAGES = ("docs/ARCHITECTURE.md", "docs/glossary.md")
-ALIASES = {"io": "quartzford.decision.interface"}  # as every module imports it
+ALIASES = {"io": "quartzford.decision.interface"}  # alias that every module uses in its import
 FENCED = re.compile(r"^```.*?^```$", re.MULTILINE | re.DOTALL)
 IN_BACKTICKS = re.compile(r"`([^`\n]+)`")
 DOTTED_NAME = re.compile(r"[A-Za-z_]\w*(\.[A-Za-z_]\w*)*")
 
 
 def references(text: str) -> list[str]:
-    """What a page has in backticks, without its diagrams; each once, in order."""
+    """Return the texts that a page has in backticks outside its diagrams, each once, in order."""
     prose = FENCED.sub("", text)
-    broken = [line for line in prose.splitlines() if line.count("`") % 2]
-    assert not broken, f"backticks that are not closed on their line: {broken}"
+    unclosed = [line for line in prose.splitlines() if line.count("`") % 2]
+    assert not unclosed, f"unclosed backticks in lines: {unclosed}"
     return list(dict.fromkeys(IN_BACKTICKS.findall(prose)))
 
 
 def assigned_names(target: ast.expr) -> list[str]:
-    """The names that an assignment binds; of `self.name` the name."""
+    """Return the names that an assignment binds; for `self.name`, that is `name`."""
     if isinstance(target, ast.Tuple):
         return [name for part in target.elts for name in assigned_names(part)]
     if isinstance(target, ast.Name):
@@ -45,7 +45,7 @@
 
 
 def defined_names(statement: ast.AST) -> list[str]:
-    """The names that one statement defines."""
+    """Return the names that one statement defines."""
     if isinstance(statement, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
         return [statement.name]
     if isinstance(statement, ast.Assign):
@@ -56,7 +56,7 @@
 
 
 def members(defined: ast.ClassDef) -> set[str]:
-    """The methods, fields and instance attributes that a class defines itself."""
+    """Return the methods, fields and instance attributes that a class itself defines."""
     found = {name for statement in defined.body for name in defined_names(statement)}
     for node in ast.walk(defined):
         if isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Store):
@@ -65,7 +65,7 @@
 
 
 class Definitions(NamedTuple):
-    """Full names: of modules and what they define, and of the members of their classes."""
+    """Full names of modules and their definitions, and of the members of their classes."""
 
     names: set[str]
     members: set[str]
@@ -73,7 +73,7 @@
 
 @cache
 def definitions() -> Definitions:
-    """All that the program's package defines."""
+    """Return all definitions of the program's package."""
     found = Definitions(set(), set())
     for path in PACKAGE.rglob("*.py"):
         parts = path.relative_to(ROOT).with_suffix("").parts
@@ -87,19 +87,25 @@
 
 
 def name_fault(reference: str) -> str:
-    """Why a dotted name is not that of one definition; "" where it is. A member has its class before it."""
+    """Return why a dotted name does not identify exactly one definition; "" if it does.
+
+    The name of a member must include its class.
+    """
     head, _, rest = reference.partition(".")
-    wanted = f"{ALIASES[head]}.{rest}" if head in ALIASES else reference
+    name_suffix = f"{ALIASES[head]}.{rest}" if head in ALIASES else reference
     known = definitions()
-    candidates = known.names | known.members if "." in wanted else known.names
-    found = sorted(name for name in candidates if f".{name}".endswith(f".{wanted}"))
+    candidates = known.names | known.members if "." in name_suffix else known.names
+    found = sorted(name for name in candidates if f".{name}".endswith(f".{name_suffix}"))
     if len(found) > 1:
         return f"is ambiguous: {', '.join(found)}"
     return "" if found else "is not defined"
 
 
 def command_fault(reference: str) -> str:
-    """Why a command line does not exist: `python -m MODULE ...` or `quartzford COMMAND ...`."""
+    """Return why a command line is not valid; "" if it is.
+
+    Valid forms are `python -m MODULE ...` and `quartzford COMMAND ...`.
+    """
     words = reference.split()
     if words[:2] == ["python", "-m"]:
         path = ROOT.joinpath(*words[2].split("."))
@@ -111,7 +117,7 @@
 
 
 def fault(reference: str) -> str:
-    """Why a page may not have this in backticks; "" where it may."""
+    """Return why a page must not have this text in backticks; "" if it may."""
     if " " in reference:
         return command_fault(reference)
     if "/" in reference or Path(reference).suffix in (".py", ".md", ".toml"):
@@ -121,14 +127,14 @@
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_what_a_page_names_exists(page: str) -> None:
+def test_every_name_on_a_page_exists(page: str) -> None:
     found = references((ROOT / page).read_text())
     assert len(found) > 20
     faults = [f"`{reference}` {fault(reference)}" for reference in found if fault(reference)]
     assert not faults, f"{page}: " + "; ".join(faults)
 
 
-def test_the_files_and_commands_that_the_readme_names_exist() -> None:
+def test_files_and_commands_in_the_readme_exist() -> None:
     found = references((ROOT / "README.md").read_text())
     checked = [reference for reference in found if "/" in reference or reference.startswith("python -m ")]
     assert len(checked) > 10
@@ -167,7 +173,7 @@
         "X-Time-Left",
     ],
 )
-def test_a_name_that_is_gone_ambiguous_or_none_is_found(
+def test_missing_ambiguous_or_malformed_name_is_reported(
     reference: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(globals(), "definitions", lambda: SOME_DEFINITIONS)
@@ -191,20 +197,20 @@
         "quartzford serve",
     ],
 )
-def test_a_name_that_is_there_is_none(reference: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_existing_name_is_not_reported(reference: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(globals(), "definitions", lambda: SOME_DEFINITIONS)
     assert not fault(reference)
 
 
-def diagram() -> list[list[str]]:
-    """The layers of packages in docs/ARCHITECTURE.md, the uppermost first."""
+def diagram_layers() -> list[list[str]]:
+    """Return the layers of packages in the diagram of docs/ARCHITECTURE.md, the uppermost first."""
     block = FENCED.search((ROOT / "docs" / "ARCHITECTURE.md").read_text())
     assert block is not None
     return [line.split("|")[1].split() for line in block.group().splitlines() if "|" in line]
 
 
-def test_each_package_imports_only_from_the_layers_below_it() -> None:
-    layer_of = {unit: number for number, layer in enumerate(diagram()) for unit in layer}
+def test_packages_import_only_from_lower_layers() -> None:
+    layer_of = {unit: number for number, layer in enumerate(diagram_layers()) for unit in layer}
     units = {
         path.stem for path in PACKAGE.iterdir() if path.suffix == ".py" or (path / "__init__.py").exists()
     }
--- a/tests/test_frozen_data.py
+++ b/tests/test_frozen_data.py
@@ -1,8 +1,9 @@
-"""What one version writes and another one reads: files, messages between two processes, settings.
+"""Checks that the code still reads and writes the data that other versions exchange with it.
 
-Each kind of data has its bytes under tests/data/stored/, and in values.json what the frozen code read there.
-The code as it is has to read the same values, and to write the same bytes again. The settings' texts, under
-tests/data/settings/, are written by hand; only the values read in them are frozen.
+These are files, messages between two processes, and settings. The bytes of each data format are frozen under
+tests/data/stored/, and values.json has the values that the frozen code read from them. The current code must
+read the same values and write the same bytes. The settings files under tests/data/settings/ are written by
+hand; only the values that are read from them are frozen.
 """
 
 from __future__ import annotations
@@ -62,9 +63,10 @@
 }
 
 
-class Data(NamedTuple):
-    """One kind of data. make: bytes of sample values; read and write: the program's own, one the other's
-    reverse.
+class DataFormat(NamedTuple):
+    """A data format.
+
+    make: returns the bytes of sample values. read, write: the program's functions, inverse to each other.
     """
 
     make: Callable[[], bytes]
@@ -72,7 +74,7 @@
     write: Callable[[Any], bytes] | None = None
 
 
-# ---- the last list on a lasting disk
+# ---- the snapshot of the last endpoint list
 
 
 def make_snapshot() -> bytes:
@@ -82,8 +84,8 @@
 # ---- a trace of requests
 
 
-class StoppedClock:
-    """A clock that the test moves."""
+class ManualClock:
+    """A clock that only the test advances."""
 
     def __init__(self) -> None:
         self.time = 50.0
@@ -92,11 +94,11 @@
         return self.time
 
     def call_later(self, delay: float, callback: Callable[..., object], *arguments: Any) -> None:
-        """Nothing is looked after while so little is recorded."""
+        """Ignore the call: with so few records, no periodic check is needed."""
 
 
 class NoLog:
-    """No line is expected."""
+    """A log that fails the test if anything is logged."""
 
     def line(self, topic: str, text: str) -> None:
         raise AssertionError(f"{topic}: {text}")
@@ -106,7 +108,7 @@
 
 
 def make_trace() -> bytes:
-    clock: Any = StoppedClock()
+    clock: Any = ManualClock()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t"
         recorder = Recorder(str(path), "plain", 10**6, clock, NoLog())
@@ -130,7 +132,7 @@
     return "".join(write_trace(rows)).encode()
 
 
-# ---- between two processes
+# ---- messages between two processes
 
 
 def make_state() -> bytes:
@@ -163,21 +165,21 @@
     return "".join(f"{messages.encode_message(message).hex()}\n" for message in sent).encode()
 
 
-def read_names_out(data: bytes) -> list[str]:
+def read_maintenance_names(data: bytes) -> list[str]:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "out"
         path.write_bytes(data)
         return read_maintenance_file(str(path))
 
 
-def write_names_out(names: list[str]) -> bytes:
+def write_maintenance_names(names: list[str]) -> bytes:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "out"
         write_maintenance_file(str(path), names)
         return path.read_bytes()
 
 
-# ---- the list, tokens of the external processor, the simulator's wire
+# ---- the endpoint list, tokens of the external processor, the simulator's protocol
 
 
 def write_list(listing: Listing) -> bytes:
@@ -198,37 +200,39 @@
 
 
 def make_actions() -> bytes:
-    """What the adapter answers to the batches of test_wirehost.py, an action a line, with its time."""
+    """Return the adapter's answers to the batches of test_wirehost.py: one action and its time a line."""
     return "".join(f"{json.dumps(line)}\n" for line in play((0, 1, 2)).items()).encode()
 
 
-KINDS: dict[str, Data] = {
-    "last-list.snapshot": Data(make_snapshot, decode, encode),
-    "requests.trace": Data(make_trace, read_rows, write_rows),
-    "handed-over.msgpack": Data(make_state, wire.decode_state, write_state),
-    "messages.hex": Data(make_messages, read_messages, write_messages),
-    "names.out": Data(lambda: write_names_out(["s1", "s0"]), read_names_out, write_names_out),
-    "list.json": Data(lambda: write_list(read_listing(LIST)), read_listing, write_list),
-    "attempt.token": Data(make_token, read_token),
-    "simulator.jsonl": Data(make_actions, lambda data: len(data.splitlines())),
+FORMATS: dict[str, DataFormat] = {
+    "last-list.snapshot": DataFormat(make_snapshot, decode, encode),
+    "requests.trace": DataFormat(make_trace, read_rows, write_rows),
+    "handed-over.msgpack": DataFormat(make_state, wire.decode_state, write_state),
+    "messages.hex": DataFormat(make_messages, read_messages, write_messages),
+    "names.out": DataFormat(
+        lambda: write_maintenance_names(["s1", "s0"]), read_maintenance_names, write_maintenance_names
+    ),
+    "list.json": DataFormat(lambda: write_list(read_listing(LIST)), read_listing, write_list),
+    "attempt.token": DataFormat(make_token, read_token),
+    "simulator.jsonl": DataFormat(make_actions, lambda data: len(data.splitlines())),
 }
-READERS: dict[str, Callable[[str], Any]] = {".toml": read_operator_settings, ".json": read_config}
+SETTINGS_READERS: dict[str, Callable[[str], Any]] = {".toml": read_operator_settings, ".json": read_config}
 
 
 def settings_files() -> list[str]:
-    """Names of the settings' texts."""
+    """Return the names of the settings files."""
     return sorted(path.name for path in SETTINGS.iterdir())
 
 
 def read_settings(name: str) -> Any:
     path = SETTINGS / name
-    return READERS[path.suffix](path.read_text(encoding="utf-8"))
+    return SETTINGS_READERS[path.suffix](path.read_text(encoding="utf-8"))
 
 
 def freeze() -> dict[str, bytes]:
-    """The frozen files' names and bytes, by the code as it is."""
-    files = {name: kind.make() for name, kind in KINDS.items()}
-    values = {name: to_json_types(KINDS[name].read(data)) for name, data in files.items()}
+    """Return the names and bytes of the frozen files, as the current code produces them."""
+    files = {name: data_format.make() for name, data_format in FORMATS.items()}
+    values = {name: to_json_types(FORMATS[name].read(data)) for name, data in files.items()}
     values |= {name: to_json_types(read_settings(name)) for name in settings_files()}
     lines = ",\n".join(f"{json.dumps(name)}: {json.dumps(value)}" for name, value in values.items())
     files[VALUES.name] = f"{{\n{lines}\n}}\n".encode()
@@ -239,21 +243,21 @@
     return json.loads(VALUES.read_text())[name]
 
 
-@pytest.mark.parametrize("name", KINDS)
-def test_what_was_written_is_read_and_written_again_the_same(name: str) -> None:
-    kind, data = KINDS[name], (STORED / name).read_bytes()
-    value = kind.read(data)
+@pytest.mark.parametrize("name", FORMATS)
+def test_frozen_data_is_read_and_rewritten_unchanged(name: str) -> None:
+    data_format, data = FORMATS[name], (STORED / name).read_bytes()
+    value = data_format.read(data)
     assert to_json_types(value) == frozen_values(name)
-    if kind.write is not None:
-        assert kind.write(value) == data
-    assert kind.make() == data
+    if data_format.write is not None:
+        assert data_format.write(value) == data
+    assert data_format.make() == data
 
 
 @pytest.mark.parametrize("name", settings_files())
-def test_settings_mean_what_they_meant(name: str) -> None:
+def test_settings_files_are_read_with_the_frozen_values(name: str) -> None:
     assert to_json_types(read_settings(name)) == frozen_values(name)
 
 
-def test_each_frozen_file_is_read() -> None:
-    assert {path.name for path in STORED.iterdir()} == {*KINDS, VALUES.name}
-    assert set(json.loads(VALUES.read_text())) == {*KINDS, *settings_files()}
+def test_every_frozen_file_has_a_format_and_values() -> None:
+    assert {path.name for path in STORED.iterdir()} == {*FORMATS, VALUES.name}
+    assert set(json.loads(VALUES.read_text())) == {*FORMATS, *settings_files()}
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""Imports point one way: fronts and backends to the engine, the engine to the module; no circles."""
+"""Checks the direction of imports: fronts and backends -> engine -> decision module, without cycles."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from syntax_trees import parse_source
 
 PACKAGE = Path(__file__).resolve().parent.parent / "quartzford"
-HEAVY = {"grpc", "envoy", "google"}
+HEAVY_LIBRARIES = {"grpc", "envoy", "google"}
 
 
 def imports(path: Path) -> set[str]:
-    """The modules that a file names at its top level or anywhere else, also for type checking only."""
+    """Return the modules that a file imports anywhere, including imports for type checking only."""
     found: set[str] = set()
     for node in ast.walk(parse_source(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -26,24 +26,24 @@
     return found
 
 
-class ParsesAtItsEnd:
-    """Garbage in a circle whose finalizer parses a text, as a traceback that is written down does."""
+class ParsingFinalizer:
+    """Object in a reference cycle whose finalizer parses a text, as printing a traceback does."""
 
     def __init__(self) -> None:
-        self.circle = self
+        self.cycle = self
 
     def __del__(self) -> None:
         ast.parse("(1 + 2) * [each for each in others]")
 
 
-def test_garbage_that_parses_at_its_end_does_not_disturb_a_parse() -> None:
+def test_parse_source_with_parsing_finalizers_in_garbage_succeeds() -> None:
     text = (PACKAGE / "node.py").read_text()
     thresholds = gc.get_threshold()
     gc.set_threshold(50, 5, 5)
     try:
         for _ in range(20):
             for _ in range(20):
-                ParsesAtItsEnd()
+                ParsingFinalizer()
             assert parse_source(text).body
     finally:
         gc.set_threshold(*thresholds)
@@ -57,45 +57,49 @@
     return {name: imports(path) & set(files) - {name} for name, path in files.items()}
 
 
-def test_no_module_imports_itself_by_a_detour() -> None:
+def test_imports_have_no_cycle() -> None:
     edges = import_graph()
-    # A package's face stands for its parts: who imports the face is not in a circle with its own package.
-    edges = {name: {to for to in out if not name.startswith(to + ".")} for name, out in edges.items()}
-    done: set[str] = set()
+    # A package's __init__ imports its modules, so an import of the own package is not counted as a cycle.
+    edges = {
+        name: {to for to in imported if not name.startswith(to + ".")} for name, imported in edges.items()
+    }
+    visited: set[str] = set()
 
     def visit(name: str, path: tuple[str, ...]) -> None:
         assert name not in path, " -> ".join((*path, name))
-        if name not in done:
+        if name not in visited:
             for to in sorted(edges[name]):
                 visit(to, (*path, name))
-            done.add(name)
+            visited.add(name)
 
     for name in edges:
         visit(name, ())
-    assert "quartzford.engine.core" in done
+    assert "quartzford.engine.core" in visited
 
 
-def test_the_engine_knows_no_front_no_backend_and_no_socket() -> None:
+def test_engine_imports_no_front_backend_or_socket() -> None:
     for path in (PACKAGE / "engine").glob("*.py"):
-        named = imports(path)
-        above = {
-            n for n in named if n.startswith("quartzford.") and n.split(".")[1] not in ("engine", "decision")
+        imported = imports(path)
+        upward = {
+            n
+            for n in imported
+            if n.startswith("quartzford.") and n.split(".")[1] not in ("engine", "decision")
         }
-        assert not above, f"{path.name}: {above}"
-        assert not named & {"socket", "ssl", "httptools", "random"}, path.name
+        assert not upward, f"{path.name}: {upward}"
+        assert not imported & {"socket", "ssl", "httptools", "random"}, path.name
 
 
-def test_heavy_libraries_stay_with_the_part_that_needs_them() -> None:
+def test_heavy_libraries_are_imported_only_where_needed() -> None:
     for path in PACKAGE.rglob("*.py"):
         tops = {name.split(".")[0] for name in imports(path)}
         inside = path.is_relative_to(PACKAGE / "fronts" / "extproc")
-        assert inside or not tops & HEAVY, path.name
+        assert inside or not tops & HEAVY_LIBRARIES, path.name
         assert path.is_relative_to(PACKAGE / "load") or "hdrh" not in tops, path.name
 
 
-def test_modules_that_decide_do_no_io() -> None:
-    """Imports alone: a clock, a socket or a draw of their own would be named here."""
-    pure = (
+def test_pure_modules_import_no_io() -> None:
+    """Checks imports alone: a module with its own clock, socket or random numbers would need one of these."""
+    pure_modules = (
         "decision/logic.py",
         "decision/interface.py",
         "decision/learned_state.py",
@@ -151,22 +155,22 @@
         "fronts/extproc/remote_request.py",
         "fronts/extproc/token.py",
     )
-    for name in pure:
+    for name in pure_modules:
         tops = {n.split(".")[0] for n in imports(PACKAGE / name)}
         assert not tops & {"asyncio", "socket", "time", "os", "ssl", "uvloop", "subprocess"}, name
 
 
-def test_the_program_knows_neither_the_rig_nor_benches_and_the_platforms_run_no_extras() -> None:
-    """Stand-ins are named by the demo alone."""
+def test_program_imports_no_rig_bench_or_tests_and_loads_no_optional_modules() -> None:
+    """Only the demo imports the stand-ins."""
     for path in PACKAGE.rglob("*.py"):
         tops = {name.split(".")[0] for name in imports(path)}
         assert not tops & {"rig", "bench", "tests"}, path.name
         assert "standins" not in tops or path.name == "demo.py", path.name
-    eager = "import sys, quartzford.__main__ as m; print(*sys.modules)"
-    loaded = subprocess.run(
-        [sys.executable, "-c", eager], cwd=PACKAGE.parent, capture_output=True, check=True
+    script = "import sys, quartzford.__main__ as m; print(*sys.modules)"
+    completed = subprocess.run(
+        [sys.executable, "-c", script], cwd=PACKAGE.parent, capture_output=True, check=True
     )
-    extras = {
+    optional_modules = {
         "numpy",
         "msgspec",
         "email",
@@ -178,12 +182,12 @@
         "quartzford.replaceable_node",
         "quartzford.replacement.handover",
     }
-    names = set(loaded.stdout.decode().split())
-    assert not extras & names
+    names = set(completed.stdout.decode().split())
+    assert not optional_modules & names
     assert not any(name.startswith("quartzford.relay") for name in names)
 
 
-def test_fronts_and_backends_do_not_know_each_other() -> None:
+def test_fronts_and_backends_do_not_import_each_other() -> None:
     for side, other in (("fronts", "backends"), ("backends", "fronts")):
         for path in (PACKAGE / side).rglob("*.py"):
             assert not any(n.startswith(f"quartzford.{other}") for n in imports(path)), path.name
--- a/tests/transcript_site.py
+++ b/tests/transcript_site.py
@@ -1,7 +1,8 @@
-"""A scripted site whose every byte is written down: clients, upstreams and list services around one process.
+"""Scripted site that records every byte between one balancer process and its peers.
 
-The transcript is text. What depends on time or on the machine is masked: X-Time-Left, Retry-After, addresses.
-Upstreams bear numbers in the order in which they were first sent to, as the first of several is drawn.
+The peers are clients, upstreams and list services. The transcript is text. It masks values that depend on
+time or on the machine: X-Time-Left, Retry-After and addresses. The balancer chooses among several upstreams
+at random; therefore upstreams are numbered in the order of their first attempts.
 """
 
 from __future__ import annotations
@@ -25,15 +26,16 @@
 ROOT = Path(__file__).resolve().parent.parent
 COMMAND = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 HOST = own_address()
-REUSE_DELAY_S = 0.03  # an upstream's connection is used again once it has rested for 10 ms
-LONG_LINE = 400  # bytes; of longer ones the transcript has length and digest
+REUSE_DELAY_S = 0.03  # the balancer reuses an upstream's connection after 10 ms of idle time
+MAX_LINE_BYTES = 400  # the transcript has only length and digest of longer lines
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 MASKS = (
     (re.compile(rb"(X-Time-Left: )\d+u"), rb"\1#u"),
     (re.compile(rb"(Retry-After: )[0-9.]+"), rb"\1#"),
     (re.compile(rb"127\.\d+\.\d+\.\d+:\d+"), rb"127.#:#"),
 )
-# Attempts are given up early only after seconds: a machine that is busy for a moment changes nothing.
+# With these objectives, attempts are given up only after seconds. A machine that is busy for a moment does
+# not change the transcript.
 CLASSES = [
     {"name": "read", "sloMs": 20000.0, "deadlineMs": 20000.0, "value": 1.0, "effect": "free"},
     {
@@ -58,46 +60,46 @@
 
 
 class Transcript:
-    """The lines written so far."""
+    """The lines recorded so far."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
-        self.muted = False
+        self.paused = False
 
-    def step(self, title: str) -> None:
-        """A heading."""
+    def heading(self, title: str) -> None:
+        """Add a heading."""
         self.lines += ["", f"== {title}"]
 
-    def note(self, who: str, what: str) -> None:
-        """Something that happened, in words."""
-        self.lines.append(f"{who}: {what}")
+    def note(self, label: str, text: str) -> None:
+        """Record an event in words. label: the peer that saw it."""
+        self.lines.append(f"{label}: {text}")
 
-    def data(self, who: str, data: bytes) -> None:
-        """Bytes that came, a line of them to a line."""
-        if self.muted:
+    def record_bytes(self, label: str, data: bytes) -> None:
+        """Record bytes that a peer received, one transcript line for each line of them."""
+        if self.paused:
             return
-        self.note(who, f"{len(mask(data))} bytes")
+        self.note(label, f"{len(mask(data))} bytes")
         for line in mask(data).splitlines(keepends=True):
-            if len(line) > LONG_LINE:
+            if len(line) > MAX_LINE_BYTES:
                 digest = hashlib.sha256(line).hexdigest()
                 self.lines.append(f"    <{len(line)} bytes, sha256 {digest}>")
             else:
                 self.lines.append("    " + line.decode("latin-1").encode("unicode_escape").decode())
 
     def text(self) -> str:
-        """The whole transcript."""
+        """Return the whole transcript."""
         return "\n".join(self.lines).strip() + "\n"
 
 
 def mask(data: bytes) -> bytes:
-    """The bytes without what depends on time or on the machine."""
+    """Return the bytes with all values masked that depend on time or on the machine."""
     for pattern, replacement in MASKS:
         data = pattern.sub(replacement, data)
     return data
 
 
-class Wire(NamedTuple):
-    """A message as it came, and its body as it is without its framing."""
+class RawMessage(NamedTuple):
+    """A received HTTP message. raw: all its bytes; body: its body without the framing."""
 
     raw: bytes
     fields: dict[str, str]
@@ -105,12 +107,15 @@
 
     @property
     def head(self) -> bytes:
-        """Up to and with the empty line."""
+        """The bytes up to and including the empty line."""
         return self.raw.partition(b"\r\n\r\n")[0] + b"\r\n\r\n"
 
 
-async def read_raw_message(reader: asyncio.StreamReader, bodiless: bool = False) -> Wire:
-    """The next message, every byte of it; IncompleteReadError where it breaks off."""
+async def read_raw_message(reader: asyncio.StreamReader, bodiless: bool = False) -> RawMessage:
+    """Read the next message with all its bytes. bodiless: it is the response to a HEAD request.
+
+    Raises IncompleteReadError if the connection ends before the end of the message.
+    """
     raw = await reader.readuntil(b"\r\n\r\n")
     line, *rest = raw.decode("latin-1").rstrip().split("\r\n")
     fields = {name.lower(): value.strip() for name, _, value in (part.partition(":") for part in rest)}
@@ -130,13 +135,14 @@
     elif line.startswith("HTTP/"):
         body = await reader.read()
         raw += body
-    return Wire(raw, fields, body)
+    return RawMessage(raw, fields, body)
 
 
 class ScriptedReply(NamedTuple):
-    """What an upstream does with an attempt. reset, close: how it ends its connection, once it has written.
+    """How an upstream answers an attempt.
 
-    hold: it writes once the site releases it, or never, if its peer goes first.
+    data: the bytes that it writes. close, reset: how it ends its connection after writing. hold: it writes
+    only after the site sets `replies_released`, and not at all if the balancer closes the connection first.
     """
 
     data: bytes
@@ -148,28 +154,28 @@
 def reply(
     body: bytes = b"done", status: str = "200 OK", fields: str = "", close: bool = False, hold: bool = False
 ) -> ScriptedReply:
-    """A reply of a stated length."""
+    """Return a reply with a Content-Length."""
     head = f"HTTP/1.1 {status}\r\n{fields}Content-Length: {len(body)}\r\n\r\n"
     return ScriptedReply(head.encode() + body, close, hold=hold)
 
 
 class Upstream:
-    """One upstream; what it does with each attempt stands in its site's script."""
+    """An upstream that takes its reply to each attempt from the site's script."""
 
     def __init__(self, site: TranscriptSite, number: int) -> None:
         self.site, self.name = site, f"s{number}"
         self.label = ""
-        self.connections = 0
+        self.connection_count = 0
         self.server: asyncio.Server | None = None
         self.port = 0
 
     async def start(self) -> None:
-        """Listen on a port that the kernel gives."""
+        """Listen on a port that the kernel chooses."""
         self.server = await asyncio.start_server(self._serve, HOST, 0, limit=2**22)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def row(self, health: str = "ready") -> dict[str, Any]:
-        """Its row in the list."""
+        """Return its row in the endpoint list."""
         return {
             "host": self.name,
             "dial": f"{HOST}:{self.port}",
@@ -185,51 +191,51 @@
         connection, attempts = 0, 0
         try:
             while True:
-                wire = await read_raw_message(reader)
+                message = await read_raw_message(reader)
                 attempts += 1
                 if not connection:
-                    self.connections += 1
-                    connection = self.connections
+                    self.connection_count += 1
+                    connection = self.connection_count
                 self.label = self.label or self.site.next_label()
-                who = f"{self.label}, connection {connection}, attempt {attempts}"
-                self.site.transcript.data(who, wire.raw)
+                label = f"{self.label}, connection {connection}, attempt {attempts}"
+                self.site.transcript.record_bytes(label, message.raw)
                 if not self.site.script:
-                    self.site.transcript.note(who, "more than the script has")
+                    self.site.transcript.note(label, "more than the script has")
                     return
-                if not await self._carry_out(self.site.script.popleft(), reader, writer):
+                if not await self._answer(self.site.script.popleft(), reader, writer):
                     return
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
             if connection:
-                self.site.ended.append(f"{self.label}, connection {connection}")
+                self.site.closed_connections.append(f"{self.label}, connection {connection}")
             writer.close()
 
-    async def _carry_out(
-        self, what: ScriptedReply, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _answer(
+        self, scripted: ScriptedReply, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Whether the connection goes on."""
-        if what.hold:
-            self.site.held.set()
-            peer_goes = asyncio.ensure_future(reader.read(1))
-            released = asyncio.ensure_future(self.site.released.wait())
-            await asyncio.wait((peer_goes, released), return_when=asyncio.FIRST_COMPLETED)
-            for waiting in (peer_goes, released):
-                waiting.cancel()
-            await asyncio.wait((peer_goes, released))
-            if not self.site.released.is_set():
+        """Answer an attempt as scripted; return whether the connection stays open."""
+        if scripted.hold:
+            self.site.attempt_held.set()
+            peer_closed = asyncio.ensure_future(reader.read(1))
+            released = asyncio.ensure_future(self.site.replies_released.wait())
+            await asyncio.wait((peer_closed, released), return_when=asyncio.FIRST_COMPLETED)
+            for task in (peer_closed, released):
+                task.cancel()
+            await asyncio.wait((peer_closed, released))
+            if not self.site.replies_released.is_set():
                 return False
-        writer.write(what.data)
+        writer.write(scripted.data)
         await writer.drain()
-        if what.reset:
+        if scripted.reset:
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
-        return not what.close and not what.reset
+        return not scripted.close and not scripted.reset
 
 
 class ListService:
-    """The service of the list: whole by GET, then a watch."""
+    """A list service: answers GET with the complete list, and serves watches."""
 
     def __init__(self, transcript: Transcript, label: str) -> None:
         self.transcript, self.label = transcript, label
@@ -240,21 +246,21 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Listen on a port that the kernel gives."""
+        """Listen on a port that the kernel chooses."""
         self.server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def table(self, complete: bool, rows: list[dict[str, Any]]) -> dict[str, Any]:
-        """A line of the list."""
+    def list_message(self, complete: bool, rows: list[dict[str, Any]]) -> dict[str, Any]:
+        """Return a list message with these rows at the current version."""
         return {"seq": self.version, "whole": complete, "hosts": rows}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                wire = await read_raw_message(reader)
-                self.transcript.data(self.label, wire.raw)
-                complete = json.dumps(self.table(True, list(self.rows.values()))).encode()
-                if b"stream=1" in wire.raw:
+                message = await read_raw_message(reader)
+                self.transcript.record_bytes(self.label, message.raw)
+                complete = json.dumps(self.list_message(True, list(self.rows.values()))).encode()
+                if b"stream=1" in message.raw:
                     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                     self.watches.append(writer)
                     self.write_line(complete)
@@ -266,53 +272,58 @@
             writer.close()
 
     def write_line(self, line: bytes) -> None:
-        """A line on the newest watch."""
+        """Send a line on the newest watch."""
         self.watches[-1].write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
 
     def end_watch(self) -> None:
-        """The newest watch ends, in order."""
+        """End the newest watch with the last chunk, without closing its connection."""
         self.watches[-1].write(b"0\r\n\r\n")
 
-    def beat(self) -> None:
-        """An empty line: nothing has changed."""
+    def send_heartbeat(self) -> None:
+        """Send a heartbeat: an empty line."""
         self.write_line(b"")
 
     def stop(self) -> None:
-        """Refuse connections, and reset those that stand."""
+        """Stop listening, and reset the watches' connections."""
         if self.server is not None:
             self.server.close()
         for writer in self.watches:
             writer.transport.abort()
 
     def send(self, *rows: dict[str, Any], complete: bool = False) -> None:
-        """The list, or changes of it."""
+        """Increment the version and send a complete list, or changed rows, on the newest watch."""
         self.version += 1
         self.rows = ({} if complete else self.rows) | {row["host"]: row for row in rows}
         self.rows = {name: row for name, row in self.rows.items() if row["health"] != "gone"}
-        self.write_line(json.dumps(self.table(complete, list(rows))).encode())
+        self.write_line(json.dumps(self.list_message(complete, list(rows))).encode())
 
 
 class Client:
-    """A client's connection; what it is answered is written down."""
+    """A client's connection; the transcript records the responses that it receives."""
 
     def __init__(
         self, site: TranscriptSite, label: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.site, self.label, self.reader, self.writer = site, label, reader, writer
 
-    async def submit(self, data: bytes, bodiless: bool = False, reframed: bool = False) -> Wire:
-        """Write a request, and read its answer."""
+    async def submit(self, data: bytes, bodiless: bool = False, reframed: bool = False) -> RawMessage:
+        """Send a request, and read and record its response."""
         self.writer.write(data)
-        return await self.answer(bodiless, reframed)
+        return await self.read_response(bodiless, reframed)
 
-    async def answer(self, bodiless: bool = False, reframed: bool = False) -> Wire:
-        """Read an answer. reframed: its chunks depend on how it came; the transcript has its body whole."""
-        wire = await read_raw_message(self.reader, bodiless)
-        self.site.transcript.data(self.label, wire.head + wire.body if reframed else wire.raw)
-        return wire
+    async def read_response(self, bodiless: bool = False, reframed: bool = False) -> RawMessage:
+        """Read and record a response.
+
+        reframed: its chunk boundaries depend on timing, so the transcript has the body without its framing.
+        """
+        message = await read_raw_message(self.reader, bodiless)
+        self.site.transcript.record_bytes(
+            self.label, message.head + message.body if reframed else message.raw
+        )
+        return message
 
-    async def ended(self) -> None:
-        """Read to the end of the connection."""
+    async def read_to_end(self) -> None:
+        """Read until the balancer closes the connection, and record how it did."""
         try:
             rest = await self.reader.read()
             self.site.transcript.note(self.label, f"closed, {len(rest)} bytes more")
@@ -320,62 +331,64 @@
             self.site.transcript.note(self.label, "reset")
         self.writer.close()
 
-    async def ask_and_end(self, data: bytes, bodiless: bool = False) -> None:
-        """A request that is the last of its connection."""
+    async def submit_and_close(self, data: bytes, bodiless: bool = False) -> None:
+        """Send the last request of this connection, and read until the balancer closes the connection."""
         await self.submit(data, bodiless)
-        await self.ended()
+        await self.read_to_end()
 
-    def leave(self) -> None:
-        """Close, whatever is owed."""
+    def close(self) -> None:
+        """Close the connection, even if a response is still due."""
         self.writer.close()
 
 
 class TranscriptSite:
-    """A balancer in a process of its own, and all that it speaks with."""
+    """A balancer process and its clients, upstreams and list services."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.transcript = Transcript()
-        self.script: deque[ScriptedReply] = deque()  # for the next attempts, whichever upstream they come to
-        self.held = asyncio.Event()  # an upstream holds an attempt
-        self.released = asyncio.Event()  # it may answer
-        self.ended: list[str] = []  # upstreams' connections
+        self.script: deque[ScriptedReply] = (
+            deque()
+        )  # replies to the next attempts, at whichever upstream they arrive
+        self.attempt_held = asyncio.Event()  # an upstream has received an attempt whose reply it holds
+        self.replies_released = asyncio.Event()  # upstreams send the replies that they hold
+        self.closed_connections: list[str] = []  # labels of upstreams' connections
         self.upstreams: list[Upstream] = []
         self.services = [
             ListService(self.transcript, name) for name in ("list service", "second list service")
         ]
         self.service = self.services[0]
-        self.labels = 0
+        self.label_count = 0
         self.clients: list[Client] = []
         self.process: asyncio.subprocess.Process | None = None
 
     def next_label(self) -> str:
-        """The name of an upstream that is sent to for the first time."""
-        self.labels += 1
-        return f"upstream {self.labels}"
+        """Return the label of an upstream that receives its first attempt."""
+        self.label_count += 1
+        return f"upstream {self.label_count}"
 
-    async def upstream(self) -> Upstream:
-        """A further upstream, not in the list yet."""
+    async def add_upstream(self) -> Upstream:
+        """Start another upstream, which the endpoint list does not contain yet."""
         up = Upstream(self, len(self.upstreams))
         self.upstreams.append(up)
         await up.start()
         return up
 
     async def start(self) -> None:
-        """One upstream, both list services, and the process; return once it is ready."""
-        up = await self.upstream()
+        """Start one upstream, both list services and the balancer; return once the balancer is ready."""
+        up = await self.add_upstream()
         for service in self.services:
             await service.start()
         self.service.rows = {up.name: up.row()}
-        self.port, self.admin = reserved_port(HOST), reserved_port(HOST)
+        self.port, self.admin_port = reserved_port(HOST), reserved_port(HOST)
         self.config: dict[str, Any] = {
             "name": "n0",
             "listen": f"{HOST}:{self.port}",
             "seed": "ab12",
             "discovery": f"{HOST}:{self.service.port}",
-            "admin_addr": f"{HOST}:{self.admin}",
+            "admin_addr": f"{HOST}:{self.admin_port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self.service.table(True, [up.row()]),
+            "known": self.service.list_message(True, [up.row()]),
             "settings": SETTINGS | {"classes": CLASSES},
         }
         self.write_config(json.dumps(self.config))
@@ -389,12 +402,12 @@
             env=environment,
             stderr=asyncio.subprocess.DEVNULL,
         )
-        await self.until_operators_hear("/status", "ready")
+        await self.wait_for_admin_line("/status", "ready")
         await wait_until(lambda: self.service.watches)
         await asyncio.sleep(REUSE_DELAY_S)
 
     async def stop(self) -> None:
-        """End all that still runs."""
+        """Kill the balancer if it still runs, and stop all peers."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
@@ -408,50 +421,50 @@
         await asyncio.sleep(0)
 
     def write_config(self, text: str) -> None:
-        """The configuration that the process reads at its start and on SIGHUP."""
+        """Write the configuration that the balancer reads at its start and on SIGHUP."""
         (self.folder / "config.json").write_text(text)
 
-    def signal(self, number: int) -> None:
-        """Send a signal to the process."""
+    def send_signal(self, number: int) -> None:
+        """Send a signal to the balancer."""
         assert self.process is not None
         self.process.send_signal(number)
 
     async def connect(self, label: str = "client") -> Client:
-        """A client's connection."""
+        """Open a client's connection."""
         client = Client(self, label, *await asyncio.open_connection(HOST, self.port, limit=2**22))
         self.clients.append(client)
         return client
 
-    async def operate(self, line: str, body: str = "") -> Wire:
-        """A call at the second address."""
-        reader, writer = await asyncio.open_connection(HOST, self.admin)
+    async def call_admin(self, line: str, body: str = "") -> RawMessage:
+        """Call the operators' interface and return its response."""
+        reader, writer = await asyncio.open_connection(HOST, self.admin_port)
         try:
             writer.write(f"{line} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
             return await read_raw_message(reader)
         finally:
             writer.close()
 
-    async def until_operators_hear(self, path: str, line: str) -> None:
-        """Call the second address until its answer has such a line."""
+    async def wait_for_admin_line(self, path: str, line: str) -> None:
+        """Call the operators' interface until its response contains this line."""
         for _ in range(2000):
             with suppress(OSError, asyncio.IncompleteReadError):
-                if line in (await self.operate(f"GET {path}")).body.decode().splitlines():
+                if line in (await self.call_admin(f"GET {path}")).body.decode().splitlines():
                     return
             await asyncio.sleep(0.01)
-        raise AssertionError(f"{path} never had {line!r}")
+        raise AssertionError(f"{path} never contained the line {line!r}")
 
-    async def figure(self, name: str, value: int) -> None:
-        """Wait for a figure's value."""
-        await self.until_operators_hear("/status/metrics", f"edge.{name}={value}")
+    async def wait_for_metric(self, name: str, value: int) -> None:
+        """Wait until a metric has this value."""
+        await self.wait_for_admin_line("/status/metrics", f"edge.{name}={value}")
 
-    async def fresh(self, count: int) -> list[Upstream]:
-        """So many new upstreams are the whole list from now on; the process has taken note of it."""
-        before = len(self.service.rows)
-        upstreams = [await self.upstream() for _ in range(count)]
+    async def use_new_upstreams(self, count: int) -> list[Upstream]:
+        """Replace the endpoint list by this many new upstreams, and wait until the balancer uses it."""
+        old_count = len(self.service.rows)
+        upstreams = [await self.add_upstream() for _ in range(count)]
         rows = [up.row() for up in upstreams]
-        if count == before:  # the figure tells by the count alone that the list is in force
-            rows.append((await self.upstream()).row("draining"))
+        if count == old_count:  # wait_for_metric detects the new list only if its length differs
+            rows.append((await self.add_upstream()).row("draining"))
         self.service.send(*rows, complete=True)
-        await self.figure("upstreams_known", len(rows))
+        await self.wait_for_metric("upstreams_known", len(rows))
         await asyncio.sleep(REUSE_DELAY_S)
         return upstreams
