--- a/quartzford/decision/estimates.py
+++ b/quartzford/decision/estimates.py
@@ -1,6 +1,6 @@
-"""What the decisions reckon with: rates, peaks, and what falls due. No choice is made here.
+"""Data structures for decisions: smoothed rates, a sliding maximum and a heap of deadlines.
 
-Times are milliseconds on the caller's clock.
+Times are in milliseconds on the caller's clock. This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -13,98 +13,105 @@
 from itertools import count
 from typing import Generic, NamedTuple, TypeVar
 
-RATE_MS = 4_000.0  # span over which a rate is smoothed
-MIN_SPAN_MS = 0.25 * RATE_MS  # a rate's first events are taken for at least so long
-HEAP_SLACK = 64  # entries that hold no more and may wait on a heap, beside as many as hold
+RATE_WINDOW_MS = 4_000.0  # time constant of the exponential smoothing of a rate
+MIN_RATE_SPAN_MS = 0.25 * RATE_WINDOW_MS  # the first events of a rate are spread over at least this time
+MAX_STALE_HEAP_ENTRIES = 64  # a heap is compacted if it has this many entries more than expected
 T = TypeVar("T")
 
 
 class Rate:
-    """A smoothed rate of events."""
+    """An exponentially smoothed rate of events."""
 
     def __init__(self) -> None:
-        self.start = math.inf  # the first event
-        self.last = math.inf  # the latest event
-        self.value = 0.0  # events, fading over RATE_MS
+        self.start = math.inf  # when the first event was added
+        self.last = math.inf  # when the latest event was added
+        self.value = 0.0  # number of events, decayed with the time constant RATE_WINDOW_MS up to `last`
 
     def add(self, now: float) -> None:
-        """Count an event."""
+        """Add an event that happens now."""
         if self.start > now:
             self.start = self.last = now
-        self.value = self.value * math.exp((self.last - now) / RATE_MS) + 1.0
+        self.value = self.value * math.exp((self.last - now) / RATE_WINDOW_MS) + 1.0
         self.last = now
 
     def read(self, now: float) -> float:
-        """Events per millisecond."""
+        """Return the rate in events per millisecond."""
         if not self.value:
             return 0.0
-        seen = max(now - self.start, MIN_SPAN_MS)
-        value = self.value * math.exp((self.last - now) / RATE_MS)
-        return value / (RATE_MS * (1 - math.exp(-seen / RATE_MS)))
+        observed_ms = max(now - self.start, MIN_RATE_SPAN_MS)
+        value = self.value * math.exp((self.last - now) / RATE_WINDOW_MS)
+        return value / (RATE_WINDOW_MS * (1 - math.exp(-observed_ms / RATE_WINDOW_MS)))
 
 
 @dataclass(slots=True)
 class Traffic:
-    """What passes through this balancer: requests that arrive, and good answers that come back."""
+    """The rates of arriving requests and of successful answers at this balancer."""
 
     arrivals: Rate = field(default_factory=Rate)
     answers: Rate = field(default_factory=Rate)
 
 
 class Peak(NamedTuple):
-    """A figure, and when it was seen."""
+    """A value and the time of its observation."""
 
     at_ms: float
-    figure: float
+    value: float
 
 
-class Peaks:
-    """The largest figure of the last span of ms. pairs: what may yet be it, by time, the largest first."""
+class SlidingMaximum:
+    """The maximum of the values observed in the last window_ms milliseconds.
 
-    def __init__(self, span: float) -> None:
-        self.span = span
-        self.pairs: deque[tuple[float, float]] = deque()
+    candidates: the values that are, or may become, the maximum: oldest first, with decreasing values.
+    """
 
-    def add(self, now: float, figure: float) -> None:
-        """Take a figure that was seen now."""
-        while self.pairs and self.pairs[-1][1] <= figure:
-            self.pairs.pop()
-        self.pairs.append(Peak(now, figure))
+    def __init__(self, window_ms: float) -> None:
+        self.window_ms = window_ms
+        self.candidates: deque[tuple[float, float]] = deque()
+
+    def add(self, now: float, value: float) -> None:
+        """Add a value that is observed now."""
+        while self.candidates and self.candidates[-1][1] <= value:
+            self.candidates.pop()
+        self.candidates.append(Peak(now, value))
         self._drop_old(now)
 
     def _drop_old(self, now: float) -> None:
-        while self.pairs and now - self.pairs[0][0] > self.span:
-            self.pairs.popleft()
+        while self.candidates and now - self.candidates[0][0] > self.window_ms:
+            self.candidates.popleft()
 
     def largest(self, now: float) -> float:
-        """The largest figure of the last span; infinite where there is none."""
+        """Return the maximum of the last window; infinity if no value was observed in it."""
         self._drop_old(now)
-        return self.pairs[0][1] if self.pairs else math.inf
+        return self.candidates[0][1] if self.candidates else math.inf
+
 
+class DeadlineHeap(Generic[T]):
+    """Items with deadlines. An item whose deadline no longer applies is stale, and is dropped silently.
 
-class Deadlines(Generic[T]):
-    """What is to be looked at from some moment on, if it still holds then."""
+    is_current: returns whether an item's deadline still applies.
+    """
 
-    def __init__(self, holds: Callable[[T], bool]) -> None:
-        self.holds = holds
-        self.order = count()  # settles ties, so that items need no order
-        self.heap: list[tuple[float, int, T]] = []
+    def __init__(self, is_current: Callable[[T], bool]) -> None:
+        self.is_current = is_current
+        self.sequence = count()  # breaks ties between equal deadlines, so that items are never compared
+        self.heap: list[tuple[float, int, T]] = []  # deadline in ms, sequence number, item
 
-    def push(self, due: float, item: T, expected: int) -> None:
-        """Look at this item after `due`. expected: about as many items as may hold at a time.
+    def push(self, deadline_ms: float, item: T, expected_count: int) -> None:
+        """Add an item. expected_count: approximate maximum number of current items.
 
-        Deadlines may be far away: items that hold no more are dropped before they come.
+        Deadlines may be far in the future. So when the heap grows, stale items are removed before their
+        deadlines pass.
         """
-        heapq.heappush(self.heap, (due, next(self.order), item))
-        if len(self.heap) > HEAP_SLACK + expected:
-            self.heap[:] = [entry for entry in self.heap if self.holds(entry[2])]
+        heapq.heappush(self.heap, (deadline_ms, next(self.sequence), item))
+        if len(self.heap) > MAX_STALE_HEAP_ENTRIES + expected_count:
+            self.heap[:] = [entry for entry in self.heap if self.is_current(entry[2])]
             heapq.heapify(self.heap)
 
-    def passed(self, now: float) -> Iterator[T]:
-        """What was due before now and holds; it is taken out."""
+    def pop_passed(self, now: float) -> Iterator[T]:
+        """Remove the items whose deadlines were before now, and yield those that are current."""
         while self.heap and self.heap[0][0] < now:
             item = heapq.heappop(self.heap)[2]
-            if self.holds(item):
+            if self.is_current(item):
                 yield item
 
     def __len__(self) -> int:
--- a/quartzford/decision/latency.py
+++ b/quartzford/decision/latency.py
@@ -1,4 +1,4 @@
-"""What answers take: the typical latency of each class, and the largest of the last seconds. In ms."""
+"""Latency estimates in milliseconds: the typical latency of each class and the recent maximum of all."""
 
 from __future__ import annotations
 
@@ -6,54 +6,66 @@
 from collections.abc import Iterable
 
 from quartzford.decision import interface as io
-from quartzford.decision.estimates import Peaks
+from quartzford.decision.estimates import SlidingMaximum
 
-PEAKS_MS = 10_000.0  # span of the largest latency
-FIRST_GUESS = 0.25  # of the latency objective: typical before any answer
-ANSWER_WEIGHT = 0.05  # of an answer in the typical latency, at the least
-GUESS_ANSWERS = 5.0  # answers that the first guess stands for
-LEARNED_ANSWERS = 100  # answers that a handed-over latency stands for
+PEAK_WINDOW_MS = 10_000.0  # window of the maximum latency
+INITIAL_LATENCY_SHARE = 0.25  # share of the latency objective assumed as typical latency before any answer
+MIN_ANSWER_WEIGHT = 0.05  # minimum weight of one answer in the smoothed typical latency
+INITIAL_ESTIMATE_ANSWERS = 5.0  # the initial estimate has the weight of this many answers
+LEARNED_ANSWER_COUNT = 100  # a latency learned by the predecessor has the weight of this many answers
 MIN_LATENCY_MS = 0.1
-UNKNOWN_CLASS_MS = 1.0
+UNKNOWN_CLASS_LATENCY_MS = 1.0  # typical latency assumed for a class that is not configured
 
 
 class LatencyEstimates:
-    """Smoothed latencies of good answers, by class."""
+    """Smoothed latencies of successful answers, by class."""
 
     def __init__(self) -> None:
         self.classes: dict[str, io.ServiceClass] = {}
         self.typical_latencies: dict[str, float] = {}
-        self.answer_counts: Counter[str] = Counter()  # good answers
-        self.peaks = Peaks(PEAKS_MS)
+        self.answer_counts: Counter[str] = Counter()  # successful answers by class
+        self.peaks = SlidingMaximum(PEAK_WINDOW_MS)
 
     def configure(self, classes: Iterable[io.ServiceClass]) -> None:
-        """Take the classes from now on; what was learnt stays."""
-        self.classes = {kind.name: kind for kind in classes}
+        """Apply a new list of classes and keep the learned latencies."""
+        self.classes = {service_class.name: service_class for service_class in classes}
 
-    def typical_for(self, kind: io.ServiceClass) -> float:
-        """What good answers of a class take; before there are any, a part of its objective."""
-        return self.typical_latencies.get(kind.name, FIRST_GUESS * kind.latency_objective_ms)
+    def typical_for(self, service_class: io.ServiceClass) -> float:
+        """Return a class's typical latency in ms; before any answer, a share of its latency objective."""
+        return self.typical_latencies.get(
+            service_class.name, INITIAL_LATENCY_SHARE * service_class.latency_objective_ms
+        )
 
     def typical_for_name(self, name: str) -> float:
-        """The same by the class's name, which need not be known; at least MIN_LATENCY_MS."""
-        kind = self.classes.get(name)
-        guess = FIRST_GUESS * kind.latency_objective_ms if kind is not None else UNKNOWN_CLASS_MS
-        return max(self.typical_latencies.get(name, guess), MIN_LATENCY_MS)
+        """Return the typical latency in ms of the class with this name, which may be unknown.
 
-    def add(self, now: float, kind: io.ServiceClass, latency: float) -> None:
-        """A good answer has come.
+        The result is at least MIN_LATENCY_MS.
+        """
+        service_class = self.classes.get(name)
+        initial = (
+            INITIAL_LATENCY_SHARE * service_class.latency_objective_ms
+            if service_class is not None
+            else UNKNOWN_CLASS_LATENCY_MS
+        )
+        return max(self.typical_latencies.get(name, initial), MIN_LATENCY_MS)
+
+    def add(self, now: float, service_class: io.ServiceClass, latency: float) -> None:
+        """Add the latency of a successful answer, in ms.
 
-        Of many attempts that are out the fastest is answered first: a mean that began with it would call
-        good servers late. It begins with the first guess, GUESS_ANSWERS times over.
+        Of the first attempts in flight the fastest is answered first. If the mean started with that answer,
+        normal servers would count as late. So it starts with the initial estimate, which has the weight of
+        INITIAL_ESTIMATE_ANSWERS answers.
         """
-        typical = self.typical_for(kind)
-        self.answer_counts[kind.name] += 1
-        weight = max(ANSWER_WEIGHT, 1.0 / (GUESS_ANSWERS + self.answer_counts[kind.name]))
-        self.typical_latencies[kind.name] = typical + weight * (latency - typical)
+        typical = self.typical_for(service_class)
+        self.answer_counts[service_class.name] += 1
+        weight = max(
+            MIN_ANSWER_WEIGHT, 1.0 / (INITIAL_ESTIMATE_ANSWERS + self.answer_counts[service_class.name])
+        )
+        self.typical_latencies[service_class.name] = typical + weight * (latency - typical)
         self.peaks.add(now, latency)
 
     def restore(self, now: float, typical: dict[str, float], peaks: Iterable[tuple[float, float]]) -> None:
-        """Take what another process has learnt, as far as the classes are known here."""
+        """Restore the latencies that the predecessor learned; classes that are not configured are ignored."""
         self.typical_latencies = {name: latency for name, latency in typical.items() if name in self.classes}
-        self.answer_counts.update(dict.fromkeys(self.typical_latencies, LEARNED_ANSWERS))
-        self.peaks.pairs.extend(pair for pair in peaks if pair[0] <= now)
+        self.answer_counts.update(dict.fromkeys(self.typical_latencies, LEARNED_ANSWER_COUNT))
+        self.peaks.candidates.extend(peak for peak in peaks if peak[0] <= now)
--- a/quartzford/decision/learned_state.py
+++ b/quartzford/decision/learned_state.py
@@ -1,7 +1,7 @@
-"""What a balancer has learnt, as records for the process that follows it.
+"""Records of a balancer's learned state, which a process hands over to its successor.
 
-Times are milliseconds on the caller's clock; 0 is never, or long ago. A value out of its bounds raises
-ValueError.
+Times are in milliseconds, moments on the caller's clock; the moment 0 stands for never, or long ago. A record
+constructed with a value out of bounds raises ValueError.
 """
 
 from __future__ import annotations
@@ -13,7 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedRate:
-    """A smoothed rate. start, last: the first event, and the latest one; value: events, fading over time."""
+    """A smoothed rate (estimates.Rate).
+
+    start, last: when the first and the latest event was added.
+    value: number of events, decayed up to `last`.
+    """
 
     start: float = 0.0
     last: float = 0.0
@@ -25,16 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedEndpoint:
-    """What a balancer has seen of one incarnation of a server in use.
-
-    started_ms: names the incarnation, as the list has it.
-    p: its share of the probability P.
-    cost, latency: smoothed cost (0: none yet) and last latency, in typical latencies.
-    report: load, as last reported.
-    failure_rate: smoothed share of its attempts that failed, 0 to 1.
-    ejections: how often it was ejected in a row; ejected_until: when the latest one ends.
-    suspect: it answered late or not at all.
-    tokens, tokens_ms: its slow-start budget in requests, and when that was last refilled.
+    """What a balancer has learned about one incarnation of a server in use.
+
+    started_ms: identifies the incarnation; the value in the endpoint list.
+    p: the server's share of the probability P.
+    cost, latency: smoothed cost (0: not known yet) and last latency, both in typical latencies.
+    report: load of the server's latest load report.
+    failure_rate: smoothed share of its attempts that failed, from 0 to 1.
+    ejections: number of consecutive ejections.
+    ejected_until: when the latest ejection ends.
+    suspect: its oldest attempt is overdue, or it has stopped answering.
+    tokens, tokens_ms: slow-start budget in requests, and when it was last refilled.
     slow_start_from_ms: when its slow start began.
     """
 
@@ -61,17 +66,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """All that a balancer has learnt, at one instant.
+    """All that a balancer has learned, at one moment.
 
-    in_maintenance: servers that operators took out; maintenance_ended: when others came back, by server.
-    arrivals, answers: requests that arrive, and good answers that come back.
+    in_maintenance: servers that operators put into maintenance.
+    maintenance_ended: when other servers returned from maintenance, by server.
+    arrivals, answers: rates of arriving requests and of successful answers.
     typical_latencies: by class, in milliseconds.
-    peaks: the largest latencies of the last seconds, as (time, latency).
+    peaks: candidates for the maximum latency of the last seconds, as (moment, latency).
     retry_budget: in retries.
-    tenants: requests that arrive, by tenant.
-    ends, good, refused: work that came back, of it what came in time, and work that was shed.
-    shed, shed_ms: share of the work to be shed, and when the figures were last brought up to date.
-    marginal: weight of what is shed last, over the mean weight.
+    tenants: rate of arriving requests by tenant.
+    completed_work, in_time_work, shed_work: decayed work, in mean requests, of completed attempts, of the
+    attempts among them that completed in time, and of shed requests.
+    shed_share: share of the offered work to shed.
+    decayed_ms: when the decaying values were last updated.
+    marginal_weight: weight of the last work to be shed, divided by the mean weight.
     offers: the latest requests, as (priority weight, class).
     """
 
@@ -96,12 +104,12 @@
         require_not_negative(
             self, "completed_work", "in_time_work", "shed_work", "shed_share", "decayed_ms", "marginal_weight"
         )
-        figures = [figure for peak in self.peaks for figure in peak]
-        figures += [priority_weight for priority_weight, _ in self.offers]
-        figures += [*self.maintenance_ended.values(), *self.typical_latencies.values()]
-        for number in figures:
-            if not 0 <= number < float("inf"):
-                raise ValueError(f"{number!r} is not a figure of 0 or more")
+        values = [value for peak in self.peaks for value in peak]
+        values += [priority_weight for priority_weight, _ in self.offers]
+        values += [*self.maintenance_ended.values(), *self.typical_latencies.values()]
+        for value in values:
+            if not 0 <= value < float("inf"):
+                raise ValueError(f"{value!r} is not a finite number of 0 or more")
         if (
             not -1e6 < self.retry_budget <= 1e6
             or self.shed_share > 1
--- a/quartzford/decision/list_polling.py
+++ b/quartzford/decision/list_polling.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is to be polled: once at the start, and after failures with a growing backoff."""
+"""Schedules polls of the endpoint list: one at the start, and after failures with exponential backoff."""
 
 from __future__ import annotations
 
@@ -6,33 +6,34 @@
 
 from quartzford.decision import interface as io
 
-FIRST_CALL_SPREAD = 0.3  # of the poll interval: all of a fleet may start at once
-BACKOFF_MS = 500.0  # doubles with each failure ...
+# The first call waits up to this share of the poll interval: all balancers of a fleet may start at once.
+MAX_FIRST_WAIT_SHARE = 0.3
+BASE_BACKOFF_MS = 500.0  # doubled with each consecutive failure, the first included
 MAX_BACKOFF_DOUBLINGS = 6
-MAX_BACKOFF_SHARE = 0.5  # ... up to this part of the poll interval
-BACKOFF_JITTER = (0.5, 1.0)
+MAX_BACKOFF_SHARE = 0.5  # the backoff is at most this share of the poll interval
+BACKOFF_JITTER = (0.5, 1.0)  # range of the random factor
 
 
 class ListPolling:
-    """The calls for the list that this module decides on, and how they fared."""
+    """Decides when to poll the list service, by the results of earlier calls."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.started = False
-        self.failures = 0  # in a row
+        self.failures = 0  # consecutive
 
-    def next_call_ms(self, kind: str, settings: io.Settings) -> float | None:
-        """The wait before the next call, after an update of this kind; None: no call is due."""
+    def next_call_ms(self, update_kind: str, settings: io.Settings) -> float | None:
+        """Return the wait in ms before the next call, given the kind of a list update; None: no call."""
         poll_interval = settings.rules.poll_interval_ms
         if not self.started:
             self.started = True
             if not settings.polls_list:
                 return None
-            return self.rng.random() * FIRST_CALL_SPREAD * poll_interval
-        if kind != io.ListUpdateKind.FAILED:
+            return self.rng.random() * MAX_FIRST_WAIT_SHARE * poll_interval
+        if update_kind != io.ListUpdateKind.FAILED:
             self.failures = 0
             return None
         self.failures += 1
-        backoff = BACKOFF_MS * 2.0 ** min(self.failures, MAX_BACKOFF_DOUBLINGS)
+        backoff = BASE_BACKOFF_MS * 2.0 ** min(self.failures, MAX_BACKOFF_DOUBLINGS)
         wait: float = min(MAX_BACKOFF_SHARE * poll_interval, backoff)
         return wait * self.rng.uniform(*BACKOFF_JITTER)
--- a/quartzford/decision/memory.py
+++ b/quartzford/decision/memory.py
@@ -1,8 +1,9 @@
-"""What a balancer has learnt, taken out of it for its successor and put into one that has just started.
+"""Exports a balancer's learned state for its successor, and restores it in a balancer that has just started.
 
-Two processes during a replacement are one balancer. The one that hands over sends no more to cold servers:
-their budgets, as they stand, are the successor's. The retry budget is divided. The window of a request with
-an idempotency key is not handed over: it stays with the request, and that with the process that took it.
+During a replacement, predecessor and successor together count as one balancer. After the handover the
+predecessor sends no more requests to cold servers: the successor takes over their slow-start budgets as they
+are. The retry budget is divided between the two. The retry window of a request with an idempotency key is not
+handed over: the request stays with the process that received it.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from quartzford.decision.endpoint_set import EndpointSet
 from quartzford.decision.estimates import Rate
 from quartzford.decision.latency import LatencyEstimates
-from quartzford.decision.outlier_ejection import EJECT_ABOVE_FAILURE_RATE, EJECT_MS
+from quartzford.decision.outlier_ejection import EJECT_ABOVE_FAILURE_RATE, MIN_EJECTION_MS
 from quartzford.decision.server import Server
 
 MAX_RETRY_BUDGET = 10.0
 
 
-class Learner(Protocol):
-    """A balancer, as far as it learns."""
+class LearnedStateHolder(Protocol):
+    """The parts of a balancer that hold its learned state."""
 
     endpoints: EndpointSet
     admission: Admission
@@ -33,21 +34,21 @@
     now: float
 
 
-def export_learned_state(balancer: Learner) -> io.LearnedState:
-    """All that has been learnt, at this instant; half of the retry budget."""
+def export_learned_state(balancer: LearnedStateHolder) -> io.LearnedState:
+    """Return the present learned state, with half of the retry budget."""
     endpoints = balancer.endpoints
     admission = balancer.admission
     endpoints.slow_start.refill(balancer.now)
     return io.LearnedState(
-        servers=tuple(_server(endpoints, server) for server in endpoints.ready),
+        servers=tuple(_export_server(endpoints, server) for server in endpoints.ready),
         in_maintenance=tuple(endpoints.in_maintenance),
         maintenance_ended=dict(endpoints.maintenance_ended),
-        arrivals=_rate(endpoints.traffic.arrivals),
-        answers=_rate(endpoints.traffic.answers),
+        arrivals=_export_rate(endpoints.traffic.arrivals),
+        answers=_export_rate(endpoints.traffic.answers),
         typical_latencies=dict(balancer.latency.typical_latencies),
-        peaks=tuple(balancer.latency.peaks.pairs),
+        peaks=tuple(balancer.latency.peaks.candidates),
         retry_budget=balancer.retry_budget / 2,
-        tenants={name: _rate(rate) for name, rate in admission.tenant_rates.items()},
+        tenants={name: _export_rate(rate) for name, rate in admission.tenant_rates.items()},
         completed_work=admission.completed_work,
         in_time_work=admission.in_time_work,
         shed_work=admission.shed_work,
@@ -58,42 +59,45 @@
     )
 
 
-def restore_learned_state(balancer: Learner, state: io.LearnedState) -> None:
-    """Put it into a balancer that has the list; servers that either does not know stay as they are."""
+def restore_learned_state(balancer: LearnedStateHolder, state: io.LearnedState) -> None:
+    """Restore a predecessor's state in a balancer that already has the endpoint list.
+
+    Servers that are missing in the state or in the list are left unchanged.
+    """
     endpoints = balancer.endpoints
     now = balancer.now
     endpoints.maintenance_ended.update(state.maintenance_ended)
     for name in state.in_maintenance:
         endpoints.set_maintenance(name, True)
     endpoints.restore_working_set([learned.name for learned in state.servers])
-    _recall_servers(endpoints, state.servers, now)
-    endpoints.traffic.arrivals = _read(state.arrivals, now)
-    endpoints.traffic.answers = _read(state.answers, now)
+    _restore_servers(endpoints, state.servers, now)
+    endpoints.traffic.arrivals = _restore_rate(state.arrivals, now)
+    endpoints.traffic.answers = _restore_rate(state.answers, now)
     balancer.latency.restore(now, state.typical_latencies, state.peaks)
     balancer.retry_budget = min(MAX_RETRY_BUDGET, state.retry_budget)
-    _recall_admission(balancer.admission, state, now)
-    known = (Offer(*offer) for offer in state.offers if offer[1] in balancer.classes)
-    balancer.admission.offers.extend(known)
+    _restore_admission(balancer.admission, state, now)
+    offers = (Offer(*offer) for offer in state.offers if offer[1] in balancer.classes)
+    balancer.admission.offers.extend(offers)
 
 
-def _recall_servers(endpoints: EndpointSet, servers: tuple[io.LearnedEndpoint, ...], now: float) -> None:
-    figures = {}
+def _restore_servers(endpoints: EndpointSet, servers: tuple[io.LearnedEndpoint, ...], now: float) -> None:
+    rows = {}
     for learned in servers:
         server = endpoints.servers.get(learned.name)
         if server is None or server.slot < 0 or server.entry.started_ms != learned.started_ms:
             continue
-        figures[server.slot] = LearnedRow(learned.p, learned.cost, learned.latency, learned.report)
-        _recall_server(endpoints, server, learned, now)
-    endpoints.shares.restore(figures)
+        rows[server.slot] = LearnedRow(learned.p, learned.cost, learned.latency, learned.report)
+        _restore_server(endpoints, server, learned, now)
+    endpoints.shares.restore(rows)
 
 
-def _recall_server(endpoints: EndpointSet, server: Server, learned: io.LearnedEndpoint, now: float) -> None:
+def _restore_server(endpoints: EndpointSet, server: Server, learned: io.LearnedEndpoint, now: float) -> None:
     ejection = endpoints.ejection
     ejection.set_failure_rate(server, learned.failure_rate)
     server.ejections = learned.ejections
     server.ejected_until = learned.ejected_until
-    if learned.suspect:  # what is in flight stays with the predecessor: passed over for a while
-        server.ejected_until = max(server.ejected_until, now + EJECT_MS)
+    if learned.suspect:  # the attempts that show it stay with the predecessor, so it is ejected for a while
+        server.ejected_until = max(server.ejected_until, now + MIN_EJECTION_MS)
     if server.failure_rate > EJECT_ABOVE_FAILURE_RATE or server.ejected_until > now:
         ejection.unhealthy[server] = None
     server.tokens = learned.tokens
@@ -101,10 +105,10 @@
     endpoints.slow_start.begin_slow_start(server, min(learned.slow_start_from_ms, now))
 
 
-def _recall_admission(admission: Admission, state: io.LearnedState, now: float) -> None:
+def _restore_admission(admission: Admission, state: io.LearnedState, now: float) -> None:
     for tenant, rate in state.tenants.items():
         if tenant in admission.quota_per_ms or not tenant:
-            admission.tenant_rates[tenant] = _read(rate, now)
+            admission.tenant_rates[tenant] = _restore_rate(rate, now)
     admission.completed_work = state.completed_work
     admission.in_time_work = state.in_time_work
     admission.shed_work = state.shed_work
@@ -112,44 +116,46 @@
     admission.marginal_weight = state.marginal_weight
     admission.decayed_ms = min(state.decayed_ms, now)
     if state.completed_work > 0:
-        admission.busy_since_ms = now - STARTUP_MS  # it is no start for what was learnt
+        admission.busy_since_ms = (
+            now - STARTUP_MS
+        )  # the restored counts are reliable, unlike those of a fresh start
 
 
 def shift_times(state: io.LearnedState, by_ms: float) -> io.LearnedState:
-    """The same state with its moments on another clock's scale, which is ahead by so many milliseconds.
+    """Return the state with its moments converted to another clock, which is ahead by by_ms milliseconds.
 
-    0 stands for never, or long ago, on either scale.
+    The moment 0 stands for never, or long ago, and stays 0.
     """
     return replace(
         state,
-        servers=tuple(_rebase_server(server, by_ms) for server in state.servers),
-        maintenance_ended={name: _rebase_moment(at, by_ms) for name, at in state.maintenance_ended.items()},
-        arrivals=_rebase_rate(state.arrivals, by_ms),
-        answers=_rebase_rate(state.answers, by_ms),
-        peaks=tuple((_rebase_moment(at, by_ms), latency) for at, latency in state.peaks),
-        tenants={name: _rebase_rate(rate, by_ms) for name, rate in state.tenants.items()},
-        decayed_ms=_rebase_moment(state.decayed_ms, by_ms),
+        servers=tuple(_shift_server(server, by_ms) for server in state.servers),
+        maintenance_ended={name: _shift_moment(at, by_ms) for name, at in state.maintenance_ended.items()},
+        arrivals=_shift_rate(state.arrivals, by_ms),
+        answers=_shift_rate(state.answers, by_ms),
+        peaks=tuple((_shift_moment(at, by_ms), latency) for at, latency in state.peaks),
+        tenants={name: _shift_rate(rate, by_ms) for name, rate in state.tenants.items()},
+        decayed_ms=_shift_moment(state.decayed_ms, by_ms),
     )
 
 
-def _rebase_server(server: io.LearnedEndpoint, by_ms: float) -> io.LearnedEndpoint:
+def _shift_server(server: io.LearnedEndpoint, by_ms: float) -> io.LearnedEndpoint:
     return replace(
         server,
-        ejected_until=_rebase_moment(server.ejected_until, by_ms),
-        tokens_ms=_rebase_moment(server.tokens_ms, by_ms),
-        slow_start_from_ms=_rebase_moment(server.slow_start_from_ms, by_ms),
+        ejected_until=_shift_moment(server.ejected_until, by_ms),
+        tokens_ms=_shift_moment(server.tokens_ms, by_ms),
+        slow_start_from_ms=_shift_moment(server.slow_start_from_ms, by_ms),
     )
 
 
-def _rebase_rate(rate: io.LearnedRate, by_ms: float) -> io.LearnedRate:
-    return replace(rate, start=_rebase_moment(rate.start, by_ms), last=_rebase_moment(rate.last, by_ms))
+def _shift_rate(rate: io.LearnedRate, by_ms: float) -> io.LearnedRate:
+    return replace(rate, start=_shift_moment(rate.start, by_ms), last=_shift_moment(rate.last, by_ms))
 
 
-def _rebase_moment(at_ms: float, by_ms: float) -> float:
+def _shift_moment(at_ms: float, by_ms: float) -> float:
     return max(0.0, at_ms + by_ms) if at_ms > 0.0 else at_ms
 
 
-def _server(endpoints: EndpointSet, server: Server) -> io.LearnedEndpoint:
+def _export_server(endpoints: EndpointSet, server: Server) -> io.LearnedEndpoint:
     shares = endpoints.shares
     slot = server.slot
     return io.LearnedEndpoint(
@@ -169,11 +175,11 @@
     )
 
 
-def _rate(rate: Rate) -> io.LearnedRate:
+def _export_rate(rate: Rate) -> io.LearnedRate:
     return io.LearnedRate(rate.start, rate.last, rate.value) if rate.value else io.LearnedRate()
 
 
-def _read(learned: io.LearnedRate, now: float) -> Rate:
+def _restore_rate(learned: io.LearnedRate, now: float) -> Rate:
     rate = Rate()
     if learned.value:
         rate.start = min(learned.start, now)
--- a/quartzford/decision/responsiveness.py
+++ b/quartzford/decision/responsiveness.py
@@ -1,66 +1,74 @@
-"""Suspicion of servers that do not answer: an attempt is overdue, or nothing comes back at all.
+"""Detection of suspect servers: their oldest attempt is overdue, or they have stopped answering.
 
-A suspect server is passed over while there are others. It is found by deadlines on two heaps, so that a send
-looks at the few suspects and at no other server.
+Requests go to a suspect server only if no other server can take them. Suspects are found by deadlines on two
+heaps, so that a send examines only the few suspect servers and not the entire fleet.
 """
 
 from __future__ import annotations
 
 import math
 
-from quartzford.decision.estimates import Deadlines
+from quartzford.decision.estimates import DeadlineHeap
 from quartzford.decision.server import AttemptKey, OutstandingAttempt, Server
 
-UNRESPONSIVE_MULTIPLE = 2.0  # unresponsive: nothing answered for so many typical latencies ...
-UNRESPONSIVE_MIN_IN_FLIGHT = 3  # ... with so many attempts out
+# A server with at least UNRESPONSIVE_MIN_IN_FLIGHT attempts in flight is unresponsive if it answers nothing
+# for this many typical latencies.
+UNRESPONSIVE_LATENCY_MULTIPLE = 2.0
+UNRESPONSIVE_MIN_IN_FLIGHT = 3
 
 
 class Responsiveness:
-    """The suspect servers. servers: those of the list, by name."""
+    """Tracks the suspect servers. servers: the servers of the endpoint list, by name."""
 
     def __init__(self, servers: dict[str, Server]) -> None:
         self.servers = servers
-        self.overdue: dict[Server, None] = {}  # the oldest attempt was past its due when last looked at
-        self.unresponsive: dict[Server, None] = {}  # answered nothing for long when last looked at
-        self.oldest_attempt_deadlines: Deadlines[tuple[Server, AttemptKey]] = Deadlines(self._is_oldest)
-        self.answers_due: Deadlines[tuple[Server, float]] = Deadlines(self._is_awaited)
+        self.overdue: dict[Server, None] = {}  # the oldest attempt was overdue at the last check
+        self.unresponsive: dict[Server, None] = {}  # unresponsive at the last check
+        self.oldest_attempt_deadlines: DeadlineHeap[tuple[Server, AttemptKey]] = DeadlineHeap(
+            self._is_oldest_attempt
+        )
+        self.answer_deadlines: DeadlineHeap[tuple[Server, float]] = DeadlineHeap(
+            self._is_current_answer_deadline
+        )
 
     def track_oldest(self, server: Server, key: AttemptKey, attempt: OutstandingAttempt) -> None:
-        """This attempt is the oldest that is out at the server now."""
-        self.oldest_attempt_deadlines.push(attempt.overdue_from_ms, (server, key), self._expected_deadlines())
+        """Track the deadline of the server's oldest attempt in flight."""
+        self.oldest_attempt_deadlines.push(
+            attempt.overdue_from_ms, (server, key), self._expected_deadline_count()
+        )
 
     def answer_received(self, now: float, server: Server) -> None:
-        """The server has answered; with several attempts out the next answer is expected in time."""
+        """Record an answer and set the deadline of the next one, if several attempts are in flight."""
         server.unresponsive_from_ms = math.inf
         if len(server.in_flight) < UNRESPONSIVE_MIN_IN_FLIGHT:
             return
         oldest = next(iter(server.in_flight.values()))
-        server.unresponsive_from_ms = now + UNRESPONSIVE_MULTIPLE * oldest.typical_latency
+        server.unresponsive_from_ms = now + UNRESPONSIVE_LATENCY_MULTIPLE * oldest.typical_latency
         item = (server, server.unresponsive_from_ms)
-        self.answers_due.push(server.unresponsive_from_ms, item, self._expected_deadlines())
+        self.answer_deadlines.push(server.unresponsive_from_ms, item, self._expected_deadline_count())
 
     def forget(self, server: Server) -> None:
-        """The server has left the list."""
+        """Forget a server that was removed from the endpoint list."""
         self.overdue.pop(server, None)
         self.unresponsive.pop(server, None)
 
     def is_suspect(self, now: float, server: Server) -> bool:
-        """Whether a server in use is overdue or unresponsive."""
+        """Return whether the server is in use, and overdue or unresponsive."""
         return server.slot >= 0 and (is_overdue(server, now) or is_unresponsive(server, now))
 
     def suspects(self, now: float) -> list[Server]:
-        """The suspect servers, some of them twice."""
+        """Return the suspect servers; one that is both overdue and unresponsive occurs twice."""
         return [s for s in (*self.overdue, *self.unresponsive) if self.is_suspect(now, s)]
 
     def update(self, now: float) -> None:
-        """Take in the servers whose deadlines have passed."""
-        for server, _ in self.oldest_attempt_deadlines.passed(now):
+        """Mark the servers whose deadlines have passed as overdue or unresponsive."""
+        for server, _ in self.oldest_attempt_deadlines.pop_passed(now):
             self.overdue[server] = None
-        for server, _ in self.answers_due.passed(now):
+        for server, _ in self.answer_deadlines.pop_passed(now):
             self.unresponsive[server] = None
 
     def suspect_slots(self, now: float) -> list[int]:
-        """Slots of the suspect servers; those that are no longer suspect are forgotten."""
+        """Return the slots of the suspect servers, and forget servers that are no longer suspect."""
         slots = []
         for server in list(self.unresponsive):
             if server.unresponsive_from_ms >= now:
@@ -74,14 +82,14 @@
                 slots.append(server.slot)
         return slots
 
-    def _expected_deadlines(self) -> int:
+    def _expected_deadline_count(self) -> int:
         return 2 * len(self.servers)
 
-    def _is_oldest(self, item: tuple[Server, AttemptKey]) -> bool:
+    def _is_oldest_attempt(self, item: tuple[Server, AttemptKey]) -> bool:
         server, key = item
         return self._is_listed(server) and next(iter(server.in_flight), None) == key
 
-    def _is_awaited(self, item: tuple[Server, float]) -> bool:
+    def _is_current_answer_deadline(self, item: tuple[Server, float]) -> bool:
         server, unresponsive_from_ms = item
         return server.unresponsive_from_ms == unresponsive_from_ms and self._is_listed(server)
 
@@ -90,11 +98,14 @@
 
 
 def is_overdue(server: Server, now: float) -> bool:
-    """Whether its oldest attempt is past its due."""
+    """Return whether the server's oldest attempt is overdue."""
     oldest = server.oldest_attempt()
     return oldest is not None and oldest.overdue_from_ms < now
 
 
 def is_unresponsive(server: Server, now: float) -> bool:
-    """Whether it has answered nothing for long, with several attempts out."""
+    """Return whether the server is unresponsive.
+
+    It is if it has answered nothing until unresponsive_from_ms while several attempts were in flight.
+    """
     return server.unresponsive_from_ms < now and len(server.in_flight) >= UNRESPONSIVE_MIN_IN_FLIGHT
--- a/quartzford/decision/workingset.py
+++ b/quartzford/decision/workingset.py
@@ -1,16 +1,18 @@
-"""Which servers a balancer uses: all of the list where its traffic is dense, a part of it where it is thin.
-
-A balancer that sends ten requests a second over two hundred servers meets each once in twenty seconds. Its P
-is a blind draw, what it knows of a server is old when it is used, and one that swallows requests costs every
-balancer a request before any of them leaves it alone. So it uses as many servers as it meets about every
-TARGET_SEND_INTERVAL_MS: what one of these shows is still true at the next send there. All balancers
-together use all servers: each takes cells in an order of its own (rendezvous hashing, Thaler and Ravishankar
-1996, with its own salt).
-
-The unit is the cell, as a keyed request may go again only where its repeats are dropped. Of a cell larger
-than SERVERS_PER_CELL_PART only the first servers by the same hashing are used: how many servers a balancer
-meets follows from its own traffic, and not from the size of cells. docs/spread.md holds what was seen,
-weighed and measured.
+"""The working set: the servers that a balancer uses. With little traffic they are a part of the list.
+
+A balancer that sends ten requests per second to two hundred servers sends to each one every twenty seconds.
+Then its probabilities P are little more than random, its knowledge about a server is out of date by the next
+use, and a server that accepts requests but never answers costs every balancer a request before any of them
+avoids it. So a balancer uses only as many servers as it can send to about every TARGET_SEND_INTERVAL_MS: what
+it learns about a server is then still valid at the next send.
+
+All balancers together use all servers: each balancer ranks the cells in an order of its own, by rendezvous
+hashing (Thaler and Ravishankar 1996) with its own salt.
+
+Servers come into use by whole cells, because a keyed request may be repeated only within the cell that drops
+its repeats. Of a cell with more than SERVERS_PER_CELL_PART servers, only the first ones by the same hashing
+are used: so the number of servers in use follows from the balancer's traffic and not from the size of cells.
+docs/spread.md describes the observations, alternatives and measurements.
 """
 
 from __future__ import annotations
@@ -22,72 +24,77 @@
 from itertools import chain
 from typing import NamedTuple
 
-TARGET_SEND_INTERVAL_MS = 1_500.0  # a server in use is met about this often
-MIN_SERVERS_IN_USE = 16  # servers in use at the least
-# Larger cells are used in part: so the least are of two cells, and a retry has others.
+TARGET_SEND_INTERVAL_MS = 1_500.0  # target mean interval between two requests to a server in use
+MIN_SERVERS_IN_USE = 16
+# Larger cells are used in parts of this many servers. It is half of the minimum, so that at least two cells
+# are in use and a retry can go to another cell.
 SERVERS_PER_CELL_PART = MIN_SERVERS_IN_USE // 2
-# Of what is wanted, that may be in use before cells are left: one that flaps moves no others.
+# Servers leave use only above this multiple of the target count, so that a flapping server moves no others.
 MAX_IN_USE_MULTIPLE = 1.5
 
-Able = Callable[[str], bool]  # whether a server counts, by its name (it is not ejected, say)
+AvailabilityCheck = Callable[[str], bool]  # given a server's name: whether it counts towards the target count
 
 
-class Change(NamedTuple):
-    """Servers to take into use, and servers to leave."""
+class WorkingSetChange(NamedTuple):
+    """Names of the servers that came into use, and of those that left use."""
 
-    taken: list[str]
-    left: list[str]
+    added: list[str]
+    removed: list[str]
 
 
-NO_CHANGE = Change([], [])
+NO_CHANGE = WorkingSetChange([], [])
 
 
 class WorkingSet:
-    """The servers in use, out of those that may be used."""
+    """The servers in use, chosen from the candidates: the servers that may be used."""
 
     def __init__(self, salt: int) -> None:
         self.salt = blake2b(str(salt).encode(), digest_size=16).digest()
         self.target_send_interval_ms = TARGET_SEND_INTERVAL_MS
-        self.cell_of: dict[str, int] = {}  # of each server that may be used
-        self.cells: dict[int, dict[str, None]] = {}  # these servers by cell
-        self.order: list[tuple[int, int]] = []  # score and cell, least first
-        self.ranked_servers: dict[int, list[tuple[int, str]]] = {}  # of larger cells: score and server
+        self.cell_of: dict[str, int] = {}  # the cell of each candidate
+        self.cells: dict[int, dict[str, None]] = {}  # the candidates by cell
+        self.ranked_cells: list[tuple[int, int]] = []  # (score, cell), sorted
+        # Sorted (score, server) of each large cell: one with more than SERVERS_PER_CELL_PART candidates.
+        self.ranked_servers: dict[int, list[tuple[int, str]]] = {}
         self.used: dict[int, dict[str, None]] = {}  # servers in use, by cell
-        self.size = 0  # servers in use
+        self.size = 0  # number of servers in use
 
     def _score(self, item: int | str) -> int:
-        """The place of a cell or a server in this balancer's order."""
+        """Return the hash that ranks a cell or a server for this balancer; lower scores come first."""
         text = str(item).encode()
         return int.from_bytes(blake2b(text, digest_size=8, key=self.salt).digest(), "big")
 
-    # ---- servers that may be used
+    # ---- candidates
 
     def add_candidate(self, name: str, cell: int) -> bool:
-        """This server may be used; whether it is in use at once, as all others of its cell are."""
+        """Add a server that may be used.
+
+        Return whether it comes into use at once, which it does if all others of its cell are in use.
+        """
         self.remove_candidate(name)
         self.cell_of[name] = cell
         if cell not in self.cells:
             self.cells[cell] = {}
-            insort(self.order, (self._score(cell), cell))
-        complete = len(self.used.get(cell, ())) == len(self.cells[cell]) > 0
+            insort(self.ranked_cells, (self._score(cell), cell))
+        cell_in_use = len(self.used.get(cell, ())) == len(self.cells[cell]) > 0
         self.cells[cell][name] = None
         self._rank(name, cell)
-        if complete:
-            self._use(name)
-        return complete
+        if cell_in_use:
+            self._take_into_use(name)
+        return cell_in_use
 
     def remove_candidate(self, name: str) -> None:
-        """This server may not be used."""
+        """Remove a server that may no longer be used."""
         cell = self.cell_of.get(name)
         if cell is None:
             return
-        self._leave(name)
+        self._take_out_of_use(name)
         del self.cell_of[name]
         del self.cells[cell][name]
         self._unrank(name, cell)
         if not self.cells[cell]:
             del self.cells[cell]
-            self.order.remove((self._score(cell), cell))
+            self.ranked_cells.remove((self._score(cell), cell))
 
     def _rank(self, name: str, cell: int) -> None:
         if cell in self.ranked_servers:
@@ -105,11 +112,11 @@
 
     # ---- servers in use
 
-    def _use(self, name: str) -> None:
+    def _take_into_use(self, name: str) -> None:
         self.used.setdefault(self.cell_of[name], {})[name] = None
         self.size += 1
 
-    def _leave(self, name: str) -> None:
+    def _take_out_of_use(self, name: str) -> None:
         cell = self.cell_of[name]
         names = self.used.get(cell, {})
         if name not in names:
@@ -120,109 +127,133 @@
             del self.used[cell]
 
     def in_use(self, name: str) -> bool:
-        """Whether this server is in use."""
+        """Return whether the server is in use."""
         cell = self.cell_of.get(name)
         return cell is not None and name in self.used.get(cell, ())
 
     def restore(self, names: list[str]) -> list[str]:
-        """Use these and what shares a small cell with them, as far as they may be; those not used before."""
-        taken = []
+        """Take into use those of the named servers that are candidates, and the other servers of small cells.
+
+        Return the servers that were not in use before.
+        """
+        added = []
         for name in names:
             for other in self._companions(name):
                 if not self.in_use(other):
-                    self._use(other)
-                    taken.append(other)
-        return taken
+                    self._take_into_use(other)
+                    added.append(other)
+        return added
 
     def _companions(self, name: str) -> list[str]:
-        """The servers that are used together with this one, itself included; none if it may not be used."""
+        """Return the servers that come into use together with this one, itself included.
+
+        The result is empty if the server is not a candidate.
+        """
         cell = self.cell_of.get(name)
         if cell is None:
             return []
         return [name] if cell in self.ranked_servers else list(self.cells[cell])
 
-    def target_count(self, per_ms: float) -> int:
-        """How many servers to use at so many requests a millisecond: what is known of each stays fresh."""
-        return max(MIN_SERVERS_IN_USE, round(min(len(self.cell_of), per_ms * self.target_send_interval_ms)))
+    def target_count(self, requests_per_ms: float) -> int:
+        """Return how many servers to use, so that each gets a request every target_send_interval_ms."""
+        return max(
+            MIN_SERVERS_IN_USE, round(min(len(self.cell_of), requests_per_ms * self.target_send_interval_ms))
+        )
 
-    def update(self, wanted: int, able: Able) -> Change:
-        """Take servers into use, and leave some.
+    def update(self, target_count: int, is_available: AvailabilityCheck) -> WorkingSetChange:
+        """Take servers into use and out of use, and return the change.
 
-        In use are at least the first cells of the order that have enough able servers, of large cells a
-        part. So a newcomer gets its share of the balancers at once, and what fails stays in use, with the
-        next of the order beside it.
+        The first cells by rank that together have target_count available servers are in use, large cells in
+        part. So a new server is used by its share of the balancers at once. A server that fails stays in
+        use, and the next cell by rank is used in addition.
         """
-        if self.size == len(self.cell_of) <= MAX_IN_USE_MULTIPLE * wanted:
+        if self.size == len(self.cell_of) <= MAX_IN_USE_MULTIPLE * target_count:
             return NO_CHANGE
-        first = self._first(wanted, able)
-        taken = [name for names in first.values() for name in names if not self.in_use(name)]
-        for name in taken:
-            self._use(name)
-        left = self._surplus(first, wanted, able)
-        for name in left:
-            self._leave(name)
-        return Change(taken, left)
-
-    def _first(self, wanted: int, able: Able) -> dict[int, list[str]]:
-        """The first cells that together have enough able servers, and which of theirs are to be used."""
-        first: dict[int, list[str]] = {}
+        needed = self._needed(target_count, is_available)
+        added = [name for names in needed.values() for name in names if not self.in_use(name)]
+        for name in added:
+            self._take_into_use(name)
+        removed = self._surplus(needed, target_count, is_available)
+        for name in removed:
+            self._take_out_of_use(name)
+        return WorkingSetChange(added, removed)
+
+    def _needed(self, target_count: int, is_available: AvailabilityCheck) -> dict[int, list[str]]:
+        """Return the servers to use, by cell: the first by rank with target_count available ones in all."""
+        needed: dict[int, list[str]] = {}
         total = 0
-        for cell, part in self._in_order(able):
-            if total >= wanted:
+        for cell, part in self._parts_by_rank(is_available):
+            if total >= target_count:
                 break
-            first.setdefault(cell, []).extend(part)
-            total += sum(map(able, part))
-        return first
-
-    def _in_order(self, able: Able) -> Iterator[tuple[int, list[str]]]:
-        """Cells in the order of their use; of large ones the first parts, then the second, and so on."""
-        large: deque[tuple[int, Iterator[list[str]]]] = deque()
-        for _, cell in self.order:
+            needed.setdefault(cell, []).extend(part)
+            total += sum(map(is_available, part))
+        return needed
+
+    def _parts_by_rank(self, is_available: AvailabilityCheck) -> Iterator[tuple[int, list[str]]]:
+        """Yield parts of cells in the order of their use.
+
+        First come all small cells and the first parts of large cells, by rank. Then come the second parts of
+        large cells, and so on.
+        """
+        large_cells: deque[tuple[int, Iterator[list[str]]]] = deque()
+        for _, cell in self.ranked_cells:
             if cell not in self.ranked_servers:
                 yield cell, list(self.cells[cell])
                 continue
-            parts = self._parts(cell, able)
+            parts = self._parts_of_large_cell(cell, is_available)
             yield cell, next(parts)
-            large.append((cell, parts))
-        while large:
-            cell, parts = large.popleft()
+            large_cells.append((cell, parts))
+        while large_cells:
+            cell, parts = large_cells.popleft()
             part = next(parts, None)
             if part is not None:
                 yield cell, part
-                large.append((cell, parts))
+                large_cells.append((cell, parts))
+
+    def _parts_of_large_cell(self, cell: int, is_available: AvailabilityCheck) -> Iterator[list[str]]:
+        """Yield a large cell's servers by rank, in parts with SERVERS_PER_CELL_PART available servers each.
 
-    def _parts(self, cell: int, able: Able) -> Iterator[list[str]]:
-        """A large cell's servers in parts of SERVERS_PER_CELL_PART able ones each; the last may be less."""
+        The last part may have fewer.
+        """
         part: list[str] = []
-        counted = 0
+        available_count = 0
         for _, name in self.ranked_servers[cell]:
             part.append(name)
-            counted += able(name)
-            if counted == SERVERS_PER_CELL_PART:
+            available_count += is_available(name)
+            if available_count == SERVERS_PER_CELL_PART:
                 yield part
                 part = []
-                counted = 0
+                available_count = 0
         if part:
             yield part
 
-    def _surplus(self, first: dict[int, list[str]], wanted: int, able: Able) -> list[str]:
-        """What is in use beyond MAX_IN_USE_MULTIPLE times what is wanted, the last of the order first."""
-        total = sum(map(able, chain.from_iterable(self.used.values())))
-        left: list[str] = []
-        if total <= MAX_IN_USE_MULTIPLE * wanted:
-            return left
-        for _, cell in reversed(self.order):
-            for names in self._spare(cell, first):
-                if total <= MAX_IN_USE_MULTIPLE * wanted:
-                    return left
-                left += names
-                total -= sum(map(able, names))
-        return left
-
-    def _spare(self, cell: int, first: dict[int, list[str]]) -> list[list[str]]:
-        """What of a cell may be left: all of it at once, or one by one the servers that are not needed."""
+    def _surplus(
+        self, needed: dict[int, list[str]], target_count: int, is_available: AvailabilityCheck
+    ) -> list[str]:
+        """Return the servers to take out of use, the last by rank first.
+
+        They are those that exceed MAX_IN_USE_MULTIPLE times the target count, and are not needed.
+        """
+        total = sum(map(is_available, chain.from_iterable(self.used.values())))
+        surplus: list[str] = []
+        if total <= MAX_IN_USE_MULTIPLE * target_count:
+            return surplus
+        for _, cell in reversed(self.ranked_cells):
+            for names in self._removable(cell, needed):
+                if total <= MAX_IN_USE_MULTIPLE * target_count:
+                    return surplus
+                surplus += names
+                total -= sum(map(is_available, names))
+        return surplus
+
+    def _removable(self, cell: int, needed: dict[int, list[str]]) -> list[list[str]]:
+        """Return the groups of a cell's servers that may leave use, in order.
+
+        A cell that is not needed leaves use as one group. Of a needed cell, each server that is not needed is
+        a group of its own.
+        """
         names = self.used.get(cell, {})
-        if cell not in first:
+        if cell not in needed:
             return [list(names)]
-        needed = set(first[cell])
-        return [[name] for name in reversed(names) if name not in needed]
+        needed_in_cell = set(needed[cell])
+        return [[name] for name in reversed(names) if name not in needed_in_cell]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""What clients and discovery make up leaves nothing behind: every table stays within a bound."""
+"""Made-up names from clients and the list service leave no entries: every table stays within a bound."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 from peers import BalancerTestbed, Message, async_test, read_message, reply, request, wait_until
 
-MOST = 200  # offers that are remembered for the order of worth are a hundred; the rest is by class and server
+# Maximum entries of a table. The offers kept for ranking are a hundred; other tables are by class or server.
+MAX_ENTRIES = 200
 
 
 def tables(root: object) -> Iterator[tuple[str, int]]:
-    """Every container that can be reached through this project's objects, with its size."""
+    """Yield the path and size of every container that is reachable through this project's objects."""
     seen: set[int] = set()
     todo: list[tuple[str, Any]] = [(type(root).__name__, root)]
     while todo:
@@ -28,21 +29,21 @@
             items = list(value.values()) if isinstance(value, dict) else list(value)
             todo += [(f"{path}[]", item) for item in items[:50]]
         elif type(value).__module__.startswith("quartzford"):
-            names = [n for kind in type(value).__mro__ for n in getattr(kind, "__slots__", ())]
+            names = [n for cls in type(value).__mro__ for n in getattr(cls, "__slots__", ())]
             names += list(getattr(value, "__dict__", ()))
             todo += [(f"{path}.{name}", getattr(value, name, None)) for name in names]
 
 
 @async_test
-async def test_made_up_names_ids_and_lives_leave_no_entries_behind() -> None:
-    """Two thousand of each: a soak's worth would only be more of the same."""
+async def test_made_up_names_ids_and_incarnations_leave_no_entries() -> None:
+    """Two thousand of each are enough: the number of a soak test would show nothing more."""
     async with BalancerTestbed(2) as testbed:
-        turned: Counter[str] = Counter()
+        requests_by_class: Counter[str] = Counter()
 
         async def script(message: Message, writer: asyncio.StreamWriter) -> None:
-            kind = message.fields["x-service-class"]
-            turned[kind] += 1
-            if turned[kind] == 1 and hash(kind) % 3 == 0:
+            class_name = message.fields["x-service-class"]
+            requests_by_class[class_name] += 1
+            if requests_by_class[class_name] == 1 and hash(class_name) % 3 == 0:
                 writer.write(reply(b"", "503 Full", "X-Unprocessed: 1\r\n"))
             else:
                 writer.write(reply())
@@ -72,13 +73,13 @@
                 await wait_until(lambda life=life: f"s{life}-0" in testbed.node.engine.balancer.servers)  # type: ignore[misc]
 
         await asyncio.gather(discovery(), *(client(number) for number in range(8)))
-        assert len(turned) > 1_500, "the clients were hardly served"
+        assert len(requests_by_class) > 1_500, "few requests were served"
         await wait_until(
             lambda: len(testbed.node.pool.upstreams) == 2
-        )  # what is gone goes with the next sweep
+        )  # removed upstreams leave the pool with the next sweep
         gc.collect()
         sizes = dict(tables(testbed.node))
-        assert len(sizes) > 40, "the walk has not reached the parts"
+        assert len(sizes) > 40, "the walk has not reached the parts of the node"
         for part in (
             ".typical_latencies",
             ".ended",
@@ -88,5 +89,5 @@
             ".rejecting_until",
         ):
             assert any(path.endswith(part) for path in sizes), part
-        over = {path: size for path, size in sizes.items() if size > MOST}
+        over = {path: size for path, size in sizes.items() if size > MAX_ENTRIES}
         assert not over, "\n".join(f"{path} {size}" for path, size in over.items())
--- a/tests/test_coldbound.py
+++ b/tests/test_coldbound.py
@@ -1,4 +1,4 @@
-"""The cold budget, and fleets of one to two hundred decision modules that are held to it."""
+"""The cold budget, and simulated fleets of one to two hundred decision modules that must keep it."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
         (100.0, 100.0 + 2 * 10 + 2),
     ],
 )
-def test_the_budget_is_what_the_settings_allow_and_so_much_for_chance(allowed: float, budget: float) -> None:
+def test_cold_budget_is_the_allowed_count_plus_a_random_margin(allowed: float, budget: float) -> None:
     assert cold_budget(allowed) == pytest.approx(budget)
 
 
 @pytest.mark.parametrize("cores", [1, 4])
-def test_an_upstream_of_the_model_falls_past_its_budget_and_not_before(cores: int) -> None:
+def test_model_upstream_fails_only_beyond_its_cold_budget(cores: int) -> None:
     upstream = Upstream("s0", "north", 0, speed=1.0, started_ms=EPOCH_MS, cores=cores)
     allowed = OVERLOAD_MULTIPLE * SLOW_START_CAPACITY * cores * OVERLOAD_WINDOW_MS / MEAN_WORK_MS
     assert (allowed < 30.0) == (cores == 1)
@@ -45,8 +45,10 @@
 
 @pytest.mark.parametrize(("event", "seconds"), [("cold start", 5.0), ("join", 10.0)])
 @pytest.mark.parametrize("balancers", SIZES)
-def test_balancers_of_any_number_keep_the_budget_together(balancers: int, event: str, seconds: float) -> None:
-    """Small upstreams, so that what the settings allow is under thirty while they are coldest."""
+def test_balancers_of_any_number_together_keep_the_cold_budget(
+    balancers: int, event: str, seconds: float
+) -> None:
+    """The upstreams are small, so that the settings allow under thirty requests while they are coldest."""
     for seed in range(2):
         world = World(Plan(balancers, 12, event, seconds, seed, cores=1)).run()
         found = world.result()
@@ -55,8 +57,11 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_the_budget_is_kept_where_nothing_is_warm_and_clients_send_again(seed: int) -> None:
-    """2.5 times the usual traffic, sent thrice as little is served: 4.5 times what warm upstreams can do."""
+def test_cold_budget_is_kept_while_no_upstream_is_warm_and_clients_retry(seed: int) -> None:
+    """Traffic is 2.5 times the usual, and sent three times because little is served.
+
+    That is 4.5 times what warm upstreams can process.
+    """
     found = World(Plan(20, 6, "cold start", 4.5, seed, rate=2.5)).run().result()
     assert 0 < found["cold_use"] <= 1.0
     assert not found["fallen"] and not found["broken"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The decision module's size, and the settings that it rejects."""
+"""Size limits of the decision module's files, and the invalid settings that it rejects."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 DECISION = "quartzford/decision"
-FILE_LINES = 500
-FUNCTION_LINES = 60
+MAX_FILE_LINES = 500
+MAX_FUNCTION_LINES = 60
 
 
-def test_the_deploy_file_names_each_decision_file_once_and_files_and_functions_stay_short() -> None:
+def test_decision_files_are_listed_once_for_deployment_and_within_size_limits() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    named = deploy["policy"] + [name for name in deploy["node"] if name.startswith(DECISION)]
+    deployed = deploy["policy"] + [name for name in deploy["node"] if name.startswith(DECISION)]
     files = sorted(str(path.relative_to(ROOT)) for path in (ROOT / DECISION).glob("*.py"))
-    assert sorted(named) == [name for name in files if not name.endswith("__init__.py")]
+    assert sorted(deployed) == [name for name in files if not name.endswith("__init__.py")]
     for name in files:
         text = (ROOT / name).read_text()
-        assert text.count("\n") <= FILE_LINES, name
+        assert text.count("\n") <= MAX_FILE_LINES, name
         assert max(map(len, text.splitlines()), default=0) <= 110, name
         for node in ast.walk(parse_source(text)):
             if isinstance(node, ast.FunctionDef):
-                assert (node.end_lineno or 0) - node.lineno < FUNCTION_LINES, f"{name}: {node.name}"
+                assert (node.end_lineno or 0) - node.lineno < MAX_FUNCTION_LINES, f"{name}: {node.name}"
     logic = (ROOT / DECISION / "logic.py").read_text().splitlines()
     assert "quartzford/decision/interface.py" in logic[0]
 
@@ -52,6 +52,6 @@
         (lambda: io.Tenant("t", -1.0), "quota_per_s"),
     ],
 )
-def test_senseless_settings_are_named(build: Any, name: str) -> None:
+def test_invalid_settings_raise_an_error_that_names_the_field(build: Any, name: str) -> None:
     with pytest.raises(ValueError, match=name):
         build()
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -11,17 +11,20 @@
 from quartzford.decision.logic import Balancer
 
 SERVERS = 4
-BEGUN_MS = 50_000.0
-COUNTED_FROM_MS = BEGUN_MS + 2_000.0  # well past the first arrivals
+START_MS = 50_000.0
+COUNTED_FROM_MS = START_MS + 2_000.0  # long enough after the first arrivals for a known rate of answers
 COUNTED_TO_MS = COUNTED_FROM_MS + RULES.overload_window_ms
-LEAST_ANSWER_MS = 50.0  # typical before any answer: a quarter of the objective
+INITIAL_LATENCY_MS = 50.0  # typical latency before any answer: a quarter of the latency objective
 
 
-def sent_to_each_cold_server(per_ms: float, answered: int) -> float:
-    """Sends a server, where all are cold, in a span of overload; every n-th answered at once, 0: none."""
+def sends_per_cold_server(per_ms: float, answered: int) -> float:
+    """Return the sends per server within overload_window_ms while all servers are cold.
+
+    answered: every n-th send is answered at once; 0: none.
+    """
     balancer = Balancer(settings(), 3)
-    balancer.handle(BEGUN_MS, list_update(range(SERVERS), started_ms=BEGUN_MS))
-    counted, number, sent, now = 0, 0, 0, BEGUN_MS
+    balancer.handle(START_MS, list_update(range(SERVERS), started_ms=START_MS))
+    counted, number, sent, now = 0, 0, 0, START_MS
     while now < COUNTED_TO_MS:
         number, now = number + 1, now + 1.0 / per_ms
         for send in sends(submit(balancer, now, number)):
@@ -33,33 +36,35 @@
 
 
 @pytest.mark.parametrize("per_ms", [1.0, 4.0])
-def test_cold_servers_that_answer_nothing_get_what_the_least_server_may(per_ms: float) -> None:
-    """However much arrives."""
-    age = (COUNTED_TO_MS - BEGUN_MS) / RULES.slow_start_ms
+def test_cold_servers_without_answers_stay_within_the_safe_rate(per_ms: float) -> None:
+    """While no server answers, the budget is that of the slowest useful server, whatever the arrival rate."""
+    age = (COUNTED_TO_MS - START_MS) / RULES.slow_start_ms
     ramp = RULES.slow_start_capacity + (1 - RULES.slow_start_capacity) * age
-    allowed = RULES.overload_multiple * ramp * RULES.overload_window_ms / LEAST_ANSWER_MS
-    assert 0 < sent_to_each_cold_server(per_ms, answered=0) <= cold_budget(allowed)
+    allowed = RULES.overload_multiple * ramp * RULES.overload_window_ms / INITIAL_LATENCY_MS
+    assert 0 < sends_per_cold_server(per_ms, answered=0) <= cold_budget(allowed)
 
 
-def test_cold_servers_that_answer_get_their_ramp_of_what_arrives() -> None:
-    """Their answers free them of the least server's limit."""
-    assert sent_to_each_cold_server(4.0, answered=1) > 4 * sent_to_each_cold_server(4.0, answered=0)
+def test_cold_servers_with_answers_get_their_share_of_the_arrivals() -> None:
+    """With answers, the safe rate of the slowest useful server no longer limits them."""
+    assert sends_per_cold_server(4.0, answered=1) > 4 * sends_per_cold_server(4.0, answered=0)
 
 
-def test_what_a_warm_server_is_sent_is_not_charged_to_its_budget() -> None:
-    """A million requests later the debt was out of the bounds of what is handed over to a successor."""
+def test_sends_to_warm_servers_are_not_charged_to_their_budgets() -> None:
+    """After a million requests the negative budget was out of bounds for the handover to a successor."""
     balancer = started_balancer(4)
     for number in range(400):
         now = 10.0 + 5.0 * number
         for send in sends(submit(balancer, now, number)):
             balancer.handle(now + 1.0, attempt_ended(send, 0, "ok", 1.0))
-    memory = balancer.hand_over(3_000.0)
-    assert len(memory.servers) == 4 and all(0.0 <= server.tokens <= 1.0 for server in memory.servers)
+    learned_state = balancer.hand_over(3_000.0)
+    assert len(learned_state.servers) == 4 and all(
+        0.0 <= server.tokens <= 1.0 for server in learned_state.servers
+    )
 
 
-def test_a_process_hands_over_where_the_settings_have_no_slow_start() -> None:
-    """An upstream with a start time divided by the duration of slow start."""
-    made = settings()
-    balancer = Balancer(replace(made, rules=replace(made.rules, slow_start_ms=0.0)), 3)
-    balancer.handle(BEGUN_MS, list_update(range(SERVERS), started_ms=BEGUN_MS))
-    assert len(balancer.hand_over(BEGUN_MS).servers) == SERVERS
+def test_handover_without_slow_start_in_the_settings_succeeds() -> None:
+    """The age of an upstream with a start time was divided by a slow-start duration of 0."""
+    base = settings()
+    balancer = Balancer(replace(base, rules=replace(base.rules, slow_start_ms=0.0)), 3)
+    balancer.handle(START_MS, list_update(range(SERVERS), started_ms=START_MS))
+    assert len(balancer.hand_over(START_MS).servers) == SERVERS
