--- a/bench/slopes_node.py
+++ b/bench/slopes_node.py
@@ -64,9 +64,9 @@
         node.engine.endpoint_list_update = self._on_update  # type: ignore[method-assign]
 
     def _on_update(
-        self, how: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
+        self, kind: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
-        self.update_list(how, entries, starts)
+        self.update_list(kind, entries, starts)
         if not self.done.done() and self.condition():
             self.done.set_result(time.monotonic())
 
--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -42,51 +42,62 @@
 
 
 class CallerBackend:
-    """The servers that callers may be sent to. valid_s: for how long a decision stands, claimed or not."""
+    """The servers that callers may be sent to.
 
-    def __init__(self, core: Engine, clock: Clock, valid_s: float) -> None:
+    decision_valid_s: for how long a decision stands, claimed or not.
+    """
+
+    def __init__(self, core: Engine, clock: Clock, decision_valid_s: float) -> None:
         self.engine = core
         self.clock = clock
-        self.valid_s = valid_s
-        self.hosts: dict[str, Host] = {}
+        self.decision_valid_s = decision_valid_s
+        self.endpoints: dict[str, Host] = {}
 
     def listed(self, listing: Listing) -> None:
         """Follow the endpoint list: a complete one, or the entries that have changed."""
         if listing.complete:
-            self.hosts.clear()
+            self.endpoints.clear()
         for entry, (host, port) in zip(listing.entries, listing.addresses, strict=True):
             if entry.state == "ready":
-                self.hosts[entry.server] = Host(f"{host}:{port}", entry.started_ms)
+                self.endpoints[entry.server] = Host(f"{host}:{port}", entry.started_ms)
             else:
-                self.hosts.pop(entry.server, None)
+                self.endpoints.pop(entry.server, None)
 
     def attempt(
-        self, pending: Any, number: int, server: str, sent: float, due: float, finish: float
+        self, pending: Any, number: int, server: str, chosen_at: float, timeout_at: float, finish: float
     ) -> RemoteAttempt:
         """An attempt, not begun; times on the engine's clock, seconds. See engine.Backend."""
-        return RemoteAttempt(self, pending, number, server, sent, due)
+        return RemoteAttempt(self, pending, number, server, chosen_at, timeout_at)
 
 
 class RemoteAttempt(engine.Attempt):
     """One attempt that the caller makes."""
 
-    __slots__ = ("backend", "host", "state", "timer", "valid_until")
+    __slots__ = ("backend", "endpoint", "state", "timer", "valid_until")
     pending: RemoteCall
 
     def __init__(
-        self, backend: CallerBackend, pending: RemoteCall, number: int, server: str, sent: float, due: float
+        self,
+        backend: CallerBackend,
+        pending: RemoteCall,
+        number: int,
+        server: str,
+        chosen_at: float,
+        timeout_at: float,
     ) -> None:
-        super().__init__(pending, number, server, sent, due)
+        super().__init__(pending, number, server, chosen_at, timeout_at)
         self.backend = backend
-        self.host = backend.hosts.get(server)
+        self.endpoint = backend.endpoints.get(server)
         self.state = State.DECIDED
         self.timer: Handle | None = None
         # After this the decision is not claimed, not written, and not sent by a caller that observes it.
-        self.valid_until = sent + backend.valid_s
+        self.valid_until = chosen_at + backend.decision_valid_s
 
     def start(self) -> None:
         """Offer the decision to a stream that waits for it; it is dropped if it is not claimed in time."""
-        self.timer = self.backend.clock.call_later(self.due - self.sent, self.fail, outcomes.NOT_SENT)
+        self.timer = self.backend.clock.call_later(
+            self.timeout_at - self.chosen_at, self.fail, outcomes.NOT_SENT
+        )
         self.pending.decided(self)
 
     def claim(self) -> bool:
@@ -97,14 +108,14 @@
         if self.state is not State.DECIDED:
             return False
         now = self.backend.clock.now()
-        same = self.host is not None and self.backend.hosts.get(self.server) == self.host
+        same = self.endpoint is not None and self.backend.endpoints.get(self.server) == self.endpoint
         writable_s = self.backend.engine.may_write_for(self)
         if not same or now > self.valid_until or writable_s <= 0.0:
             self.fail(outcomes.NOT_SENT)
             return False
         self.valid_until = min(self.valid_until, now + writable_s)
         self.state = State.CLAIMED
-        self.written = now
+        self.written_at = now
         self.backend.engine.request_counters.attempts += 1
         self._stop()
         # The caller holds the attempt's own time-out. Here only the client's time ends it, for good: it may
@@ -113,22 +124,22 @@
         self.timer = self.backend.clock.call_later(max(0.0, left), self._overdue)
         return True
 
-    def reported(self, code: str, report: io.Report = (), faulted: bool = False) -> None:
+    def report_outcome(self, code: str, report: io.Report = (), faulted: bool = False) -> None:
         """The caller says how it ended."""
         if self.state is State.CLAIMED:
             self._end()
             self.backend.engine.ended(self, code, None, report, faulted)
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """The caller's stream ended with nothing reported; whether the request goes on is not known yet."""
         if self.state is State.CLAIMED:
             self.state = State.LOST
 
-    def lost(self) -> bool:
+    def is_lost(self) -> bool:
         """The caller's stream has ended with nothing reported."""
         return self.state is State.LOST
 
-    def recall(self) -> None:
+    def undo_claim(self) -> None:
         """The decision never left this machine: the attempt is as if it had not been claimed."""
         if self.state is State.CLAIMED:
             self.state = State.DECIDED
--- a/quartzford/backends/connection_pool.py
+++ b/quartzford/backends/connection_pool.py
@@ -12,7 +12,7 @@
 from quartzford.backends.response_reader import SERVED
 from quartzford.backends.upstream_connection import Connection
 from quartzford.decision import interface as io
-from quartzford.engine import Budget, Clock, Engine
+from quartzford.engine import BufferBudget, Clock, Engine
 from quartzford.membership.listing import Listing
 
 MAX_IDLE_SHARE = 0.6  # of the time after which upstreams close idle connections themselves
@@ -34,7 +34,9 @@
     max_connections: to all upstreams together, those being made counted in.
     """
 
-    def __init__(self, core: Engine, budget: Budget, clock: Clock, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self, core: Engine, budget: BufferBudget, clock: Clock, loop: asyncio.AbstractEventLoop
+    ) -> None:
         self.engine = core
         self.budget = budget
         self.clock = clock
--- a/quartzford/backends/http_attempt.py
+++ b/quartzford/backends/http_attempt.py
@@ -33,12 +33,12 @@
 class HttpCall(Protocol):
     """What an attempt needs of the request it is made for.
 
-    deadline: on the engine's clock, seconds. streams: the response is passed on as it comes.
+    deadline: on the engine's clock, seconds. streams_response: the response is passed on as it comes.
     """
 
     deadline: float
     body: bytes | bytearray
-    streams: bool
+    streams_response: bool
 
     def upstream_head(self, left: float) -> bytes:
         """The request's head, with a deadline of `left` seconds for the upstream."""
@@ -65,8 +65,8 @@
 class Attempt(engine.Attempt):
     """One attempt: connects if it must, writes the request, reads the response, ends with one outcome.
 
-    finish_by: until when a response that has begun by `due` is waited for. last_progress: when bytes of the
-    response came last, or its client read on. Both on the engine's clock, seconds.
+    finish_by: until when a response that has begun by `timeout_at` is waited for. last_progress: when bytes
+    of the response came last, or its client read on. Both on the engine's clock, seconds.
     """
 
     __slots__ = (
@@ -89,11 +89,11 @@
         pending: HttpCall,
         number: int,
         upstream: Upstream,
-        sent: float,
-        due: float,
+        chosen_at: float,
+        timeout_at: float,
         finish: float,
     ) -> None:
-        super().__init__(pending, number, upstream.name, sent, due)
+        super().__init__(pending, number, upstream.name, chosen_at, timeout_at)
         self.pool = pool
         self.upstream = upstream
         self.finish_by = finish
@@ -102,14 +102,14 @@
         self.connection: Connection | None = None
         self.chunks: list[bytes] = []
         self.size = 0
-        self.last_progress = sent
-        self.read_again = False  # for this `due`, the loop has been let read what came while it was held up
+        self.last_progress = chosen_at
+        self.read_again = False  # the loop has read what came during a hold-up at `timeout_at`
 
     # ---- the connection
 
     def start(self) -> None:
         """Take an idle connection, or make one; where neither can be had, end with NOT_SENT."""
-        if self.due - self.pool.now() < TIMER_RESOLUTION_S:
+        if self.timeout_at - self.pool.now() < TIMER_RESOLUTION_S:
             self.pool.clock.call_soon(self.fail, outcomes.NOT_SENT)
             return
         self._arm()
@@ -124,7 +124,7 @@
 
     def _arm(self) -> None:
         self.read_again = False
-        self.timer = self.pool.clock.call_later(self.due - self.pool.now(), self._timed_out)
+        self.timer = self.pool.clock.call_later(self.timeout_at - self.pool.now(), self._timed_out)
 
     def _disarm(self) -> None:
         if self.timer is not None:
@@ -162,7 +162,7 @@
         self.connection = connection
         connection.begin(self)
         now = self.pool.now()  # read right before the bytes leave: the deadline passed on is true then
-        if self.due - now < TIMER_RESOLUTION_S:
+        if self.timeout_at - now < TIMER_RESOLUTION_S:
             self._give_back(connection)
             return self.fail(outcomes.NOT_SENT)
         time_left = self._upstream_time_left(now)
@@ -171,7 +171,7 @@
         if not self.pending.client_connected():
             self._give_back(connection)
             return self.pool.engine.client_disconnected(cast("engine.PendingRequest", self.pending))
-        self.written = now
+        self.written_at = now
         connection.send(head, self.pending.body)
         if not connection.flushed:
             last_byte_within = min(
@@ -196,7 +196,7 @@
             allowance = LONG_SEND_ALLOWANCE_SHARE * left
         else:
             allowance = min(SEND_ALLOWANCE_S, left / 2)
-        return min(self.due - now, left - allowance)
+        return min(self.timeout_at - now, left - allowance)
 
     def _check_flushed(self) -> None:
         """End the attempt if the request's last byte has not left: the upstream never has it complete."""
@@ -206,9 +206,9 @@
     def _timed_out(self) -> None:
         self.timer = None
         now = self.pool.now()
-        if now < self.due - TIMER_RESOLUTION_S:
+        if now < self.timeout_at - TIMER_RESOLUTION_S:
             return self._arm()
-        if now - self.due > HELD_UP_S and not self.read_again:
+        if now - self.timeout_at > HELD_UP_S and not self.read_again:
             # What came meanwhile is unread: it is not to be taken for late.
             self.read_again = True
             self.timer = self.pool.clock.call_later(TIMER_RESOLUTION_S, self._timed_out)
@@ -248,7 +248,7 @@
         if self.streaming or response.status != SERVED:
             return self._refuse_long_body()
         is_long = self.size > MAX_BUFFERED_BYTES or (response.length or 0) > MAX_BUFFERED_BYTES
-        if self.pending.streams or is_long or self.pool.budget.full():
+        if self.pending.streams_response or is_long or self.pool.budget.is_exhausted():
             self._stream(response)
 
     def _extend(self) -> None:
@@ -257,9 +257,9 @@
         It is nearly there: to give it up would waste the work done. But one that stops half way seldom goes
         on, so where a retry is possible, that is made well before the client's patience ends.
         """
-        if self.timer is not None and self.due < self.finish_by:
+        if self.timer is not None and self.timeout_at < self.finish_by:
             self.timer.cancel()
-            self.due = min(self.finish_by - TIMER_RESOLUTION_S, self.last_progress + MAX_BODY_PAUSE_S)
+            self.timeout_at = min(self.finish_by - TIMER_RESOLUTION_S, self.last_progress + MAX_BODY_PAUSE_S)
             self._arm()
 
     def _refuse_long_body(self) -> None:
@@ -271,7 +271,8 @@
         self._disarm()
         self.pool.streams.add(self)
         self.pool.engine.started(self)
-        if not self.pending.streams:  # only streamed classes have no deadline once their response has begun
+        # Only streamed classes have no deadline once their response has begun.
+        if not self.pending.streams_response:
             left = self.pending.deadline + STREAM_OVERTIME_S - self.pool.now()
             self.timer = self.pool.clock.call_later(left, self._stream_timed_out)
         self.pending.begin(response.fields, response.length)
--- a/quartzford/backends/http_backend.py
+++ b/quartzford/backends/http_backend.py
@@ -12,7 +12,7 @@
     """The upstreams of the list as a backend of the engine."""
 
     def attempt(
-        self, pending: Any, number: int, server: str, sent: float, due: float, finish: float
+        self, pending: Any, number: int, server: str, chosen_at: float, timeout_at: float, finish: float
     ) -> Attempt:
         """An attempt, not begun; times on the engine's clock, seconds. See engine.Backend."""
-        return Attempt(self, pending, number, self.upstreams[server], sent, due, finish)
+        return Attempt(self, pending, number, self.upstreams[server], chosen_at, timeout_at, finish)
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -254,5 +254,5 @@
     side = ControlSide(config, engine, loop, subset, lists_per_s)
     calls, addresses = side.call_policy(relays)
     side.watch = ListWatch(side, addresses, calls, clock, log, loop)
-    engine.watch = side.watch.start
+    engine.poll_list = side.watch.start
     return side
--- a/quartzford/engine/__init__.py
+++ b/quartzford/engine/__init__.py
@@ -1,6 +1,6 @@
 """Drives the decision module for any front, over any backend; knows no protocol and no socket."""
 
-from quartzford.engine.budget import Budget
+from quartzford.engine.budget import BufferBudget
 from quartzford.engine.clock import Clock, Handle, LoopClock
 from quartzford.engine.core import Engine
 from quartzford.engine.log import Log, StderrLog, print_error
@@ -10,7 +10,7 @@
 __all__ = [
     "Attempt",
     "Backend",
-    "Budget",
+    "BufferBudget",
     "PendingRequest",
     "Clock",
     "Engine",
--- a/quartzford/engine/budget.py
+++ b/quartzford/engine/budget.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 
-class Budget:
-    """Bytes held over all connections; `full` is checked before more is read."""
+class BufferBudget:
+    """Bytes held over all connections; `is_exhausted` is checked before more is read."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.used = 0
 
-    def full(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether no more may be read for now."""
         return self.used >= self.limit
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -38,13 +38,13 @@
 class AttemptObserver(Protocol):
     """Observes attempts and the ends of requests, for metrics."""
 
-    def sent(self, send: io.Send, pending: PendingRequest) -> None:
+    def attempt_starting(self, send: io.Send, pending: PendingRequest) -> None:
         """An attempt is about to be made."""
 
-    def ended(self, attempt: Attempt, code: str) -> None:
+    def attempt_ended(self, attempt: Attempt, code: str) -> None:
         """An attempt has ended; code: its outcome, and how far it had come."""
 
-    def closed(self, pending: PendingRequest, how: str) -> None:
+    def request_ended(self, pending: PendingRequest, how: str) -> None:
         """A request has ended."""
 
 
@@ -60,7 +60,7 @@
         self.request_counters = RequestCounters()
         self.recorder: RequestRecorder | None = None
         self.observer: AttemptObserver | None = None
-        self.watch: Callable[[], None] = lambda: None  # polls the list, when the module says so
+        self.poll_list: Callable[[], None] = lambda: None  # polls the list, when the module says so
         self._number = 0
         self._adopt(settings)
 
@@ -68,7 +68,7 @@
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.request_counters.classes = self.classes
-        self.longest_ms = max(c.deadline_ms for c in settings.classes)
+        self.max_deadline_ms = max(c.deadline_ms for c in settings.classes)
 
     def reconfigure(self, settings: io.Settings) -> None:
         """New settings, under load: what is in flight goes on, what was learnt stays."""
@@ -79,7 +79,7 @@
         """What a successor is to know; this one only ends what it has from now on."""
         return self.balancer.hand_over(self.clock.unix_ms())
 
-    def take_back(self) -> None:
+    def cancel_handover(self) -> None:
         """The successor has died: this one sends again to servers in slow start."""
         self.balancer.cancel_handover(self.clock.unix_ms())
 
@@ -116,7 +116,7 @@
         if pending is not None:
             attempt = pending.attempt
             self._close(pending, RequestEnd.ABANDONED)
-            self.request_counters.end(RequestEnd.FAILED, pending.kind)
+            self.request_counters.end(RequestEnd.FAILED, pending.service_class)
             self.balancer.pending_requests.pop(pending.number, None)
             if attempt is not None:
                 attempt.fail(io.Outcome.CANCELLED)
@@ -133,7 +133,7 @@
             case io.SetTimer(after, token):
                 self.clock.call_later(max(0.0, after) / 1000.0, self.feed, io.Timer(token))
             case io.Watch():
-                self.watch()
+                self.poll_list()
             case io.Cancel(request, number):
                 attempt = self.pending_requests[request].attempt
                 if attempt is not None and attempt.number == number and not attempt.streaming:
@@ -149,7 +149,7 @@
         due = min(pending.deadline, time_out)
         finish = min(pending.deadline, max(due, now + send.response_deadline_ms / 1000.0))
         if self.observer is not None:
-            self.observer.sent(send, pending)
+            self.observer.attempt_starting(send, pending)
         attempt = pending.backend.attempt(pending, pending.sends, send.server, now, due, finish)
         pending.sends += 1
         pending.attempt = attempt
@@ -159,13 +159,13 @@
         """The module has given a request its final answer."""
         pending = self.pending_requests[request]
         self.counts[how] += 1
-        self.request_counters.end(how, pending.kind)
+        self.request_counters.end(how, pending.service_class)
         self._close(pending, how)
         return pending
 
     def _close(self, pending: PendingRequest, how: RequestEnd) -> None:
         if self.observer is not None:
-            self.observer.closed(pending, how)
+            self.observer.request_ended(pending, how)
         self.pending_requests.pop(pending.number, None)
         pending.done = True
         pending.attempt = None
@@ -182,7 +182,7 @@
     def request_arrived(self, pending: PendingRequest, request: io.Request, size: int = 0) -> None:
         """A complete request has come, and needs its one answer; size: of its body, in bytes."""
         self.pending_requests[pending.number] = pending
-        pending.kind = request.service_class
+        pending.service_class = request.service_class
         if self.recorder is not None:
             self.recorder.record(request, size)
         self.feed(request)
@@ -217,7 +217,7 @@
 
     def may_write_for(self, attempt: Attempt) -> float:
         """Seconds for which its request may be written, to the last byte; 0: not at all."""
-        if attempt.pending.done or self.clock.now() >= attempt.due:
+        if attempt.pending.done or self.clock.now() >= attempt.timeout_at:
             return 0.0
         return self.balancer.write_window_ms(self.clock.unix_ms(), attempt.pending.number) / 1000.0
 
@@ -228,7 +228,7 @@
         self.feed(io.ResponseStarted(number, attempt.number, attempt.server, self._spent_ms(attempt)))
 
     def _spent_ms(self, attempt: Attempt) -> float:
-        return max(MIN_SPENT_MS, (self.clock.now() - attempt.sent) * 1000.0)
+        return max(MIN_SPENT_MS, (self.clock.now() - attempt.chosen_at) * 1000.0)
 
     def ended(
         self,
@@ -250,7 +250,7 @@
         spent = self._spent_ms(attempt)
         outcome = f"{code} {stage}".rstrip()
         if self.observer is not None:
-            self.observer.ended(attempt, outcome)
+            self.observer.attempt_ended(attempt, outcome)
         if pending.attempt is attempt:
             pending.attempt = None
         succeeded = code == io.Outcome.OK
@@ -270,7 +270,7 @@
         pending = attempt.pending
         how = RequestEnd.SERVED if succeeded else RequestEnd.FAILED
         self._close(pending, how)
-        self.request_counters.end(how, pending.kind)
+        self.request_counters.end(how, pending.service_class)
         if attempt.streaming:
             pending.streamed(succeeded)
         elif succeeded:
@@ -282,13 +282,13 @@
     # ---- from the endpoint list
 
     def endpoint_list_update(
-        self, how: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
+        self, kind: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
-        """The list, or its changes; how: one of io.ListUpdateKind.
+        """The list, or its changes; kind: one of io.ListUpdateKind.
 
         starts: of incarnations, by server, in ms on the engine's clock.
         """
-        self.feed(io.EndpointListUpdate(how, entries, starts))
+        self.feed(io.EndpointListUpdate(kind, entries, starts))
 
     # ---- no request lost
 
--- a/quartzford/engine/pending_request.py
+++ b/quartzford/engine/pending_request.py
@@ -13,13 +13,22 @@
     The engine calls exactly one of served, refused, failed, aborted and streamed, unless the client has left.
     """
 
-    __slots__ = ("number", "deadline", "attempt", "sends", "done", "backend", "kind", "label")
+    __slots__ = (
+        "number",
+        "deadline",
+        "attempt",
+        "sends",
+        "done",
+        "backend",
+        "service_class",
+        "correlation_id",
+    )
 
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
         self.number = -1
-        self.kind = ""  # the class that the request named
-        self.label = ""  # the id that its client gave it, for logs
+        self.service_class = ""  # the class that the request named
+        self.correlation_id = ""  # the id that its client gave it, for logs
         self.deadline = math.inf  # on the engine's clock, seconds
         self.attempt: Attempt | None = None
         self.sends = 0
@@ -61,19 +70,19 @@
 class Attempt(ABC):
     """One attempt of one request at one server; it ends with exactly one outcome, by Engine.ended.
 
-    sent: when the module chose; written: when it left for the server, NaN before; due: when it times out;
-    all in seconds on the engine's clock.
+    chosen_at: when the module chose; written_at: when it left for the server, NaN before; timeout_at: when it
+    times out; all in seconds on the engine's clock.
     """
 
-    __slots__ = ("pending", "number", "server", "sent", "written", "due", "streaming", "over")
+    __slots__ = ("pending", "number", "server", "chosen_at", "written_at", "timeout_at", "streaming", "over")
 
-    def __init__(self, pending: Any, number: int, server: str, sent: float, due: float) -> None:
+    def __init__(self, pending: Any, number: int, server: str, chosen_at: float, timeout_at: float) -> None:
         self.pending = pending
         self.number = number
         self.server = server
-        self.sent = sent
-        self.written = math.nan
-        self.due = due
+        self.chosen_at = chosen_at
+        self.written_at = math.nan
+        self.timeout_at = timeout_at
         self.streaming = False  # its response is being passed on: it is the client's now
         self.over = False
 
@@ -90,6 +99,6 @@
     """Makes attempts."""
 
     def attempt(
-        self, pending: Any, number: int, server: str, sent: float, due: float, finish: float
+        self, pending: Any, number: int, server: str, chosen_at: float, timeout_at: float, finish: float
     ) -> Attempt:
-        """An attempt, not begun; a response that has begun by `due` is waited for until `finish`."""
+        """An attempt, not begun; a response that has begun by `timeout_at` is waited for until `finish`."""
--- a/quartzford/engine/request_counters.py
+++ b/quartzford/engine/request_counters.py
@@ -46,17 +46,17 @@
         self.rejected: Counter[int] = Counter()
         self.reloads = {"ok": 0, "failed": 0}
 
-    def end(self, how: str, kind: str) -> None:
+    def end(self, how: str, service_class: str) -> None:
         """A request has ended; a class that the settings don't know is counted without its name."""
-        self.ended[how][kind if kind in self.classes else NO_CLASS] += 1
+        self.ended[how][service_class if service_class in self.classes else NO_CLASS] += 1
 
-    def turned_away(self, status: int, kind: str) -> None:
-        """An answer made before the module; kind: the class, "" where its head could not be read."""
+    def count_rejection(self, status: int, service_class: str) -> None:
+        """An answer made before the module; service_class: the class, "" where its head could not be read."""
         self.rejected[status] += 1
-        if kind:
-            self.end(RequestEnd.REFUSED if status in SHED_STATUSES else RequestEnd.FAILED, kind)
+        if service_class:
+            self.end(RequestEnd.REFUSED if status in SHED_STATUSES else RequestEnd.FAILED, service_class)
 
-    def page(self, prefix: str, classes: Collection[str], gauges: Iterable[tuple[str, int]]) -> str:
+    def format_page(self, prefix: str, classes: Collection[str], gauges: Iterable[tuple[str, int]]) -> str:
         """The counts and gauges, one `prefix.name=value` a line; classes: those that the settings know."""
         lines = []
         for how, counts in self.ended.items():
--- a/quartzford/fronts/client_connection.py
+++ b/quartzford/fronts/client_connection.py
@@ -205,7 +205,7 @@
     def body_received(self, size: int) -> None:
         """Charge a piece of a body; read no more where memory is short."""
         self.front.budget.used += size
-        if self.front.budget.full():
+        if self.front.budget.is_exhausted():
             self.paused_at = self.paused_at or self.front.now()
             self.front.pause_reading(self)
 
@@ -314,7 +314,7 @@
         if self.closing or self.transport.is_closing():
             return
         self._drop_body()
-        self.front.engine.request_counters.turned_away(status, self.reader.value(SERVICE_CLASS))
+        self.front.engine.request_counters.count_rejection(status, self.reader.value(SERVICE_CLASS))
         self.transport.write(responses.rejection(status))
         self._end_sending()
 
--- a/quartzford/fronts/client_owner.py
+++ b/quartzford/fronts/client_owner.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol, TypeVar
 
-from quartzford.engine import Backend, Budget, Clock, Engine
+from quartzford.engine import Backend, BufferBudget, Clock, Engine
 
 ClientT = TypeVar("ClientT", contravariant=True)
 
@@ -15,7 +15,7 @@
 
     engine: Engine
     backend: Backend
-    budget: Budget
+    budget: BufferBudget
     clock: Clock
     now: Callable[[], float]  # the engine's clock, seconds
     ready: Callable[[], bool]
--- a/quartzford/fronts/client_timeouts.py
+++ b/quartzford/fronts/client_timeouts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from quartzford.engine import Budget
+from quartzford.engine import BufferBudget
 from quartzford.fronts.client_connection import Client
 from quartzford.fronts.responses import REQUEST_TIMEOUT, UNAVAILABLE
 
@@ -14,7 +14,7 @@
 MAX_PAUSE_S = 1.0  # in reading a body, for want of memory
 
 
-def check_timeouts(client: Client, budget: Budget, now: float) -> None:
+def check_timeouts(client: Client, budget: BufferBudget, now: float) -> None:
     """End what has taken too long; now: on the engine's clock, seconds."""
     unsent_bytes = client.transport.get_write_buffer_size()
     if client.lingering is not None and client.lingering.expired(now):
@@ -37,14 +37,14 @@
         client.transport.abort()
 
 
-def _check_request(client: Client, budget: Budget, now: float) -> None:
+def _check_request(client: Client, budget: BufferBudget, now: float) -> None:
     if client.reader.in_head:
         stalled = now - client.message_started > HEAD_TIMEOUT_S
     else:
         stalled = now - client.last_progress > BODY_STALL_S
     if stalled or now - client.message_started > REQUEST_TIMEOUT_S:
         client.reject(REQUEST_TIMEOUT)
-    elif client.paused_at and not budget.full():
+    elif client.paused_at and not budget.is_exhausted():
         client.resume_body()
     elif client.paused_at and now - client.paused_at > MAX_PAUSE_S:
         client.reject(UNAVAILABLE)
--- a/quartzford/fronts/exchange.py
+++ b/quartzford/fronts/exchange.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol, cast
 
-from quartzford.engine import Backend, Budget, PendingRequest
+from quartzford.engine import Backend, BufferBudget, PendingRequest
 from quartzford.fronts.responses import (
     BAD_GATEWAY,
     INTERNAL_ERROR,
@@ -57,8 +57,9 @@
     """A client's request, from its last byte to its final response.
 
     line, fields: of the request's head, for the upstream. keep_alive: the connection stays open behind the
-    response. is_http_1_0: the client speaks that. streams: the class's responses are passed on as they come.
-    charged: bytes held for this exchange. has_no_length: the request came with no body and no length.
+    response. is_http_1_0: the client speaks that. streams_response: the class's responses are passed on as
+    they come. charged: bytes held for this exchange. has_no_length: the request came with no body and no
+    length.
     """
 
     __slots__ = (
@@ -69,7 +70,7 @@
         "body",
         "keep_alive",
         "is_http_1_0",
-        "streams",
+        "streams_response",
         "charged",
         "has_no_length",
         "chunked_response",
@@ -80,7 +81,7 @@
         self,
         client: ResponseChannel,
         backend: Backend,
-        budget: Budget,
+        budget: BufferBudget,
         line: bytes,
         fields: bytes,
         body: bytes | bytearray,
@@ -93,7 +94,7 @@
         self.body = body
         self.keep_alive = False
         self.is_http_1_0 = False
-        self.streams = False
+        self.streams_response = False
         self.has_no_length = False
         self.chunked_response = False
         self.response_ends_with_close = False
--- a/quartzford/fronts/extproc/decision_service.py
+++ b/quartzford/fronts/extproc/decision_service.py
@@ -138,7 +138,7 @@
             return 0.0
         service_class = self.engine.classes.get(decision_request.service_class)
         objective_ms = (
-            service_class.latency_objective_ms if service_class is not None else self.engine.longest_ms
+            service_class.latency_objective_ms if service_class is not None else self.engine.max_deadline_ms
         )
         return min(limits.max_retry_after_ms, objective_ms / 4)
 
@@ -165,7 +165,7 @@
         if decision_request.left_ms >= 0:
             return decision_request.left_ms
         service_class = self.engine.classes.get(decision_request.service_class)
-        return service_class.deadline_ms if service_class is not None else self.engine.longest_ms
+        return service_class.deadline_ms if service_class is not None else self.engine.max_deadline_ms
 
     def _next_attempt(self, stream: Stream, decision_request: DecisionRequest) -> None:
         number = self.tokens.read(decision_request.token, decision_request.identity, self.clock.unix_ms())
--- a/quartzford/fronts/extproc/remote_request.py
+++ b/quartzford/fronts/extproc/remote_request.py
@@ -30,7 +30,7 @@
     """An attempt that the caller makes (backends/caller.py)."""
 
     number: int
-    due: float
+    timeout_at: float
 
     @property
     def valid_until(self) -> float:
@@ -38,7 +38,7 @@
         ...
 
     @property
-    def host(self) -> NamedEndpoint | None:
+    def endpoint(self) -> NamedEndpoint | None:
         """The endpoint, where it is still listed."""
         ...
 
@@ -46,19 +46,19 @@
         """Take the decision for a stream; False where it is no longer valid and a new one is due."""
         ...
 
-    def reported(self, code: str, report: io.Report = (), faulted: bool = False) -> None:
+    def report_outcome(self, code: str, report: io.Report = (), faulted: bool = False) -> None:
         """The caller reports how the attempt ended."""
         ...
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """The caller's stream ended with nothing reported."""
         ...
 
-    def lost(self) -> bool:
+    def is_lost(self) -> bool:
         """Whether the caller's stream ended with nothing reported."""
         ...
 
-    def recall(self) -> None:
+    def undo_claim(self) -> None:
         """Undo the claim: the decision never left this machine."""
         ...
 
@@ -128,7 +128,7 @@
     def __init__(self, service: RequestOwner, identity: str) -> None:
         super().__init__(service.backend)
         self.service = service
-        self.identity = self.label = identity
+        self.identity = self.correlation_id = identity
         self.token = ""
         self.awaiting_outcome: Stream | None = None  # has opened or reported; the next reply is its
         self.awaiting_decision: Stream | None = None  # requests a decision for the next attempt
@@ -194,7 +194,7 @@
         attempt = cast("AttemptHandle | None", self.attempt)
         if attempt is None:
             return  # the module holds the request: its decision reaches this stream when it comes
-        if self.may_have_run and attempt.lost():
+        if self.may_have_run and attempt.is_lost():
             attempt.fail("cancelled")  # the caller goes on without it: now the module may, by its rules
         else:
             self._send_decision(attempt)
@@ -214,7 +214,7 @@
         if result.code in NEVER_RAN_CODES:
             self.may_have_run = self.may_have_run_before
         assert attempt is not None
-        attempt.reported(result.code, result.report, result.faulted)
+        attempt.report_outcome(result.code, result.report, result.faulted)
         if not self.done:
             self.awaiting_outcome = None
             stream.send_reply(RetryOffered(not self.may_have_run))
@@ -233,7 +233,7 @@
         self.attempt_stream = None
         assert attempt is not None
         self.may_have_run = self.may_have_run_before
-        attempt.recall()
+        attempt.undo_claim()
         return attempt
 
     def stream_closed(self, stream: Stream, unwritten: bool) -> None:
@@ -250,7 +250,7 @@
         elif stream is self.attempt_stream:
             self.attempt_stream = None
             if stream.attempt is not None:
-                stream.attempt.lose()
+                stream.attempt.mark_lost()
             self._await_next_stream()
 
     def opened(self, stream: Stream) -> None:
@@ -275,19 +275,24 @@
         assert stream is not None
         if not attempt.claim():
             return  # the module decides again: its next decision reaches this stream
-        assert attempt.host is not None
+        assert attempt.endpoint is not None
         self.may_have_run_before = self.may_have_run
         self.may_have_run = True
         self.awaiting_decision = None
         self.attempt_stream = stream
         stream.attempt = attempt
         left_s = self.deadline - self.service.clock.now()
-        server_deadline = min(attempt.due, self.deadline - min(TRANSIT_ALLOWANCE_S, left_s / 2))
+        server_deadline = min(attempt.timeout_at, self.deadline - min(TRANSIT_ALLOWANCE_S, left_s / 2))
         valid_until = attempt.valid_until
         valid_for_ms = (valid_until - stream.requested_at) * 1000.0
         stream.send_reply(
             Decision(
-                attempt.host.address, self.token, attempt.due, server_deadline, valid_for_ms, valid_until
+                attempt.endpoint.address,
+                self.token,
+                attempt.timeout_at,
+                server_deadline,
+                valid_for_ms,
+                valid_until,
             )
         )
 
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -100,7 +100,7 @@
     @property
     def longest_s(self) -> float:
         """The longest deadline of all classes, seconds."""
-        return self.engine.longest_ms / 1000.0
+        return self.engine.max_deadline_ms / 1000.0
 
     async def start(self) -> None:
         """Listen, here or in workers; returns when these are up, or after a time-out without some of them."""
--- a/quartzford/fronts/http_front.py
+++ b/quartzford/fronts/http_front.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from quartzford.engine import Backend, Budget, Clock, Engine
+from quartzford.engine import Backend, BufferBudget, Clock, Engine
 from quartzford.fronts.client_connection import Client
 from quartzford.fronts.client_timeouts import check_timeouts
 from quartzford.fronts.listener import Listener, bind, open_connection
@@ -28,7 +28,7 @@
     """
 
     def __init__(
-        self, engine: Engine, backend: Backend, budget: Budget, clock: Clock, ready: Callable[[], bool]
+        self, engine: Engine, backend: Backend, budget: BufferBudget, clock: Clock, ready: Callable[[], bool]
     ) -> None:
         """ready: whether requests can be served, for health checks."""
         self.engine = engine
--- a/quartzford/fronts/request_intake.py
+++ b/quartzford/fronts/request_intake.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from quartzford.decision import interface as io
-from quartzford.engine import Backend, Budget, Engine
+from quartzford.engine import Backend, BufferBudget, Engine
 from quartzford.fronts.exchange import Exchange, ResponseChannel
 from quartzford.fronts.request_reader import (
     ACCOUNT,
@@ -22,7 +22,7 @@
 
 
 def new_exchange(
-    reader: RequestReader, client: ResponseChannel, backend: Backend, budget: Budget
+    reader: RequestReader, client: ResponseChannel, backend: Backend, budget: BufferBudget
 ) -> Exchange:
     """The exchange of the request that the reader has completed; it takes body and charge over."""
     line = b"%b %b HTTP/1.1\r\n" % (reader.method, reader.target)
@@ -41,13 +41,13 @@
     """
     name = reader.value(SERVICE_CLASS)
     service_class = engine.classes.get(name)
-    longest_ms = service_class.deadline_ms if service_class is not None else engine.longest_ms
+    max_deadline_ms = service_class.deadline_ms if service_class is not None else engine.max_deadline_ms
     stated_ms = read_time_left(reader.value(TIME_LEFT).strip())
-    left_ms = longest_ms if stated_ms is None else min(stated_ms, longest_ms)
-    exchange.streams = service_class is not None and service_class.streaming
+    left_ms = max_deadline_ms if stated_ms is None else min(stated_ms, max_deadline_ms)
+    exchange.streams_response = service_class is not None and service_class.streaming
     exchange.deadline = now + left_ms / 1000.0
     exchange.number = engine.next_number()
-    exchange.label = reader.value(CORRELATION_ID)
+    exchange.correlation_id = reader.value(CORRELATION_ID)
     return io.Request(
         exchange.number,
         name,
--- a/quartzford/graceful_shutdown.py
+++ b/quartzford/graceful_shutdown.py
@@ -70,7 +70,7 @@
 
     def _killed_at(self) -> float:
         """SIGKILL comes no sooner."""
-        deadline_s = min(MAX_DEADLINE_S, self.engine.longest_ms / 1000.0)
+        deadline_s = min(MAX_DEADLINE_S, self.engine.max_deadline_ms / 1000.0)
         return self.started_at + deadline_s + KILL_MARGIN_S
 
     def _take_last_step(self) -> bool:
--- a/quartzford/housekeeping.py
+++ b/quartzford/housekeeping.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from quartzford.backends.http_backend import HttpBackend
-from quartzford.engine import Budget, Clock, Engine, Log
+from quartzford.engine import BufferBudget, Clock, Engine, Log
 from quartzford.fronts.http_front import HttpFront
 
 SWEEP_INTERVAL_S = 0.25
@@ -20,7 +20,7 @@
         engine: Engine,
         front: HttpFront,
         backend: HttpBackend,
-        budget: Budget,
+        budget: BufferBudget,
         clock: Clock,
         log: Log,
     ) -> None:
--- a/quartzford/metrics.py
+++ b/quartzford/metrics.py
@@ -88,7 +88,7 @@
         }
         print("news:", json.dumps(update, separators=(",", ":")), file=sys.stderr, flush=True)
 
-    def sent(self, send: io.Send, pending: PendingRequest) -> None:
+    def attempt_starting(self, send: io.Send, pending: PendingRequest) -> None:
         """An attempt is about to be made."""
         balancer = self.node.engine.balancer
         server = balancer.servers[send.server]
@@ -98,27 +98,27 @@
         if server in balancer.endpoints.slow_start.cold:
             self.cold[send.server] += 1
 
-    def ended(self, attempt: Attempt, code: str) -> None:
+    def attempt_ended(self, attempt: Attempt, code: str) -> None:
         """An attempt has ended; code: its outcome, and how far it had come."""
         outcome = code.split()[0]
         if outcome not in GOOD_OUTCOMES:
             self.bad[f"{outcome} {attempt.server}"] += 1
         if self.traces is not None and not attempt.pending.done:
-            times = (self._unix(attempt.sent), self._unix(attempt.written), self._unix())
+            times = (self._unix(attempt.chosen_at), self._unix(attempt.written_at), self._unix())
             self.traces.setdefault(attempt.pending.number, []).append([attempt.server, *times, code])
 
-    def closed(self, pending: PendingRequest, how: str) -> None:
+    def request_ended(self, pending: PendingRequest, how: str) -> None:
         """A request has ended."""
         if self.traces is None:
             return
         in_flight = (
-            [[pending.attempt.server, self._unix(pending.attempt.sent)]]
+            [[pending.attempt.server, self._unix(pending.attempt.chosen_at)]]
             if pending.attempt is not None
             else []
         )
         trace = {
-            "id": pending.label,
-            "class": pending.kind,
+            "id": pending.correlation_id,
+            "class": pending.service_class,
             "at": self._unix(),
             "left": self._unix(pending.deadline),
             "how": how,
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -11,7 +11,7 @@
 from quartzford.backends.http_backend import HttpBackend
 from quartzford.control import LISTS_PER_S as LISTS_PER_S
 from quartzford.control import assemble
-from quartzford.engine import Budget, LoopClock, StderrLog
+from quartzford.engine import BufferBudget, LoopClock, StderrLog
 from quartzford.fronts.http_front import HttpFront
 from quartzford.fronts.operations import OperationsFront
 from quartzford.graceful_shutdown import GracefulShutdown
@@ -52,7 +52,7 @@
         self.loop = loop
         self.clock = clock = LoopClock(loop)
         self.log = StderrLog(clock.now)
-        self.budget = Budget(0)
+        self.budget = BufferBudget(0)
         self.control = assemble(config, loop, clock, self.log, subset, lists_per_s, relays)
         self.engine = self.control.engine
         self.watch = self.control.watch
@@ -249,7 +249,7 @@
             ("upstreams_known", len(balancer.servers)),
             ("upstreams_excluded", balancer.endpoints.excluded_count()),
         )
-        return self.engine.request_counters.page(prefix, self.engine.classes, gauges)
+        return self.engine.request_counters.format_page(prefix, self.engine.classes, gauges)
 
 
 def is_transient(error: OSError) -> bool:
--- a/quartzford/replaceable_node.py
+++ b/quartzford/replaceable_node.py
@@ -119,7 +119,7 @@
     def resume_serving(self) -> None:
         """Accept connections again: the successor is lost."""
         self.use_full_limits()
-        self.control.engine.take_back()
+        self.control.engine.cancel_handover()
         self.front.resume()
 
     def transfer_clients(self, transfer: Callable[[int], bool] | None) -> None:
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -135,7 +135,7 @@
         self.node.reconfigure(config)
         self.operator = operator
         if self.extproc is not None and operator.extproc is not None:
-            self.extproc.backend.valid_s = decision_valid_s(operator.extproc, config.settings)
+            self.extproc.backend.decision_valid_s = decision_valid_s(operator.extproc, config.settings)
             self.extproc.front.reconfigure(operator.extproc, config.report_names)
         self.node.log.line("reload", f"in force, discovery at {config.discovery[0]}:{config.discovery[1]}")
 
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -76,7 +76,7 @@
     """A request held until its worker stands still, then decided: who asked, its question, the nodo."""
     for upstream in site.upstreams:
         site.registry.notify(upstream, health="draining")
-    await wait_until(lambda: not site.backend.hosts)
+    await wait_until(lambda: not site.backend.endpoints)
     raw = RawStream(site.caller())
     asking = asyncio.create_task(raw.submit(request_headers("c1", name)))
     await wait_until(lambda: site.open_requests() == 1)
@@ -96,7 +96,7 @@
         raw, asking, chosen = await decision_while_the_worker_is_stopped(site, "pay")
         upstream = site.upstreams[int(chosen[1:])]
         site.registry.notify(upstream, health="draining")
-        await wait_until(lambda: chosen not in site.backend.hosts)
+        await wait_until(lambda: chosen not in site.backend.endpoints)
         await asyncio.sleep(site.extproc.decision_valid_ms / 1000.0)
         site.front.workers[0].send_signal(signal.SIGCONT)
         assert immediate_status(await asking) == 0
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -122,7 +122,7 @@
 async def test_a_stream_dropped_before_its_decision_surely_did_not_run() -> None:
     async with ExtprocSite(1) as site:
         site.registry.notify(site.upstreams[0], health="draining")
-        await wait_until(lambda: not site.backend.hosts)
+        await wait_until(lambda: not site.backend.endpoints)
         caller = site.caller()
         raw = RawStream(caller)
         message = proto.ProcessingRequest(request_headers=_message(request_headers("x1")))
@@ -131,7 +131,7 @@
         raw.drop()
         await wait_until(lambda: not site.open_requests() and not site.node.engine.pending_requests)
         site.registry.notify(site.upstreams[0])
-        await wait_until(lambda: site.backend.hosts)
+        await wait_until(lambda: site.backend.endpoints)
         done = await site.submit(caller, "pay", identity="x1")
         assert done.statuses == [200] and site.execution_count("x1") == 1
 
@@ -436,7 +436,7 @@
         chosen = call.attempt.server
         upstream = site.upstreams[int(chosen[1:])]
         site.registry.notify(upstream, health="draining")
-        await wait_until(lambda: chosen not in site.backend.hosts)
+        await wait_until(lambda: chosen not in site.backend.endpoints)
         raw = RawStream(caller)
         await raw.submit(request_headers("c1", "pay", opener.token()))
         assert raw.address() != f"127.0.0.1:{upstream.port}" and site.node.engine.counts["moot"] == 1
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -92,12 +92,14 @@
 
     async def test() -> None:
         async with ExtprocSite(2, decision_valid_ms=requested_ms) as site, HoldUps() as hold_ups:
-            site.backend.valid_s = decision_valid_s(site.extproc, site.config.settings)
+            site.backend.decision_valid_s = decision_valid_s(site.extproc, site.config.settings)
             decided: list[float] = []
 
             def later(self: server.ExtprocStream, said: Reply) -> None:
                 decided.append(time.monotonic())
-                asyncio.get_running_loop().call_later(site.backend.valid_s - 0.03, replied, self, said)
+                asyncio.get_running_loop().call_later(
+                    site.backend.decision_valid_s - 0.03, replied, self, said
+                )
 
             def held(self: ReplyWriter, said: Reply, now: float) -> bytes:
                 hold_ups.hold(HELD_S)
