--- a/quartzford/backends/__init__.py
+++ b/quartzford/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Who answers."""
+"""Backends: they make the attempts that the engine requests."""
--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -1,7 +1,8 @@
-"""The caller itself as the backend: it makes the attempt where the module says, and reports on it.
+"""The backend of the external processor: callers make the attempts at the chosen servers and report on them.
 
-Nothing here does I/O. The states of an attempt are in the table of docs/extproc.md: decided (the module
-chose), claimed (a caller gets the decision), lost (the caller's stream ended with nothing reported), over.
+Nothing here does I/O. docs/extproc.md has a table of the states of an attempt: decided (the decision module
+chose a server), claimed (a caller gets the decision), lost (the caller's stream ended without a report) and
+over.
 """
 
 from __future__ import annotations
@@ -16,62 +17,68 @@
 from quartzford.membership.listing import Listing
 
 
-class State(Enum):
-    """Where a remote attempt stands."""
+class RemoteAttemptState(Enum):
+    """The state of an attempt that a caller makes."""
 
-    DECIDED = "decided"  # no caller has the decision: it surely has not run
-    CLAIMED = "claimed"  # it may run at any moment from here on
-    LOST = "lost"  # it may have run, and no report will come
+    DECIDED = "decided"  # no caller has the decision: the attempt cannot have run
+    CLAIMED = "claimed"  # a caller has the decision: the attempt may run at any time from now on
+    LOST = "lost"  # the attempt may have run, and no report will arrive
     OVER = "over"
 
 
-class Host(NamedTuple):
-    """A server that may be named to callers."""
+class CallerEndpoint(NamedTuple):
+    """A ready server of the list; address: host:port. started_ms: its start, Unix time by the list."""
 
     address: str
     started_ms: float
 
 
 class RemoteCall(Protocol):
-    """What this backend needs of a call."""
+    """What this backend needs of a request; deadline: seconds on the engine's clock."""
 
     deadline: float
 
     def decided(self, attempt: RemoteAttempt) -> None:
-        """The module has chosen; a stream that waits for the decision may claim it now."""
+        """Called when the module has chosen a server: a stream that waits for the decision may claim it."""
 
 
 class CallerBackend:
-    """The servers that callers may be sent to.
+    """The servers that decisions may name.
 
-    decision_valid_s: for how long a decision stands, claimed or not.
+    decision_valid_s: seconds for which a decision is valid from the moment it is made, claimed or not.
     """
 
     def __init__(self, core: Engine, clock: Clock, decision_valid_s: float) -> None:
         self.engine = core
         self.clock = clock
         self.decision_valid_s = decision_valid_s
-        self.endpoints: dict[str, Host] = {}
+        self.endpoints: dict[str, CallerEndpoint] = {}
 
     def listed(self, listing: Listing) -> None:
-        """Follow the endpoint list: a complete one, or the entries that have changed."""
+        """Apply an endpoint list: a complete one, or the entries that have changed."""
         if listing.complete:
             self.endpoints.clear()
         for entry, (host, port) in zip(listing.entries, listing.addresses, strict=True):
             if entry.state == "ready":
-                self.endpoints[entry.server] = Host(f"{host}:{port}", entry.started_ms)
+                self.endpoints[entry.server] = CallerEndpoint(f"{host}:{port}", entry.started_ms)
             else:
                 self.endpoints.pop(entry.server, None)
 
-    def attempt(
-        self, pending: Any, number: int, server: str, chosen_at: float, timeout_at: float, finish: float
+    def create_attempt(
+        self,
+        pending: Any,
+        number: int,
+        server: str,
+        chosen_at: float,
+        timeout_at: float,
+        response_deadline: float,
     ) -> RemoteAttempt:
-        """An attempt, not begun; times on the engine's clock, seconds. See engine.Backend."""
+        """Return a new attempt, not begun yet; times in seconds on the engine's clock. See engine.Backend."""
         return RemoteAttempt(self, pending, number, server, chosen_at, timeout_at)
 
 
 class RemoteAttempt(engine.Attempt):
-    """One attempt that the caller makes."""
+    """One attempt that the caller makes. Times are seconds on the engine's clock."""
 
     __slots__ = ("backend", "endpoint", "state", "timer", "valid_until")
     pending: RemoteCall
@@ -88,82 +95,84 @@
         super().__init__(pending, number, server, chosen_at, timeout_at)
         self.backend = backend
         self.endpoint = backend.endpoints.get(server)
-        self.state = State.DECIDED
+        self.state = RemoteAttemptState.DECIDED
         self.timer: Handle | None = None
-        # After this the decision is not claimed, not written, and not sent by a caller that observes it.
+        # After this time the decision is neither claimed nor written to a caller, and a caller that respects
+        # it sends nothing.
         self.valid_until = chosen_at + backend.decision_valid_s
 
     def start(self) -> None:
-        """Offer the decision to a stream that waits for it; it is dropped if it is not claimed in time."""
+        """Offer the decision to a stream that waits for one. If none claims it in time, the attempt ends."""
         self.timer = self.backend.clock.call_later(
             self.timeout_at - self.chosen_at, self.fail, outcomes.NOT_SENT
         )
         self.pending.decided(self)
 
     def claim(self) -> bool:
-        """A stream of the caller takes the decision; False where it has expired: the module decides again.
+        """Claim the decision for a stream; False if it is no longer valid: the module then decides again.
 
-        After True the attempt may run at any time: from here only an outcome proves that it did not.
+        After True the attempt may run at any time: then only a reported outcome proves that it did not.
         """
-        if self.state is not State.DECIDED:
+        if self.state is not RemoteAttemptState.DECIDED:
             return False
         now = self.backend.clock.now()
-        same = self.endpoint is not None and self.backend.endpoints.get(self.server) == self.endpoint
-        writable_s = self.backend.engine.may_write_for(self)
-        if not same or now > self.valid_until or writable_s <= 0.0:
+        still_listed = self.endpoint is not None and self.backend.endpoints.get(self.server) == self.endpoint
+        write_window_s = self.backend.engine.write_window_s(self)
+        if not still_listed or now > self.valid_until or write_window_s <= 0.0:
             self.fail(outcomes.NOT_SENT)
             return False
-        self.valid_until = min(self.valid_until, now + writable_s)
-        self.state = State.CLAIMED
+        self.valid_until = min(self.valid_until, now + write_window_s)
+        self.state = RemoteAttemptState.CLAIMED
         self.written_at = now
         self.backend.engine.request_counters.attempts += 1
-        self._stop()
-        # The caller holds the attempt's own time-out. Here only the client's time ends it, for good: it may
-        # still be out at the caller, and a second one beside it would break rule two.
-        left = self.pending.deadline - now
-        self.timer = self.backend.clock.call_later(max(0.0, left), self._overdue)
+        self._cancel_timer()
+        # The caller enforces the attempt's own time-out. Here only the client's deadline ends the attempt,
+        # and the request with it: the attempt may still be in flight at the caller, and a second attempt at
+        # the same time would break rule two.
+        time_left_s = self.pending.deadline - now
+        self.timer = self.backend.clock.call_later(max(0.0, time_left_s), self._deadline_passed)
         return True
 
     def report_outcome(self, code: str, report: io.Report = (), faulted: bool = False) -> None:
-        """The caller says how it ended."""
-        if self.state is State.CLAIMED:
+        """End a claimed attempt with the outcome that the caller reports."""
+        if self.state is RemoteAttemptState.CLAIMED:
             self._end()
-            self.backend.engine.ended(self, code, None, report, faulted)
+            self.backend.engine.attempt_ended(self, code, None, report, faulted)
 
     def mark_lost(self) -> None:
-        """The caller's stream ended with nothing reported; whether the request goes on is not known yet."""
-        if self.state is State.CLAIMED:
-            self.state = State.LOST
+        """Note that the caller's stream ended without a report; the caller may still continue the request."""
+        if self.state is RemoteAttemptState.CLAIMED:
+            self.state = RemoteAttemptState.LOST
 
     def is_lost(self) -> bool:
-        """The caller's stream has ended with nothing reported."""
-        return self.state is State.LOST
+        """Return whether the caller's stream ended without a report."""
+        return self.state is RemoteAttemptState.LOST
 
     def undo_claim(self) -> None:
-        """The decision never left this machine: the attempt is as if it had not been claimed."""
-        if self.state is State.CLAIMED:
-            self.state = State.DECIDED
+        """Return to the state before the claim: the decision never left this machine."""
+        if self.state is RemoteAttemptState.CLAIMED:
+            self.state = RemoteAttemptState.DECIDED
 
     def fail(self, code: str) -> None:
-        """End it with this outcome; one that was claimed is never reported as not sent."""
-        if self.state is State.OVER:
+        """End the attempt with this outcome; a claimed attempt is never reported as not sent."""
+        if self.state is RemoteAttemptState.OVER:
             return
-        if self.state is not State.DECIDED and code == outcomes.NOT_SENT:
+        if self.state is not RemoteAttemptState.DECIDED and code == outcomes.NOT_SENT:
             code = outcomes.CANCELLED
         self._end()
-        self.backend.engine.ended(self, code)
+        self.backend.engine.attempt_ended(self, code)
 
-    def _overdue(self) -> None:
-        if self.state is not State.OVER:
+    def _deadline_passed(self) -> None:
+        if self.state is not RemoteAttemptState.OVER:
             self._end()
-            self.backend.engine.ended(self, outcomes.TIMED_OUT, retryable=False)
+            self.backend.engine.attempt_ended(self, outcomes.TIMED_OUT, retryable=False)
 
     def _end(self) -> None:
-        self.state = State.OVER
-        self.over = True
-        self._stop()
+        self.state = RemoteAttemptState.OVER
+        self.ended = True
+        self._cancel_timer()
 
-    def _stop(self) -> None:
+    def _cancel_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/quartzford/backends/connection_pool.py
+++ b/quartzford/backends/connection_pool.py
@@ -1,4 +1,4 @@
-"""The upstreams of the list, their idle connections, and the bound on all connections."""
+"""The upstreams of the endpoint list, their idle connections, and the limit on all connections."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-from quartzford.backends.response_reader import SERVED
+from quartzford.backends.response_reader import STATUS_OK
 from quartzford.backends.upstream_connection import Connection
 from quartzford.decision import interface as io
 from quartzford.engine import BufferBudget, Clock, Engine
 from quartzford.membership.listing import Listing
 
-MAX_IDLE_SHARE = 0.6  # of the time after which upstreams close idle connections themselves
-MIN_IDLE_S = 0.01  # an upstream that sends a second response does so within some milliseconds
+IDLE_TIMEOUT_SHARE = 0.6  # idle connections are closed after this share of the upstreams' own idle time-out
+MIN_IDLE_S = 0.01  # an upstream that sends a surplus response does so within some milliseconds
 DEFAULT_MAX_CONNECTIONS = 16
-DEFAULT_TIME_OUT_MS = 1000.0
+DEFAULT_TIMEOUT_MS = 1000.0
 
 
 class StreamedAttempt(Protocol):
-    """An attempt whose response is passed on as it comes."""
+    """An attempt whose response is forwarded while it arrives."""
 
     def end_if_stalled(self, now: float) -> None:
-        """Fail the attempt if its upstream has been silent for too long; now: on the engine's clock."""
+        """Fail the attempt if its upstream was silent for too long; now: seconds on the engine's clock."""
 
 
 class ConnectionPool:
-    """The upstreams of the list and their connections.
+    """The upstreams of the endpoint list and their connections.
 
-    max_connections: to all upstreams together, those being made counted in.
+    max_connections: the limit for all upstreams together, including connections that are being opened.
     """
 
     def __init__(
@@ -43,31 +43,31 @@
         self.now = clock.now
         self.loop = loop
         self.upstreams: dict[str, Upstream] = {}
-        self.with_idle: dict[Upstream, None] = {}  # those that may have idle connections
-        self.retired: dict[Upstream, None] = {}  # kept until the list forgets the name
+        self.upstreams_with_idle: dict[Upstream, None] = {}  # upstreams that may have idle connections
+        self.retired: dict[Upstream, None] = {}  # kept until the decision module no longer knows the name
         self.connections: set[Connection] = set()
         self.pending_connects = 0
-        self.opened: Counter[str] = Counter()  # connections made, by upstream
-        self.streams: set[StreamedAttempt] = set()
+        self.opened: Counter[str] = Counter()  # count of connections opened or attempted, by upstream
+        self.streamed_attempts: set[StreamedAttempt] = set()
         self.max_connections = DEFAULT_MAX_CONNECTIONS
-        self.idle_ms = DEFAULT_TIME_OUT_MS
-        self.connect_ms = DEFAULT_TIME_OUT_MS
+        self.idle_ms = DEFAULT_TIMEOUT_MS
+        self.connect_ms = DEFAULT_TIMEOUT_MS
         self.report_names: tuple[str, ...] = ()
 
     def configure(
         self, max_connections: int, idle_ms: float, connect_ms: float, report_names: tuple[str, ...]
     ) -> None:
-        """idle_ms: after which upstreams close idle connections. connect_ms: that a connect may take."""
+        """Apply limits. idle_ms: idle time-out of the upstreams. connect_ms: time-out of a connect."""
         self.max_connections = max_connections
         self.idle_ms = idle_ms
         self.connect_ms = connect_ms
         self.report_names = report_names
 
     def may_connect(self) -> bool:
-        """Whether one more connection is within the bound; an idle one is closed for it where it must be."""
+        """Return whether one more connection may be opened; at the limit, close an idle connection for it."""
         if len(self.connections) + self.pending_connects < self.max_connections:
             return True
-        if not any(upstream.idle for upstream in self.with_idle):
+        if not any(upstream.idle for upstream in self.upstreams_with_idle):
             return False
         for upstream in self.upstreams.values():
             if upstream.idle:
@@ -77,7 +77,7 @@
 
     @contextlib.contextmanager
     def pending_connect(self, upstream: Upstream) -> Iterator[None]:
-        """Count a connection as being made."""
+        """Count a connection as being opened, within the context."""
         self.pending_connects += 1
         self.opened[upstream.name] += 1
         try:
@@ -86,46 +86,46 @@
             self.pending_connects -= 1
 
     def close_idle(self) -> None:
-        """Close all idle connections: another process needs the descriptors."""
-        for upstream in list(self.with_idle):
+        """Close all idle connections, so that another process can use the descriptors."""
+        for upstream in list(self.upstreams_with_idle):
             upstream.expire(math.inf)
 
     def listed(self, listing: Listing) -> None:
-        """Follow the endpoint list: a complete one, or the entries that have changed."""
+        """Apply an endpoint list: a complete one, or the entries that have changed."""
         if listing.complete:
-            named = {entry.server for entry in listing.entries}
-            for name in [name for name in self.upstreams if name not in named]:
+            listed_names = {entry.server for entry in listing.entries}
+            for name in [name for name in self.upstreams if name not in listed_names]:
                 self.upstreams[name].retire()
         for entry, address in zip(listing.entries, listing.addresses, strict=True):
-            self._adopt_entry(entry, address)
+            self._update_entry(entry, address)
 
-    def _adopt_entry(self, entry: io.Endpoint, address: tuple[str, int]) -> None:
+    def _update_entry(self, entry: io.Endpoint, address: tuple[str, int]) -> None:
         current = self.upstreams.get(entry.server)
         if entry.state != "ready":
             if current is not None:
                 current.retire()
             return
-        if current is not None and current.serves(address, entry.started_ms):
+        if current is not None and current.matches(address, entry.started_ms):
             return
         if current is not None:
             current.retire()
         self.upstreams[entry.server] = Upstream(self, entry.server, address, entry.started_ms)
 
     def sweep(self) -> None:
-        """Close what was idle for long, forget upstreams that are gone, end responses that have stalled."""
+        """Close connections idle for too long, remove retired upstreams, fail stalled streamed attempts."""
         now = self.now()
-        before = now - MAX_IDLE_SHARE * self.idle_ms / 1000.0
-        for upstream in list(self.with_idle):
+        before = now - IDLE_TIMEOUT_SHARE * self.idle_ms / 1000.0
+        for upstream in list(self.upstreams_with_idle):
             upstream.expire(before)
             if not upstream.idle:
-                del self.with_idle[upstream]
+                del self.upstreams_with_idle[upstream]
         for upstream in list(self.retired):
-            self._forget(upstream)
-        for attempt in list(self.streams):
+            self._remove_retired(upstream)
+        for attempt in list(self.streamed_attempts):
             attempt.end_if_stalled(now)
 
-    def _forget(self, upstream: Upstream) -> None:
-        """Drop a retired upstream if another incarnation has followed it or the list no longer names it."""
+    def _remove_retired(self, upstream: Upstream) -> None:
+        """Remove a retired upstream if another incarnation replaced it or the module forgot its name."""
         is_current = self.upstreams.get(upstream.name) is upstream
         if is_current and upstream.name in self.engine.balancer.servers:
             return
@@ -136,9 +136,10 @@
 
 
 class Upstream:
-    """One incarnation of an upstream at one address; a restart or a new address makes another.
+    """One incarnation of an upstream at one address; after a restart or at a new address it is another one.
 
-    started_ms: its start, Unix time by the list. idle: connections, the newest last, which is used first.
+    started_ms: its start, Unix time by the list. ready: it takes new attempts. idle: its idle connections, in
+    the order in which they became idle; the newest is reused first.
     """
 
     __slots__ = ("pool", "name", "address", "started_ms", "ready", "idle")
@@ -151,65 +152,66 @@
         self.ready = True
         self.idle: deque[Connection] = deque()
 
-    def serves(self, address: tuple[str, int], started_ms: float) -> bool:
-        """Whether this is the incarnation that the list names, and takes requests."""
+    def matches(self, address: tuple[str, int], started_ms: float) -> bool:
+        """Return whether this is the incarnation with this address and start, and it takes requests."""
         return self.ready and self.address == address and self.started_ms == started_ms
 
     def retire(self) -> None:
-        """Send no new attempt here: it drains, is gone, or has been followed by another incarnation."""
+        """Stop sending attempts: the upstream drains, was removed, or was replaced by another incarnation."""
         self.ready = False
         self.pool.retired[self] = None
         while self.idle:
             self.idle.pop().close()
 
-    def take(self) -> Connection | None:
-        """The newest connection that has been idle for MIN_IDLE_S, or None.
+    def take_idle(self) -> Connection | None:
+        """Remove and return the newest connection that has been idle for MIN_IDLE_S, or None.
 
-        Bytes that come late behind a response would be taken for the next one's. Connections whose last
-        response was a rejection or an error are taken at once: each of a flood of these would else open one.
+        On a connection reused sooner, late bytes after one response would be taken for the next response.
+        Connections whose last response was a rejection or an error are reused at once: otherwise each request
+        of a flood of rejected ones would open a connection.
         """
         before = self.pool.now() - MIN_IDLE_S
-        for connection in [c for c in reversed(self.idle) if c.status != SERVED or c.idle_since <= before]:
+        for connection in [c for c in reversed(self.idle) if c.status != STATUS_OK or c.idle_since <= before]:
             self.idle.remove(connection)
             if connection.is_usable():
                 return connection
             connection.close()
         return None
 
-    def put(self, connection: Connection) -> None:
-        """Keep a connection for the next attempt, if any may come."""
+    def keep_idle(self, connection: Connection) -> None:
+        """Keep a connection as idle for the next attempt; close it if the upstream is retired."""
         if not self.ready:
             return connection.close()
         connection.idle_since = self.pool.now()
         self.idle.append(connection)
-        self.pool.with_idle[self] = None
+        self.pool.upstreams_with_idle[self] = None
 
     def expire(self, before: float) -> None:
-        """Close connections that have been idle since before this moment of the engine's clock."""
+        """Close connections idle since before this time, in seconds on the engine's clock."""
         while self.idle and self.idle[0].idle_since < before:
             self.idle.popleft().close()
 
-    # ---- what connections report
+    # ---- called by connections
 
     @property
     def report_names(self) -> tuple[str, ...]:
-        """Names of the figures in a load report, in the settings' order."""
+        """Names of the values of a load report, in the order of the settings."""
         return self.pool.report_names
 
     def connection_opened(self, connection: Connection) -> None:
-        """Count a connection in the bound."""
+        """Count a connection towards the limit."""
         self.pool.connections.add(connection)
 
     def connection_closed(self, connection: Connection) -> None:
-        """Count a connection in the bound no more."""
+        """Stop counting a connection towards the limit."""
         self.pool.connections.discard(connection)
 
     def request_sent(self) -> None:
-        """Count an attempt whose request has left."""
+        """Count an attempt whose request was sent completely."""
         self.pool.engine.request_counters.attempts += 1
 
-    def drop(self, connection: Connection) -> None:
-        """Close an idle connection that the upstream has ended; one that is not idle stays as it is."""
+    def drop_idle(self, connection: Connection) -> None:
+        """Close a connection that the upstream has ended, if it is idle; do nothing if it is not."""
         try:
             self.idle.remove(connection)
         except ValueError:
--- a/quartzford/backends/http_attempt.py
+++ b/quartzford/backends/http_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of one request at one upstream, on one connection."""
+"""One attempt of one request at one upstream, on one HTTP/1.1 connection."""
 
 from __future__ import annotations
 
@@ -9,77 +9,77 @@
 from quartzford import engine
 from quartzford.backends import outcomes
 from quartzford.backends.connection_pool import ConnectionPool, Upstream
-from quartzford.backends.response_reader import SERVED, ResponseReader
-from quartzford.backends.upstream_connection import HELD_UP_S, MAX_JOINED_BYTES, Connection
+from quartzford.backends.response_reader import STATUS_OK, ResponseReader
+from quartzford.backends.upstream_connection import HOLD_UP_THRESHOLD_S, MAX_JOINED_BYTES, Connection
 from quartzford.engine import Handle
 from quartzford.protocols.socketerrors import is_local_to_connect
 
-TIMER_RESOLUTION_S = 0.001  # what the loop's timers are exact to
-MAX_BUFFERED_BYTES = 64 * 1024  # longer responses are streamed: a shorter one that breaks can be retried
-SEND_ALLOWANCE_S = 0.05  # a request's last byte leaves within this of its first, or the attempt ends
-LONG_SEND_ALLOWANCE_SHARE = 0.5  # of the time left, instead, for a body longer than MAX_JOINED_BYTES
-MAX_BODY_PAUSE_S = 0.15  # between two pieces of a response that could still be retried
-STREAM_OVERTIME_S = 0.4  # past the request's deadline, for the last bytes of a streamed response
-STREAM_STALL_S = 4.0  # a long response pauses for a tenth of a second; one this silent is broken
+TIMER_RESOLUTION_S = 0.001  # resolution of the event loop's timers
+MAX_BUFFERED_BYTES = 64 * 1024  # longer responses are streamed; a buffered one that breaks off can be retried
+SEND_ALLOWANCE_S = 0.05  # from a request's first byte to its last; if it takes longer, the attempt ends
+LONG_SEND_ALLOWANCE_SHARE = 0.5  # share of the time left, used instead for a body over MAX_JOINED_BYTES
+MAX_BODY_PAUSE_S = 0.15  # between two pieces of the body, while the request can still be retried
+STREAM_OVERTIME_S = 0.4  # after the request's deadline, for the last bytes of a streamed response
+STREAM_STALL_S = 4.0  # long responses pause for a tenth of a second; if one pauses this long, it is broken
 
 
 class CompleteResponse(NamedTuple):
-    """A complete 200 response. fields: as they are forwarded. chunks: the body in pieces."""
+    """A complete 200 response. fields: header lines to forward. chunks: the pieces of the body."""
 
     fields: list[bytes]
     chunks: list[bytes]
 
 
 class HttpCall(Protocol):
-    """What an attempt needs of the request it is made for.
+    """What an attempt needs of its request.
 
-    deadline: on the engine's clock, seconds. streams_response: the response is passed on as it comes.
+    deadline: seconds on the engine's clock. streams_response: the response is forwarded while it arrives.
     """
 
     deadline: float
     body: bytes | bytearray
     streams_response: bool
 
-    def upstream_head(self, left: float) -> bytes:
-        """The request's head, with a deadline of `left` seconds for the upstream."""
+    def upstream_head(self, time_left_s: float) -> bytes:
+        """Return the request's head; it tells the upstream that `time_left_s` seconds are left."""
 
     def charge(self, size: int) -> None:
-        """Hold so many bytes of a response for this request (fewer, if below 0)."""
+        """Count `size` more buffered bytes for this request; fewer, if below 0."""
 
     def release(self) -> None:
-        """Hold nothing for this request any more."""
+        """Count no buffered bytes for this request any more."""
 
     def begin(self, fields: list[bytes], length: int | None) -> None:
-        """Write the head of a streamed response; length: of its body in bytes, None where not stated."""
+        """Write the head of a streamed response; length: of its body in bytes, None if not stated."""
 
     def write(self, data: bytes) -> None:
         """Write a piece of a streamed response's body."""
 
     def write_blocked(self) -> bool:
-        """The client reads its response more slowly than it comes."""
+        """Return whether the client reads its response more slowly than it arrives."""
 
     def client_connected(self) -> bool:
-        """Whether the client is still connected, by the system's word at this moment."""
+        """Return whether the system reports the client as connected at this moment."""
 
 
-class Attempt(engine.Attempt):
-    """One attempt: connects if it must, writes the request, reads the response, ends with one outcome.
+class HttpAttempt(engine.Attempt):
+    """One attempt: connects if necessary, writes the request, reads the response, ends with one outcome.
 
-    finish_by: until when a response that has begun by `timeout_at` is waited for. last_progress: when bytes
-    of the response came last, or its client read on. Both on the engine's clock, seconds.
+    response_deadline: until when a response that has begun by `timeout_at` is waited for. last_progress: when
+    bytes of the response last arrived, or the client last read on. Both are seconds on the engine's clock.
     """
 
     __slots__ = (
         "pool",
         "upstream",
-        "finish_by",
+        "response_deadline",
         "timer",
         "connecting",
         "connection",
         "chunks",
-        "size",
+        "body_bytes",
         "last_progress",
-        "read_again",
+        "hold_up_read",
     )
     pending: HttpCall
 
@@ -91,42 +91,42 @@
         upstream: Upstream,
         chosen_at: float,
         timeout_at: float,
-        finish: float,
+        response_deadline: float,
     ) -> None:
         super().__init__(pending, number, upstream.name, chosen_at, timeout_at)
         self.pool = pool
         self.upstream = upstream
-        self.finish_by = finish
+        self.response_deadline = response_deadline
         self.timer: Handle | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.connection: Connection | None = None
         self.chunks: list[bytes] = []
-        self.size = 0
+        self.body_bytes = 0
         self.last_progress = chosen_at
-        self.read_again = False  # the loop has read what came during a hold-up at `timeout_at`
+        self.hold_up_read = False  # the loop got time to read what arrived during a hold-up at `timeout_at`
 
     # ---- the connection
 
     def start(self) -> None:
-        """Take an idle connection, or make one; where neither can be had, end with NOT_SENT."""
+        """Use an idle connection, or open one; if neither is possible, end with NOT_SENT."""
         if self.timeout_at - self.pool.now() < TIMER_RESOLUTION_S:
             self.pool.clock.call_soon(self.fail, outcomes.NOT_SENT)
             return
-        self._arm()
-        connection = self.upstream.take()
+        self._start_timer()
+        connection = self.upstream.take_idle()
         if connection is not None:
             connection.reused = True
-            self._write(connection)
+            self._send_request(connection)
         elif self.pool.may_connect():
             self.connecting = self.pool.loop.create_task(self._connect())
         else:
             self.pool.clock.call_soon(self.fail, outcomes.NOT_SENT)
 
-    def _arm(self) -> None:
-        self.read_again = False
+    def _start_timer(self) -> None:
+        self.hold_up_read = False
         self.timer = self.pool.clock.call_later(self.timeout_at - self.pool.now(), self._timed_out)
 
-    def _disarm(self) -> None:
+    def _stop_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -134,7 +134,7 @@
     async def _connect(self) -> None:
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError:  # no descriptor or memory is left, which is no fault of the upstream's
+        except OSError:  # no descriptor or memory is left: not the upstream's fault
             self.connecting = None
             return self.fail(outcomes.NOT_SENT)
         connection = Connection(self.upstream, sock)
@@ -149,133 +149,136 @@
         self._connected(connection)
 
     def _connected(self, connection: Connection) -> None:
-        if self.over:
-            return self.upstream.put(connection)
+        if self.ended:
+            return self.upstream.keep_idle(connection)
         if not self.upstream.ready or not self.pool.engine.may_begin(self):
-            self.upstream.put(connection)
+            self.upstream.keep_idle(connection)
             return self.fail(outcomes.NOT_SENT)
-        self._write(connection)
+        self._send_request(connection)
 
     # ---- the request
 
-    def _write(self, connection: Connection) -> None:
+    def _send_request(self, connection: Connection) -> None:
         self.connection = connection
-        connection.begin(self)
-        now = self.pool.now()  # read right before the bytes leave: the deadline passed on is true then
+        connection.attach(self)
+        # The clock is read just before the write: the time left that the request states is correct then.
+        now = self.pool.now()
         if self.timeout_at - now < TIMER_RESOLUTION_S:
-            self._give_back(connection)
+            self._return_connection(connection)
             return self.fail(outcomes.NOT_SENT)
         time_left = self._upstream_time_left(now)
         head = self.pending.upstream_head(time_left)
-        # Behind the last reading of the clock: the loop may have been held up since the client disconnected.
+        # Checked after the last clock reading: the client may have disconnected while the loop was held up.
         if not self.pending.client_connected():
-            self._give_back(connection)
+            self._return_connection(connection)
             return self.pool.engine.client_disconnected(cast("engine.PendingRequest", self.pending))
         self.written_at = now
         connection.send(head, self.pending.body)
         if not connection.flushed:
-            last_byte_within = min(
-                self.pool.engine.may_write_for(self), self.pending.deadline - time_left - now
+            write_limit_s = min(
+                self.pool.engine.write_window_s(self), self.pending.deadline - time_left - now
             )
-            self.pool.clock.call_later(last_byte_within, self._check_flushed)
+            self.pool.clock.call_later(write_limit_s, self._check_flushed)
 
-    def _give_back(self, connection: Connection) -> None:
-        """Return a connection on which nothing was written."""
+    def _return_connection(self, connection: Connection) -> None:
+        """Keep a connection on which nothing was written as idle."""
         connection.attempt = None
         self.connection = None
-        self.upstream.put(connection)
+        self.upstream.keep_idle(connection)
 
     def _upstream_time_left(self, now: float) -> float:
-        """Seconds to pass on: at most what the client has left once the request's last byte has gone out.
+        """Return the seconds to state to the upstream: at most the client's when the last byte is sent.
 
-        The system may take the bytes more slowly than they come, so that the last leaves well after this
-        moment. An allowance is made for that, and `_check_flushed` ends what takes longer.
+        The system may accept the bytes slowly, so that the last one is sent well after `now`. An allowance
+        for that is subtracted, and `_check_flushed` ends an attempt that takes longer.
         """
-        left = self.pending.deadline - now
+        time_left_s = self.pending.deadline - now
         if len(self.pending.body) > MAX_JOINED_BYTES:
-            allowance = LONG_SEND_ALLOWANCE_SHARE * left
+            allowance = LONG_SEND_ALLOWANCE_SHARE * time_left_s
         else:
-            allowance = min(SEND_ALLOWANCE_S, left / 2)
-        return min(self.timeout_at - now, left - allowance)
+            allowance = min(SEND_ALLOWANCE_S, time_left_s / 2)
+        return min(self.timeout_at - now, time_left_s - allowance)
 
     def _check_flushed(self) -> None:
-        """End the attempt if the request's last byte has not left: the upstream never has it complete."""
-        if not self.over and self.connection is not None and not self.connection.flushed:
+        """End the attempt if the request's last byte was not sent: the upstream never gets it complete."""
+        if not self.ended and self.connection is not None and not self.connection.flushed:
             self.fail(outcomes.CONNECT_FAILED)
 
     def _timed_out(self) -> None:
         self.timer = None
         now = self.pool.now()
         if now < self.timeout_at - TIMER_RESOLUTION_S:
-            return self._arm()
-        if now - self.timeout_at > HELD_UP_S and not self.read_again:
-            # What came meanwhile is unread: it is not to be taken for late.
-            self.read_again = True
+            return self._start_timer()
+        if now - self.timeout_at > HOLD_UP_THRESHOLD_S and not self.hold_up_read:
+            # The event loop was held up. Let it read what arrived meanwhile, which must not count as late.
+            self.hold_up_read = True
             self.timer = self.pool.clock.call_later(TIMER_RESOLUTION_S, self._timed_out)
             return
         if self.connection is None:
             return self.fail(outcomes.CONNECT_FAILED)
         response = self._response()
-        unsized = response.status == SERVED and response.length is None
-        if unsized and self.size and self.pool.now() - self.last_progress < MAX_BODY_PAUSE_S:
+        unsized = response.status == STATUS_OK and response.content_length is None
+        if unsized and self.body_bytes and self.pool.now() - self.last_progress < MAX_BODY_PAUSE_S:
             return self._stream(response)
         self.fail(outcomes.TIMED_OUT)
 
     # ---- the response
 
     def _response(self) -> ResponseReader:
-        """Of the connection that carries this attempt."""
+        """Return the response of the connection that carries this attempt."""
         assert self.connection is not None
         assert self.connection.response is not None
         return self.connection.response
 
     def body_received(self, data: bytes) -> None:
-        """Pass a piece of the body on, or hold it until the response is complete."""
+        """Forward a piece of the body, or buffer it until the response is complete."""
         if self.streaming:
             self.pending.write(data)
             return
         self.chunks.append(data)
-        self.size += len(data)
+        self.body_bytes += len(data)
         self.pending.charge(len(data))
 
     def response_progressed(self) -> None:
-        """More of the response has come: begin to stream one that is long."""
+        """Handle progress of the response: extend the time-out, and stream a long response."""
         self.last_progress = self.pool.now()
-        self._extend()
+        self._extend_timeout()
         if self.connection is None:
-            return self._refuse_long_body()
+            return self._fail_on_long_body()
         response = self._response()
-        if self.streaming or response.status != SERVED:
-            return self._refuse_long_body()
-        is_long = self.size > MAX_BUFFERED_BYTES or (response.length or 0) > MAX_BUFFERED_BYTES
+        if self.streaming or response.status != STATUS_OK:
+            return self._fail_on_long_body()
+        is_long = self.body_bytes > MAX_BUFFERED_BYTES or (response.content_length or 0) > MAX_BUFFERED_BYTES
         if self.pending.streams_response or is_long or self.pool.budget.is_exhausted():
             self._stream(response)
 
-    def _extend(self) -> None:
-        """Wait for the end of a response that has begun.
+    def _extend_timeout(self) -> None:
+        """Extend the time-out of a response that has begun.
 
-        It is nearly there: to give it up would waste the work done. But one that stops half way seldom goes
-        on, so where a retry is possible, that is made well before the client's patience ends.
+        Such a response is nearly complete, and giving it up would waste the work done. But a response that
+        stops halfway seldom continues: if a retry is possible, it is made well before the client's deadline.
         """
-        if self.timer is not None and self.timeout_at < self.finish_by:
+        if self.timer is not None and self.timeout_at < self.response_deadline:
             self.timer.cancel()
-            self.timeout_at = min(self.finish_by - TIMER_RESOLUTION_S, self.last_progress + MAX_BODY_PAUSE_S)
-            self._arm()
+            self.timeout_at = min(
+                self.response_deadline - TIMER_RESOLUTION_S, self.last_progress + MAX_BODY_PAUSE_S
+            )
+            self._start_timer()
 
-    def _refuse_long_body(self) -> None:
-        """The long body of a response that is not forwarded is not read."""
-        if self.size > MAX_BUFFERED_BYTES and not self.streaming:
+    def _fail_on_long_body(self) -> None:
+        """Fail the attempt instead of reading the long body of a response that is not forwarded."""
+        if self.body_bytes > MAX_BUFFERED_BYTES and not self.streaming:
             self.fail(outcomes.ERROR)
 
     def _stream(self, response: ResponseReader) -> None:
-        self._disarm()
-        self.pool.streams.add(self)
-        self.pool.engine.started(self)
-        # Only streamed classes have no deadline once their response has begun.
+        self._stop_timer()
+        self.pool.streamed_attempts.add(self)
+        self.pool.engine.response_started(self)
+        # Only for streaming classes, a response that has begun has no deadline.
         if not self.pending.streams_response:
-            left = self.pending.deadline + STREAM_OVERTIME_S - self.pool.now()
-            self.timer = self.pool.clock.call_later(left, self._stream_timed_out)
-        self.pending.begin(response.fields, response.length)
+            time_left_s = self.pending.deadline + STREAM_OVERTIME_S - self.pool.now()
+            self.timer = self.pool.clock.call_later(time_left_s, self._stream_timed_out)
+        self.pending.begin(response.fields, response.content_length)
         chunks = self.chunks
         self.chunks = []
         self.pending.release()
@@ -283,23 +286,23 @@
             self.pending.write(data)
 
     def _stream_timed_out(self) -> None:
-        """End a response past its deadline, which may never end; the client sees that it is incomplete."""
+        """Break off a streamed response past its deadline: it may never end. The client sees it broken."""
         self.timer = None
         self.fail(outcomes.CANCELLED if self.pending.write_blocked() else outcomes.TIMED_OUT)
 
     def end_if_stalled(self, now: float) -> None:
-        """Fail a streamed attempt whose upstream has been silent, unless it waits for its client."""
+        """Fail a streamed attempt whose upstream has been silent for too long, unless the client is slow."""
         if now - self.last_progress > STREAM_STALL_S and not self.pending.write_blocked():
             self.fail(outcomes.RESET)
 
     def pause(self) -> None:
-        """Stop reading a streamed response: its client reads more slowly."""
+        """Stop reading a streamed response, as its client reads more slowly."""
         self.last_progress = self.pool.now()
         if self.connection is not None and not self.connection.transport.is_closing():
             self.connection.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read a streamed response again."""
+        """Continue to read a streamed response."""
         self.last_progress = self.pool.now()
         if self.connection is not None and not self.connection.transport.is_closing():
             self.connection.transport.resume_reading()
@@ -307,42 +310,44 @@
     # ---- the end
 
     def response_completed(self) -> None:
-        """End with the outcome that a complete response stands for."""
+        """End with the outcome that the complete response has."""
         assert self.connection is not None
         response = self._response()
-        if response.status == SERVED:
+        if response.status == STATUS_OK:
             code = outcomes.OK
         elif response.is_rejection():
             code = outcomes.REJECTED
         else:
             code = outcomes.ERROR
         self._detach(keep=self.connection.is_reusable())
-        self._report(code, response)
+        self._report_outcome(code, response)
 
     def fail(self, code: str) -> None:
-        """End with this outcome and no complete response."""
-        if self.over:
+        """End with this outcome, without a complete response."""
+        if self.ended:
             return
         response = self._response() if self.connection is not None else None
         self._detach(keep=False)
-        self._report(code, response)
+        self._report_outcome(code, response)
 
-    def _report(self, code: str, response: ResponseReader | None) -> None:
-        self.pool.streams.discard(self)
+    def _report_outcome(self, code: str, response: ResponseReader | None) -> None:
+        self.pool.streamed_attempts.discard(self)
         core = self.pool.engine
         if response is None:
-            return core.ended(self, code)
+            return core.attempt_ended(self, code)
         if code == outcomes.OK:
-            return core.ended(self, code, CompleteResponse(response.fields, self.chunks), response.report)
+            return core.attempt_ended(
+                self, code, CompleteResponse(response.fields, self.chunks), response.report
+            )
         stage = "in its answer" if response.head_bytes else "unanswered"
         report = response.report if response.status else ()
         faulted = code == outcomes.ERROR and response.faults_request()
-        core.ended(self, code, None, report, faulted, stage)
+        core.attempt_ended(self, code, None, report, faulted, stage)
 
     def _detach(self, keep: bool) -> None:
-        """Let go of timer, task and connection; keep: the connection may carry another attempt."""
-        self.over = True
-        self._disarm()
+        """Release timer, task and connection; keep: the connection can carry another attempt."""
+        self.ended = True
+        self._stop_timer()
         if self.connecting is not None:
             self.connecting.cancel()
             self.connecting = None
@@ -352,6 +357,6 @@
             return
         connection.attempt = None
         if keep:
-            self.upstream.put(connection)
+            self.upstream.keep_idle(connection)
         else:
             connection.close()
--- a/quartzford/backends/http_backend.py
+++ b/quartzford/backends/http_backend.py
@@ -1,18 +1,26 @@
-"""The HTTP/1.1 backend: makes the attempts that the engine has decided on."""
+"""The HTTP/1.1 backend: makes attempts at upstreams for the engine."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from quartzford.backends.connection_pool import ConnectionPool
-from quartzford.backends.http_attempt import Attempt
+from quartzford.backends.http_attempt import HttpAttempt
 
 
 class HttpBackend(ConnectionPool):
-    """The upstreams of the list as a backend of the engine."""
+    """A connection pool that creates the attempts on its connections."""
 
-    def attempt(
-        self, pending: Any, number: int, server: str, chosen_at: float, timeout_at: float, finish: float
-    ) -> Attempt:
-        """An attempt, not begun; times on the engine's clock, seconds. See engine.Backend."""
-        return Attempt(self, pending, number, self.upstreams[server], chosen_at, timeout_at, finish)
+    def create_attempt(
+        self,
+        pending: Any,
+        number: int,
+        server: str,
+        chosen_at: float,
+        timeout_at: float,
+        response_deadline: float,
+    ) -> HttpAttempt:
+        """Return a new attempt, not begun yet; times in seconds on the engine's clock. See engine.Backend."""
+        return HttpAttempt(
+            self, pending, number, self.upstreams[server], chosen_at, timeout_at, response_deadline
+        )
--- a/quartzford/backends/upstream_connection.py
+++ b/quartzford/backends/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an upstream, which carries one attempt at a time."""
+"""A connection to an upstream; it carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from typing import Protocol, cast
 
 from quartzford.backends import outcomes
-from quartzford.backends.response_reader import SERVED, ResponseReader
+from quartzford.backends.response_reader import STATUS_OK, ResponseReader
 
-HELD_UP_S = 0.02  # a timer later by so much found the loop held up
-MAX_JOINED_BYTES = 64 * 1024  # a body up to this length is written in one piece with its head
+HOLD_UP_THRESHOLD_S = 0.02  # if a timer is late by this much, the event loop was held up
+MAX_JOINED_BYTES = 64 * 1024  # a body up to this length is joined with its head for one write
 
 
 def is_connected(sock: socket.socket) -> bool:
-    """Whether the system has brought the connection up, by its word at this moment."""
+    """Return whether the system reports the connection as established at this moment."""
     try:
         sock.getpeername()
     except OSError:
@@ -24,47 +24,47 @@
 
 
 class CarriedAttempt(Protocol):
-    """What a connection reports to the attempt that it carries."""
+    """The attempt that a connection carries, as the connection calls it."""
 
     def body_received(self, data: bytes) -> None:
-        """A piece of the response's body."""
+        """Receive a piece of the response's body."""
 
     def response_progressed(self) -> None:
-        """Bytes of a response that is not complete yet have been read."""
+        """Called when bytes of a response that is not complete yet have been read."""
 
     def response_completed(self) -> None:
-        """The response is complete."""
+        """Called when the response is complete."""
 
     def fail(self, code: str) -> None:
-        """The attempt ends with this outcome and no complete response."""
+        """End the attempt with this outcome, without a complete response."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection reports to the upstream that it leads to."""
+    """The upstream of a connection, as the connection calls it."""
 
     name: str
 
     @property
     def report_names(self) -> tuple[str, ...]:
-        """Names of the figures in a load report, in the settings' order."""
+        """Names of the values of a load report, in the order of the settings."""
 
     def connection_opened(self, connection: Connection) -> None:
-        """The connection has a transport."""
+        """Called when the connection has a transport."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """The connection has none any more, or never got one."""
+        """Called when the connection has lost its transport, or failed to get one."""
 
     def request_sent(self) -> None:
-        """The last byte of an attempt's request has left."""
+        """Called when the system has accepted the last byte of an attempt's request."""
 
-    def drop(self, connection: Connection) -> None:
-        """An idle connection has ended, or carries bytes that belong to no request."""
+    def drop_idle(self, connection: Connection) -> None:
+        """Called when an idle connection has ended, or has received bytes that belong to no request."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection: of its owner's idle ones while `attempt` is None, else in use by that attempt.
+    """One connection; in use while `attempt` is set, otherwise one of its owner's idle connections.
 
-    flushed: the system has taken the request's last byte. idle_since: on the engine's clock, seconds.
+    flushed: the system has accepted the request's last byte. idle_since: seconds on the engine's clock.
     """
 
     __slots__ = (
@@ -83,21 +83,21 @@
         self.owner = owner
         self.sock = sock
         self.attempt: CarriedAttempt | None = None
-        self.response: ResponseReader | None = None  # of the last attempt
+        self.response: ResponseReader | None = None  # the response to the last attempt
         self.idle_since = 0.0
         self.flushed = False
         self.reused = False
 
     @property
     def status(self) -> int:
-        """Of the last response; 0 where none has come."""
+        """The status of the last response; 0 if there is none."""
         return self.response.status if self.response is not None else 0
 
     async def open(
         self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], time_out_s: float
     ) -> None:
-        """Connect the socket and give it a transport; an OSError closes it."""
-        handed_to_loop = False  # which closes it from then on
+        """Connect the socket and create its transport; on an error, such as OSError, close it and raise."""
+        handed_to_loop = False  # once True, the loop closes the socket
         try:
             self.sock.setblocking(False)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -116,7 +116,7 @@
     async def _connect(
         self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], time_out_s: float
     ) -> None:
-        """Connect the socket; time by which the loop was held up at the limit does not count."""
+        """Connect the socket. If the event loop is held up at the time limit, extend it by as much."""
         limit = loop.time() + time_out_s
         try:
             async with asyncio.timeout(time_out_s):
@@ -125,13 +125,13 @@
             if is_connected(self.sock):
                 return
             held_up_s = loop.time() - limit
-            if held_up_s < HELD_UP_S:
+            if held_up_s < HOLD_UP_THRESHOLD_S:
                 raise
         async with asyncio.timeout(held_up_s):
-            await loop.sock_connect(self.sock, address)  # goes on with one that is under way
+            await loop.sock_connect(self.sock, address)  # continues the connect that is in progress
 
     def is_usable(self) -> bool:
-        """No EOF, reset or stray byte has come that the loop has not seen yet."""
+        """Return whether the connection is open, with no EOF, reset or unexpected byte waiting to be read."""
         if self.transport.is_closing():
             return False
         try:
@@ -143,12 +143,12 @@
         return False
 
     def is_reusable(self) -> bool:
-        """Whether another request may follow the response that is complete now."""
+        """Return whether another request may be sent after the response that is now complete."""
         assert self.response is not None
         return not self.response.broken and self.flushed and not self.transport.is_closing()
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once."""
         self.attempt = None
         if self.transport.is_closing():
             return
@@ -156,16 +156,16 @@
             self.sock.shutdown(socket.SHUT_RDWR)
         self.transport.abort()
 
-    def begin(self, attempt: CarriedAttempt) -> None:
-        """Carry this attempt from now on; nothing is written yet."""
+    def attach(self, attempt: CarriedAttempt) -> None:
+        """Use the connection for this attempt; nothing is written yet."""
         self.attempt = attempt
-        # A reader for each response: nothing of an earlier one is carried over.
+        # Each response gets a new reader, so that no state of an earlier response remains.
         if self.response is not None:
             self.response.release()
         self.response = ResponseReader(self.owner.report_names, self._body_received)
 
     def send(self, head: bytes, body: bytes | bytearray) -> None:
-        """Write the request, and see whether the system has taken all of it."""
+        """Write the request, and note whether the system has accepted all of it."""
         if not body:
             self.transport.write(head)
         elif len(body) <= MAX_JOINED_BYTES:
@@ -179,31 +179,31 @@
     # ---- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have `resume_writing` called as soon as the last byte has left."""
+        """Store the transport, and have `resume_writing` called when the last byte has been accepted."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
         self.owner.connection_opened(self)
 
     def resume_writing(self) -> None:
-        """The system has taken the request's last byte."""
+        """Note that the system has accepted the request's last byte."""
         if not self.flushed and self.attempt is not None:
             self.owner.request_sent()
         self.flushed = True
 
     def data_received(self, data: bytes) -> None:
-        """Read on in the response; bytes on an idle connection end it."""
+        """Parse bytes of the response; close the connection if it is idle."""
         attempt = self.attempt
         response = self.response
         if attempt is None or response is None:
-            self.owner.drop(self)
+            self.owner.drop_idle(self)
             return self.close()
         response.feed(data)
         if self.attempt is attempt:
             self._report_progress(attempt, response, len(data))
 
     def _report_progress(self, attempt: CarriedAttempt, response: ResponseReader, size: int) -> None:
-        if response.status == SERVED and not self.flushed:
-            # No upstream has the complete request yet: this answers a part of it, or another request.
+        if response.status == STATUS_OK and not self.flushed:
+            # The upstream does not have the complete request: this answers a part of it, or another request.
             return attempt.fail(outcomes.RESET)
         if response.complete:
             return attempt.response_completed()
@@ -216,24 +216,24 @@
             self.attempt.body_received(data)
 
     def eof_received(self) -> None:
-        """The upstream has ended its side."""
-        self._ended(clean=True)
+        """Handle the upstream's EOF."""
+        self._connection_ended(clean=True)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended, on either side."""
+        """Handle the end of the connection, closed by either side."""
         self.owner.connection_closed(self)
-        self._ended(clean=error is None)
+        self._connection_ended(clean=error is None)
         if self.response is not None:
             self.response.release()
             self.response = None
 
-    def _ended(self, clean: bool) -> None:
-        """A response of no stated length ends with its connection, unless that broke."""
+    def _connection_ended(self, clean: bool) -> None:
+        """End the attempt, if there is one; a clean end completes a response of no stated length."""
         attempt = self.attempt
         response = self.response
         if attempt is None or response is None:
-            return self.owner.drop(self)
-        if clean and self.flushed and response.ends_with_connection():
-            response.end_with_connection()
+            return self.owner.drop_idle(self)
+        if clean and self.flushed and response.is_close_delimited():
+            response.complete_on_close()
             return attempt.response_completed()
         attempt.fail(outcomes.RESET if self.flushed or response.status else outcomes.CONNECT_FAILED)
--- a/quartzford/engine/__init__.py
+++ b/quartzford/engine/__init__.py
@@ -1,4 +1,4 @@
-"""Drives the decision module for any front, over any backend; knows no protocol and no socket."""
+"""Connects the decision module to a front and a backend; independent of protocols and sockets."""
 
 from quartzford.engine.budget import BufferBudget
 from quartzford.engine.clock import Clock, Handle, LoopClock
--- a/quartzford/engine/budget.py
+++ b/quartzford/engine/budget.py
@@ -1,15 +1,15 @@
-"""A bound on the bytes that fronts and backends hold together."""
+"""A limit on the bytes that fronts and backends buffer in total."""
 
 from __future__ import annotations
 
 
 class BufferBudget:
-    """Bytes held over all connections; `is_exhausted` is checked before more is read."""
+    """Counts the bytes buffered for all connections; callers check `is_exhausted` before they read more."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.used = 0
 
     def is_exhausted(self) -> bool:
-        """Whether no more may be read for now."""
+        """Return whether the limit is reached, so that nothing more may be read for now."""
         return self.used >= self.limit
--- a/quartzford/engine/clock.py
+++ b/quartzford/engine/clock.py
@@ -1,4 +1,4 @@
-"""Time as it is handed to the engine, its fronts and its backends: none of them reads the system's clock."""
+"""The clock that the engine, the fronts and the backends get; none of them reads the system clock itself."""
 
 from __future__ import annotations
 
@@ -12,34 +12,36 @@
     """A timer that can be cancelled."""
 
     def cancel(self) -> None:
-        """Cancel it, if it has not fired."""
+        """Cancel the timer, if it has not fired."""
 
 
 class Clock(Protocol):
-    """Seconds that never jump, Unix milliseconds on the same scale, and timers."""
+    """Monotonic seconds, Unix milliseconds derived from them, and timers."""
 
     def now(self) -> float:
-        """Monotonic seconds."""
+        """Return monotonic time in seconds."""
 
     def unix_ms(self) -> float:
-        """Unix time in milliseconds, moved by `now` alone: setting the system's clock does not move it."""
+        """Return Unix time in milliseconds; it advances with `now`, whatever happens to the system clock."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Handle:
-        """Call back once, after so many seconds."""
+        """Call `callback` once, after `delay` seconds."""
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> Handle:
-        """Call back in the next turn."""
+        """Call `callback` in the next iteration of the event loop."""
 
 
 class LoopClock:
-    """The system's monotonic clock and an event loop's timers."""
+    """The system's monotonic clock and the timers of an event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.now = time.monotonic
         self.call_later = loop.call_later
         self.call_soon = loop.call_soon
-        self._anchor_ms = time.time() * 1000.0 - time.monotonic() * 1000.0  # once: the clock never jumps
+        self._anchor_ms = (
+            time.time() * 1000.0 - time.monotonic() * 1000.0
+        )  # read once: later changes of the system clock have no effect
 
     def unix_ms(self) -> float:
-        """Unix milliseconds, by the system's clock as it was when this one was made."""
+        """Return Unix time in milliseconds, by the system clock as it was set when this clock was created."""
         return self.now() * 1000.0 + self._anchor_ms
--- a/quartzford/engine/core.py
+++ b/quartzford/engine/core.py
@@ -1,7 +1,7 @@
-"""Turns what fronts, backends and the endpoint list report into events, and carries out the actions.
+"""Passes events of fronts, backends and the endpoint list to the decision module, and executes its actions.
 
-It owns the pending requests, their attempts and deadlines, and the guard that ends what is overdue. Clock and
-seed are handed in; it knows no protocol and no socket. Its own times are seconds on the clock handed in.
+The engine owns the pending requests, their attempts and their deadlines, and it ends overdue requests. Clock
+and seed are parameters. The engine depends on no protocol and no socket. Its times are seconds on the clock.
 """
 
 from __future__ import annotations
@@ -18,85 +18,87 @@
 from quartzford.engine.pending_request import Attempt, PendingRequest
 from quartzford.engine.request_counters import RequestCounters, RequestEnd
 
-OVERDUE_S = 0.02  # past its deadline a request is ended whatever has become of its attempt or timer
-HELD_UP_S = 0.01  # a timer off by so much found the loop held up
-# Past its deadline a request is ended even where the loop is held up all the time: with a hold-up of 0.15 s
-# behind it, its answer still comes within half a second.
+# Interval of the checks for overdue requests. A request is overdue when its deadline passed this long ago; it
+# is then ended whatever the state of its attempt or timer.
+OVERDUE_CHECK_S = 0.02
+HOLD_UP_THRESHOLD_S = 0.01  # if a timer is off by more than this, the event loop was held up
+# A request this far past its deadline is ended even if the event loop is held up at every check: if another
+# hold-up of 0.15 s follows, its answer still comes within half a second.
 MAX_OVERDUE_S = 0.25
-MIN_SPENT_MS = 0.01  # an attempt takes this long at the least
+MIN_ATTEMPT_MS = 0.01  # lower bound of the duration that is reported for an attempt
 NO_REQUEST = -1
-REQUEST_NUMBERS = 2**32
+REQUEST_NUMBER_COUNT = 2**32
 
 
 class RequestRecorder(Protocol):
-    """Records the requests that arrive."""
+    """Records arriving requests."""
 
     def record(self, request: io.Request, size: int) -> None:
-        """A request has arrived; size: of its body, in bytes."""
+        """Record a request; size: of its body, in bytes."""
 
 
 class AttemptObserver(Protocol):
-    """Observes attempts and the ends of requests, for metrics."""
+    """Gets the starts and ends of attempts and the ends of requests, for metrics."""
 
     def attempt_starting(self, send: io.Send, pending: PendingRequest) -> None:
-        """An attempt is about to be made."""
+        """Called before an attempt starts."""
 
     def attempt_ended(self, attempt: Attempt, code: str) -> None:
-        """An attempt has ended; code: its outcome, and how far it had come."""
+        """Called when an attempt has ended; code: its outcome, followed by the stage it had reached."""
 
-    def request_ended(self, pending: PendingRequest, how: str) -> None:
-        """A request has ended."""
+    def request_ended(self, pending: PendingRequest, end: str) -> None:
+        """Called when a request has ended; end: one of RequestEnd."""
 
 
 class Engine:
-    """Drives one decision module."""
+    """Runs one decision module."""
 
     def __init__(self, settings: io.Settings, seed: int, clock: Clock, log: Log) -> None:
         self.clock = clock
         self.log = log
         self.balancer = Balancer(settings, seed)
         self.pending_requests: dict[int, PendingRequest] = {}
-        self.counts: Counter[str] = Counter()  # outcomes and answers
+        self.counts: Counter[str] = Counter()  # outcomes of attempts and ends of requests
         self.request_counters = RequestCounters()
         self.recorder: RequestRecorder | None = None
         self.observer: AttemptObserver | None = None
-        self.poll_list: Callable[[], None] = lambda: None  # polls the list, when the module says so
-        self._number = 0
-        self._adopt(settings)
+        self.poll_list: Callable[[], None] = lambda: None  # requests the endpoint list, for the action Watch
+        self._last_number = 0
+        self._use_settings(settings)
 
-    def _adopt(self, settings: io.Settings) -> None:
+    def _use_settings(self, settings: io.Settings) -> None:
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.request_counters.classes = self.classes
         self.max_deadline_ms = max(c.deadline_ms for c in settings.classes)
 
     def reconfigure(self, settings: io.Settings) -> None:
-        """New settings, under load: what is in flight goes on, what was learnt stays."""
-        self._adopt(settings)
+        """Apply new settings. Requests in flight continue, and the learned state is kept."""
+        self._use_settings(settings)
         self.balancer.configure(settings)
 
     def hand_over(self) -> io.LearnedState:
-        """What a successor is to know; this one only ends what it has from now on."""
+        """Return the learned state for a successor; from now on this process only completes open requests."""
         return self.balancer.hand_over(self.clock.unix_ms())
 
     def cancel_handover(self) -> None:
-        """The successor has died: this one sends again to servers in slow start."""
+        """Resume sending to servers in slow start: the handover failed, as the successor died."""
         self.balancer.cancel_handover(self.clock.unix_ms())
 
     def inherit(self, state: io.LearnedState) -> None:
-        """Take what the predecessor knew, after an update of the endpoint list."""
+        """Adopt the learned state of the predecessor; call it after an update of the endpoint list."""
         self.balancer.inherit(self.clock.unix_ms(), state)
 
     def start(self) -> None:
-        """Begin to guard deadlines."""
-        self._look_for_overdue(set())
+        """Start the periodic check for overdue requests."""
+        self._schedule_overdue_check(set())
 
-    # ---- the module
+    # ---- the decision module
 
     def feed(self, event: io.Event) -> None:
-        """Hand the module an event, and carry out its actions.
+        """Pass an event to the decision module, and execute the actions that it returns.
 
-        An exception in the module or in an action is logged, and ends the one request that it concerns.
+        An exception in the module or in an action is logged, and abandons the request of the event or action.
         """
         try:
             actions = self.balancer.handle(self.clock.unix_ms(), event)
@@ -105,24 +107,24 @@
             return self._abandon(getattr(event, "request", NO_REQUEST))
         for action in actions:
             try:
-                self._act(action)
+                self._execute(action)
             except Exception:
                 self.log.exception("action")
                 self._abandon(getattr(action, "request", NO_REQUEST))
 
     def _abandon(self, number: int) -> None:
-        """End the one request that an exception concerned, if any."""
+        """End a request after an exception or past its deadline, if it is pending."""
         pending = self.pending_requests.get(number)
         if pending is not None:
             attempt = pending.attempt
             self._close(pending, RequestEnd.ABANDONED)
-            self.request_counters.end(RequestEnd.FAILED, pending.service_class)
+            self.request_counters.count_end(RequestEnd.FAILED, pending.service_class)
             self.balancer.pending_requests.pop(pending.number, None)
             if attempt is not None:
                 attempt.fail(io.Outcome.CANCELLED)
             pending.aborted()
 
-    def _act(self, action: io.Action) -> None:
+    def _execute(self, action: io.Action) -> None:
         match action:
             case io.Send():
                 self._send(self.pending_requests[action.request], action)
@@ -141,31 +143,33 @@
             case io.Log(text):
                 self.log.line("module", text)
             case io.HealthCheck(server):
-                self.log.line("module", f"probe of {server} asked for, but this balancer sends none")
+                self.log.line("module", f"health check of {server} requested, but this balancer sends none")
 
     def _send(self, pending: PendingRequest, send: io.Send) -> None:
         now = self.clock.now()
-        time_out = now + (send.time_out_ms / 1000.0 if send.time_out_ms else math.inf)
-        due = min(pending.deadline, time_out)
-        finish = min(pending.deadline, max(due, now + send.response_deadline_ms / 1000.0))
+        module_timeout_at = now + (send.time_out_ms / 1000.0 if send.time_out_ms else math.inf)
+        timeout_at = min(pending.deadline, module_timeout_at)
+        response_deadline = min(pending.deadline, max(timeout_at, now + send.response_deadline_ms / 1000.0))
         if self.observer is not None:
             self.observer.attempt_starting(send, pending)
-        attempt = pending.backend.attempt(pending, pending.sends, send.server, now, due, finish)
+        attempt = pending.backend.create_attempt(
+            pending, pending.sends, send.server, now, timeout_at, response_deadline
+        )
         pending.sends += 1
         pending.attempt = attempt
         attempt.start()
 
-    def _finish(self, request: int, how: RequestEnd) -> PendingRequest:
-        """The module has given a request its final answer."""
+    def _finish(self, request: int, end: RequestEnd) -> PendingRequest:
+        """Count and close a request that the decision module has ended; return it."""
         pending = self.pending_requests[request]
-        self.counts[how] += 1
-        self.request_counters.end(how, pending.service_class)
-        self._close(pending, how)
+        self.counts[end] += 1
+        self.request_counters.count_end(end, pending.service_class)
+        self._close(pending, end)
         return pending
 
-    def _close(self, pending: PendingRequest, how: RequestEnd) -> None:
+    def _close(self, pending: PendingRequest, end: RequestEnd) -> None:
         if self.observer is not None:
-            self.observer.request_ended(pending, how)
+            self.observer.request_ended(pending, end)
         self.pending_requests.pop(pending.number, None)
         pending.done = True
         pending.attempt = None
@@ -173,14 +177,14 @@
     # ---- from fronts
 
     def next_number(self) -> int:
-        """A number that no pending request has."""
-        self._number = (self._number + 1) % REQUEST_NUMBERS
-        while self._number in self.pending_requests:
-            self._number = (self._number + 1) % REQUEST_NUMBERS
-        return self._number
+        """Return a number that no pending request has."""
+        self._last_number = (self._last_number + 1) % REQUEST_NUMBER_COUNT
+        while self._last_number in self.pending_requests:
+            self._last_number = (self._last_number + 1) % REQUEST_NUMBER_COUNT
+        return self._last_number
 
     def request_arrived(self, pending: PendingRequest, request: io.Request, size: int = 0) -> None:
-        """A complete request has come, and needs its one answer; size: of its body, in bytes."""
+        """Register a complete request, and pass it to the decision module; size: of its body, in bytes."""
         self.pending_requests[pending.number] = pending
         pending.service_class = request.service_class
         if self.recorder is not None:
@@ -188,49 +192,49 @@
         self.feed(request)
 
     def client_disconnected(self, pending: PendingRequest) -> None:
-        """The client has left: no answer is needed, and no further attempt is made."""
+        """End a request whose client has disconnected: it gets no answer and no further attempt."""
         if pending.done:
             return
         attempt = pending.attempt
-        self.counts[RequestEnd.CLIENT_GONE] += 1
-        self._close(pending, RequestEnd.CLIENT_GONE)
+        self.counts[RequestEnd.CLIENT_DISCONNECTED] += 1
+        self._close(pending, RequestEnd.CLIENT_DISCONNECTED)
         pending.client_disconnected()
         self.feed(io.ClientDisconnected(pending.number))
         if attempt is not None:
             attempt.fail(io.Outcome.CANCELLED)
 
     def shut_down(self) -> None:
-        """The process ends now: no pending request waits any longer for an attempt."""
+        """Give all pending requests their final answer and cancel their attempts: the process exits soon."""
         attempts = [
             pending.attempt for pending in self.pending_requests.values() if pending.attempt is not None
         ]
         self.feed(io.ShutdownStarted())
         for attempt in attempts:
-            if not attempt.over:
+            if not attempt.ended:
                 attempt.fail(io.Outcome.CANCELLED)
 
     # ---- from attempts
 
     def may_begin(self, attempt: Attempt) -> bool:
-        """Whether an attempt may still begin; of its server's connections, the backend knows."""
-        return self.may_write_for(attempt) > 0.0
+        """Return whether an attempt may still begin. Whether a connection is available is for the backend."""
+        return self.write_window_s(attempt) > 0.0
 
-    def may_write_for(self, attempt: Attempt) -> float:
-        """Seconds for which its request may be written, to the last byte; 0: not at all."""
+    def write_window_s(self, attempt: Attempt) -> float:
+        """Return the seconds within which the last byte of its request may be written; 0: do not write it."""
         if attempt.pending.done or self.clock.now() >= attempt.timeout_at:
             return 0.0
         return self.balancer.write_window_ms(self.clock.unix_ms(), attempt.pending.number) / 1000.0
 
-    def started(self, attempt: Attempt) -> None:
-        """The attempt's response is being passed on from now: it can't be taken back."""
+    def response_started(self, attempt: Attempt) -> None:
+        """Note that the attempt's response is streamed from now on: no other attempt can replace it."""
         attempt.streaming = True
         number = attempt.pending.number
-        self.feed(io.ResponseStarted(number, attempt.number, attempt.server, self._spent_ms(attempt)))
+        self.feed(io.ResponseStarted(number, attempt.number, attempt.server, self._elapsed_ms(attempt)))
 
-    def _spent_ms(self, attempt: Attempt) -> float:
-        return max(MIN_SPENT_MS, (self.clock.now() - attempt.chosen_at) * 1000.0)
+    def _elapsed_ms(self, attempt: Attempt) -> float:
+        return max(MIN_ATTEMPT_MS, (self.clock.now() - attempt.chosen_at) * 1000.0)
 
-    def ended(
+    def attempt_ended(
         self,
         attempt: Attempt,
         code: str,
@@ -240,14 +244,14 @@
         stage: str = "",
         retryable: bool = True,
     ) -> None:
-        """An attempt has ended.
+        """End an attempt, and its request too if there is no further attempt.
 
-        code: one of io.Outcome. answer: a complete one, for the front. report: the server's load report.
-        faulted: the server puts its error down to the request itself. stage: how far the attempt had come,
-        for counts. Not retryable: the request ends with it, as it could not be sent again.
+        code: one of io.Outcome. answer: the complete answer, for the front. report: the server's load report.
+        faulted: the server blames the request itself for its error. stage: how far the attempt had come, for
+        counts. retryable: if False, the request ends too, as it must not be sent again.
         """
         pending = attempt.pending
-        spent = self._spent_ms(attempt)
+        elapsed_ms = self._elapsed_ms(attempt)
         outcome = f"{code} {stage}".rstrip()
         if self.observer is not None:
             self.observer.attempt_ended(attempt, outcome)
@@ -262,15 +266,15 @@
         self.counts[outcome] += 1
         server = attempt.server
         self.feed(
-            io.AttemptEnded(pending.number, attempt.number, server, code, spent, final, report, faulted)
+            io.AttemptEnded(pending.number, attempt.number, server, code, elapsed_ms, final, report, faulted)
         )
 
     def _answer(self, attempt: Attempt, succeeded: bool, answer: Any) -> None:
-        """The request's final answer is that of its attempt."""
+        """Close the request with the result of its attempt, and answer the client."""
         pending = attempt.pending
-        how = RequestEnd.SERVED if succeeded else RequestEnd.FAILED
-        self._close(pending, how)
-        self.request_counters.end(how, pending.service_class)
+        end = RequestEnd.SERVED if succeeded else RequestEnd.FAILED
+        self._close(pending, end)
+        self.request_counters.count_end(end, pending.service_class)
         if attempt.streaming:
             pending.streamed(succeeded)
         elif succeeded:
@@ -284,38 +288,44 @@
     def endpoint_list_update(
         self, kind: str, entries: tuple[io.Endpoint, ...] = (), starts: Mapping[str, float] = io.NO_STARTS
     ) -> None:
-        """The list, or its changes; kind: one of io.ListUpdateKind.
+        """Pass an endpoint list, or changes of it, to the decision module.
 
-        starts: of incarnations, by server, in ms on the engine's clock.
+        kind: one of io.ListUpdateKind. starts: start times of incarnations by server, in Unix milliseconds on
+        the engine's clock.
         """
         self.feed(io.EndpointListUpdate(kind, entries, starts))
 
-    # ---- no request lost
+    # ---- overdue requests
 
-    def _look_for_overdue(self, overdue: set[PendingRequest]) -> None:
-        self.clock.call_later(OVERDUE_S, self._end_overdue, self.clock.now() + OVERDUE_S, overdue)
+    def _schedule_overdue_check(self, overdue: set[PendingRequest]) -> None:
+        self.clock.call_later(
+            OVERDUE_CHECK_S, self._check_overdue, self.clock.now() + OVERDUE_CHECK_S, overdue
+        )
 
-    def _end_overdue(self, expected: float, overdue_before: set[PendingRequest]) -> None:
-        """The last resort: no attempt, timer or exception keeps a request past its deadline.
+    def _check_overdue(self, expected_at: float, overdue_before: set[PendingRequest]) -> None:
+        """Abandon overdue requests. This is the last resort if an attempt, timer or exception left one open.
 
-        expected: when this look was to come. overdue_before: what was overdue at the last one. A request has
-        to be overdue at two, with a loop in between that was not held up: after a hold-up its own timers, and
-        what they set off in later turns, end it as the module decides. The loop's time stands still during a
-        hold-up: the next look comes late or, set by that time, early.
+        expected_at: when this check was scheduled for. overdue_before: the requests that the previous check
+        found overdue. A request is abandoned if two successive checks find it overdue. If the event loop was
+        held up between them, it must also be MAX_OVERDUE_S past its deadline: its own timers, and the
+        callbacks that they schedule, shall first end it as the decision module decides. The loop's time
+        stands still during a hold-up: the next check comes late or, if scheduled by that time, early.
         """
         now = self.clock.now()
-        held_up = abs(now - expected) > HELD_UP_S
+        held_up = abs(now - expected_at) > HOLD_UP_THRESHOLD_S
         overdue = [
-            pending for pending in self.pending_requests.values() if pending.deadline < now - OVERDUE_S
+            pending for pending in self.pending_requests.values() if pending.deadline < now - OVERDUE_CHECK_S
+        ]
+        abandon_before = now - MAX_OVERDUE_S if held_up else now
+        abandoned = [
+            pending for pending in overdue if pending in overdue_before and pending.deadline < abandon_before
         ]
-        lost_by = now - MAX_OVERDUE_S if held_up else now
-        lost = [pending for pending in overdue if pending in overdue_before and pending.deadline < lost_by]
-        if lost:
-            self.clock.call_soon(self._abandon_overdue, lost)
-        self._look_for_overdue(set(overdue))
+        if abandoned:
+            self.clock.call_soon(self._abandon_overdue, abandoned)
+        self._schedule_overdue_check(set(overdue))
 
     def _abandon_overdue(self, overdue: list[PendingRequest]) -> None:
         for pending in overdue:
             if not pending.done and (pending.attempt is None or not pending.attempt.streaming):
-                self.log.line("overdue", f"request {pending.number} had no answer when its time was up")
+                self.log.line("overdue", f"request {pending.number} had no answer at its deadline")
                 self._abandon(pending.number)
--- a/quartzford/engine/pending_request.py
+++ b/quartzford/engine/pending_request.py
@@ -1,4 +1,4 @@
-"""What the engine needs of a front's request, of an attempt at it and of the backend that makes attempts."""
+"""Interfaces to the engine: a request of a front, an attempt at it, and the backend that makes attempts."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class PendingRequest(ABC):
-    """A request that gets exactly one final answer; a front makes one for each request that it accepts.
+    """A request that gets exactly one final answer. A front creates one for each request that it accepts.
 
-    The engine calls exactly one of served, refused, failed, aborted and streamed, unless the client has left.
+    The engine calls exactly one of served, refused, failed, aborted and streamed, unless the client
+    disconnects before.
     """
 
     __slots__ = (
@@ -27,54 +28,55 @@
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
         self.number = -1
-        self.service_class = ""  # the class that the request named
-        self.correlation_id = ""  # the id that its client gave it, for logs
-        self.deadline = math.inf  # on the engine's clock, seconds
+        self.service_class = ""  # the name that the request states, known or not
+        self.correlation_id = ""  # set by the client, for logs
+        self.deadline = math.inf  # seconds on the engine's clock
         self.attempt: Attempt | None = None
         self.sends = 0
         self.done = False
 
     @abstractmethod
     def served(self, answer: Any) -> None:
-        """A backend's complete answer, in the form that this front and that backend share."""
+        """Forward a complete answer of the backend, in the form that the front and the backend agree on."""
 
     @abstractmethod
     def refused(self, pause_ms: float, over_quota: bool) -> None:
-        """Not run, and a retry is harmless: after pause_ms, if that is above 0."""
+        """Answer that the request has not run and may be retried; after pause_ms, if that is above 0."""
 
     @abstractmethod
     def failed(self) -> None:
-        """Failed; whether it has run is not known."""
+        """Answer that the request failed; it may have run."""
 
     @abstractmethod
     def aborted(self) -> None:
-        """Ended as a last resort, by an exception or its deadline; whether it has run is not known."""
+        """Answer that the request was abandoned after an exception or past its deadline; it may have run."""
 
     def client_connected(self) -> bool:
-        """Whether the client is still there, by the system now: the loop may not have noticed yet."""
+        """Return whether the client is connected, by the system: the event loop may not have noticed yet."""
         return True
 
     def streamed(self, complete: bool) -> None:
-        """The end of a response that its attempt has begun to pass on; complete, or broken off."""
+        """End a streamed response; complete: whether all of it was forwarded."""
         return None
 
     def client_disconnected(self) -> None:
-        """The client has left: give back what is held for it."""
+        """Release the resources held for the request: its client has disconnected."""
         return None
 
     def attempt_discarded(self) -> None:
-        """An attempt ended without an answer, the request lives on: give back what the attempt left."""
+        """Release what the last attempt buffered: it ended without an answer, and the request continues."""
         return None
 
 
 class Attempt(ABC):
-    """One attempt of one request at one server; it ends with exactly one outcome, by Engine.ended.
+    """One attempt of one request at one server; it ends with exactly one outcome, by Engine.attempt_ended.
 
-    chosen_at: when the module chose; written_at: when it left for the server, NaN before; timeout_at: when it
-    times out; all in seconds on the engine's clock.
+    All times are seconds on the engine's clock. chosen_at: when the decision module chose the server.
+    written_at: when the request was written to the server or its caller got the decision, NaN before.
+    timeout_at: when the attempt times out.
     """
 
-    __slots__ = ("pending", "number", "server", "chosen_at", "written_at", "timeout_at", "streaming", "over")
+    __slots__ = ("pending", "number", "server", "chosen_at", "written_at", "timeout_at", "streaming", "ended")
 
     def __init__(self, pending: Any, number: int, server: str, chosen_at: float, timeout_at: float) -> None:
         self.pending = pending
@@ -83,22 +85,32 @@
         self.chosen_at = chosen_at
         self.written_at = math.nan
         self.timeout_at = timeout_at
-        self.streaming = False  # its response is being passed on: it is the client's now
-        self.over = False
+        self.streaming = False  # part of the response was forwarded: no other attempt can replace it
+        self.ended = False
 
     @abstractmethod
     def start(self) -> None:
-        """Make the attempt."""
+        """Begin the attempt."""
 
     @abstractmethod
     def fail(self, code: str) -> None:
-        """End it now with this outcome, one of io.Outcome, if it has not ended."""
+        """End the attempt now, unless it has ended; code: its outcome, one of io.Outcome."""
 
 
 class Backend(Protocol):
-    """Makes attempts."""
-
-    def attempt(
-        self, pending: Any, number: int, server: str, chosen_at: float, timeout_at: float, finish: float
+    """Creates attempts."""
+
+    def create_attempt(
+        self,
+        pending: Any,
+        number: int,
+        server: str,
+        chosen_at: float,
+        timeout_at: float,
+        response_deadline: float,
     ) -> Attempt:
-        """An attempt, not begun; a response that has begun by `timeout_at` is waited for until `finish`."""
+        """Return a new attempt, not begun yet.
+
+        A response that has begun by `timeout_at` is waited for until `response_deadline`. All times are
+        seconds on the engine's clock.
+        """
