--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,7 +1,7 @@
-"""No attempt begins for a client that has gone, though the loop has not been told of it yet.
+"""No attempt begins for a client that has disconnected, even if the event loop is not informed of it yet.
 
-The client goes in the very call that makes an attempt's head, the clock having been read: as late as that, a
-loop that was held up would hear of the end only after the attempt.
+The client disconnects within the call that builds the head of an attempt, after the clock was read. A loop
+that is held up is informed of such a late disconnect only after the attempt.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import pytest
 import uvloop
 from peers import BalancerTestbed, async_test, reply, request, responds_with, wait_until
-from test_endings import RESET, raw
+from test_endings import LINGER_RESET, connect_raw
 
 from quartzford.engine.pending_request import Attempt
 from quartzford.fronts.client_connection import HANGUP_EVENTS
@@ -21,24 +21,26 @@
 
 
 def reset(sock: socket.socket) -> None:
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     sock.close()
 
 
-LEAVES: dict[str, Callable[[socket.socket], None]] = {
+DISCONNECTS: dict[str, Callable[[socket.socket], None]] = {
     "FIN": lambda sock: sock.close(),
     "RST": reset,
     "half-close": lambda sock: sock.shutdown(socket.SHUT_WR),
 }
 
 
-class Departure:
-    """Lets a client go as the head of the attempt with this index is made."""
+class DisconnectAtAttempt:
+    """Disconnects a client while the head of the attempt with this index is built."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, index: int, leave: Callable[[socket.socket], None]) -> None:
-        self.index, self.leave = index, leave
+    def __init__(
+        self, patch: pytest.MonkeyPatch, index: int, disconnect: Callable[[socket.socket], None]
+    ) -> None:
+        self.index, self.disconnect = index, disconnect
         self.heads = 0
-        self.unread = False  # the client's connection was not being read as it went
+        self.was_paused = False  # reading from the client was paused when it disconnected
         self.client: socket.socket | None = None
         make_head = Exchange.upstream_head
 
@@ -46,36 +48,36 @@
             head = make_head(exchange, left)
             self.heads += 1
             if self.heads == self.index + 1:
-                self._go(exchange)
+                self._disconnect(exchange)
             return head
 
         patch.setattr(Exchange, "upstream_head", upstream_head)
 
-    def _go(self, exchange: Exchange) -> None:
+    def _disconnect(self, exchange: Exchange) -> None:
         client = exchange.client
-        self.unread = client in client.front.unread
+        self.was_paused = client in client.front.unread
         assert self.client is not None
-        self.leave(self.client)
+        self.disconnect(self.client)
         poll = select.poll()
         poll.register(client.transport.get_extra_info("socket").fileno(), HANGUP_EVENTS)
-        assert poll.poll(2000), "the end never came to the balancer's side"
+        assert poll.poll(2000), "the disconnect did not reach the balancer's side"
 
 
-def sent(testbed: BalancerTestbed) -> int:
+def forwarded_count(testbed: BalancerTestbed) -> int:
     return sum(len(up.received) for up in testbed.upstreams)
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("where", ["connecting", "kept connection", "retry", "wait", "pipelined", "unread"])
-def test_no_attempt_begins_for_a_client_that_goes_as_it_is_made(
+def test_client_disconnect_just_before_write_prevents_attempt(
     where: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """connecting: the connection has just come up; wait: the request waited for an upstream that is ready."""
+    """connecting: the connection was just opened; wait: the request waited for a ready upstream."""
 
     async def test() -> None:
         async with BalancerTestbed(2) as testbed:
             before = 0 if where in ("connecting", "wait") else 1
-            departure = Departure(monkeypatch, before, LEAVES[how])
+            disconnect_at = DisconnectAtAttempt(monkeypatch, before, DISCONNECTS[how])
             if where == "kept connection":
                 assert (await testbed.submit(request())).status == 200
             elif where == "retry":
@@ -84,15 +86,15 @@
             elif where == "wait":
                 testbed.update(testbed.list_row(0, "draining"), testbed.list_row(1, "draining"))
                 await wait_until(lambda: not testbed.node.engine.balancer.ready)
-            sock = departure.client = await raw(testbed)
+            sock = disconnect_at.client = await connect_raw(testbed)
             sock.send(request() * {"pipelined": 2, "unread": 40}.get(where, 1))
             if where == "wait":
                 await wait_until(lambda: testbed.node.engine.pending_requests)
                 testbed.update(testbed.list_row(0), testbed.list_row(1), complete=True)
-            await wait_until(lambda: departure.heads > before and not testbed.node.front.unread)
+            await wait_until(lambda: disconnect_at.heads > before and not testbed.node.front.unread)
             await wait_until(lambda: not testbed.node.engine.pending_requests)
-            assert departure.heads == before + 1 and departure.unread == (where == "unread")
-            assert sent(testbed) == before and testbed.node.engine.counts["client gone"] == 1
+            assert disconnect_at.heads == before + 1 and disconnect_at.was_paused == (where == "unread")
+            assert forwarded_count(testbed) == before and testbed.node.engine.counts["client gone"] == 1
             balancer = testbed.node.engine.balancer
             assert (
                 balancer.pending_requests == {}
@@ -102,14 +104,14 @@
             sock.close()
             for up in testbed.upstreams:
                 up.script = responds_with(reply())
-            assert (await testbed.submit(request())).status == 200 and sent(testbed) == before + 1
+            assert (await testbed.submit(request())).status == 200 and forwarded_count(testbed) == before + 1
 
     uvloop.run(test())
 
 
 @async_test
-async def test_a_connection_that_came_up_for_an_attempt_that_may_not_begin_carries_the_next_one() -> None:
-    """It had no status yet: to look for one among the idle ones failed, and the next request got a 500."""
+async def test_connection_of_attempt_that_may_not_begin_is_reused() -> None:
+    """A fresh connection has no status: the search for an idle one failed, and the next request got a 500."""
     async with BalancerTestbed() as testbed:
         engine = testbed.node.engine
         may_begin, checked = engine.may_begin, []
@@ -119,6 +121,6 @@
             return len(checked) > 1 and may_begin(attempt)
 
         engine.may_begin = not_at_first  # type: ignore[method-assign]
-        assert (await testbed.submit(request())).status == 503  # there is nobody else
+        assert (await testbed.submit(request())).status == 503  # there is no other upstream
         assert (await testbed.submit(request())).status == 200
         assert testbed.outcomes() == ["moot", "ok"] and len(testbed.upstreams[0].writers) == 1
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -1,4 +1,7 @@
-"""The time that an upstream is told: at most what its client has left as the bytes leave, 0.15 s of slack."""
+"""The time left that an upstream receives is at most the client's when the request's bytes are sent.
+
+An excess of 0.15 s is tolerated.
+"""
 
 from __future__ import annotations
 
@@ -26,68 +29,68 @@
     wait_until,
 )
 
-from quartzford.backends.http_attempt import Attempt
+from quartzford.backends.http_attempt import HttpAttempt
 from quartzford.backends.upstream_connection import Connection
 from quartzford.fronts.extproc import server
 from quartzford.fronts.extproc.decision_messages import Reply
 from quartzford.fronts.extproc.messages import ReplyWriter
 
-SLACK_S = 0.15  # of the rule, and for as long a balancer may be held up between its clock and a write
-TRANSIT_S = 0.02  # from the balancer's write to this test's clock
+HOLD_UP_ALLOWANCE_S = 0.15  # of the rule; the longest hold-up between clock reading and write
+TRANSIT_S = 0.02  # from the balancer's write to the clock reading of this test
 
 
 class ReceivedAttempt(NamedTuple):
-    """One attempt as its upstream sees it: when its last byte came, and the seconds that it was told."""
+    """One attempt as its upstream sees it: when its last byte was received, and the stated seconds left."""
 
-    at: float
-    left: float
+    received_at: float
+    time_left_s: float
 
 
-def seconds(message: Message) -> float:
+def stated_time_left_s(message: Message) -> float:
     text = message.fields["x-time-left"]
     assert text.endswith("u")
     return int(text[:-1]) / 1e6
 
 
-def noting(
+def record_then(
     received_attempts: list[ReceivedAttempt], then: Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 ) -> Callable[[Message, asyncio.StreamWriter], Awaitable[None]]:
     async def script(message: Message, writer: asyncio.StreamWriter) -> None:
-        received_attempts.append(ReceivedAttempt(time.monotonic(), seconds(message)))
+        received_attempts.append(ReceivedAttempt(time.monotonic(), stated_time_left_s(message)))
         await then(message, writer)
 
     return script
 
 
-async def serves(message: Message, writer: asyncio.StreamWriter) -> None:
+async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
     writer.write(reply())
 
 
-async def breaks(message: Message, writer: asyncio.StreamWriter) -> None:
+async def abort_connection(message: Message, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-def assert_kept(
-    received_attempts: list[ReceivedAttempt], requested_at: float, left: float, slack: float
+def assert_within_deadline(
+    received_attempts: list[ReceivedAttempt], requested_at: float, time_left_s: float, allowance_s: float
 ) -> None:
-    """slack: so much of the rule's slack may be used, and what the machine held this process up."""
+    """allowance_s: tolerated excess, of the rule and for hold-ups of this process by the machine."""
     for attempt in received_attempts:
-        assert 0 < attempt.left <= requested_at + left - attempt.at + slack
+        assert 0 < attempt.time_left_s <= requested_at + time_left_s - attempt.received_at + allowance_s
 
 
-def hold_up(monkeypatch: pytest.MonkeyPatch, hold_ups: HoldUps) -> None:
-    """The loop stands still between the last look at the clock and each write to an upstream."""
+def hold_up_writes(monkeypatch: pytest.MonkeyPatch, hold_ups: HoldUps) -> None:
+    """Hold the loop up between the last reading of the clock and each write to an upstream."""
     send = Connection.send
 
     def held(self: Connection, head: bytes, body: bytes | bytearray) -> None:
-        hold_ups.hold(SLACK_S)
+        hold_ups.hold(HOLD_UP_ALLOWANCE_S)
         send(self, head, body)
 
     monkeypatch.setattr(Connection, "send", held)
 
 
-def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The system takes little for an upstream that does not read."""
+def limit_send_buffer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Limit what the kernel buffers for an upstream that does not read."""
     connected = Connection.connection_made
 
     def narrowed(self: Connection, transport: asyncio.BaseTransport) -> None:
@@ -97,8 +100,8 @@
     monkeypatch.setattr(Connection, "connection_made", narrowed)
 
 
-async def listening(testbed: BalancerTestbed, backlog: int, window: int = 0) -> socket.socket:
-    """A listener in the place of the only upstream. window: bytes that it takes unread, 0 for the usual."""
+async def listen_as_upstream(testbed: BalancerTestbed, backlog: int, window: int = 0) -> socket.socket:
+    """Replace the only upstream by a listener. window: bytes of its receive buffer, 0: the default."""
     server = socket.socket()
     if window:
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window)
@@ -112,7 +115,7 @@
 
 
 async def read_all(sock: socket.socket) -> bytes:
-    """Up to its end, clean or not."""
+    """Return all bytes up to the end of the connection, clean or not."""
     got = b""
     with suppress(ConnectionResetError):
         while piece := await asyncio.get_running_loop().sock_recv(sock, 1_000_000):
@@ -121,12 +124,12 @@
 
 
 @async_test
-async def test_behind_a_connection_that_came_up_late() -> None:
-    """The upstream's listen queue is full: the kernel's second try comes a second after the first."""
+async def test_time_left_after_slow_connect_is_within_deadline() -> None:
+    """The upstream's listen queue is full: the kernel retries the connect a second later."""
     loop = asyncio.get_running_loop()
     limits = SETTINGS["limits"] | {"connectTimeoutMs": 2500.0}
     async with BalancerTestbed(limits=limits) as testbed, HoldUps() as hold_ups:
-        server = await listening(testbed, backlog=0)
+        server = await listen_as_upstream(testbed, backlog=0)
         queued = socket.create_connection(server.getsockname())
         requested_at = time.monotonic()
         answer = asyncio.ensure_future(testbed.submit(request("pay", b"", time_left="2900m")))
@@ -134,9 +137,9 @@
         (await loop.sock_accept(server))[0].close()
         reader, writer = await asyncio.open_connection(sock=(await loop.sock_accept(server))[0])
         message = await read_message(reader)
-        received_attempts = ReceivedAttempt(time.monotonic(), seconds(message))
-        assert received_attempts.at - requested_at > 0.5
-        assert_kept([received_attempts], requested_at, 2.9, TRANSIT_S + hold_ups.unplanned_s)
+        received_attempts = ReceivedAttempt(time.monotonic(), stated_time_left_s(message))
+        assert received_attempts.received_at - requested_at > 0.5
+        assert_within_deadline([received_attempts], requested_at, 2.9, TRANSIT_S + hold_ups.unplanned_s)
         writer.write(reply())
         assert (await answer).status == 200
         queued.close()
@@ -145,51 +148,53 @@
 
 
 @pytest.mark.parametrize("size", [50_000, 12_000_000])
-def test_behind_a_body_that_is_written_slowly(size: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is told holds at the request's last byte, or that byte never leaves."""
+def test_time_left_with_slowly_written_body_is_within_deadline(
+    size: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The stated time left is valid when the request's last byte is sent, or that byte is never sent."""
 
     async def test() -> None:
         async with BalancerTestbed() as testbed, HoldUps() as hold_ups:
-            server = await listening(testbed, backlog=8, window=2048)
+            server = await listen_as_upstream(testbed, backlog=8, window=2048)
             requested_at = time.monotonic()
             answer = asyncio.ensure_future(testbed.submit(request("pay", b"b" * size, time_left="1500m")))
             sock, _ = await asyncio.get_running_loop().sock_accept(server)
-            await asyncio.sleep(0.9)  # unread for longer than what may be told late
+            await asyncio.sleep(0.9)  # unread for longer than the tolerated excess
             head, _, body = (await read_all(sock)).partition(b"\r\n\r\n")
             received = time.monotonic()
             left = int(head.partition(b"X-Time-Left: ")[2].partition(b"u")[0]) / 1e6
-            slack = TRANSIT_S + hold_ups.unplanned_s
-            assert len(body) < size or 0 < left <= requested_at + 1.5 - received + slack
+            allowance_s = TRANSIT_S + hold_ups.unplanned_s
+            assert len(body) < size or 0 < left <= requested_at + 1.5 - received + allowance_s
             assert (await answer).status == 503 and testbed.outcomes()[0] == "connect_failed"
             sock.close()
             server.close()
 
-    narrow(monkeypatch)
+    limit_send_buffer(monkeypatch)
     uvloop.run(test())
 
 
 @pytest.mark.parametrize("held", [False, True])
-def test_at_every_attempt(held: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """held: with 0.15 s between each look at the clock and its write, which is all the slack there is."""
+def test_time_left_of_every_attempt_is_within_deadline(held: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """held: with a hold-up of 0.15 s, the whole tolerance, between each clock reading and its write."""
 
     async def test() -> None:
         async with BalancerTestbed(3) as testbed, HoldUps() as hold_ups:
             if held:
-                hold_up(monkeypatch, hold_ups)
+                hold_up_writes(monkeypatch, hold_ups)
             received_attempts: list[ReceivedAttempt] = []
             for up in testbed.upstreams[:2]:
-                up.script = noting(received_attempts, breaks)
-            testbed.upstreams[2].script = noting(received_attempts, serves)
+                up.script = record_then(received_attempts, abort_connection)
+            testbed.upstreams[2].script = record_then(received_attempts, respond)
             for left in (0.9, 0.4):
                 received_attempts.clear()
                 requested_at = time.monotonic()
                 await testbed.submit(request(time_left=f"{int(left * 1000)}m"))
                 assert received_attempts
-                assert_kept(
+                assert_within_deadline(
                     received_attempts,
                     requested_at,
                     left,
-                    (SLACK_S if held else TRANSIT_S) + hold_ups.unplanned_s,
+                    (HOLD_UP_ALLOWANCE_S if held else TRANSIT_S) + hold_ups.unplanned_s,
                 )
 
     uvloop.run(test())
@@ -199,8 +204,8 @@
 
 
 @async_test
-async def test_with_very_little_time_left_nothing_odd_follows() -> None:
-    """An upstream may drop such a request unanswered: it isn't blamed, and an unsafe one goes nowhere."""
+async def test_request_with_little_time_left_is_sent_once_and_blames_no_upstream() -> None:
+    """An upstream may discard such a request unanswered: it isn't blamed, and an unsafe one isn't retried."""
     async with BalancerTestbed(2) as testbed:
         assert (await testbed.submit(request())).status == 200
         for up in testbed.upstreams:
@@ -212,13 +217,13 @@
             assert answer.status in (502, 503)
             assert sum(len(up.received) for up in testbed.upstreams) <= before + 1
         for up in testbed.upstreams:
-            assert all(0 < seconds(message) <= 0.02 for message in up.received)
+            assert all(0 < stated_time_left_s(message) <= 0.02 for message in up.received)
         assert not any(server.failure_rate for server in testbed.node.engine.balancer.ready)
 
 
 @async_test
-async def test_a_request_whose_time_ran_out_behind_another_is_not_sent() -> None:
-    """The second of two on one connection waits for longer than its own time."""
+async def test_pipelined_request_expired_while_waiting_is_not_sent() -> None:
+    """The second of two pipelined requests waits for longer than its deadline."""
     async with BalancerTestbed(2) as testbed:
         gate = asyncio.Event()
 
@@ -241,16 +246,16 @@
         assert testbed.outcomes() == ["ok"]
 
 
-@pytest.mark.parametrize("place", [(Attempt, "start"), (Connection, "begin")])
-def test_an_attempt_held_up_past_its_time_is_not_begun(
+@pytest.mark.parametrize("place", [(HttpAttempt, "start"), (Connection, "attach")])
+def test_attempt_held_up_past_timeout_is_not_begun(
     place: tuple[Any, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Before its connection is looked for, or right before the write: nobody hears of it, or is blamed."""
+    """An attempt held up at its start or right before the write reaches no upstream, and blames none."""
     owner, name = place
     usual = getattr(owner, name)
 
     def late(*arguments: Any) -> None:
-        time.sleep(SLACK_S)
+        time.sleep(HOLD_UP_ALLOWANCE_S)
         usual(*arguments)
 
     async def test() -> None:
@@ -264,7 +269,7 @@
 
 
 @pytest.mark.parametrize("code", ["timeout", "reset", "connect_failed"])
-def test_an_attempt_shorter_than_an_answer_takes_blames_nobody(code: str) -> None:
+def test_failure_of_attempt_below_latency_objective_blames_no_server(code: str) -> None:
     balancer = use_all_servers(started_balancer(2))
     for number, budget in enumerate((10.0, 400.0)):
         (send,) = sends(submit(balancer, 0.0, number, UNSAFE.name, budget))
@@ -277,18 +282,18 @@
 # ---- the external processor
 
 
-def timeouts_of(raw: RawStream) -> tuple[float, float]:
-    """Seconds that the server is told, and that the caller is to wait."""
+def read_timeouts(raw: RawStream) -> tuple[float, float]:
+    """Return the time left stated to the server and the caller's time-out, in seconds."""
     left = raw.headers.get("x-time-left")
     assert left.endswith("m")
     return int(left[:-1]) / 1000.0, int(raw.headers.get("x-envoy-upstream-rq-timeout-ms")) / 1000.0
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_what_the_external_processor_tells_holds_as_it_leaves(
+def test_timeouts_of_external_processor_are_valid_when_written(
     again: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A worker has the decision 0.08 s later, and is held up by 0.15 s between its clock and its write."""
+    """A worker gets the decision 0.08 s late, and is held up for 0.15 s between clock reading and write."""
     replied, write = server.ExtprocStream._replied, ReplyWriter.write
 
     def later(self: server.ExtprocStream, reply: Reply) -> None:
@@ -299,7 +304,7 @@
 
             def held(self: ReplyWriter, reply: Reply, now: float) -> bytes:
                 message = write(self, reply, now)
-                hold_ups.hold(SLACK_S)
+                hold_ups.hold(HOLD_UP_ALLOWANCE_S)
                 return message
 
             caller, rows = site.caller(), request_headers("c1", "read", left_s=1.5)
@@ -312,15 +317,15 @@
             monkeypatch.setattr(server.ExtprocStream, "_replied", later)
             monkeypatch.setattr(ReplyWriter, "write", held)
             await raw.submit(rows)
-            left, time_out = timeouts_of(raw)
+            left, time_out = read_timeouts(raw)
             assert 0 < left <= time_out
-            assert left <= requested_at + 1.5 - time.monotonic() + SLACK_S + hold_ups.unplanned_s
+            assert left <= requested_at + 1.5 - time.monotonic() + HOLD_UP_ALLOWANCE_S + hold_ups.unplanned_s
 
     uvloop.run(test())
 
 
 @async_test
-async def test_with_very_little_time_left_a_caller_never_gets_a_timeout_of_0() -> None:
+async def test_caller_with_little_time_left_gets_no_zero_timeout() -> None:
     async with ExtprocSite(2) as site:
         caller = site.caller()
         for number, left in enumerate(("0m", "1u", "900u", "1m", "2m", "4m")):
@@ -330,6 +335,6 @@
             if immediate_status(reply):
                 assert immediate_status(reply) == 503
             else:
-                assert min(timeouts_of(raw)) >= 0.001
+                assert min(read_timeouts(raw)) >= 0.001
                 raw.drop()
         assert not any(server.failure_rate for server in site.node.engine.balancer.ready)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,5 +1,8 @@
-"""What ends, and what is still owed at that instant: crossings forced by barriers and by bytes that lie in
-the kernel, not by sleeping. docs/endings.md names the test of each row."""
+"""Ends of connections, attempts and the process that coincide with requests that still need an answer.
+
+Barriers, and bytes that wait in the kernel, force the races; the tests do not rely on sleeping.
+docs/endings.md names the test of each row.
+"""
 
 from __future__ import annotations
 
@@ -29,11 +32,11 @@
 from quartzford.backends.upstream_connection import Connection
 from quartzford.decision import interface as io
 
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-async def raw(testbed: BalancerTestbed, receive: int = 0) -> socket.socket:
-    """A client whose bytes lie in the kernel when the call returns; receive: of its window, in bytes."""
+async def connect_raw(testbed: BalancerTestbed, receive: int = 0) -> socket.socket:
+    """Return a client socket, whose sent bytes are at once in the kernel; receive: bytes of its buffer."""
     sock = socket.socket()
     if receive:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
@@ -44,14 +47,16 @@
 
 
 async def read_all(sock: socket.socket) -> bytes:
-    """Up to its clean end; a reset is an error."""
+    """Return all bytes up to a clean end of the connection; a reset is an error."""
     loop, data = asyncio.get_running_loop(), b""
     while piece := await loop.sock_recv(sock, 65536):
         data += piece
     return data
 
 
-def gated(gate: asyncio.Event, answer: bytes) -> Callable[[Message, asyncio.StreamWriter], Awaitable[None]]:
+def respond_after(
+    gate: asyncio.Event, answer: bytes
+) -> Callable[[Message, asyncio.StreamWriter], Awaitable[None]]:
     async def script(message: Message, writer: asyncio.StreamWriter) -> None:
         await gate.wait()
         writer.write(answer)
@@ -59,23 +64,23 @@
     return script
 
 
-def set_event() -> asyncio.Event:
+def already_set_event() -> asyncio.Event:
     event = asyncio.Event()
     event.set()
     return event
 
 
-# ---- a client's connection
+# ---- client connections
 
 
 @async_test
-async def test_an_answer_is_read_completely_by_a_client_that_still_writes() -> None:
-    """The balancer closed over bytes that nobody had read: a reset took what the client had not read yet."""
+async def test_client_that_keeps_writing_receives_complete_response() -> None:
+    """The balancer closed a connection with unread bytes: a reset discarded what the client had not read."""
     async with BalancerTestbed() as testbed:
         gate, body = asyncio.Event(), b"w" * 300_000
-        testbed.upstreams[0].script = gated(gate, reply(body))
-        testbed.node.front.draining = True  # every answer is its connection's last
-        sock = await raw(testbed, receive=4096)
+        testbed.upstreams[0].script = respond_after(gate, reply(body))
+        testbed.node.front.draining = True  # every response is the last of its connection
+        sock = await connect_raw(testbed, receive=4096)
         sock.send(request())
         await wait_until(lambda: testbed.upstreams[0].received)
         gate.set()
@@ -92,10 +97,10 @@
 
 
 @async_test
-async def test_a_client_that_writes_on_after_its_last_answer_is_given_up_in_the_end() -> None:
+async def test_client_that_keeps_writing_after_last_response_is_disconnected() -> None:
     async with BalancerTestbed() as testbed:
         testbed.node.front.draining = True
-        sock = await raw(testbed)
+        sock = await connect_raw(testbed)
         sock.send(request())
         client = next(iter(testbed.node.front.clients), None)
         while client is None or not client.closing:
@@ -115,11 +120,11 @@
 
 
 @async_test
-async def test_a_connection_whose_answer_is_still_on_its_way_does_not_make_room() -> None:
-    """It rests by what has been read; its last bytes wait for the system to take them."""
+async def test_connection_with_unsent_response_is_not_evicted() -> None:
+    """The connection has no open request, but the last bytes of a response wait in its write buffer."""
     async with BalancerTestbed() as testbed:
         testbed.node.front.max_clients = 2
-        first = await raw(testbed)
+        first = await connect_raw(testbed)
         first.send(request())
         await wait_until(lambda: testbed.outcomes() == ["ok"])
         (client,) = testbed.node.front.clients
@@ -133,7 +138,7 @@
                 return 100
 
         client.transport = Unsent()  # type: ignore[assignment]
-        others = [await raw(testbed) for _ in range(3)]
+        others = [await connect_raw(testbed) for _ in range(3)]
         await wait_until(lambda: len(testbed.node.front.clients) == 2)
         assert client in testbed.node.front.clients and not transport.is_closing()
         for sock in (first, *others):
@@ -141,13 +146,13 @@
 
 
 @pytest.mark.parametrize("cut", [0, 40, 10_000])
-def test_a_request_in_the_instant_of_the_close_is_answered_or_never_sent_on(cut: int) -> None:
-    """cut: so many of its bytes have been read by then; the others lie in the kernel as it closes."""
+def test_request_at_connection_close_is_answered_or_not_forwarded(cut: int) -> None:
+    """cut: bytes of the request read before the close; the others are in the kernel at the close."""
 
     async def test() -> None:
         async with BalancerTestbed() as testbed:
             text = request("pay", b"b" * 30)
-            sock = await raw(testbed)
+            sock = await connect_raw(testbed)
             sock.send(request())
             await wait_until(lambda: len(testbed.upstreams[0].received) == 1)
             assert (await asyncio.get_running_loop().sock_recv(sock, 65536)).startswith(b"HTTP/1.1 200")
@@ -169,26 +174,26 @@
     uvloop.run(test())
 
 
-LEAVES: dict[str, Callable[[socket.socket], None]] = {
+DISCONNECTS: dict[str, Callable[[socket.socket], None]] = {
     "FIN": lambda sock: sock.close(),
     "FIN behind unread bytes": lambda sock: (sock.send(b"G" * 20_000), sock.close()),  # type: ignore[func-returns-value]
     "RST": lambda sock: (  # type: ignore[func-returns-value]
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET),
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET),
         sock.close(),
     ),
 }
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("why", ["pipelined", "budget"])
-def test_a_client_that_is_not_read_takes_what_waits_along_when_it_goes(how: str, why: str) -> None:
-    """Its bytes are left with the system by back-pressure; a loop that does not read hears of no end."""
+def test_disconnect_of_paused_client_releases_its_requests(how: str, why: str) -> None:
+    """Back-pressure leaves a client's bytes in the kernel; a loop that does not read misses its end."""
 
     async def test() -> None:
         async with BalancerTestbed() as testbed:
             gate = asyncio.Event()
-            testbed.upstreams[0].script = gated(gate, reply())
-            sock = await raw(testbed)
+            testbed.upstreams[0].script = respond_after(gate, reply())
+            sock = await connect_raw(testbed)
             sock.send(request())
             await wait_until(lambda: testbed.upstreams[0].received)
             if why == "pipelined":
@@ -198,7 +203,7 @@
                 sock.send(request("pay", b"") + request("pay", b"b" * 5000)[:-1000])
             await wait_until(lambda: testbed.node.front.unread)
             async with LoopLag() as lag:
-                LEAVES[how](sock)
+                DISCONNECTS[how](sock)
                 left = asyncio.get_running_loop().time()
                 await wait_until(lambda: not testbed.node.front.clients, 2)
             assert asyncio.get_running_loop().time() - left < 0.1 + 2 * lag.max_lag_s
@@ -211,15 +216,15 @@
     uvloop.run(test())
 
 
-@pytest.mark.parametrize("where", ["held", "connecting", "attempt out", "between attempts"])
-def test_a_client_that_goes_gets_no_further_attempt_wherever_its_request_is(where: str) -> None:
+@pytest.mark.parametrize("where", ["waiting", "connecting", "attempt in flight", "between attempts"])
+def test_client_disconnect_prevents_further_attempts(where: str) -> None:
     async def test() -> None:
         async with BalancerTestbed(2, limits={**SETTINGS["limits"], "connectTimeoutMs": 3000.0}) as testbed:
             gate, hang = asyncio.Event(), socket.create_server(("127.0.0.1", 0), backlog=0)
             held = [socket.socket() for _ in range(8)]
             for up in testbed.upstreams:
-                up.script = gated(gate, reply())
-            if where == "held":
+                up.script = respond_after(gate, reply())
+            if where == "waiting":
                 testbed.update(testbed.list_row(0, "draining"), testbed.list_row(1, "draining"))
                 await wait_until(lambda: not testbed.node.engine.balancer.ready)
             elif where == "connecting":
@@ -233,17 +238,17 @@
                 await wait_until(lambda: len(testbed.node.pool.upstreams) == 2)
             elif where == "between attempts":
                 for up in testbed.upstreams:
-                    up.script = gated(gate, reply(b"", "500 Sorry"))
-            sock = await raw(testbed)
+                    up.script = respond_after(gate, reply(b"", "500 Sorry"))
+            sock = await connect_raw(testbed)
             sock.send(request())
             sends = lambda: [a for a in testbed.actions if isinstance(a, io.Send)]  # noqa: E731
-            if where == "held":
+            if where == "waiting":
                 await wait_until(lambda: testbed.node.engine.pending_requests)
             elif where == "connecting":
                 await wait_until(sends)
-            else:  # read there: what was decided and not yet written would not be sent to one that drains
+            else:  # wait for an upstream: a decided but unwritten attempt is not sent to a draining one
                 await wait_until(lambda: any(up.received for up in testbed.upstreams))
-            if where == "between attempts":  # the first one fails, and there is nobody for a second
+            if where == "between attempts":  # the first one fails, and no upstream is ready for a second
                 testbed.update(testbed.list_row(0, "draining"), testbed.list_row(1, "draining"))
                 await wait_until(lambda: not testbed.node.engine.balancer.ready)
                 gate.set()
@@ -255,7 +260,7 @@
             assert not testbed.node.engine.pending_requests and not testbed.node.pool.pending_connects
             testbed.update(testbed.list_row(0), testbed.list_row(1), complete=True)
             for up in testbed.upstreams:
-                up.script = gated(gate, reply())
+                up.script = respond_after(gate, reply())
             gate.set()
             other = await testbed.submit(request("pay", b""))
             assert other.status == 200 and len(sends()) == before + 1
@@ -267,19 +272,19 @@
 
 
 @async_test
-async def test_three_hundred_clients_that_leave_in_one_instant_of_a_busy_loop_leave_nothing_behind() -> None:
+async def test_simultaneous_disconnect_of_300_clients_releases_everything() -> None:
     async with BalancerTestbed(2) as testbed:
         gate = asyncio.Event()
         for up in testbed.upstreams:
-            up.script = gated(gate, reply())
-        socks = [await raw(testbed) for _ in range(300)]
+            up.script = respond_after(gate, reply())
+        socks = [await connect_raw(testbed) for _ in range(300)]
         for sock in socks:
             sock.send(request("pay", b"b" * 2000))
         await wait_until(lambda: len(testbed.node.engine.pending_requests) == 300)
         testbed.update(testbed.list_row(0, "draining"), testbed.list_row(1, "draining"))
         await wait_until(lambda: not testbed.node.engine.balancer.ready)
         for sock in socks:
-            sock.close()  # in one turn of this loop: the balancer hears of all of them in its next one
+            sock.close()  # all in one iteration of the loop: the balancer is informed in the next one
         before = len(testbed.actions)
         await wait_until(lambda: not testbed.node.front.clients, 5)
         await wait_until(lambda: not testbed.node.pool.connections, 5)
@@ -291,18 +296,18 @@
         )
 
 
-# ---- a connection to an upstream
+# ---- upstream connections
 
 
 @async_test
-async def test_an_attempt_that_is_cancelled_as_its_connection_comes_up_leaves_none_behind() -> None:
-    """The loop ended the transport and told nobody: the connection was counted as open for good."""
+async def test_attempt_cancelled_while_connecting_leaves_no_connection() -> None:
+    """The loop closed the transport without a callback: the connection was counted as open for ever."""
     async with BalancerTestbed() as testbed:
         made = Connection.connection_made
         crossed = 0
 
         def leaves(self: Connection, transport: asyncio.BaseTransport) -> None:
-            """The client goes in the turn in which the connection is up, before the attempt hears of it."""
+            """Disconnect the client when the connection is up, before the attempt is informed."""
             nonlocal crossed
             made(self, transport)
             if crossed < 20:
@@ -313,7 +318,7 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Connection, "connection_made", leaves)
             for _ in range(20):
-                sock = await raw(testbed)
+                sock = await connect_raw(testbed)
                 sock.send(request("pay", b""))
                 before = crossed
                 await wait_until(lambda before=before: crossed > before)  # type: ignore[misc]
@@ -325,10 +330,10 @@
 
 
 @pytest.mark.parametrize("late", [b"", reply(b"first"), b"noise", b"HTTP/1.1 200 OK\r\n"])
-def test_what_comes_late_behind_an_answer_is_not_the_next_request_s(
+def test_late_bytes_after_response_are_not_used_for_next_request(
     late: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection was lent again at once: a second copy of its answer was served to the next client."""
+    """The connection was reused at once: a second copy of its response was forwarded to the next client."""
     monkeypatch.setattr(connection_pool, "MIN_IDLE_S", 3.0)
 
     async def test() -> None:
@@ -351,7 +356,7 @@
             upstream = testbed.node.pool.upstreams["s0"]
             await wait_until(lambda: len(testbed.node.pool.connections) == 1 + (not late))
             for connection in upstream.idle:
-                connection.idle_since -= 3.0  # rested: the newest one is used again
+                connection.idle_since -= 3.0  # idle for long enough: the newest connection is reused
             assert (await testbed.submit(request("pay", b""))).body == b"second"
             assert len(testbed.upstreams[0].writers) == 2
 
@@ -360,8 +365,8 @@
 
 @pytest.mark.parametrize("field", ["", "Content-Length: 3000000000\r\n", "Transfer-Encoding: chunked\r\n"])
 @pytest.mark.parametrize("slow", [False, True])
-def test_an_answer_that_never_ends_is_broken_off_when_its_time_is_up(field: str, slow: bool) -> None:
-    """Once it was passed on no deadline held: its client waited for as long as bytes came. slow: few."""
+def test_endless_response_is_broken_off_after_deadline(field: str, slow: bool) -> None:
+    """A streamed response had no deadline: its client waited as long as bytes arrived. slow: few bytes."""
 
     async def test() -> None:
         async with BalancerTestbed() as testbed:
@@ -377,29 +382,31 @@
             testbed.upstreams[0].script = endless
             loop = asyncio.get_running_loop()
             before = loop.time()
-            sock = await raw(testbed)
+            sock = await connect_raw(testbed)
             sock.send(request("pay", b"", "Connection: close\r\n", time_left="700m"))
             data = b""
             async with LoopLag() as lag:
                 with suppress(ConnectionResetError):
                     data = await asyncio.wait_for(read_all(sock), 5)
             assert loop.time() - before < 1.2 + 2 * lag.max_lag_s and not testbed.node.engine.pending_requests
-            # Its client can tell: a reset, fewer bytes than its length says, or chunks with no last one.
+            # The client sees the break: a reset, fewer bytes than Content-Length, or no last chunk.
             head, _, body = data.partition(b"\r\n\r\n")
             assert not data or b" 502 " in head or b"3000000000" in head or b"chunked" in head
             assert not body.endswith(b"0\r\n\r\n")
-            await wait_until(lambda: not testbed.node.pool.connections and not testbed.node.pool.streams)
+            await wait_until(
+                lambda: not testbed.node.pool.connections and not testbed.node.pool.streamed_attempts
+            )
             sock.close()
 
     uvloop.run(test())
 
 
 @async_test
-async def test_a_flood_that_is_turned_away_opens_no_connection_for_each_request() -> None:
-    """What carried no good answer is lent again at once."""
+async def test_flood_of_error_responses_reuses_connections() -> None:
+    """A connection whose last response was an error is reused at once."""
     async with BalancerTestbed(5) as testbed:
         for up in testbed.upstreams:
-            up.script = gated(set_event(), reply(b"", "400 Bad Request"))
+            up.script = respond_after(already_set_event(), reply(b"", "400 Bad Request"))
         reader, writer = await testbed.connect()
         for _ in range(200):
             writer.write(request("pay", b""))
@@ -409,14 +416,14 @@
 
 
 @async_test
-async def test_with_no_descriptor_left_for_an_attempt_its_upstream_is_not_blamed() -> None:
-    """The error came up in a task that nobody waited for: the attempt was out until its time was up."""
+async def test_attempt_without_free_descriptor_does_not_blame_upstream() -> None:
+    """The error was raised in a task that nothing awaited: the attempt was in flight until its time-out."""
     async with BalancerTestbed(5) as testbed:
         make = socket.socket
 
         def none_left(*args: Any, **named: Any) -> socket.socket:
             if "fileno" in named:
-                return make(*args, **named)  # of a connection that the kernel has given already
+                return make(*args, **named)  # a connection that the kernel has accepted already
             raise OSError(errno.EMFILE, "Too many open files")
 
         with pytest.MonkeyPatch.context() as patch:
@@ -440,21 +447,24 @@
 @pytest.mark.parametrize(
     ("name", "deadline", "status"), [("pay", 6000.0, 502), ("read", 6000.0, 503), ("pay", 1000.0, 502)]
 )
-def test_after_sigterm_a_client_is_answered_before_the_process_is_killed(
+def test_hanging_request_is_answered_between_sigterm_and_kill(
     name: str, deadline: float, status: int
 ) -> None:
-    """An attempt hangs, and the request's time goes on past the moment when the platform kills: the longest
-    deadline, three seconds at most, and 0.7 s after SIGTERM. It exited, or was killed, with no word."""
+    """An attempt hangs, and its request's deadline is later than the platform's SIGKILL.
+
+    SIGKILL follows SIGTERM by the longest deadline, three seconds at most, and 0.7 s. The process exited, or
+    was killed, without an answer.
+    """
 
     async def test() -> None:
         classes = [dict(kind, deadlineMs=deadline, sloMs=deadline) for kind in SETTINGS["classes"]]
         async with BalancerTestbed(classes=classes) as testbed, LoopLag() as lag:
             gate = asyncio.Event()
-            testbed.upstreams[0].script = gated(gate, reply())
+            testbed.upstreams[0].script = respond_after(gate, reply())
             loop = asyncio.get_running_loop()
             hanging = asyncio.ensure_future(testbed.submit(request(name, time_left="60000m")))
             await wait_until(lambda: testbed.upstreams[0].received)
-            half = await raw(testbed)
+            half = await connect_raw(testbed)
             text = request("pay", b"h" * 100, time_left="60000m")
             half.send(text[:-100])
             await wait_until(lambda: len(testbed.node.front.clients) == 2)
@@ -471,7 +481,7 @@
             killed = before + min(deadline / 1000.0, 3.0) + 0.7
             assert answer.status == status and answer.fields["connection"] == "close"
             assert answered < killed - 0.05 + lag.max_lag_s
-            half.send(b"h" * (100 - dripped))  # what comes whole only now is answered, and never sent on
+            half.send(b"h" * (100 - dripped))  # complete only now: answered, and never forwarded
             assert b" 503 " in await asyncio.wait_for(read_all(half), 2)
             half.close()
             await asyncio.wait_for(testbed.node.finished, 2)
@@ -481,14 +491,14 @@
 
 
 @async_test
-async def test_an_answer_that_streams_as_the_process_ends_is_seen_to_be_broken() -> None:
+async def test_streamed_response_at_process_exit_reaches_client_incomplete() -> None:
     async with BalancerTestbed() as testbed:
 
         async def half(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"h" * 150_000)
 
         testbed.upstreams[0].script = half
-        sock = await raw(testbed)
+        sock = await connect_raw(testbed)
         sock.send(request(time_left="60000m"))
         await wait_until(
             lambda: any(
@@ -501,13 +511,13 @@
         sock.close()
 
 
-# ---- a request's last byte
+# ---- the last byte of a request
 
 
-async def narrow(
+async def replace_with_slow_reader(
     testbed: BalancerTestbed, number: int, script: Callable[[socket.socket], Awaitable[None]]
 ) -> socket.socket:
-    """Upstream `number` takes a body as slowly as the script reads it."""
+    """Replace upstream `number` by a listener with a small buffer, which reads a body as the script does."""
     loop = asyncio.get_running_loop()
     server = socket.socket()
     server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -528,8 +538,8 @@
 
 
 @async_test
-async def test_a_keyed_request_whose_window_ends_while_it_is_written_again_is_never_complete_there() -> None:
-    """Choice and first byte lay within the window, the last byte past it: the key is forgotten there."""
+async def test_keyed_retry_still_being_written_at_window_end_is_cut_off() -> None:
+    """Decision and first byte were within the window, the last byte after it: the upstream forgot the key."""
     loop = asyncio.get_running_loop()
     classes = [dict(kind, memorySpanMs=600.0) for kind in SETTINGS["classes"]]
     async with BalancerTestbed(2, classes=classes) as testbed:
@@ -545,11 +555,11 @@
         async def reads(sock: socket.socket) -> None:
             nonlocal got
             await broken.wait()
-            await asyncio.sleep(1.0)  # past the window
+            await asyncio.sleep(1.0)  # until after the window
             while piece := await loop.sock_recv(sock, 1_000_000):
                 got += len(piece)
 
-        server = await narrow(testbed, 1, reads)
+        server = await replace_with_slow_reader(testbed, 1, reads)
         testbed.upstreams[0].script = breaks
         testbed.update(testbed.list_row(0), testbed.list_row(1, "draining"))
         await wait_until(lambda: not testbed.node.pool.upstreams["s1"].ready)
@@ -557,19 +567,19 @@
         answer = await testbed.submit(request("book", b"k" * size, time_left="2900m"))
         outcomes = testbed.outcomes()
         assert answer.status == 502 and outcomes[:2] == ["reset", "connect_failed"]
-        assert set(outcomes[2:]) <= {"moot"}  # nothing else was written
+        assert set(outcomes[2:]) <= {"moot"}  # no other attempt was written
         await wait_until(lambda: all(task.done() for task in testbed.tasks))
         assert len(testbed.upstreams[0].received[0].body) == size and 0 < got < size
         server.close()
 
 
-EARLY = (reply(b"early"), b"HTTP/1.1 200 OK\r\n\r\nhalf", b"HTTP/1.1 200 OK\r\nContent-Le")
+EARLY_RESPONSES = (reply(b"early"), b"HTTP/1.1 200 OK\r\n\r\nhalf", b"HTTP/1.1 200 OK\r\nContent-Le")
 
 
 @pytest.mark.parametrize("name", ["pay", "read"])
-@pytest.mark.parametrize("early", EARLY)
-def test_an_answer_ahead_of_the_request_s_last_byte_is_not_served(name: str, early: bytes) -> None:
-    """An upstream begins with the last byte: what comes before it was made for something else."""
+@pytest.mark.parametrize("early", EARLY_RESPONSES)
+def test_response_before_end_of_request_is_not_forwarded(name: str, early: bytes) -> None:
+    """An upstream starts work at a request's last byte: an earlier response belongs to something else."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -582,7 +592,7 @@
                 await loop.sock_sendall(sock, early)
                 await asyncio.sleep(0.1)
 
-            server = await narrow(testbed, 0, answers)
+            server = await replace_with_slow_reader(testbed, 0, answers)
             testbed.update(testbed.list_row(0), testbed.list_row(1, "draining"))
             await wait_until(lambda: not testbed.node.pool.upstreams["s1"].ready)
             body = b"b" * 12_000_000
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -1,4 +1,4 @@
-"""The loop stands still for 0.15 s between its look at the clock and a write: all spans allow for it."""
+"""The loop is held up for 0.15 s between a clock reading and a write: all time limits allow for that."""
 
 from __future__ import annotations
 
@@ -29,31 +29,33 @@
 from quartzford.fronts.extproc.messages import ReplyWriter
 from quartzford.serve import decision_valid_s
 
-HELD_S = 0.15
-TRANSIT_S = 0.05  # from an upstream's end to the next attempt's bytes, of processes that are not held up
+HOLD_UP_S = 0.15
+MAX_RETRY_DELAY_S = 0.05  # from the end of an attempt to the bytes of the next, without hold-ups
 GRACE_S = SETTINGS["guarantees"]["drainGraceMs"] / 1000.0
 
 
 def hold_next_send(
     monkeypatch: pytest.MonkeyPatch, hold_ups: HoldUps, meanwhile: Callable[[], None] = lambda: None
 ) -> None:
-    """What happens meanwhile has happened before the request's bytes leave, and nobody here has read it."""
+    """Hold the next write up. `meanwhile` runs before its bytes are sent; the loop can't react to it."""
     send = Connection.send
 
     def held(self: Connection, head: bytes, body: bytes | bytearray) -> None:
         monkeypatch.setattr(Connection, "send", send)
         meanwhile()
-        hold_ups.hold(HELD_S)
+        hold_ups.hold(HOLD_UP_S)
         send(self, head, body)
 
     monkeypatch.setattr(Connection, "send", held)
 
 
-@pytest.mark.parametrize(("remains_s", "again"), [(0.02, False), (0.1, False), (0.14, False), (0.35, True)])
-def test_a_keyed_request_is_not_written_again_past_its_window(
-    remains_s: float, again: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(
+    ("window_left_s", "retry_expected"), [(0.02, False), (0.1, False), (0.14, False), (0.35, True)]
+)
+def test_keyed_retry_held_up_past_window_is_not_written(
+    window_left_s: float, retry_expected: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its first attempt breaks with so much of the window left, and the write of the second is held up."""
+    """The first attempt breaks with window_left_s of the window left, and the second write is held up."""
     window_s = 0.8
 
     async def test() -> None:
@@ -68,7 +70,7 @@
                 hold_next_send(monkeypatch, hold_ups)
                 pending = testbed.node.engine.balancer.pending_requests.values()
                 ends_ms = next(iter(pending)).possibly_ran_ms + window_s * 1000.0
-                await asyncio.sleep((ends_ms - testbed.node.clock.unix_ms()) / 1000.0 - remains_s)
+                await asyncio.sleep((ends_ms - testbed.node.clock.unix_ms()) / 1000.0 - window_left_s)
                 writer.transport.abort()
 
             for up in testbed.upstreams:
@@ -76,18 +78,18 @@
             answer = await testbed.submit(request("book", b"k"))
             assert received[-1] - received[0] <= window_s + hold_ups.unplanned_s
             assert answer.status == (200 if len(received) == 2 else 502)
-            if again and hold_ups.unplanned_s > remains_s - HELD_S - TRANSIT_S:
-                return  # so much later there is no time for it any more
-            assert len(received) == 1 + again
+            if retry_expected and hold_ups.unplanned_s > window_left_s - HOLD_UP_S - MAX_RETRY_DELAY_S:
+                return  # after an unplanned hold-up there is no time left for the retry
+            assert len(received) == 1 + retry_expected
 
     uvloop.run(test())
 
 
 @pytest.mark.parametrize("requested_ms", [100.0, 150.0, 1000.0])
-def test_a_caller_gets_a_decision_within_the_grace(
+def test_decision_reaches_caller_within_drain_grace(
     requested_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A worker has a decision shortly before it ends, and is held up between its clock and its write."""
+    """A worker gets a decision shortly before it expires, and is held up between clock reading and write."""
     replied, write = server.ExtprocStream._replied, ReplyWriter.write
 
     async def test() -> None:
@@ -102,7 +104,7 @@
                 )
 
             def held(self: ReplyWriter, said: Reply, now: float) -> bytes:
-                hold_ups.hold(HELD_S)
+                hold_ups.hold(HOLD_UP_S)
                 return write(self, said, now)
 
             monkeypatch.setattr(server.ExtprocStream, "_replied", later)
@@ -111,15 +113,15 @@
             await raw.submit(request_headers("c1"))
             notified = time.monotonic()
             assert raw.address() and notified <= decided[-1] + GRACE_S + hold_ups.unplanned_s
-            assert len(decided) == 1 or hold_ups.unplanned_s  # else it was not written too late
+            assert len(decided) == 1 or hold_ups.unplanned_s  # otherwise it was not written too late
 
     uvloop.run(test())
 
 
-def test_a_caller_gets_no_decision_to_send_past_the_keyed_window() -> None:
-    """What stands for longer as a decision ends with its request's window, less what a hold-up may take."""
+def test_decision_validity_ends_before_keyed_window() -> None:
+    """A decision valid for longer than its request's window is limited to the window, less a hold-up."""
     testbed = ServiceWorld()
-    testbed.engine.reconfigure(settings(stall_ms=1000.0 * HELD_S))
+    testbed.engine.reconfigure(settings(stall_ms=1000.0 * HOLD_UP_S))
     first = Peer(testbed).submit(DecisionRequest("c1", "hold", 700.0, keyed=True))
     begun = testbed.clock.at
     notified = first.decision()
@@ -127,15 +129,18 @@
     testbed.clock.pass_time(0.12)
     first.report("reset")
     second = Peer(testbed).submit(DecisionRequest("c1", "hold", 700.0, keyed=True, token=notified.token))
-    again = second.decision()
-    assert again is not None and again.valid_until <= begun + KEYED_IN_ZONE.window_ms / 1000.0 - HELD_S
+    second_decision = second.decision()
+    assert (
+        second_decision is not None
+        and second_decision.valid_until <= begun + KEYED_IN_ZONE.window_ms / 1000.0 - HOLD_UP_S
+    )
 
 
 @pytest.mark.parametrize("reused", [False, True])
-def test_a_drain_notified_between_a_decision_and_its_bytes_is_kept(
+def test_attempt_to_server_drained_before_write_begins_within_grace(
     reused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery has written the news when the write is held up; the attempt begins within the grace."""
+    """Discovery has sent the drain when the write is held up; the attempt begins within the drain grace."""
 
     async def test() -> None:
         async with BalancerTestbed(2) as testbed, HoldUps() as hold_ups:
@@ -165,16 +170,16 @@
     uvloop.run(test())
 
 
-# ---- the end before SIGKILL
+# ---- shutdown before SIGKILL
 
 KILL_MARGIN_S = 0.7
-DEADLINE_S = 0.2  # the deployment's longest
-WRITERS = 60
-KILL_KNOWN_S = 20.0  # a test that ends before that is known fails; its clients do not wait for ever
+DEADLINE_S = 0.2  # the longest of the deployment
+CLIENT_COUNT = 60
+KILL_TIME_TIMEOUT_S = 20.0  # limit of the clients' wait for the time of SIGKILL, if the test fails before
 
 
-class HeldClock:
-    """The node's clock; it stands still for 0.15 s behind its first look past a moment."""
+class HoldUpClock:
+    """The node's clock; the first reading after `since` is followed by a hold-up of 0.15 s."""
 
     def __init__(self, clock: Clock, since: float, hold_ups: HoldUps) -> None:
         self.clock, self.since, self.hold_ups = clock, since, hold_ups
@@ -185,12 +190,12 @@
         read = self.clock.now()
         if read >= self.since and not self.held:
             self.held = True
-            self.hold_ups.hold(HELD_S)
+            self.hold_ups.hold(HOLD_UP_S)
         return read
 
 
-class HeldAnswer:
-    """The first answer past a moment is held up between its request's last byte and its own first."""
+class HoldUpAnswer:
+    """Holds the first answer after `since` up before its first byte is written."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, since: float, hold_ups: HoldUps) -> None:
         answer = Client.answer
@@ -199,14 +204,14 @@
         def late(client: Client, *arguments: Any) -> None:
             if time.monotonic() >= since and not self.held:
                 self.held = True
-                hold_ups.hold(HELD_S)
+                hold_ups.hold(HOLD_UP_S)
             answer(client, *arguments)
 
         monkeypatch.setattr(Client, "answer", late)
 
 
-def note_ends(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """When a connection's last answer had been written, for each."""
+def record_ends(monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """Return a list that gets the time at which each connection's last answer was written."""
     end, ends = Client._end_sending, list[float]()
 
     def noted(client: Client) -> None:
@@ -217,17 +222,17 @@
     return ends
 
 
-def send_in_two(port: int, name: str, killed: Future[float], before_s: float) -> int:
-    """A client, in a thread of its own, whose request is whole so long before the kill; it reads on.
+def send_in_two_parts(port: int, name: str, killed: Future[float], before_s: float) -> int:
+    """Send a request and complete it `before_s` before SIGKILL; run in a thread.
 
-    The status of its answer; 0 where its connection ended with none.
+    Return the status of its answer; 0 if its connection ended without one.
     """
     text = request(name, b"body", time_left="200m", method="POST")
     with socket.create_connection(("127.0.0.1", port)) as sock:
         sock.sendall(text[:-1])
-        wait_s = max(0.0, killed.result(KILL_KNOWN_S) - before_s - time.monotonic())
+        wait_s = max(0.0, killed.result(KILL_TIME_TIMEOUT_S) - before_s - time.monotonic())
         if not select.select([sock], [], [], wait_s)[0]:
-            # Where this thread was held up since, the connection may have ended: behind an answer.
+            # If this thread was held up, the connection may have been closed after an answer.
             with suppress(OSError):
                 sock.sendall(text[-1:])
         try:
@@ -242,12 +247,12 @@
     ("place", "before_s"),
     [("clock", s) for s in (0.36, 0.34, 0.26, 0.21, 0.11)] + [("answer", s) for s in (0.4, 0.32, 0.14)],
 )
-def test_all_that_was_read_is_answered_before_the_kill(
+def test_requests_read_before_kill_are_answered_despite_hold_up(
     place: str, before_s: float, hangs: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Held up at each step of the end, with short deadlines, and clients whose requests go on coming.
+    """The process is held up at each step of the shutdown, with short deadlines, while requests arrive.
 
-    before_s: from the hold-up to the kill. hangs: so does every upstream, else each answers at once.
+    before_s: from the hold-up to SIGKILL. hangs: no upstream answers, otherwise each answers at once.
     """
 
     async def test() -> None:
@@ -257,31 +262,33 @@
                 for up in testbed.upstreams:
                     up.script = never_responds
             node, names = testbed.node, ("read", "pay", "book")
-            ends = note_ends(monkeypatch)
-            known, threads = Future[float](), ThreadPoolExecutor(WRITERS)
+            ends = record_ends(monkeypatch)
+            known, threads = Future[float](), ThreadPoolExecutor(CLIENT_COUNT)
             clients = [
-                node.loop.run_in_executor(threads, send_in_two, testbed.port, names[n % 3], known, 0.01 * n)
-                for n in range(WRITERS)
+                node.loop.run_in_executor(
+                    threads, send_in_two_parts, testbed.port, names[n % 3], known, 0.01 * n
+                )
+                for n in range(CLIENT_COUNT)
             ]
             stays = socket.create_connection(("127.0.0.1", testbed.port))
             stays.sendall(request()[:-1])
-            await wait_until(lambda: len([c for c in node.front.clients if c.in_message]) == WRITERS + 1)
+            await wait_until(lambda: len([c for c in node.front.clients if c.in_message]) == CLIENT_COUNT + 1)
             async with HoldUps() as hold_ups:
                 node.terminate()
                 killed = node.shutdown.started_at + DEADLINE_S + KILL_MARGIN_S
                 known.set_result(killed)
-                hold: HeldClock | HeldAnswer
+                hold: HoldUpClock | HoldUpAnswer
                 if place == "clock":
-                    node.shutdown.clock = hold = HeldClock(node.clock, killed - before_s, hold_ups)  # type: ignore[assignment]
+                    node.shutdown.clock = hold = HoldUpClock(node.clock, killed - before_s, hold_ups)  # type: ignore[assignment]
                 else:
-                    hold = HeldAnswer(monkeypatch, killed - before_s, hold_ups)
+                    hold = HoldUpAnswer(monkeypatch, killed - before_s, hold_ups)
                 await node.finished
             written = list(ends)
             for client in node.front.clients:
                 client.transport.abort()  # as the exit does
             answers = await asyncio.gather(*clients)
             stays.close()
-            assert hold.held or before_s < 0.2  # when nothing is left to be held up
+            assert hold.held or before_s < 0.2  # by then nothing may be left to hold up
             assert max(written) <= killed + hold_ups.unplanned_s
             assert set(answers) <= {200, 502, 503}
 
@@ -289,8 +296,8 @@
 
 
 @pytest.mark.parametrize("deadline_s", [0.1, 2.0])
-def test_what_waits_to_be_accepted_as_the_listener_closes_is_answered(deadline_s: float) -> None:
-    """It came while the loop was held up, and the timer that closes the listener is due ahead of it."""
+def test_connection_in_accept_queue_at_listener_close_is_answered(deadline_s: float) -> None:
+    """The connection arrives during a hold-up; the timer that closes the listener is due first."""
 
     async def test() -> None:
         classes = [dict(kind, deadlineMs=1000.0 * deadline_s, sloMs=90.0) for kind in SETTINGS["classes"]]
@@ -301,7 +308,7 @@
             def come_and_hold() -> None:
                 sock.connect(("127.0.0.1", testbed.port))
                 sock.sendall(request("pay", b"w"))
-                time.sleep(HELD_S)
+                time.sleep(HOLD_UP_S)
                 accept_last()
 
             shutdown._accept_last = come_and_hold  # type: ignore[method-assign]
--- a/tests/test_sockets_outcomes.py
+++ b/tests/test_sockets_outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts end on real sockets, long answers, clients that leave, and the bounds on buffers."""
+"""Outcomes of attempts on real sockets, streamed responses, client disconnects, and limits on buffers."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 from quartzford.decision import interface as io
 from quartzford.settings.header_values import REPORT_ALIASES, read_report
 
-LONG = 300_000
+STREAMED_SIZE_BYTES = 300_000
 
 
-def resets(data: bytes) -> Script:
-    """Writes these bytes, then breaks the connection."""
+def respond_then_reset(data: bytes) -> Script:
+    """Return a script that writes these bytes, then resets the connection."""
 
     async def script(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -65,12 +65,12 @@
             502,
         ),
         (responds_with(b"", close=True), "reset", 502),
-        (resets(b""), "reset", 502),
-        (resets(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"), "reset", 502),
+        (respond_then_reset(b""), "reset", 502),
+        (respond_then_reset(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"), "reset", 502),
         (never_responds, "timeout", 502),
     ],
 )
-def test_every_way_an_attempt_ends(script: Script, code: str, status: int) -> None:
+def test_attempt_end_has_expected_outcome_and_status(script: Script, code: str, status: int) -> None:
     async def test() -> None:
         async with BalancerTestbed() as testbed:
             testbed.upstreams[0].script = script
@@ -79,7 +79,7 @@
             assert set(testbed.outcomes()) == {code}
             assert (
                 code == "full" or len(testbed.upstreams[0].received) == 1
-            )  # unsafe: not sent again if it may have run
+            )  # an unsafe request is not sent again if it may have run
             testbed.upstreams[0].script = responds_with(reply())
             await wait_until(
                 lambda: not testbed.node.engine.pending_requests and testbed.node.budget.used == 0
@@ -89,7 +89,7 @@
 
 
 @async_test
-async def test_a_refused_connection_never_ran() -> None:
+async def test_refused_connection_is_retried_as_never_run() -> None:
     async with BalancerTestbed(2) as testbed:
         await testbed.upstreams[0].stop()
         for _ in range(8):
@@ -98,9 +98,9 @@
 
 
 @async_test
-async def test_a_connection_that_never_comes_up_fails_in_time() -> None:
+async def test_unanswered_connect_fails_within_connect_timeout() -> None:
     async with BalancerTestbed() as testbed:
-        full = socket.socket()  # a backlog that is full: connections to it stay unanswered
+        full = socket.socket()  # its backlog is full: further connects get no answer
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         address = full.getsockname()
@@ -117,7 +117,7 @@
 
 
 @async_test
-async def test_a_break_in_the_middle_of_the_request_never_ran() -> None:
+async def test_connection_break_within_request_is_retried_as_never_run() -> None:
     async with BalancerTestbed(2) as testbed:
         stalled = asyncio.Event()
 
@@ -141,13 +141,13 @@
 
 
 @async_test
-async def test_a_decision_that_aged_while_connecting_is_not_written(monkeypatch: Any = None) -> None:
+async def test_server_drained_while_connecting_gets_no_request(monkeypatch: Any = None) -> None:
     async with BalancerTestbed(2) as testbed:
         loop = asyncio.get_running_loop()
         gate, connect = asyncio.Event(), loop.sock_connect
 
         class Loop:
-            """The loop, with connections that come up when the test says so."""
+            """The event loop, with connects that complete when the test opens the gate."""
 
             def __getattr__(self, name: str) -> Any:
                 return getattr(loop, name)
@@ -169,7 +169,7 @@
 
 
 @async_test
-async def test_the_connection_of_an_attempt_ends_before_the_next_goes_out() -> None:
+async def test_connection_of_timed_out_attempt_is_closed_before_retry() -> None:
     async with BalancerTestbed(2) as testbed:
         open_at: list[int] = []
 
@@ -191,15 +191,15 @@
 
 
 @async_test
-async def test_reports_reach_the_module_in_its_order_and_bad_ones_do_not() -> None:
+async def test_load_report_fields_are_ordered_by_settings_and_invalid_ones_dropped() -> None:
     async with BalancerTestbed() as testbed:
         fields = 'X-Backend-Load: {"inflight":7,"util":0.5,"queue":2}\r\n'
         testbed.upstreams[0].script = responds_with(reply(fields=fields))
         answer = await testbed.submit(request())
         assert "x-backend-load" not in answer.fields
         (outcome,) = (e for e in testbed.events if isinstance(e, io.AttemptEnded))
-        assert outcome.report == (2.0, 0.5)  # the settings say depth, load_share
-    # By the names of the settings too: upstreams that write these were taken for idle, all of them.
+        assert outcome.report == (2.0, 0.5)  # the order in the settings is depth, load_share
+    # The names that the settings use are accepted too: upstreams that wrote these were all taken for idle.
     assert read_report(b'{"load_share":0.5,"depth":4.404}', ("depth", "load_share")) == (4.404, 0.5)
     assert read_report(b'{"depth":0,"queue":9}', ("depth",)) == (0.0,)
     words = "inflight queue util latency_ms qps eps".split()
@@ -218,7 +218,7 @@
 
 
 @async_test
-async def test_an_answer_that_has_begun_is_waited_for() -> None:
+async def test_response_begun_before_timeout_is_awaited() -> None:
     async with BalancerTestbed() as testbed:
 
         async def dribble(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -234,7 +234,7 @@
 
 
 @async_test
-async def test_an_answer_that_begins_and_stops_is_given_up() -> None:
+async def test_response_that_stalls_times_out() -> None:
     async with BalancerTestbed() as testbed:
         testbed.upstreams[0].script = responds_with(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nd")
         testbed.node.engine.balancer.latency.typical_latencies["read"] = 20.0
@@ -243,12 +243,12 @@
         assert first.code == "timeout" and first.spent_ms < 2000.0
 
 
-# ---- a loop that is held up
+# ---- hold-ups of the event loop
 
 
 @async_test
-async def test_an_answer_that_came_while_the_loop_was_held_up_is_not_late() -> None:
-    """The timer of the attempt's time is due in the turn in which its upstream goes on."""
+async def test_response_received_during_hold_up_is_not_timed_out() -> None:
+    """After a hold-up, the attempt's time-out and its response are due in the same iteration of the loop."""
     async with BalancerTestbed(2) as testbed:
 
         async def answers(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -263,9 +263,9 @@
         assert testbed.outcomes() == ["ok"] and sum(len(up.received) for up in testbed.upstreams) == 1
 
 
-@pytest.mark.parametrize("place", ["before the call", "behind the call"])
-def test_a_connection_for_which_the_loop_is_held_up_is_used(place: str) -> None:
-    """The timer of a quarter of a second is due ahead of it; the call: of the system, to connect."""
+@pytest.mark.parametrize("place", ["before the call", "after the call"])
+def test_connect_during_hold_up_is_not_timed_out(place: str) -> None:
+    """The connect time-out of 0.25 s expires during a hold-up, before or after the connect system call."""
 
     async def test() -> None:
         async with BalancerTestbed() as testbed:
@@ -273,7 +273,7 @@
             held_up = 0
 
             class Loop:
-                """The loop, held up as a connection is made."""
+                """The event loop, held up while a connection is opened."""
 
                 def __getattr__(self, name: str) -> Any:
                     return getattr(loop, name)
@@ -281,11 +281,11 @@
                 async def sock_connect(self, sock: socket.socket, address: Any) -> None:
                     nonlocal held_up
                     held_up += 1
-                    if place == "behind the call":
+                    if place == "after the call":
                         with suppress(BlockingIOError):
                             sock.connect(address)
-                        time.sleep(0.3)  # noqa: ASYNC251 - the loop stands still
-                        await asyncio.sleep(0.1)  # it has not looked at the socket yet
+                        time.sleep(0.3)  # noqa: ASYNC251 - holds the event loop up
+                        await asyncio.sleep(0.1)  # the loop has not checked the socket yet
                     elif held_up == 1:
                         time.sleep(0.3)  # noqa: ASYNC251
                         await asyncio.sleep(0)
@@ -299,12 +299,12 @@
     uvloop.run(test())
 
 
-# ---- long answers
+# ---- long responses
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
-@pytest.mark.parametrize("size", [65_536, LONG])
-def test_answers_below_and_above_what_is_held_back(framing: str, size: int) -> None:
+@pytest.mark.parametrize("size", [65_536, STREAMED_SIZE_BYTES])
+def test_responses_below_and_above_buffer_limit_are_forwarded_completely(framing: str, size: int) -> None:
     async def test() -> None:
         body = bytes(i % 251 for i in range(size))
         heads = {
@@ -321,18 +321,18 @@
                 assert (await read_message(reader)).body == body
             started = [e for e in testbed.events if isinstance(e, io.ResponseStarted)]
             assert bool(started) == (size > 65_536) and set(testbed.outcomes()) == {"ok"}
-            assert testbed.node.budget.used == 0 and not testbed.node.pool.streams
+            assert testbed.node.budget.used == 0 and not testbed.node.pool.streamed_attempts
 
     uvloop.run(test())
 
 
 @pytest.mark.parametrize("old", [False, True])
 @pytest.mark.parametrize("framing", [b"Content-Length: 300000", b"Transfer-Encoding: chunked"])
-def test_a_long_answer_that_breaks_is_seen_to_be_broken(framing: bytes, old: bool) -> None:
+def test_streamed_response_that_breaks_off_reaches_client_incomplete(framing: bytes, old: bool) -> None:
     async def test() -> None:
         async with BalancerTestbed() as testbed:
-            half = b"%x\r\n" % LONG if b"chunked" in framing else b""
-            testbed.upstreams[0].script = resets(
+            half = b"%x\r\n" % STREAMED_SIZE_BYTES if b"chunked" in framing else b""
+            testbed.upstreams[0].script = respond_then_reset(
                 b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n" + half + b"h" * 150_000
             )
             submitted = request("pay", b"")
@@ -346,7 +346,7 @@
 
 
 @async_test
-async def test_an_answer_that_may_become_long_is_passed_on_when_its_time_is_up() -> None:
+async def test_unsized_response_is_streamed_at_its_timeout() -> None:
     async with BalancerTestbed() as testbed:
 
         async def dribble(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -354,7 +354,7 @@
             began = time.monotonic()
             for number in range(1, 21):
                 writer.write(b"1000\r\n" + b"d" * 4096 + b"\r\n")
-                # Past its time, but not by 0.4 s; a hold-up is caught up with.
+                # In all longer than the deadline, but by less than 0.4 s; delays by hold-ups are caught up.
                 await asyncio.sleep(max(0.0, began + 0.023 * number - time.monotonic()))
             writer.write(b"0\r\n\r\n")
 
@@ -365,7 +365,7 @@
 
 
 @async_test
-async def test_a_slow_reader_holds_the_upstream_back() -> None:
+async def test_slow_client_pauses_reading_from_upstream() -> None:
     async with BalancerTestbed() as testbed:
         size = 24_000_000
         written = 0
@@ -385,16 +385,16 @@
         await wait_until(lambda: any(c.write_blocked for c in testbed.node.front.clients))
         (client,) = testbed.node.front.clients
         assert client.transport.get_write_buffer_size() < 2_000_000
-        assert written < size  # what is under way lies in the kernel's buffers, not here
+        assert written < size  # the bytes in transit are in the kernel's buffers, not in the balancer's
         await reader.readuntil(b"\r\n\r\n")
         assert len(await reader.readexactly(size)) == size
 
 
-# ---- clients that leave
+# ---- client disconnects
 
 
 @async_test
-async def test_a_client_that_leaves_takes_its_attempt_along() -> None:
+async def test_client_disconnect_cancels_attempt() -> None:
     async with BalancerTestbed() as testbed:
         testbed.upstreams[0].script = never_responds
         _, writer = await testbed.connect()
@@ -409,7 +409,7 @@
 
 
 @async_test
-async def test_a_client_that_leaves_while_its_request_waits_or_is_answered() -> None:
+async def test_client_disconnect_releases_waiting_or_streamed_request() -> None:
     async with BalancerTestbed() as testbed:
         testbed.update(testbed.list_row(0, "draining"))
         await wait_until(lambda: not testbed.node.pool.upstreams["s0"].ready)
@@ -433,14 +433,14 @@
         await wait_until(
             lambda: testbed.upstreams[0].closed_connections == 1 and not testbed.node.front.clients
         )
-        assert not testbed.node.pool.streams and testbed.node.budget.used == 0
+        assert not testbed.node.pool.streamed_attempts and testbed.node.budget.used == 0
 
 
-# ---- bounds
+# ---- limits
 
 
 @async_test
-async def test_a_request_that_the_module_lost_is_answered_by_its_time() -> None:
+async def test_request_without_action_or_with_module_error_is_answered_500() -> None:
     async with BalancerTestbed() as testbed:
         handle = testbed.node.engine.balancer.handle
 
@@ -460,7 +460,7 @@
 
 
 @async_test
-async def test_pipelined_requests_that_are_never_taken_give_their_bytes_back() -> None:
+async def test_unprocessed_pipelined_requests_release_their_buffers() -> None:
     async with BalancerTestbed() as testbed:
         testbed.upstreams[0].script = never_responds
         _, writer = await testbed.connect()
@@ -472,7 +472,7 @@
 
 
 @async_test
-async def test_upstreams_that_accept_and_say_nothing_cannot_use_up_the_descriptors() -> None:
+async def test_silent_upstream_does_not_exhaust_descriptors() -> None:
     async with BalancerTestbed(sockets=80) as testbed:
         testbed.upstreams[0].script = never_responds
         submitted = [testbed.submit(request("pay", b"", time_left="700m")) for _ in range(25)]
@@ -481,7 +481,7 @@
         assert len(testbed.upstreams[0].writers) <= testbed.node.pool.max_connections
         testbed.upstreams[0].script = responds_with(reply())
         await wait_until(lambda: not testbed.node.pool.connections)
-        for _ in range(100):  # after nothing but time-outs little is let in, until these are forgotten
+        for _ in range(100):  # after only time-outs, few requests are admitted until these are forgotten
             if (status := (await testbed.submit(request("pay", b""))).status) != 503:
                 break
             await asyncio.sleep(0.1)
@@ -489,8 +489,8 @@
 
 
 @async_test
-async def test_requests_that_upstreams_find_fault_with_do_not_spoil_their_health() -> None:
-    """Bad clients got sound upstreams ejected, and were tried up to four times each."""
+async def test_client_errors_are_not_retried_and_do_not_count_as_failures() -> None:
+    """Bad requests got healthy upstreams ejected, and each was attempted up to four times."""
     async with BalancerTestbed(3) as testbed:
         for up in testbed.upstreams:
             up.script = responds_with(reply(b"", "400 Bad Request"))
@@ -515,8 +515,8 @@
     [b"[" * 40_000, b'{"queue":' + b"9" * 4000 + b',"util":0.5}', b"\xff\xfe{", b'{"queue":1e999}', b"{" * 9],
     ids=["deep", "huge", "no text", "infinite", "cut off"],
 )
-def test_a_load_report_that_cannot_be_read_does_not_spoil_its_answer(report: bytes) -> None:
-    """Deep nesting and figures past a float's range raised through the parser, and made a reset of it."""
+def test_invalid_load_report_is_ignored(report: bytes) -> None:
+    """Deep nesting and numbers beyond a float's range raised through the parser: the outcome was reset."""
 
     async def test() -> None:
         async with BalancerTestbed() as testbed:
@@ -531,17 +531,17 @@
 
 
 @async_test
-async def test_a_break_is_not_the_end_of_an_answer_without_length() -> None:
-    """Half an answer, cut off by a reset, was served as if it were whole."""
+async def test_connection_reset_does_not_complete_response_without_length() -> None:
+    """Half a response, cut off by a reset, was forwarded as if it were complete."""
     async with BalancerTestbed() as testbed:
-        testbed.upstreams[0].script = resets(b"HTTP/1.1 200 OK\r\n\r\nhalf of it")
+        testbed.upstreams[0].script = respond_then_reset(b"HTTP/1.1 200 OK\r\n\r\nhalf of it")
         assert (await testbed.submit(request("pay", b""))).status == 502
         assert testbed.outcomes() == ["reset"]
 
 
 @async_test
-async def test_what_stands_behind_an_answer_is_no_part_of_it() -> None:
-    """Fields of a second answer in the same bytes were passed on with the first, and its report believed."""
+async def test_bytes_after_response_are_ignored() -> None:
+    """Fields of a second response in the same bytes were forwarded with the first; its report was used."""
     async with BalancerTestbed() as testbed:
         more = 'X-Second: yes\r\nX-Backend-Load: {"queue":9,"util":1}\r\n'
         testbed.upstreams[0].script = responds_with(reply(b"first") + reply(b"second", fields=more))
