--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -160,7 +160,7 @@
 
 
 class Watched(BalancerTestbed):
-    admin = "127.0.0.1:0"
+    admin_addr = "127.0.0.1:0"
 
 
 @async_test
