--- a/quartzford/decision/__init__.py
+++ b/quartzford/decision/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the balancer: events come in, actions go out. No I/O, and no clock of its own."""
+"""The decision module of the balancer: takes events and returns actions, without I/O and without a clock."""
--- a/quartzford/decision/columns.py
+++ b/quartzford/decision/columns.py
@@ -1,8 +1,9 @@
-"""The figures of the servers in use, column by column, in lists or in arrays. Nothing is decided here.
+"""Per-server values of the servers in use, stored by column in lists or in numpy arrays. Decides nothing.
 
-A server is a slot 0..n-1, in the order in which the servers joined. Joins and leaves cost the same however
-many there are: while members change, P is held as raw figures times one scale, and what has left is swept out
-by commit(). automaton.py says what the figures are and draws from them.
+Each server has a slot, 0..n-1, in the order in which the servers joined. The cost of a join or a leave does
+not depend on the number of servers: between begin() and commit(), P is stored as raw values with one common
+scale, and commit() removes the slots of the servers that have left. automaton.py defines the values and draws
+from P.
 """
 
 from __future__ import annotations
@@ -12,174 +13,177 @@
 from typing import Any, NamedTuple
 
 
-class Row(NamedTuple):
-    """The figures of one server, in the order of the columns."""
+class ServerRow(NamedTuple):
+    """The values of one server, in the order of the columns."""
 
     p: float
     cost: float
     latency: float
     reported_load: float
     zone_penalty: float
-    base: float
-    open: int
+    base_cost: float
+    in_flight: int
     zone: int
     cell: int
 
 
-COLUMNS = Row._fields
+COLUMNS = ServerRow._fields
 
 
 class Columns:
-    """The columns, and what holds for all of them. Slots stay between begin() and commit()."""
+    """The columns and their totals. The slots of servers don't change between begin() and commit()."""
 
     def __init__(self) -> None:
-        self.p: Any = []  # shares; while members change, times scale
+        self.p: Any = []  # probabilities; between begin() and commit(), to be multiplied by p_scale
         self.cost: Any = []  # smoothed costs, in typical latencies
-        self.latency: Any = []  # the last known, in typical latencies
-        self.reported_load: Any = []  # loads, as last reported
-        self.zone_penalty: Any = []  # for crossing zones, in typical latencies
-        self.base: Any = []  # the part of Eq. 6's z that reports have no part in
-        self.open: Any = []  # attempts that are in flight
-        self.zone: Any = []  # codes
-        self.cell: Any = []  # codes
-        self.slot_count = 0  # slots in use; equal to alive but between begin and commit
-        self.alive = 0  # servers
-        self.total_in_flight = 0  # attempts in flight at all of them
-        self.scores = 0  # costs that were scored since the start
-        self.has_costs = False  # there are costs: all have one, or none has
-        self.dead: list[int] = []  # slots of those that left since begin
-        self.scale = 1.0
-        self.total = 0.0  # sum of p
-        self.cost_total = 0.0
+        self.latency: Any = []  # latest known latencies, in typical latencies
+        self.reported_load: Any = []  # loads of the latest load reports
+        self.zone_penalty: Any = []  # penalties for sends to another zone, in typical latencies
+        self.base_cost: Any = []  # part of z in Eq. 6 of the CA-S paper that load reports don't affect
+        self.in_flight: Any = []  # attempts in flight
+        self.zone: Any = []  # zone codes
+        self.cell: Any = []  # cell codes
+        self.slot_count = 0  # equal to server_count, except between begin() and commit()
+        self.server_count = 0
+        self.total_in_flight = 0  # attempts in flight at all servers
+        self.score_count = 0  # calls of score() since the start
+        self.has_costs = False  # whether costs are known: either all servers have one or none has
+        self.vacated_slots: list[int] = []  # slots of the servers that have left since begin()
+        self.p_scale = 1.0
+        self.p_total = 0.0  # sum of the column p, without p_scale
+        self.cost_total = 0.0  # sum of the column cost
 
     def copy_counts(self, other: Columns) -> None:
-        """Take over what stands beside the columns."""
+        """Copy the counts that are kept beside the columns."""
         self.slot_count = other.slot_count
-        self.alive = other.alive
+        self.server_count = other.server_count
         self.total_in_flight = other.total_in_flight
         self.has_costs = other.has_costs
-        self.scores = other.scores
+        self.score_count = other.score_count
 
     def begin(self) -> None:
-        """Servers may join and leave from now on, until the commit."""
-        self.scale = 1.0
-        self.total = self._sum(self.p)
+        """Begin a change of membership: servers may join and leave until commit()."""
+        self.p_scale = 1.0
+        self.p_total = self._sum(self.p)
         self.cost_total = self._sum(self.cost)
 
     def commit(self) -> int:
-        """Sweep out what has left; the first slot that has moved, or -1."""
-        self._settle(self.slot_count)
-        self._rescale(self.scale)
-        self.scale = 1.0
-        if not self.dead:
+        """Remove the vacated slots; return the first slot whose server has changed, or -1."""
+        self._append_pending(self.slot_count)
+        self._rescale(self.p_scale)
+        self.p_scale = 1.0
+        if not self.vacated_slots:
             return -1
-        first = min(self.dead)
-        self._sweep_out()
-        self.slot_count = self.alive
-        self.dead = []
+        first = min(self.vacated_slots)
+        self._remove_vacated()
+        self.slot_count = self.server_count
+        self.vacated_slots = []
         return first
 
-    def add_in_flight(self, slot: int, by: int) -> None:
-        """So many more attempts are in flight at it, or fewer."""
-        self.open[slot] += by
-        self.total_in_flight += by
+    def add_in_flight(self, slot: int, change: int) -> None:
+        """Add to the number of attempts in flight at a server; a negative change subtracts."""
+        self.in_flight[slot] += change
+        self.total_in_flight += change
 
-    # ---- what the two forms do differently
+    # ---- operations that differ between lists and arrays
 
-    def _append(self, row: Row) -> None:
-        """Add a server's figures."""
+    def _append(self, row: ServerRow) -> None:
+        """Append a server's values."""
         raise NotImplementedError
 
-    def _settle(self, slot: int) -> None:
-        """What was appended can be read by its slot, if this is one of those."""
+    def _append_pending(self, slot: int) -> None:
+        """Make the values of a slot readable, if they were appended but are not in the columns yet."""
         return None
 
-    def _sweep_out(self) -> None:
-        """Drop the slots of the dead."""
+    def _remove_vacated(self) -> None:
+        """Remove the vacated slots from the columns."""
         raise NotImplementedError
 
     def _sum(self, column: Any) -> float:
-        """The sum of a column."""
+        """Return the sum of a column."""
         raise NotImplementedError
 
-    def _level(self) -> None:
-        """All servers share alike."""
+    def _set_uniform(self) -> None:
+        """Give all servers the same P."""
         raise NotImplementedError
 
-    def _rescale(self, by: float) -> None:
+    def _rescale(self, factor: float) -> None:
         """Multiply P by a factor."""
         raise NotImplementedError
 
 
 class PlainColumns(Columns):
-    """The columns in lists."""
+    """The columns as lists."""
 
     def _columns(self) -> Iterable[list[Any]]:
         return (getattr(self, name) for name in COLUMNS)
 
-    def _append(self, row: Row) -> None:
+    def _append(self, row: ServerRow) -> None:
         for column, value in zip(self._columns(), row, strict=True):
             column.append(value)
 
-    def _sweep_out(self) -> None:
-        gone = set(self.dead)
-        kept = [slot for slot in range(self.slot_count) if slot not in gone]
+    def _remove_vacated(self) -> None:
+        vacated = set(self.vacated_slots)
+        kept = [slot for slot in range(self.slot_count) if slot not in vacated]
         for column in self._columns():
             column[:] = [column[slot] for slot in kept]
 
     def _sum(self, column: Any) -> float:
         return float(sum(column))
 
-    def _level(self) -> None:
-        gone = set(self.dead)
-        self.p = [0.0 if slot in gone else 1.0 for slot in range(self.slot_count)]
-        self.total = float(self.alive)
+    def _set_uniform(self) -> None:
+        vacated = set(self.vacated_slots)
+        self.p = [0.0 if slot in vacated else 1.0 for slot in range(self.slot_count)]
+        self.p_total = float(self.server_count)
 
-    def _rescale(self, by: float) -> None:
-        if by != 1.0:
-            self.p = [p * by for p in self.p]
+    def _rescale(self, factor: float) -> None:
+        if factor != 1.0:
+            self.p = [p * factor for p in self.p]
 
 
 class ArrayColumns(Columns):
-    """The columns in arrays (numpy).
+    """The columns as numpy arrays.
 
-    What joins waits as rows until it is read or committed: arrays grow by the batch.
+    Appended rows are pending until they are read or committed, so that the arrays are enlarged in batches.
     """
 
     np: Any
-    added: Any  # the bare sum: the method costs twice as much on a hundred figures
-    rows: list[Row]
+    array_sum: Any  # the bare ufunc: the method sum() takes twice as long on a hundred values
+    pending_rows: list[ServerRow]
 
-    def _append(self, row: Row) -> None:
-        self.rows.append(row)
+    def _append(self, row: ServerRow) -> None:
+        self.pending_rows.append(row)
 
-    def _settle(self, slot: int) -> None:
-        if self.rows and slot >= len(self.p):
-            for name, column in zip(COLUMNS, self.np.array(self.rows, dtype=float).T, strict=True):
+    def _append_pending(self, slot: int) -> None:
+        if self.pending_rows and slot >= len(self.p):
+            for name, column in zip(COLUMNS, self.np.array(self.pending_rows, dtype=float).T, strict=True):
                 setattr(self, name, self.np.concatenate((getattr(self, name), column)))
-            self.rows = []
+            self.pending_rows = []
 
-    def _sweep_out(self) -> None:
+    def _remove_vacated(self) -> None:
         for name in COLUMNS:
-            setattr(self, name, self.np.delete(getattr(self, name), self.dead))
+            setattr(self, name, self.np.delete(getattr(self, name), self.vacated_slots))
 
     def _sum(self, column: Any) -> float:
-        return float(self.added(column))
+        return float(self.array_sum(column))
 
-    def _level(self) -> None:
-        self._settle(self.slot_count)
+    def _set_uniform(self) -> None:
+        self._append_pending(self.slot_count)
         self.p[:] = 1.0
-        self.p[self.dead] = 0.0
-        self.total = float(self.alive)
+        self.p[self.vacated_slots] = 0.0
+        self.p_total = float(self.server_count)
 
-    def _rescale(self, by: float) -> None:
-        if by != 1.0:
-            self.p *= by
+    def _rescale(self, factor: float) -> None:
+        if factor != 1.0:
+            self.p *= factor
 
 
 def load_arrays() -> Any:
-    """numpy, or None where it is not installed: lists then serve all sizes. Some 0.1 s and 11 MB, once."""
-    os.environ.setdefault("OPENBLAS_NUM_THREADS", "1")  # its thread pool would be made for nothing
+    """Return the numpy module, or None if it is not installed; lists then hold the columns of any size.
+
+    The first call takes about 0.1 s and 11 MB.
+    """
+    os.environ.setdefault("OPENBLAS_NUM_THREADS", "1")  # numpy would start a thread pool that is never used
     try:
         import numpy
     except ImportError:
--- a/quartzford/decision/interface.py
+++ b/quartzford/decision/interface.py
@@ -1,7 +1,8 @@
-"""What the decision module takes in and gives out: settings, events, actions, and what it has learnt.
+"""Public types of the decision module: settings, events, actions and the learned state.
 
-Times are milliseconds on the caller's clock. Servers and requests are named by the caller. Records that are
-built with a value out of its bounds raise ValueError, which names the field.
+All times and durations are in milliseconds; moments are on the caller's clock. The caller chooses the names
+of servers and the numbers of requests. A record constructed with a value out of bounds raises a ValueError
+that names the field.
 """
 
 from __future__ import annotations
@@ -22,25 +23,25 @@
 
 
 class Outcome(StrEnum):
-    """How an attempt ended: the codes of AttemptEnded."""
+    """How an attempt ended: the values of AttemptEnded.code."""
 
-    OK = "ok"  # a complete good answer
-    ERROR = "error"  # an answer that is an error
-    FULL = "full"  # rejected by the server, and not run
-    CONNECT_FAILED = "connect_failed"  # no connection, so it was not run
-    RESET = "reset"  # the connection broke
+    OK = "ok"  # a complete response without an error
+    ERROR = "error"  # a complete response that reports an error
+    FULL = "full"  # the server rejected the request without running it
+    CONNECT_FAILED = "connect_failed"  # no connection was established, so the request was not run
+    RESET = "reset"  # the connection broke after the request was sent
     TIMEOUT = "timeout"
-    CANCELLED = "cancelled"  # ended by this balancer or the client
-    NOT_SENT = "moot"  # given up before anything was sent
+    CANCELLED = "cancelled"  # cancelled by this balancer or by the client
+    NOT_SENT = "moot"  # abandoned before any byte was sent
 
 
 class ListUpdateKind(StrEnum):
-    """What an EndpointListUpdate holds: its field `kind`."""
+    """What an EndpointListUpdate contains: the values of EndpointListUpdate.kind."""
 
     COMPLETE = "whole"  # the complete list
-    STALE = "stale"  # a complete list, maybe old
-    CHANGES = "changes"
-    FAILED = "failed"  # nothing: a call for the list has failed
+    STALE = "stale"  # a complete list that may be out of date
+    CHANGES = "changes"  # only the rows that changed
+    FAILED = "failed"  # no rows: a call to the list service failed
 
 
 COMPLETE_LISTS = frozenset({ListUpdateKind.COMPLETE, ListUpdateKind.STALE})
@@ -48,19 +49,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """A request class: the weight of an answer, how long it may take, whether it may run again."""
+    """A request class: the value of its answers, its time limits and whether its requests may run twice.
+
+    effect: "free" for idempotent requests; "keyed" for requests with an idempotency key, by which their group
+    drops repeats; "unsafe" for all others.
+    group: the servers that drop each other's repeats of a keyed request: "all", or those of a zone or a cell.
+    window_ms: how long the group remembers a key, from the first attempt that may have run.
+    objective_stretch: increase of the latency objective per millisecond of the request's work_ms.
+    """
 
     name: str
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # fraction of the weight that is left after the latency objective
-    # free: idempotent; keyed: has an idempotency key, by which its group drops repeats; unsafe: neither
+    late_weight: float = 0.0  # fraction of priority_weight left after the latency objective
     effect: str = "unsafe"
-    group: str = "all"  # where repeats of a keyed request are dropped: all, zone or cell
-    window_ms: float = 0.0  # for how long, from the first send that may have run
+    group: str = "all"
+    window_ms: float = 0.0
     streaming: bool = False
-    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's work
+    objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
         require_not_negative(
@@ -82,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its quota: a rate over all balancers."""
+    """A tenant and its quota, in requests per second over all balancers."""
 
     name: str
     quota_per_s: float
@@ -93,14 +100,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the four rules."""
+    """Parameters of the four rules that a balancer must keep.
+
+    answer_slack_ms: how long after its deadline a request may still get its final answer.
+    drain_grace_ms: grace period after the announcement of a drain.
+    poll_interval_ms: without a watch, how long a change of the endpoint list may stay unknown to a balancer.
+    slow_start_capacity: fraction of its capacity that a server has when it starts.
+    slow_start_ms: time from a server's start until it has its full capacity.
+    overload_multiple, overload_window_ms: a server is overloaded if within this window it receives more than
+    this multiple of what it can process.
+    """
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    poll_interval_ms: float = 10_000.0  # without a watch, a balancer knows the list after this long
-    slow_start_capacity: float = 1.0  # fraction of its capacity at which a server starts
+    poll_interval_ms: float = 10_000.0
+    slow_start_capacity: float = 1.0
     slow_start_ms: float = 0.0
-    overload_multiple: float = 2.0  # sent more than this multiple of what it can do ...
+    overload_multiple: float = 2.0
     overload_window_ms: float = 1_000.0
 
     def __post_init__(self) -> None:
@@ -111,7 +127,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """What the site permits a balancer to do.
+
+    max_attempts: attempts per request, the first one included.
+    retry_after: whether a rejection may advise a wait before a retry, of max_retry_after_ms at most.
+    """
 
     max_attempts: int = 1
     may_cancel: bool = False
@@ -131,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """How the parts of the result are weighed."""
+    """Weights of the components of the site's score."""
 
     complete: float = 1.0
     worst_window: float = 0.0
@@ -144,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What is taken off the result."""
+    """Deductions from the site's score, per unit of each cost."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -159,7 +179,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is configured with."""
+    """The configuration of a balancer.
+
+    balancers: the number of balancers of the site.
+    polls_list: the endpoint list must be polled.
+    report_fields: names of a load report's values, in order.
+    report_by_probe: load reports come with health checks instead of responses.
+    sized: servers differ in capacity, as given by Endpoint.units.
+    over_quota_weight: factor for the weight of a tenant's requests beyond its quota.
+    weight_by_work: the priority weight of a request applies per unit of its work, not per request.
+    tick_ms: resolution of the host's clock.
+    stall_ms: the longest time for which the host may stall between an event's time and its action.
+    """
 
     zone: str
     balancers: int
@@ -169,16 +200,16 @@
     limits: Limits = field(default_factory=Limits)
     goal: Goal = field(default_factory=Goal)
     prices: Prices = field(default_factory=Prices)
-    polls_list: bool = False  # the list must be polled
+    polls_list: bool = False
     report_fields: tuple[str, ...] = ()
     report_by_probe: bool = False
-    sized: bool = False  # servers differ by the list's sizes
+    sized: bool = False
     over_quota_weight: float = 1.0
     weight_by_work: bool = False
     warm_keys: bool = False
     marks_retry: bool = False
     tick_ms: float = 1.0
-    stall_ms: float = 0.0  # the host may stand still for so long between an event's time and its action
+    stall_ms: float = 0.0
 
     def __post_init__(self) -> None:
         require_not_negative(self, "over_quota_weight", "tick_ms", "stall_ms")
@@ -188,7 +219,7 @@
             raise ValueError("classes: at least one is needed")
 
 
-Report = tuple[float, ...]  # a load report's values, in the order of the settings
+Report = tuple[float, ...]  # values of a load report, in the order of Settings.report_fields
 
 # Events
 
@@ -196,8 +227,9 @@
 class Endpoint(NamedTuple):
     """One server's row in the endpoint list.
 
-    started_ms names the incarnation: another value is another one. As a moment it is of the list's clock,
-    which need not be the caller's; 0 is long ago.
+    units: the server's capacity relative to the others.
+    started_ms: identifies the incarnation; a different value means that the server was restarted. It is a
+    moment on the list service's clock, which may differ from the caller's; 0 stands for long ago.
     """
 
     server: str
@@ -215,8 +247,8 @@
 class EndpointListUpdate(NamedTuple):
     """An update of the endpoint list; kind: one of ListUpdateKind.
 
-    starts: by server, when its incarnation started, on the caller's clock. Where it is missing the list's
-    clock counts as the caller's.
+    starts: when each server's incarnation started, by server name, on the caller's clock. If a server has no
+    entry, its Endpoint.started_ms is taken as a moment on the caller's clock.
     """
 
     kind: str
@@ -225,14 +257,21 @@
 
 
 class MaintenanceChange(NamedTuple):
-    """Operators put a server into maintenance, or back: it drains here, whatever lists say meanwhile."""
+    """Operators put a server into maintenance, or returned it to service.
+
+    A server in maintenance is treated as draining here, whatever the endpoint list says.
+    """
 
     server: str
     in_maintenance: bool
 
 
 class Request(NamedTuple):
-    """A client's request, which gets exactly one final answer from now on."""
+    """A client's request has arrived; it must get exactly one final answer.
+
+    budget_ms: time left until its deadline. key: its affinity key.
+    work_ms: the client's estimate of its cost. repeat: the client declares that it sent the request before.
+    """
 
     request: int
     service_class: str
@@ -241,30 +280,35 @@
     key: str = ""
     work_ms: float = 0.0
     repeat: bool = False
-    keyed: bool = True  # a request of a keyed class carries its key
+    keyed: bool = True  # whether a request of a keyed class carries its key
 
 
 class Timer(NamedTuple):
-    """A timer set by SetTimer has come due."""
+    """A timer set by SetTimer has expired."""
 
     token: int
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended; code: one of Outcome."""
+    """An attempt has ended; code: one of Outcome.
+
+    spent_ms: its duration. final: the request has its final answer; if false, it still needs one.
+    report: the load report that came with the response, or empty.
+    faulted: the server attributes the error to the request itself.
+    """
 
     request: int
     attempt: int
     server: str
     code: str
     spent_ms: float
-    final: bool  # the request has finished; if not, it still needs an answer
+    final: bool
     report: Report = ()
-    faulted: bool = False  # an error that the server puts down to the request itself
+    faulted: bool = False
 
 
 class ResponseStarted(NamedTuple):
-    """The answer of a streamed class has begun; the attempt belongs to the client now."""
+    """The response to a request of a streaming class has begun; the client now owns the attempt."""
 
     request: int
     attempt: int
@@ -273,13 +317,13 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has left: its request needs no answer any more."""
+    """The client has disconnected: its request no longer needs an answer."""
 
     request: int
 
 
 class ShutdownStarted(NamedTuple):
-    """The process ends now: all pending requests get their final answers, and so do later ones."""
+    """The process is terminating: all pending and later requests get their final answers at once."""
 
 
 class HealthChecked(NamedTuple):
@@ -308,54 +352,61 @@
 
 
 class Send(NamedTuple):
-    """Begin an attempt; attempts of a request count from 0 in the order of their sends."""
+    """Start an attempt; the attempts of a request are numbered from 0 in the order of their sends.
+
+    time_out_ms: the attempt's time-out.
+    response_deadline_ms: time from the send within which a response that began before the time-out must end.
+    """
 
     request: int
     server: str
     time_out_ms: float
-    response_deadline_ms: float = 0.0  # an answer that has begun by then is waited for until this
+    response_deadline_ms: float = 0.0
 
 
 class Shed(NamedTuple):
-    """Final answer: not run, a retry is harmless. pause_ms: when to retry; 0: no advice."""
+    """Final answer: the request was not run, so the client may safely retry.
+
+    pause_ms: the advised wait before a retry; 0 for no advice.
+    """
 
     request: int
     pause_ms: float
-    over_quota: bool = False  # rejected on arrival while its tenant is over its quota
+    over_quota: bool = False  # rejected on arrival while its tenant was over its quota
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, nothing promised."""
+    """Final answer: the request failed, and may have run."""
 
     request: int
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt: its response is no longer needed."""
 
     request: int
     attempt: int
 
 
 class HealthCheck(NamedTuple):
-    """Check a server."""
+    """Check a server's health; the result arrives as HealthChecked."""
 
     server: str
 
 
 class SetTimer(NamedTuple):
-    """Send a Timer event after so many ms."""
+    """Deliver a Timer event with this token after after_ms."""
 
     after_ms: float
     token: int
 
 
 class Watch(NamedTuple):
-    """Call the endpoint list service, and watch the list's changes from now on."""
+    """Call the list service and watch the endpoint list's changes from then on."""
 
 
 class Log(NamedTuple):
-    """A line for the operators."""
+    """A log line for the operators."""
 
     text: str
 
--- a/quartzford/wirehost.py
+++ b/quartzford/wirehost.py
@@ -1,4 +1,8 @@
-"""The simulator's wire: one Balancer per instance, nothing decided here. Run as a module."""
+"""Adapter between the simulator and the decision module: `python -m quartzford.wirehost`.
+
+Translates the simulator's messages into events and the actions back into messages, with one Balancer per
+simulated instance. Decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -12,68 +16,72 @@
 from quartzford.decision.logic import Balancer
 from quartzford.settings.decision_settings import read_settings
 
-STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
-KINDS = {"D": "changes", "F": "whole", "C": "stale", "X": "failed"}
-HINT, REPEAT = 1, 2  # bits of a request's options
+ENDPOINT_STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
+LIST_UPDATE_KINDS = {"D": "changes", "F": "whole", "C": "stale", "X": "failed"}
+WORK_HINT_BIT, REPEAT_BIT = 1, 2  # in the options of a request
 
 
 class WireError(Exception):
-    """A line that breaks the wire's form."""
+    """A malformed message of the simulator."""
 
 
-def _entry(row: list[Any]) -> io.Endpoint:
-    server, zone, kind, cell, state, units, started = row
-    return io.Endpoint(server, zone, kind, cell, STATES[state], units or 1.0, started or 0.0)
+def _read_endpoint(row: list[Any]) -> io.Endpoint:
+    server, zone, kind, cell, state, units, started_ms = row
+    return io.Endpoint(server, zone, kind, cell, ENDPOINT_STATES[state], units or 1.0, started_ms or 0.0)
 
 
-def _request(i: list[Any]) -> io.Event:
-    request, key, hint, name, bits, budget, tenant = i
-    work = (hint or 0.0) if bits & HINT else 0.0
-    return io.Request(request, name, budget, tenant or "", key or "", work, bool(bits & REPEAT))
+def _read_request(values: list[Any]) -> io.Event:
+    request, key, hint, class_name, options, budget_ms, tenant = values
+    work_ms = (hint or 0.0) if options & WORK_HINT_BIT else 0.0
+    return io.Request(
+        request, class_name, budget_ms, tenant or "", key or "", work_ms, bool(options & REPEAT_BIT)
+    )
 
 
-def _outcome(v: list[Any]) -> io.Event:
-    request, attempt, server, code, spent, final, report = v
-    return io.AttemptEnded(request, attempt, server, code, spent, bool(final), tuple(report or ()))
+def _read_attempt_end(values: list[Any]) -> io.Event:
+    request, attempt, server, code, spent_ms, final, report = values
+    return io.AttemptEnded(request, attempt, server, code, spent_ms, bool(final), tuple(report or ()))
 
 
-def _probed(v: list[Any]) -> io.Event:
-    code, spent, server, report = v
-    return io.HealthChecked(server, code, spent, tuple(report or ()))
+def _read_health_check(values: list[Any]) -> io.Event:
+    code, spent_ms, server, report = values
+    return io.HealthChecked(server, code, spent_ms, tuple(report or ()))
 
 
-def _list(v: list[Any]) -> io.Event:
-    return io.EndpointListUpdate(KINDS[v[1]], tuple(_entry(row) for row in v[2] or ()))
+def _read_list_update(values: list[Any]) -> io.Event:
+    return io.EndpointListUpdate(
+        LIST_UPDATE_KINDS[values[1]], tuple(_read_endpoint(row) for row in values[2] or ())
+    )
 
 
-# name: (number of values after the instance, reader)
+# Message name: (number of values after the instance, function that reads them into an event)
 EVENTS: dict[str, tuple[int, Callable[[list[Any]], io.Event | None]]] = {
-    "TOPOLOGY": (3, _list),
-    "KNOCK": (7, _request),
-    "TIMEOUT_FIRED": (1, lambda v: io.Timer(v[0])),
-    "VERDICT": (7, _outcome),
-    "VANISHED": (1, lambda v: io.ClientDisconnected(v[0])),
-    "ACK_FIRST": (4, lambda v: io.ResponseStarted(*v)),
-    "PONG": (4, _probed),
-    "PEER": (2, lambda v: None),  # instances share nothing
+    "TOPOLOGY": (3, _read_list_update),
+    "KNOCK": (7, _read_request),
+    "TIMEOUT_FIRED": (1, lambda values: io.Timer(values[0])),
+    "VERDICT": (7, _read_attempt_end),
+    "VANISHED": (1, lambda values: io.ClientDisconnected(values[0])),
+    "ACK_FIRST": (4, lambda values: io.ResponseStarted(*values)),
+    "PONG": (4, _read_health_check),
+    "PEER": (2, lambda values: None),  # ignored: instances share no state
 }
 
 
 def write_action(instance: int, action: io.Action) -> list[Any]:
-    """An action of one instance in the form of the wire."""
+    """Return the message for an action of one instance."""
     match action:
-        case io.Send(request, server, time_out, _):
-            return ["ROUTE", instance, request, server, time_out]
-        case io.Shed(request, pause, _):
-            return ["NOT_NOW", instance, request, pause]
+        case io.Send(request, server, time_out_ms, _):
+            return ["ROUTE", instance, request, server, time_out_ms]
+        case io.Shed(request, pause_ms, _):
+            return ["NOT_NOW", instance, request, pause_ms]
         case io.Fail(request):
             return ["DROP_REQUEST", instance, request]
         case io.Cancel(request, attempt):
             return ["CANCEL", instance, request, attempt]
         case io.HealthCheck(server):
             return ["INSPECT", instance, server]
-        case io.SetTimer(after, token):
-            return ["WAKE_ME", instance, after, token]
+        case io.SetTimer(after_ms, token):
+            return ["WAKE_ME", instance, after_ms, token]
         case io.Watch():
             return ["OBSERVE", instance, True]
         case io.Log(text):
@@ -81,67 +89,70 @@
 
 
 class Host:
-    """The instances of one process."""
+    """The balancer instances of one process."""
 
     def __init__(self) -> None:
-        self.now = 0.0
+        self.now_ms = 0.0
         self.balancers: dict[int, Balancer] = {}
 
-    def line(self, message: Any) -> list[list[Any]]:
-        """Take one message, give back the actions it led to."""
+    def handle(self, message: Any) -> list[list[Any]]:
+        """Process one message and return the resulting actions; raise WireError if it is malformed."""
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
-            raise WireError("not an array that begins with a name")
+            raise WireError("not an array that begins with a message name")
         name, values = message[0], message[1:]
         if name == "TICK":
-            self._count(name, values, 1)
-            self.now = float(values[0])
+            self._check_count(name, values, 1)
+            self.now_ms = float(values[0])
             return []
         if name == "BEGIN":
-            self._count(name, values, 3)
+            self._check_count(name, values, 3)
             instance, salt, config = values
-            return self._guarded(instance, lambda: self._begin(instance, salt, config))
+            return self._run_guarded(instance, lambda: self._begin(instance, salt, config))
         if name == "CRASH_NOW":
-            self._count(name, values, 1)
-            self._known(values[0])
+            self._check_count(name, values, 1)
+            self._balancer_of(values[0])
             del self.balancers[values[0]]
             return []
         if name not in EVENTS:
             raise WireError(f"unknown message {name!r}")
         count, reader = EVENTS[name]
-        self._count(name, values, count + 1)
-        balancer = self._known(values[0])
+        self._check_count(name, values, count + 1)
+        balancer = self._balancer_of(values[0])
         try:
             event = reader(values[1:])
         except (TypeError, ValueError, KeyError, IndexError) as error:
             raise WireError(f"{name}: {error!r}") from error
         if event is None:
             return []
-        return self._guarded(values[0], lambda: balancer.handle(self.now, event))
+        return self._run_guarded(values[0], lambda: balancer.handle(self.now_ms, event))
 
     def _begin(self, instance: int, salt: int, config: dict[str, Any]) -> list[io.Action]:
         self.balancers[instance] = Balancer(read_settings(config), salt)
         return []
 
-    def _guarded(self, instance: int, call: Callable[[], list[io.Action]]) -> list[list[Any]]:
-        """An exception in the module is that instance's BUG."""
+    def _run_guarded(self, instance: int, call: Callable[[], list[io.Action]]) -> list[list[Any]]:
+        """Return the messages for a call's actions; an exception in it becomes the instance's BUG message."""
         try:
             return [write_action(instance, action) for action in call()]
         except Exception as error:
             return [["BUG", instance, f"{type(error).__name__}: {error}"]]
 
-    def _known(self, instance: Any) -> Balancer:
+    def _balancer_of(self, instance: Any) -> Balancer:
         if not isinstance(instance, int) or instance not in self.balancers:
-            raise WireError(f"instance {instance!r} never began")
+            raise WireError(f"instance {instance!r} was never started")
         return self.balancers[instance]
 
     @staticmethod
-    def _count(name: str, values: list[Any], wanted: int) -> None:
-        if len(values) != wanted:
-            raise WireError(f"{name}: {len(values)} values, {wanted} wanted")
+    def _check_count(name: str, values: list[Any], expected: int) -> None:
+        if len(values) != expected:
+            raise WireError(f"{name}: {len(values)} values, {expected} expected")
 
 
 def run(source: TextIO, sink: TextIO) -> None:
-    """Answer each batch of messages, one a line, until the source ends; WireError names a malformed line."""
+    """Answer each batch of messages, one per line, until the source ends.
+
+    Raises a WireError with the line number if a line is malformed.
+    """
     host = Host()
     replies: list[str] = []
     for number, text in enumerate(source, 1):
@@ -155,14 +166,14 @@
                 sink.flush()
                 replies = []
                 continue
-            replies.extend(json.dumps(action) for action in host.line(message))
+            replies.extend(json.dumps(action) for action in host.handle(message))
         except (WireError, json.JSONDecodeError, ValueError, TypeError) as error:
             raise WireError(f"line {number}: {error}") from error
 
 
 def main() -> int:
-    """Serve standard input until it ends; 1 after a malformed line."""
-    load_arrays()  # one load for many instances
+    """Serve standard input until it ends; return the exit status, which is 1 after a malformed line."""
+    load_arrays()  # once for all instances
     try:
         run(sys.stdin, sys.stdout)
     except WireError as error:
--- a/tests/test_automaton.py
+++ b/tests/test_automaton.py
@@ -1,4 +1,4 @@
-"""Eq. 6 to 8 on numbers worked by hand, and P through changes of membership."""
+"""Tests of P through answers and changes of membership, and of draws that follow the seed."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 from quartzford.decision.logic import Balancer
 
 
-def shares(balancer: Balancer) -> dict[str, float]:
+def probabilities(balancer: Balancer) -> dict[str, float]:
     return {s.entry.server: s.p for s in balancer.ready}
 
 
-def test_equal_at_start() -> None:
-    assert list(shares(started_balancer(5)).values()) == [approx(0.2)] * 5
+def test_p_is_uniform_at_start() -> None:
+    assert list(probabilities(started_balancer(5)).values()) == [approx(0.2)] * 5
 
 
-WHAT = st.sampled_from(["ready", "gone", "draining", "restart", "ok", "reset"])
+OPERATION = st.sampled_from(["ready", "gone", "draining", "restart", "ok", "reset"])
 
 
-@given(st.lists(st.tuples(st.integers(0, 7), WHAT)))
+@given(st.lists(st.tuples(st.integers(0, 7), OPERATION)))
 @budget(max_examples=100, deadline=None, derandomize=True, database=None)
-def test_p_stays_a_distribution(steps: list[Any]) -> None:
+def test_p_stays_a_distribution_through_random_events(steps: list[Any]) -> None:
     balancer = started_balancer(4)
-    for now, (number, what) in enumerate(steps, 1):
-        if what in ("ok", "reset"):
+    for now, (number, operation) in enumerate(steps, 1):
+        if operation in ("ok", "reset"):
             for send in sends(submit(balancer, float(now), now)):
-                balancer.handle(now + 0.5, attempt_ended(send, 0, what, float(number + 1), final=True))
+                balancer.handle(now + 0.5, attempt_ended(send, 0, operation, float(number + 1), final=True))
         else:
-            state, begun = ("ready", float(now)) if what == "restart" else (what, 0.0)
+            state, started_ms = ("ready", float(now)) if operation == "restart" else (operation, 0.0)
             balancer.handle(
-                float(now), io.EndpointListUpdate("changes", (make_endpoint(number, state, begun),))
+                float(now), io.EndpointListUpdate("changes", (make_endpoint(number, state, started_ms),))
             )
         if balancer.ready:
             assert sum(s.p for s in balancer.ready) == approx(1.0)
             assert all(s.p >= 0 for s in balancer.ready)
 
 
-def test_newcomer_and_leaver() -> None:
+def test_joining_and_leaving_server_change_p_in_proportion() -> None:
     balancer = started_balancer(4)
     balancer.handle(1.0, io.EndpointListUpdate("changes", (make_endpoint(4),)))
-    assert list(shares(balancer).values()) == [approx(0.2)] * 5
+    assert list(probabilities(balancer).values()) == [approx(0.2)] * 5
     balancer.handle(2.0, io.EndpointListUpdate("changes", (make_endpoint(0, "gone"),)))
-    assert shares(balancer) == {f"s{n}": approx(0.25) for n in (1, 2, 3, 4)}
+    assert probabilities(balancer) == {f"s{n}": approx(0.25) for n in (1, 2, 3, 4)}
 
 
-def test_same_seed_same_actions_and_late_events_are_ignored() -> None:
+def test_same_seed_gives_same_actions_and_events_of_unknown_requests_are_ignored() -> None:
     def play(seed: int) -> list[io.Action]:
-        balancer, out = started_balancer(4, seed), []
+        balancer, actions = started_balancer(4, seed), []
         for n in range(200):
-            out += submit(balancer, float(n), n)
-        return out
+            actions += submit(balancer, float(n), n)
+        return actions
 
     assert play(1) == play(1) != play(2)
     balancer = started_balancer(2)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, over random orders of events."""
+"""Property tests of the four rules over random sequences of events, and tests of single cases."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from quartzford.decision.logic import NEVER_RAN, Balancer
 
 CODES = ("ok", "error", "full", "timeout", "connect_failed", "reset")
-KIND = {c.name: c for c in CLASSES}
+CLASSES_BY_NAME = {c.name: c for c in CLASSES}
 STEP = st.tuples(
     st.sampled_from(("request", "request", "request", "drain", "gone", "restart", "back", "leave", "whole")),
     st.integers(0, 5),
@@ -39,25 +39,25 @@
 )
 
 
-class Referee:
-    """Plays the world's side of the contract and checks rules 1 to 3 on every action."""
+class RuleChecker:
+    """Simulates clients, servers and endpoint list of one balancer; checks rules 1 to 3 on every action."""
 
     def __init__(self, seed: int) -> None:
         self.balancer = Balancer(settings(), seed)
         self.now = 0.0
-        self.queue: list[tuple[float, int, Any]] = []
-        self.count = 0
-        self.deadline: dict[int, float] = {}
-        self.kind: dict[int, str] = {}
-        self.history: dict[int, list[list[Any]]] = {}  # sent, server, code of each attempt
-        self.ended: dict[int, float] = {}
-        self.state: dict[int, io.Endpoint] = {n: make_endpoint(n) for n in range(6)}
-        self.plan: list[tuple[str, float]] = []
-        self.feed(io.EndpointListUpdate("stale", tuple(self.state.values())))
+        self.queue: list[tuple[float, int, Any]] = []  # time, order, event
+        self.event_count = 0
+        self.deadlines: dict[int, float] = {}  # by request
+        self.class_names: dict[int, str] = {}  # by request
+        self.attempts: dict[int, list[list[Any]]] = {}  # by request: time of send, server, outcome or None
+        self.finished_at: dict[int, float] = {}  # by request
+        self.endpoints: dict[int, io.Endpoint] = {n: make_endpoint(n) for n in range(6)}
+        self.planned_outcomes: list[tuple[str, float]] = []  # outcome and duration of the next attempts
+        self.feed(io.EndpointListUpdate("stale", tuple(self.endpoints.values())))
 
     def push(self, at: float, event: Any) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (at, self.count, event))
+        self.event_count += 1
+        heapq.heappush(self.queue, (at, self.event_count, event))
 
     def feed(self, event: io.Event) -> None:
         for action in self.balancer.handle(self.now, event):
@@ -66,184 +66,195 @@
     def check(self, action: io.Action) -> None:
         if isinstance(action, io.Send):
             request = action.request
-            assert request not in self.ended, "a send after the end"
-            assert self.now <= self.deadline[request], "a send after the deadline"
+            assert request not in self.finished_at, "a send after the final answer"
+            assert self.now <= self.deadlines[request], "a send after the deadline"
             number = int(action.server[1:])
-            assert self.state[number].state == "ready", "a send to a draining or gone server"
-            past = self.history[request]
-            assert all(code is not None for _, _, code in past), "two attempts out at once"
-            self.no_second_effect(request, number)
-            past.append([self.now, number, None])
-            code, spent = self.plan.pop(0) if self.plan else ("ok", 20.0)
-            limit = min(action.time_out_ms or 1e9, self.deadline[request] - self.now)
-            if spent >= limit:
-                code, spent = "timeout", max(limit, 0.0)
-            self.push(self.now + spent, (request, len(past) - 1, action.server, code, spent))
+            assert self.endpoints[number].state == "ready", "a send to a draining or removed server"
+            attempts = self.attempts[request]
+            assert all(code is not None for _, _, code in attempts), "two attempts in flight at once"
+            self.check_single_effect(request, number)
+            attempts.append([self.now, number, None])
+            code, spent_ms = self.planned_outcomes.pop(0) if self.planned_outcomes else ("ok", 20.0)
+            limit_ms = min(action.time_out_ms or 1e9, self.deadlines[request] - self.now)
+            if spent_ms >= limit_ms:
+                code, spent_ms = "timeout", max(limit_ms, 0.0)
+            self.push(self.now + spent_ms, (request, len(attempts) - 1, action.server, code, spent_ms))
         elif isinstance(action, io.Shed | io.Fail):
-            assert action.request not in self.ended, "answered twice"
-            assert self.now <= self.deadline[action.request] + RULES.answer_slack_ms, "answered late"
-            self.ended[action.request] = self.now
+            assert action.request not in self.finished_at, "answered twice"
+            assert self.now <= self.deadlines[action.request] + RULES.answer_slack_ms, "answered late"
+            self.finished_at[action.request] = self.now
             if isinstance(action, io.Shed):
-                kind = KIND.get(self.kind[action.request])
-                harmless = kind and (kind.effect == "free" or (kind.effect, kind.group) == ("keyed", "all"))
-                ran = [c for _, _, c in self.history[action.request] if c not in NEVER_RAN]
-                assert harmless or not ran, "refused though it may have run"
+                service_class = CLASSES_BY_NAME.get(self.class_names[action.request])
+                safe_to_repeat = service_class and (
+                    service_class.effect == "free"
+                    or (service_class.effect, service_class.group) == ("keyed", "all")
+                )
+                possibly_ran = [c for _, _, c in self.attempts[action.request] if c not in NEVER_RAN]
+                assert safe_to_repeat or not possibly_ran, "shed though it may have run"
         elif isinstance(action, io.SetTimer):
             self.push(self.now + max(action.after_ms, 0.0), io.Timer(action.token))
 
-    def no_second_effect(self, request: int, number: int) -> None:
-        kind = KIND.get(self.kind[request])
-        ran = [(sent, n) for sent, n, code in self.history[request] if code not in NEVER_RAN]
-        if not ran or (kind and kind.effect == "free"):
+    def check_single_effect(self, request: int, number: int) -> None:
+        """Check that a send to this server can't give the request a second effect."""
+        service_class = CLASSES_BY_NAME.get(self.class_names[request])
+        possibly_ran = [(sent, n) for sent, n, code in self.attempts[request] if code not in NEVER_RAN]
+        if not possibly_ran or (service_class and service_class.effect == "free"):
             return
-        assert kind is not None and kind.effect == "keyed", "an unsafe request sent again"
-        first, home = ran[0]
-        assert self.now - first <= kind.window_ms, "sent again outside the window"
-        if kind.group == "cell":
-            assert self.state[home].cell == self.state[number].cell
-        if kind.group == "zone":
-            assert self.state[home].zone == self.state[number].zone
-
-    def until(self, time: float) -> None:
+        assert service_class is not None and service_class.effect == "keyed", "an unsafe request sent again"
+        first_sent, first_server = possibly_ran[0]
+        assert self.now - first_sent <= service_class.window_ms, "sent again outside the window"
+        if service_class.group == "cell":
+            assert self.endpoints[first_server].cell == self.endpoints[number].cell
+        if service_class.group == "zone":
+            assert self.endpoints[first_server].zone == self.endpoints[number].zone
+
+    def advance_to(self, time: float) -> None:
+        """Deliver all timers and attempt ends up to this time."""
         while self.queue and self.queue[0][0] <= time:
             self.now, _, event = heapq.heappop(self.queue)
             if isinstance(event, io.Timer):
                 self.feed(event)
                 continue
-            request, attempt, server, code, spent = event
-            self.history[request][attempt][2] = code
-            final = code == "ok" or request in self.ended
+            request, attempt, server, code, spent_ms = event
+            self.attempts[request][attempt][2] = code
+            final = code == "ok" or request in self.finished_at
             if code == "ok":
-                self.ended.setdefault(request, self.now)
-            self.feed(io.AttemptEnded(request, attempt, server, code, spent, final))
+                self.finished_at.setdefault(request, self.now)
+            self.feed(io.AttemptEnded(request, attempt, server, code, spent_ms, final))
         self.now = time
 
     def step(self, number: int, step: tuple[str, int, str, float, str, float, float]) -> None:
-        what, who, name, wait, code, spent, patience = step
-        self.until(self.now + wait)
-        self.plan.append((code, spent))
-        if what == "request":
-            self.deadline[number], self.kind[number] = self.now + patience, name
-            self.history[number] = []
-            self.feed(io.Request(number, name, patience))
+        operation, server_number, class_name, wait_ms, code, spent_ms, budget_ms = step
+        self.advance_to(self.now + wait_ms)
+        self.planned_outcomes.append((code, spent_ms))
+        if operation == "request":
+            self.deadlines[number], self.class_names[number] = self.now + budget_ms, class_name
+            self.attempts[number] = []
+            self.feed(io.Request(number, class_name, budget_ms))
             return
-        old = self.state[who]
-        if what == "leave":
-            open_ones = [r for r in self.deadline if r not in self.ended]
-            if open_ones:
-                self.ended[open_ones[0]] = self.now
-                self.feed(io.ClientDisconnected(open_ones[0]))
+        previous = self.endpoints[server_number]
+        if operation == "leave":
+            pending = [r for r in self.deadlines if r not in self.finished_at]
+            if pending:
+                self.finished_at[pending[0]] = self.now
+                self.feed(io.ClientDisconnected(pending[0]))
             return
-        state = {"drain": "draining", "gone": "gone"}.get(what, "ready")
-        begun = max(self.now, 0.001) if what == "restart" else old.started_ms
-        self.state[who] = old._replace(state=state, started_ms=begun)
-        if what == "whole":
-            rows = tuple(e for e in self.state.values() if e.state != "gone")
+        state = {"drain": "draining", "gone": "gone"}.get(operation, "ready")
+        started_ms = max(self.now, 0.001) if operation == "restart" else previous.started_ms
+        self.endpoints[server_number] = previous._replace(state=state, started_ms=started_ms)
+        if operation == "whole":
+            rows = tuple(e for e in self.endpoints.values() if e.state != "gone")
             self.feed(io.EndpointListUpdate("whole", rows))
         else:
-            self.feed(io.EndpointListUpdate("changes", (self.state[who],)))
+            self.feed(io.EndpointListUpdate("changes", (self.endpoints[server_number],)))
 
 
 @given(st.integers(0, 99), st.lists(STEP, min_size=5, max_size=60))
 @budget(max_examples=150, deadline=None, derandomize=True, database=None)
-def test_answered_once_no_effect_twice_drains_kept(seed: int, steps: list[Any]) -> None:
-    referee = Referee(seed)
+def test_random_events_keep_rules_1_to_3_and_answer_every_request(seed: int, steps: list[Any]) -> None:
+    checker = RuleChecker(seed)
     for number, step in enumerate(steps):
-        referee.step(number, step)
-    referee.until(referee.now + 5_000.0)
-    unanswered = [r for r in referee.deadline if r not in referee.ended]
+        checker.step(number, step)
+    checker.advance_to(checker.now + 5_000.0)
+    unanswered = [r for r in checker.deadlines if r not in checker.finished_at]
     assert not unanswered
 
 
-def test_the_referee_sees_every_kind_of_step() -> None:
-    """The property above must not hold for want of sends, retries and ends."""
-    referee = Referee(1)
+def test_rule_checker_produces_sends_retries_and_answers() -> None:
+    """Guards against the property test above passing only because nothing is sent, retried or answered."""
+    checker = RuleChecker(1)
     for number in range(400):
         code = CODES[number % 6]
         step = ("request", 0, CLASSES[number % 5].name, 5.0, code, 30.0, 600.0)
-        referee.step(number, step)
-    referee.until(referee.now + 5_000.0)
-    tries = [len(h) for h in referee.history.values()]
-    assert max(tries) > 1 and sum(tries) > 200
-    assert len(referee.ended) == 400
+        checker.step(number, step)
+    checker.advance_to(checker.now + 5_000.0)
+    attempt_counts = [len(attempts) for attempts in checker.attempts.values()]
+    assert max(attempt_counts) > 1 and sum(attempt_counts) > 200
+    assert len(checker.finished_at) == 400
 
 
 @pytest.mark.parametrize("code", ["timeout", "error", "reset", "cancelled"])
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_refused(code: str) -> None:
+def test_unsafe_request_that_may_have_run_fails_and_is_not_shed(code: str) -> None:
     balancer = started_balancer()
     send = sends(submit(balancer, 0.0, 1, "pay"))[0]
     actions = balancer.handle(20.0, attempt_ended(send, 0, code, 20.0))
     assert final_answers(actions) == [io.Fail(1)] and not sends(actions)
 
 
-@pytest.mark.parametrize(("spent", "again"), [(30.0, True), (59.5, False), (80.0, False)])
-def test_a_keyed_request_goes_again_in_its_group_and_window_only(spent: float, again: bool) -> None:
+@pytest.mark.parametrize(("spent", "retried"), [(30.0, True), (59.5, False), (80.0, False)])
+def test_keyed_request_is_retried_only_in_its_group_and_window(spent: float, retried: bool) -> None:
     balancer = started_balancer(8)  # cells of two; the window is 60 ms from the first send
     send = sends(submit(balancer, 0.0, 1, "book"))[0]
     actions = balancer.handle(spent, attempt_ended(send, 0, "error", spent))
-    if again:
+    if retried:
         assert int(sends(actions)[0].server[1:]) // 2 == int(send.server[1:]) // 2
     else:
         assert actions == [io.Fail(1)]
 
 
 @pytest.mark.parametrize("code", ["full", "connect_failed"])
-def test_a_proof_that_it_never_ran_lets_an_unsafe_request_go_on(code: str) -> None:
+def test_unsafe_request_that_never_ran_is_retried_on_another_server(code: str) -> None:
     balancer = started_balancer()
     send = sends(submit(balancer, 0.0, 1, "pay"))[0]
-    again = sends(balancer.handle(5.0, attempt_ended(send, 0, code, 5.0)))
-    assert again and again[0].server != send.server
+    retries = sends(balancer.handle(5.0, attempt_ended(send, 0, code, 5.0)))
+    assert retries and retries[0].server != send.server
 
 
-def test_an_empty_list_holds_and_then_refuses_in_time() -> None:
+def test_request_with_empty_list_waits_and_is_shed_before_its_deadline() -> None:
     balancer = Balancer(settings(), 1)
     actions = submit(balancer, 0.0, 1, "pay", budget_ms=100.0)
     now = 0.0
     while not final_answers(actions):
-        wakes = [a for a in actions if isinstance(a, io.SetTimer)]
-        assert wakes, "held without a timer"
-        now += wakes[0].after_ms
-        actions = balancer.handle(now, io.Timer(wakes[0].token))
+        timers = [a for a in actions if isinstance(a, io.SetTimer)]
+        assert timers, "held without a timer"
+        now += timers[0].after_ms
+        actions = balancer.handle(now, io.Timer(timers[0].token))
     assert final_answers(actions) == [io.Shed(1, 0.0)] and now <= 100.0
 
 
-def cold_share(balancers: int, cold: int, warm: int, per_s: float, span_s: float) -> float:
-    """Sends a cold server gets from all balancers at most, in any rule-4 span, over what a warm one takes."""
+def max_cold_share(balancers: int, cold: int, warm: int, per_s: float, span_s: float) -> float:
+    """Return the peak rate at which all balancers send to a cold server, relative to a warm server's rate.
+
+    The peak is taken over windows of overload_window_ms, as in rule 4.
+    """
     arrivals: list[float] = []
-    gap = 1_000.0 / per_s
+    interval_ms = 1_000.0 / per_s
     for b in range(balancers):
         balancer = Balancer(settings(balancers=balancers), b)
         balancer.handle(0.0, list_update(range(warm)))
-        number, now = 0, b * gap / balancers
+        number, now = 0, b * interval_ms / balancers
         while now < (4.0 + span_s) * 1_000.0:
-            if number == int(4.0 * per_s):  # all hear of the newcomers at the same moment
+            if number == int(4.0 * per_s):  # all balancers learn of the new servers at the same time
                 update = tuple(make_endpoint(100 + n, started_ms=3_900.0) for n in range(cold))
                 balancer.handle(now, io.EndpointListUpdate("changes", update))
-            number, now = number + 1, now + gap
+            number, now = number + 1, now + interval_ms
             for send in sends(submit(balancer, now, number)):
                 balancer.handle(now, attempt_ended(send, 0, "ok", 1.0))
                 if send.server == "s100":
                     arrivals.append(now)
     arrivals.sort()
-    most = max((sum(t <= u < t + RULES.overload_window_ms for u in arrivals) for t in arrivals), default=0)
-    return most / (balancers * per_s * RULES.overload_window_ms / 1_000.0 / warm)
+    peak = max((sum(t <= u < t + RULES.overload_window_ms for u in arrivals) for t in arrivals), default=0)
+    return peak / (balancers * per_s * RULES.overload_window_ms / 1_000.0 / warm)
 
 
 FLEETS = [(200, 1, 8, 10.0), (60, 8, 4, 20.0), (1, 2, 8, 400.0)]
 
 
 @pytest.mark.parametrize(("balancers", "cold", "warm", "per_s"), FLEETS)
-def test_cold_servers_get_their_ramp_from_all_balancers_together(
+def test_all_balancers_together_keep_cold_servers_within_their_ramp(
     balancers: int, cold: int, warm: int, per_s: float
 ) -> None:
-    # A warm server takes no more than its capacity, so this is a bound on the multiple of cold capacity.
-    highest = RULES.slow_start_capacity + (1 - RULES.slow_start_capacity) * 0.55
-    assert 0 < cold_share(balancers, cold, warm, per_s, 5.0) < 2.0 * highest
+    # A warm server takes no more than its capacity, so this bounds the multiple of the cold capacity.
+    ramp_share = RULES.slow_start_capacity + (1 - RULES.slow_start_capacity) * 0.55
+    assert 0 < max_cold_share(balancers, cold, warm, per_s, 5.0) < 2.0 * ramp_share
+
 
+def test_200_balancers_with_a_new_server_do_not_send_to_it_all_at_once() -> None:
+    """Guards against a burst: all balancers learn of the new server at once and each sends a request.
 
-def test_two_hundred_balancers_hearing_of_a_newcomer_do_not_send_at_once() -> None:
-    """One request each is already a burst; the ramp allows 0.2 * 10/s / 8 * 200 = 50 in the first second."""
-    got = 0
+    The ramp allows 0.2 * 10/s / 8 * 200 = 50 requests in the first second.
+    """
+    received = 0
     for seed in range(200):
         balancer = Balancer(settings(balancers=200), seed)
         balancer.latency.typical_latencies["read"], balancer.latency.answer_counts["read"] = 1.0, 100
@@ -252,18 +263,18 @@
             now = n * 100.0
             if n == 50:
                 balancer.handle(now, io.EndpointListUpdate("changes", (make_endpoint(100, started_ms=now),)))
-            got += serve_request(balancer, now, n, latency_ms=1.0) == "s100"
-    assert 20 < got < 90
+            received += serve_request(balancer, now, n, latency_ms=1.0) == "s100"
+    assert 20 < received < 90
 
 
-def test_a_fleet_of_cold_servers_is_paced_by_a_balancer_that_just_started() -> None:
+def test_new_balancer_limits_rate_to_a_fleet_of_cold_servers() -> None:
     balancer = Balancer(settings(), 3)
     balancer.handle(50_000.0, list_update(range(4), started_ms=49_990.0))
     sent = sum(len(sends(submit(balancer, 50_000.0 + n, n))) for n in range(1_000))
-    assert 0 < sent < 450  # about the ramp's part of 1,000 requests
+    assert 0 < sent < 450  # about the share of the 1,000 requests that the ramp allows
 
 
-def test_stale_lists_drain_at_once() -> None:
+def test_draining_server_of_stale_list_gets_no_sends() -> None:
     balancer = Balancer(settings(polls_list=True), 3)
     rows = (make_endpoint(0), make_endpoint(1, "draining"), make_endpoint(2))
     balancer.handle(0.0, io.EndpointListUpdate("stale", rows))
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter as the deploy file starts it, on a small hand-written transcript."""
+"""Tests of the simulator adapter, started as in deploy/balancer.toml, on a hand-written transcript."""
 
 from __future__ import annotations
 
@@ -47,27 +47,33 @@
     "weightSource": "nominal",
     "someNewKey": [1, 2],
 }
-LIST = [[f"u{n}", "a" if n % 2 else "b", "std", n // 2, "in_service", 1, None] for n in range(4)]
+ENDPOINT_ROWS = [[f"u{n}", "a" if n % 2 else "b", "std", n // 2, "in_service", 1, None] for n in range(4)]
 
 
 def transcript() -> list[list[list[Any]]]:
-    """Batches of events for three instances; one is killed and begins again in the same batch."""
+    """Return batches of events for three instances; one of them is killed and restarted within a batch."""
     batches = [[["BEGIN", i, 11 + i, CONFIG] for i in range(3)]]
-    batches[0] += [["TOPOLOGY", i, 1, "C", LIST] for i in range(3)]
+    batches[0] += [["TOPOLOGY", i, 1, "C", ENDPOINT_ROWS] for i in range(3)]
     for n in range(40):
         i = n % 3
         name = ("read", "pay", "feed")[n % 3]
         batches.append([["KNOCK", i, n, f"k/{n}", None, name, 0, 300.0, "one"], ["TIMEOUT_FIRED", i, 0]])
         if n == 20:
-            batches.append([["CRASH_NOW", 1], ["BEGIN", 1, 77, CONFIG], ["TOPOLOGY", 1, 2, "C", LIST]])
+            batches.append(
+                [["CRASH_NOW", 1], ["BEGIN", 1, 77, CONFIG], ["TOPOLOGY", 1, 2, "C", ENDPOINT_ROWS]]
+            )
             batches.append([["TOPOLOGY", 0, 3, "X", []], ["PONG", 2, "ok", 1.5, "u1", [3]]])
             batches.append([["VANISHED", 0, 999], ["PEER", 2, 1, "hello"]])
-            gone = ["u0", "b", "std", 0, "terminated", 1, None]
-            batches.append([["TOPOLOGY", 2, 4, "D", [gone, ["u9", "a", "std", 9, "in_service", 1, 30.0]]]])
+            removed_row = ["u0", "b", "std", 0, "terminated", 1, None]
+            batches.append(
+                [["TOPOLOGY", 2, 4, "D", [removed_row, ["u9", "a", "std", 9, "in_service", 1, 30.0]]]]
+            )
     return batches
 
 
 class Adapter:
+    """A running adapter process."""
+
     def __init__(self) -> None:
         command = DEPLOY["sim"].replace(".venv/bin/python", f"{sys.executable} -B")
         self.process = subprocess.Popen(
@@ -79,9 +85,10 @@
             stderr=subprocess.PIPE,
         )
 
-    def batch(self, now: float, events: list[list[Any]]) -> list[list[Any]]:
+    def batch(self, now_ms: float, events: list[list[Any]]) -> list[list[Any]]:
+        """Send the events of one moment and return the actions."""
         assert self.process.stdin and self.process.stdout
-        for message in [["TICK", now], *events, ["FLUSH"]]:
+        for message in [["TICK", now_ms], *events, ["FLUSH"]]:
             self.process.stdin.write(json.dumps(message) + "\n")
         self.process.stdin.flush()
         actions = []
@@ -90,63 +97,70 @@
         return actions
 
     def close(self) -> None:
+        """End the input; the adapter must exit without an error."""
         _, errors = self.process.communicate(timeout=20)
         assert self.process.returncode == 0 and errors == ""
 
 
-def play(group: tuple[int, ...]) -> dict[int, list[Any]]:
-    """The transcript with answers, for these instances in one process."""
-    adapter, said, now = Adapter(), {i: [] for i in group}, 0.0
+def play(instances: tuple[int, ...]) -> dict[int, list[Any]]:
+    """Play the transcript to these instances in one process; return each one's actions with their times.
+
+    Every attempt is answered in the next batch, one in five requests with a rejection.
+    """
+    adapter, actions_by_instance, now_ms = Adapter(), {i: [] for i in instances}, 0.0
     for events in transcript():
-        now += 1.0
-        pending = [e for e in events if e[1] in group]
+        now_ms += 1.0
+        pending = [e for e in events if e[1] in instances]
         for _ in range(8):
-            actions = adapter.batch(now, pending)
-            now += 1.0
+            actions = adapter.batch(now_ms, pending)
+            now_ms += 1.0
             pending = []
             for action in actions:
-                said[action[1]].append([now, action])
+                actions_by_instance[action[1]].append([now_ms, action])
                 if action[0] == "ROUTE":
                     code = "ok" if action[2] % 5 else "full"
-                    first = sum(a[0] == "ROUTE" and a[2] == action[2] for _, a in said[action[1]]) - 1
+                    attempt = (
+                        sum(a[0] == "ROUTE" and a[2] == action[2] for _, a in actions_by_instance[action[1]])
+                        - 1
+                    )
                     if action[2] % 3 == 2 and code == "ok":
-                        pending.append(["ACK_FIRST", action[1], action[2], first, action[3], 0.5])
+                        pending.append(["ACK_FIRST", action[1], action[2], attempt, action[3], 0.5])
                     pending.append(
-                        ["VERDICT", action[1], action[2], first, action[3], code, 1.0, code == "ok", [2]]
+                        ["VERDICT", action[1], action[2], attempt, action[3], code, 1.0, code == "ok", [2]]
                     )
     adapter.close()
-    return said
+    return actions_by_instance
 
 
-def test_one_process_and_three_act_alike() -> None:
+def test_instances_in_one_process_and_in_three_act_identically() -> None:
     together = play((0, 1, 2))
-    apart = {i: play((i,))[i] for i in range(3)}
-    assert together == apart
-    names = {action[0] for said in together.values() for _, action in said}
+    separate = {i: play((i,))[i] for i in range(3)}
+    assert together == separate
+    names = {action[0] for actions in together.values() for _, action in actions}
     assert {"ROUTE", "WAKE_ME", "OBSERVE"} <= names
-    routed = {a[2] for said in together.values() for _, a in said if a[0] == "ROUTE"}
+    routed = {a[2] for actions in together.values() for _, a in actions if a[0] == "ROUTE"}
     assert routed == set(range(40))
 
 
 @pytest.mark.parametrize(
-    ("line", "words"),
+    ("line", "message"),
     [
         ("nonsense", "line 1"),
         ('["WHAT",1]', "unknown message 'WHAT'"),
-        ('["TICK"]', "0 values, 1 wanted"),
-        ('["TIMEOUT_FIRED",3,77]', "instance 3 never began"),
+        ('["TICK"]', "0 values, 1 expected"),
+        ('["TIMEOUT_FIRED",3,77]', "instance 3 was never started"),
         ("{}", "not an array"),
         ('["TICK","soon"]', "line 1"),
     ],
 )
-def test_a_malformed_line_ends_the_adapter_with_one_plain_line(line: str, words: str) -> None:
+def test_malformed_line_ends_adapter_with_one_error_line(line: str, message: str) -> None:
     adapter = Adapter()
     out, errors = adapter.process.communicate(line + "\n", timeout=20)
     assert adapter.process.returncode == 1 and out == ""
-    assert words in errors and errors.count("\n") == 1
+    assert message in errors and errors.count("\n") == 1
 
 
-def test_an_exception_in_the_module_is_a_bug_of_that_instance() -> None:
+def test_module_exception_becomes_bug_message_of_its_instance() -> None:
     broken = CONFIG | {"classes": [CONFIG["classes"][0] | {"sloMs": -1.0}]}
     adapter = Adapter()
     actions = adapter.batch(0.0, [["BEGIN", 4, 1, broken]])
