--- a/quartzford/decision/automaton.py
+++ b/quartzford/decision/automaton.py
@@ -36,8 +36,8 @@
 MEAN_LOAD_COST = 1.0  # cost, in typical latencies, of a reported load equal to the fleet's mean
 LOAD_AND_ZONE_WEIGHT = 0.5  # K of Eq. 6: weight of load and zone in a cost; the latency has the rest
 LATENCY_FACTOR = 1.0  # delta of Eq. 6: factor of the latency
-LOW_COST_MULTIPLE = 0.6  # costs are normalised to 0 at this multiple of the smallest cost
-HIGH_COST_MULTIPLE = 3.0  # and to 1 at the largest cost, or at this multiple of the mean cost if that is less
+LOW_COST_MULTIPLE = 0.6  # this multiple of the smallest cost is normalised to 0
+HIGH_COST_MULTIPLE = 3.0  # the largest cost is normalised to 1, or this multiple of the mean cost if less
 UNIFORM_DRAW_PROBABILITY = 0.02  # P_rw of the CA-S paper: probability that a draw ignores P
 # Attempts that a server may have in flight beyond its share of all in flight. The small term counts a tie as
 # within the bound, whichever way the last bit of P was rounded.
