--- a/quartzford/membership/__init__.py
+++ b/quartzford/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who the servers are: the list and its watch."""
+"""Endpoint discovery: the endpoint list and the watch that keeps it current."""
--- a/quartzford/membership/addresses.py
+++ b/quartzford/membership/addresses.py
@@ -1,10 +1,10 @@
-"""Which address the next call for the endpoint list goes to. No I/O.
+"""Selection of the address for the next call for the endpoint list. No I/O.
 
-When a call is made is decided by the call policy (call_policy.py, relay_call_policy.py). `SingleAddress` is
-one address: the agent of this machine, or the list service. `RelayAddresses` are several relays of one list
-service: each balancer ranks them by rendezvous hashing, so that the loss of one relay moves only its own
-balancers, and spreads those over all others. A relay bounds its own load: a full one rejects a watch (503),
-and the balancer goes on to the next in its order.
+The call policy decides when a call is made (call_policy.py, relay_call_policy.py). `SingleAddress` holds one
+address: the agent of this machine, or the list service. `RelayAddresses` holds several relays of one list
+service. Each balancer ranks the relays by rendezvous hashing, so that the loss of a relay moves only the
+balancers of that relay and spreads them over all others. A relay limits its own load: a full relay rejects a
+watch (503), and the balancer calls the next relay in its order.
 """
 
 from __future__ import annotations
@@ -21,84 +21,84 @@
 class RequestKind(Enum):
     """What a call requests."""
 
-    COMPLETE_LIST = "complete list"  # a GET; the connection ends with the answer
-    WATCH = "watch"  # changes after the version that is held, or everything after version 0
+    COMPLETE_LIST = "complete list"  # a GET; the connection is closed after the answer
+    WATCH = "watch"  # changes since the held version; all entries if no version is held
 
 
 class Target(NamedTuple):
-    """Where a call goes, and what it requests."""
+    """The address of a call, and what the call requests."""
 
     address: Address
     kind: RequestKind
 
 
 class Addresses(Protocol):
-    """Chooses the address of each call; it is notified of how each call has ended."""
+    """Chooses the address of each call, and receives the outcome of each call."""
 
-    address: Callable[[], Address]  # of the configuration: the agent's, or the list service's
-    complete_list_by_watch: (
-        bool  # the first line of a watch at index 0 is the complete list, whatever it says
-    )
+    address: Callable[[], Address]  # the configured address of the agent or the list service
+    # Whether the first line of a watch at index 0 is the complete list, even if it is not marked as complete.
+    complete_list_by_watch: bool
 
-    def choose(self, known: bool) -> Target:
-        """The target of a new call. known: a version of the list is held."""
+    def choose(self, version_known: bool) -> Target:
+        """Return the target of a new call. version_known: whether a version of the list is held."""
 
-    def failed(self, target: Target, outcome: CallOutcome) -> None:
-        """A call has ended, or has timed out without an answer."""
+    def record_failure(self, target: Target, outcome: CallOutcome) -> None:
+        """Record that a call failed, or timed out without an answer."""
 
-    def answered(self, target: Target) -> None:
-        """The list, or changes of it, came: the watch stands at this target from now on."""
+    def record_answer(self, target: Target) -> None:
+        """Record that the list or changes arrived from this target, to which the watch now belongs."""
 
-    def better(self) -> Target | None:
-        """A target to try beside the watch that stands; None where it stands at the best."""
+    def better_target(self) -> Target | None:
+        """Return a preferred target to try beside the established watch; None if there is none."""
 
     def follows_configuration(self) -> bool:
-        """Whether the present target moves with the address of the configuration."""
+        """Return whether the current target changes with the configured address."""
 
 
 class SingleAddress:
-    """One address. complete_list_by_watch: a watch at index 0 brings the complete list, in one call."""
+    """One address. complete_list_by_watch: a watch at index 0 delivers the complete list in one call."""
 
     def __init__(self, address: Callable[[], Address], complete_list_by_watch: bool = False) -> None:
         self.address = address
         self.complete_list_by_watch = complete_list_by_watch
 
-    def choose(self, known: bool) -> Target:
-        """The one address: the complete list where no version is held, else a watch."""
-        watch = known or self.complete_list_by_watch
+    def choose(self, version_known: bool) -> Target:
+        """Return the address with a watch, or with a request for the complete list if no version is held."""
+        watch = version_known or self.complete_list_by_watch
         return Target(self.address(), RequestKind.WATCH if watch else RequestKind.COMPLETE_LIST)
 
-    def failed(self, target: Target, outcome: CallOutcome) -> None:
-        """Does nothing: there is no other address."""
+    def record_failure(self, target: Target, outcome: CallOutcome) -> None:
+        """Do nothing: there is no other address."""
 
-    def answered(self, target: Target) -> None:
-        """Does nothing: there is no other address."""
+    def record_answer(self, target: Target) -> None:
+        """Do nothing: there is no other address."""
 
-    def better(self) -> Target | None:
-        """None: there is no other address."""
+    def better_target(self) -> Target | None:
+        """Return None: there is no other address."""
         return None
 
     def follows_configuration(self) -> bool:
-        """True: it is the configuration's, or fixed."""
+        """Return True: the address is the configured one, or fixed."""
         return True
 
 
 def rank_relays(name: str, relays: Iterable[Address]) -> tuple[Address, ...]:
-    """The relays in a balancer's order of preference, by rendezvous hashing of its name with each."""
-    import hashlib  # only here: the platform's run has one address
+    """Return the relays in a balancer's order of preference: rendezvous hashes of its name and each relay."""
+    import hashlib  # imported here: the platform's run has only one address
 
     def weight(relay: Address) -> bytes:
-        """The hash by which a relay ranks for this balancer."""
+        """Return the hash that determines the rank of a relay for this balancer."""
         return hashlib.blake2b(f"{name}\0{relay[0]}:{relay[1]}".encode(), digest_size=8).digest()
 
     return tuple(sorted(relays, key=lambda relay: (weight(relay), relay), reverse=True))
 
 
 class RelayAddresses:
-    """Several relays, and the list service itself where `next_call_direct` is set.
+    """Several relays, and the list service itself if `next_call_direct` is set.
 
-    After a failed call the next relay in the balancer's order is called, round and round. A relay that has
-    rejected a call is alive; one that was unreachable, silent or broke off is taken for dead.
+    After a failed call, the next relay in the balancer's order is called; the last is followed by the first.
+    A relay that rejected a call is reachable. A relay counts as down if it could not be reached, did not
+    answer in time, or closed the connection early.
     """
 
     complete_list_by_watch = True
@@ -107,57 +107,61 @@
         self.order = rank_relays(name, relays)
         self.address = address
         self.next_call_direct = False  # the next call goes to the list service
-        self.last_call_direct = False  # the last call went there
-        self.last_failure_direct = False  # the call that failed last had gone there
+        self.last_call_direct = False  # the last call went to the list service
+        self.last_failure_direct = False  # the last failed call went to the list service
         self.last_target: Target | None = None
-        self.version_was_known = False  # at the last call
+        self.version_was_known = False  # whether a version was held at the last call
         self.ever_answered = False  # a relay has answered since the start
-        self.watch_position: int | None = None  # rank of the relay watched; len(order): the list service
-        self._next = 0  # rank of the relay that is called next
-        self._better_tried = 0  # better targets that were tried since the watch stands
-        self._outcomes: dict[Address, CallOutcome] = {}  # of each relay's last call since one has answered
-
-    def choose(self, known: bool) -> Target:
-        """The next relay in the order, or the list service where `next_call_direct` is set."""
-        self.version_was_known = known
+        self.watch_position: int | None = None  # rank of the watched relay; len(order) for the list service
+        self._next_rank = 0  # rank of the relay to call next
+        self._better_tried = 0  # preferred targets tried since the watch was established
+        # Outcome of the last failed call to each relay since a relay last established a watch.
+        self._outcomes: dict[Address, CallOutcome] = {}
+
+    def choose(self, version_known: bool) -> Target:
+        """Return the next relay in the order, or the list service if `next_call_direct` is set."""
+        self.version_was_known = version_known
         self.last_call_direct = self.next_call_direct
         self.next_call_direct = False
         if self.last_call_direct:
             self.last_target = Target(self.address(), RequestKind.WATCH)
         else:
-            self.last_target = Target(self.order[self._next], self._relay_request())
+            self.last_target = Target(self.order[self._next_rank], self._relay_request_kind())
         return self.last_target
 
-    def _relay_request(self) -> RequestKind:
-        """Relays that have lost the list service reject watches, and give a list to who has none."""
-        lost_service = not self.ever_answered and self.all_failed() and self.any_relay_alive()
+    def _relay_request_kind(self) -> RequestKind:
+        """Return what to request from a relay.
+
+        Relays that lost the list service reject watches, but serve a complete list to a balancer without one.
+        """
+        lost_service = not self.ever_answered and self.all_failed() and self.any_relay_reachable()
         return RequestKind.COMPLETE_LIST if lost_service else RequestKind.WATCH
 
-    def failed(self, target: Target, outcome: CallOutcome) -> None:
-        """The next call goes to the relay behind the one that failed."""
+    def record_failure(self, target: Target, outcome: CallOutcome) -> None:
+        """Record a failed call; the next call goes to the next relay in the order."""
         self.watch_position = None
         self.last_failure_direct = target.address not in self.order
         if self.last_failure_direct:
             return
-        self._next = (self.order.index(target.address) + 1) % len(self.order)
-        if outcome is not CallOutcome.WATCH_LOST:  # whether it still answers is for the next call to find
+        self._next_rank = (self.order.index(target.address) + 1) % len(self.order)
+        if outcome is not CallOutcome.WATCH_LOST:  # the next call shows whether the relay still answers
             self._outcomes[target.address] = outcome
 
-    def answered(self, target: Target) -> None:
-        """A watch stands at the target; earlier outcomes of the relays count no more."""
+    def record_answer(self, target: Target) -> None:
+        """Record an answer; a watch at the target makes earlier outcomes of the relays obsolete."""
         self.ever_answered = True
         if target.kind is RequestKind.COMPLETE_LIST:
-            return  # of a relay that has lost the list service, perhaps
+            return  # the relay may have lost the list service
         self._outcomes.clear()
         self._better_tried = 0
         if target.address in self.order:
-            self.watch_position = self._next = self.order.index(target.address)
+            self.watch_position = self._next_rank = self.order.index(target.address)
         else:
             self.watch_position = len(self.order)
-            self._next = 0
+            self._next_rank = 0
 
-    def better(self) -> Target | None:
-        """One of the relays ranked before the one that is watched, in turn."""
+    def better_target(self) -> Target | None:
+        """Return one of the relays ranked before the watched one, in turn."""
         if not self.watch_position:
             return None
         relay = self.order[self._better_tried % self.watch_position]
@@ -168,13 +172,13 @@
         return self.last_target
 
     def follows_configuration(self) -> bool:
-        """True at the list service: a relay's address is not the configuration's."""
+        """Return True if the target is the list service; relay addresses are fixed."""
         return self.last_call_direct or self.watch_position == len(self.order)
 
     def all_failed(self) -> bool:
-        """Each relay's last call has failed."""
+        """Return whether the last call to each relay failed."""
         return len(self._outcomes) == len(self.order)
 
-    def any_relay_alive(self) -> bool:
-        """A relay has rejected a call: it is alive, and has lost the list service or is full."""
+    def any_relay_reachable(self) -> bool:
+        """Return whether a relay rejected a call: that relay is up, but full or without the list service."""
         return CallOutcome.REJECTED in self._outcomes.values()
--- a/quartzford/membership/list_chunks.py
+++ b/quartzford/membership/list_chunks.py
@@ -1,8 +1,9 @@
 """Splits a long endpoint list into chunks, so that no update blocks the event loop for long. No I/O.
 
-A rolling deploy of 10,000 endpoints costs over 100 ms at once; in chunks of 256 each turn of the loop takes a
-few. Removals and drains go first: a drain holds from the moment at which it was announced. A complete list
-that comes while another is being applied replaces what is left of it.
+Applying a rolling deploy of 10,000 endpoints at once takes over 100 ms; in chunks of 256 entries, each
+iteration of the event loop takes a few milliseconds. Removals and drains are applied first, because a drain
+is in force from the moment at which it was announced. A complete list that arrives while another list is
+being applied replaces the remaining chunks of that list.
 """
 
 from __future__ import annotations
@@ -14,64 +15,66 @@
 from quartzford.decision import interface as io
 from quartzford.membership.listing import Listing
 
-CHUNK_ENTRIES = 256  # of one turn of the loop
-NOWHERE = ("", 0)
+MAX_CHUNK_ENTRIES = 256  # applied in one iteration of the event loop
+NO_ADDRESS = ("", 0)
 
 Row = tuple[io.Endpoint, tuple[str, int]]
 
 
 def split_into_chunks(
-    listing: Listing, known: Collection[str], size: int = CHUNK_ENTRIES
+    listing: Listing, known: Collection[str], size: int = MAX_CHUNK_ENTRIES
 ) -> Iterator[Listing]:
-    """A listing as changes of `size` entries at most, removals and drains first; a short one as it is.
+    """Yield a listing as changes of at most `size` entries, removals and drains first.
 
-    known: the names in use, of which a complete list removes those that it does not name. Where an endpoint
-    is removed in the end, earlier entries of it are left out.
+    A short listing is yielded unchanged. known: the names in use; a complete list removes those that it does
+    not name. If the last entry of an endpoint drains or removes it, its earlier entries are omitted.
     """
     if len(listing.entries) <= size and (not listing.complete or len(known) <= size):
         yield listing
         return
     last = {entry.server: entry.state for entry in listing.entries}
     rows = zip(listing.entries, listing.addresses, strict=True)
-    taken = {row[0].server: row for row in rows if row[0].state != "ready" and last[row[0].server] != "ready"}
-    first: Iterator[Row] = iter(taken.values())
+    not_ready_rows = {
+        row[0].server: row for row in rows if row[0].state != "ready" and last[row[0].server] != "ready"
+    }
+    leading_rows: Iterator[Row] = iter(not_ready_rows.values())
     if listing.complete:
         names = [name for name in known if name not in last]
-        gone = ((io.Endpoint(name, "", "", 0, "gone", 1.0, 0.0), NOWHERE) for name in names)
-        first = chain(first, gone)
+        removals = ((io.Endpoint(name, "", "", 0, "gone", 1.0, 0.0), NO_ADDRESS) for name in names)
+        leading_rows = chain(leading_rows, removals)
     rows = zip(listing.entries, listing.addresses, strict=True)
-    rest = (row for row in rows if row[0].server not in taken)
-    ordered = chain(first, rest)
-    while part := list(islice(ordered, size)):
-        entries, addresses = zip(*part, strict=True)
+    remaining_rows = (row for row in rows if row[0].server not in not_ready_rows)
+    ordered = chain(leading_rows, remaining_rows)
+    while chunk := list(islice(ordered, size)):
+        entries, addresses = zip(*chunk, strict=True)
         yield Listing(listing.version, False, entries, addresses)
 
 
 class ListingQueue:
-    """Listings that wait to be applied, handed out in chunks."""
+    """Queue of listings to be applied, delivered in chunks."""
 
     def __init__(self) -> None:
         self.listings: deque[Listing] = deque()
         self.chunks: Iterator[Listing] = iter(())
-        self.following: Listing | None = None
+        self.prefetched: Listing | None = None
 
     def add(self, listing: Listing) -> None:
-        """Add a listing; a complete one replaces all that waits."""
-        if listing.complete:  # it covers all that is left
+        """Add a listing; a complete list replaces all queued listings."""
+        if listing.complete:  # it supersedes all queued changes
             self.listings.clear()
-            self.chunks, self.following = iter(()), None
+            self.chunks, self.prefetched = iter(()), None
         self.listings.append(listing)
 
     def next_chunk(self, known: Collection[str]) -> Listing | None:
-        """The next chunk; None if nothing waits. known: the names in use at this moment."""
-        chunk, self.following = self.following, None
+        """Return the next chunk, or None if the queue is empty. known: the names that are now in use."""
+        chunk, self.prefetched = self.prefetched, None
         if chunk is None and self.listings:
             self.chunks = split_into_chunks(self.listings.popleft(), known)
             chunk = next(self.chunks, None)
         if chunk is not None:
-            self.following = next(self.chunks, None)
+            self.prefetched = next(self.chunks, None)
         return chunk
 
     def has_chunks(self) -> bool:
-        """Whether any chunk is left."""
-        return self.following is not None or bool(self.listings)
+        """Return whether a chunk remains."""
+        return self.prefetched is not None or bool(self.listings)
--- a/quartzford/membership/list_watch.py
+++ b/quartzford/membership/list_watch.py
@@ -1,7 +1,7 @@
-"""Keeps the endpoint list current: a watch on discovery that is made again whenever it ends or falls silent.
+"""Keeps the endpoint list current by a watch on discovery, and renews the watch when it ends or times out.
 
-When a call is made and how long it may take is for the call policy to say (call_policy.py), where it goes for
-the addresses (addresses.py); one call is list_call.py's job.
+The call policy determines the delays and timeouts of calls (call_policy.py). addresses.py chooses the address
+of each call, and list_call.py makes a single call.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 class ListWatch:
-    """Keeps one watch open, and knows which version of the list this balancer has.
+    """Keeps one watch open and tracks the version of the list that this balancer holds.
 
-    resync: the version is forgotten with each watch that ends: the next call requests the complete list.
+    resync: the version is reset whenever a watch ends, so that the next call requests the complete list.
     """
 
     def __init__(
@@ -43,59 +43,60 @@
         self.loop = loop
         self.resync = resync
         self.version: int | None = None
-        self.ever_answered = False  # discovery has answered since the start
+        self.ever_answered = False  # whether discovery has answered since the start
         self.call: ListCall | None = None
-        self.late_call: ListCall | None = None  # accepted, and may still be answered beside the next one
-        self.candidate: ListCall | None = None  # at a better address, while the watch stands
-        self.timer: Handle | None = None  # of the next call
+        self.late_call: ListCall | None = None  # was accepted, and may still be answered beside the next call
+        self.candidate: ListCall | None = None  # a call to a preferred address while the watch is established
+        self.timer: Handle | None = None  # for the next call
         self.candidate_timer: Handle | None = None
-        self.last_line_at = -math.inf  # a list, changes or an empty line, in seconds of the clock
+        # When a list, changes or an empty line last arrived, in seconds of the clock.
+        self.last_line_at = -math.inf
         self.stopped = False
-        self.counts: Counter[str] = Counter()  # calls made, and how each ended
+        self.counts: Counter[str] = Counter()  # the number of calls, and of each way they ended
 
     @property
     def address(self) -> Callable[[], Address]:
-        """The address of the configuration."""
+        """The function that returns the configured address."""
         return self.addresses.address
 
     @address.setter
     def address(self, address: Callable[[], Address]) -> None:
-        """Where the address comes from: it is read anew for each call."""
+        """Set the function that returns the configured address; it is called for each call."""
         self.addresses.address = address
 
     # ---- start and end
 
     def start(self) -> None:
-        """The list is wanted from now on."""
+        """Schedule the first call, unless a call exists or is scheduled."""
         if not self.stopped and self.call is None and self.timer is None:
             self._schedule_call(self.policy.initial_delay())
 
     def stop(self) -> None:
-        """End all calls and make none from now on."""
+        """End all calls and make no further ones."""
         self.stopped = True
         for timer in (self.timer, self.candidate_timer):
             if timer is not None:
                 timer.cancel()
-        for call in self._calls():
+        for call in self._open_calls():
             call.close()
 
     def is_current(self) -> bool:
-        """The list that is held is the service's current one: a watch stands."""
+        """Return whether the held list is the service's current one, that is, a watch is established."""
         return self.call is not None and self.call.answered
 
     def follow_address(self) -> None:
-        """The address has changed: the complete list is requested there, as its versions may be its own."""
+        """Request the complete list from a new address, because that service may use other versions."""
         if not self.addresses.follows_configuration():
             return
         self._cancel_timer()
         self.version = None
-        calls = self._calls()
+        calls = self._open_calls()
         self.call = self.late_call = self.candidate = None
         for call in calls:
             call.close()
         self.start()
 
-    def _calls(self) -> list[ListCall]:
+    def _open_calls(self) -> list[ListCall]:
         return [call for call in (self.call, self.late_call, self.candidate) if call is not None]
 
     def _cancel_timer(self) -> None:
@@ -116,18 +117,18 @@
         if self.stopped or self.call is not None:
             return
         complete_list_by_watch = self.addresses.complete_list_by_watch
-        # A version of 0 is that of a configuration without upstreams.
-        known = bool(self.version) if complete_list_by_watch else self.version is not None
-        target = self.addresses.choose(known)
+        # Version 0 belongs to a configuration without upstreams.
+        version_known = bool(self.version) if complete_list_by_watch else self.version is not None
+        target = self.addresses.choose(version_known)
         self.counts["asked" if target.kind is RequestKind.COMPLETE_LIST else "watched"] += 1
         self.call = ListCall(self, target, complete_list_by_watch=complete_list_by_watch)
 
     def _try_better_address(self) -> None:
-        """Make before break: the watch stands on until the new one has answered."""
+        """Call a preferred address; the present watch stays open until the new one has answered."""
         self.candidate_timer = None
         if self.stopped or self.candidate is not None or not self.is_current():
             return
-        target = self.addresses.better()
+        target = self.addresses.better_target()
         if target is None:
             return
         self.counts["tried better"] += 1
@@ -142,36 +143,37 @@
         if delay < math.inf and not self.stopped:
             self.candidate_timer = self.clock.call_later(delay, self._try_better_address)
 
-    # ---- what calls bring (see CallOwner)
+    # ---- methods of CallOwner, invoked by calls
 
     def read_line(self, text: bytes, call: ListCall) -> bool:
-        """Parse and take one line of a call; False where it is of no use and the call has to end."""
+        """Parse and apply one line of a call; return False if it is unusable and the call must end."""
         try:
             listing = read_listing(text)
         except ValueError as error:
             return self.reject_line(error, call)
-        return self.take(listing, call)
+        return self.accept_listing(listing, call)
 
     def reject_line(self, error: Exception, call: ListCall) -> bool:
-        """Log a line that can't be parsed; the next call requests the complete list. Always False."""
-        self.log.line("discovery", f"a bad line: {error}")
+        """Log a line that cannot be parsed and request the complete list next; always return False."""
+        self.log.line("discovery", f"cannot parse a line of the endpoint list: {error}")
         self.forget_version(call)
         return False
 
     def forget_version(self, call: ListCall) -> None:
-        """The next call requests the complete list; what a candidate brings is no reason to."""
+        """Make the next call request the complete list, unless the line came from a candidate."""
         if call is not self.candidate:
             self.version = None
 
-    def take(self, listing: Listing, call: ListCall) -> bool:
-        """Take a line that could be parsed; False where the call has to end."""
-        if self._outdated(listing, call):
+    def accept_listing(self, listing: Listing, call: ListCall) -> bool:
+        """Apply a parsed line; return False if the call must end."""
+        if self._is_outdated(listing, call):
             return not call.watch
         if call.expects_complete_list and not call.answered:
             listing = as_complete_list(listing)
         if listing.complete:
             if self.candidate is not None and call is not self.candidate:
-                self.candidate.close()  # it may be about to bring changes to a list of another incarnation
+                # The candidate's changes may belong to a list of another incarnation of the service.
+                self.candidate.close()
         elif self.version is None or listing.version < self.version:
             self.version = None
             return False
@@ -180,20 +182,20 @@
         self.sink.listed(listing)
         return True
 
-    def _outdated(self, listing: Listing, call: ListCall) -> bool:
-        """Older than what is held, and no sign that the service has been started anew.
+    def _is_outdated(self, listing: Listing, call: ListCall) -> bool:
+        """Return whether a listing is older than the held one without showing a restart of the service.
 
-        A candidate that is behind the established watch brings nothing new; and a complete list that was
-        requested while a version is held is one of a relay that has lost the service.
+        A candidate that is behind the established watch delivers nothing new. A complete list that was
+        requested while a version is held comes from a relay that has lost the service.
         """
         older = self.version is not None and listing.version < self.version
         return older and (call is self.candidate or not call.watch)
 
     def call_answered(self, call: ListCall) -> None:
-        """The list has come by this call; any other is of no use now."""
-        self.addresses.answered(call.target)
+        """Make this call the watch after its first answer, and close all other calls."""
+        self.addresses.record_answer(call.target)
         self.policy.record_answer()
-        others = [other for other in self._calls() if other is not call]
+        others = [other for other in self._open_calls() if other is not call]
         self.call = call
         self.late_call = self.candidate = None
         self._cancel_timer()
@@ -201,21 +203,21 @@
             other.close()
         self._schedule_candidate()
 
-    def call_late(self, call: ListCall) -> bool:
-        """A call has had its time without an answer; whether it is kept beside the next one."""
+    def keep_late_call(self, call: ListCall) -> bool:
+        """Handle a call that timed out; return whether it stays open beside the next call."""
         keeps = self.policy.keeps_late_calls and not self.stopped
         if call is not self.call or self.late_call is not None or not keeps:
             return False
         self.call = None
         self.late_call = call
         self.counts["kept"] += 1
-        self.addresses.failed(call.target, CallOutcome.TIMED_OUT)
-        delay = self.policy.delay_after(CallOutcome.TIMED_OUT, self.clock.now() - call.since)
+        self.addresses.record_failure(call.target, CallOutcome.TIMED_OUT)
+        delay = self.policy.delay_after(CallOutcome.TIMED_OUT, self.clock.now() - call.last_progress_at)
         self.timer = self.clock.call_later(delay, self._make_call)
         return True
 
     def call_ended(self, call: ListCall, in_order: bool) -> None:
-        """A call is over: schedule the next one."""
+        """Handle the end of a call and schedule the next one."""
         if call is self.late_call:
             self.late_call = None
         if call is self.candidate:
@@ -224,15 +226,15 @@
         if call is not self.call:
             return
         self.call = None
-        self.counts["ended in order" if in_order else f"ended {call.why}"] += 1
+        self.counts["ended in order" if in_order else f"ended {call.end_reason}"] += 1
         if self.stopped:
             return
         outcome = self._outcome(call, in_order)
         if outcome is not CallOutcome.COMPLETED:
-            self.addresses.failed(call.target, outcome)
+            self.addresses.record_failure(call.target, outcome)
             if self.resync:
                 self.version = None
-        delay = self.policy.delay_after(outcome, self.clock.now() - call.since, call.retry_after)
+        delay = self.policy.delay_after(outcome, self.clock.now() - call.last_progress_at, call.retry_after_s)
         self.timer = self.clock.call_later(delay, self._make_call)
 
     @staticmethod
--- a/quartzford/membership/registry.py
+++ b/quartzford/membership/registry.py
@@ -1,7 +1,7 @@
-"""Registry of upstreams: the rows of the last list, and the view without what operators took out. No I/O.
+"""Registry of upstreams: the rows of the last list, and the view of it for the backends. No I/O.
 
-The decision module gets the list as it is; the backends get an upstream in maintenance as draining, and its
-row in the list again when maintenance ends.
+The decision module receives the list unchanged. The backends receive an upstream in maintenance as draining,
+and receive its row from the list again when maintenance ends.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class Registry:
-    """Rows by name, and the version that they are of."""
+    """The rows of the endpoint list by name, and their version."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
         self.version = 0
 
     def apply(self, listing: Listing) -> None:
-        """Apply a listing: a complete one replaces all rows, changes replace or remove the rows they name."""
+        """Apply a listing: a complete list replaces all rows, changes replace or remove the named rows."""
         self.version = listing.version
         if listing.complete:
             self.rows.clear()
@@ -33,27 +33,27 @@
             else:
                 self.rows[row[0].server] = row
 
-    def mask_maintenance(self, listing: Listing, taken_out: Collection[str]) -> Listing:
-        """The listing for the backends: upstreams in maintenance are draining."""
-        if not taken_out:
+    def mask_maintenance(self, listing: Listing, in_maintenance: Collection[str]) -> Listing:
+        """Return the listing for the backends, in which upstreams in maintenance are draining."""
+        if not in_maintenance:
             return listing
         entries = tuple(
-            e._replace(state="draining") if e.state == "ready" and e.server in taken_out else e
+            e._replace(state="draining") if e.state == "ready" and e.server in in_maintenance else e
             for e in listing.entries
         )
         return listing._replace(entries=entries)
 
-    def row_changes(self, name: str, out: bool) -> Listing:
-        """One row as changes: draining where it is out; nothing where the list does not name it."""
+    def row_changes(self, name: str, in_maintenance: bool) -> Listing:
+        """Return one row as changes: draining if in maintenance; no entries if the list does not name it."""
         row = self.rows.get(name)
         if row is None:
             return Listing(self.version, False, (), ())
         return self.mask_maintenance(
-            Listing(self.version, False, (row[0],), (row[1],)), (name,) if out else ()
+            Listing(self.version, False, (row[0],), (row[1],)), (name,) if in_maintenance else ()
         )
 
     def table(self) -> dict[str, Any]:
-        """The complete list in discovery's form, to be read again by `read_listing`."""
+        """Return the complete list in the format of discovery, as `read_listing` parses it."""
         hosts = [
             {
                 "host": e.server,
--- a/quartzford/membership/snapshot.py
+++ b/quartzford/membership/snapshot.py
@@ -1,8 +1,10 @@
-"""The last list on a lasting disk, so that a balancer can serve before the list service has answered. No I/O.
+"""Format of the snapshot, the copy of the last list on a persistent disk. No I/O.
 
-A snapshot is one line of JSON (format, service, taken_ms, length and SHA-256 of what follows) and the list
-in discovery's form. It is of one service at one address: another's versions mean something else. What may be
-done with one of a given age is `SnapshotAgeLimits`'s to say; snapshot_writer.py writes and reads the file.
+With a snapshot, a balancer can serve requests before the list service has answered. A snapshot consists of
+one line of JSON (format, service, taken_ms, length and SHA-256 of the body) and the body, which is the list
+in the format of discovery. It belongs to one service at one address, because versions of different services
+cannot be compared. `SnapshotAgeLimits` defines the use of a snapshot by its age; snapshot_writer.py writes
+and reads the file.
 """
 
 from __future__ import annotations
@@ -13,46 +15,47 @@
 from typing import Any, NamedTuple
 
 FORMAT = 1
-SKEW_S = 1.0  # a snapshot may seem to be so much younger than it is without a step of the clock
-MOST_BYTES = 64 * 1024 * 1024
+MAX_CLOCK_SKEW_S = 1.0  # a snapshot from further in the future than this shows a step of the clock
+MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024
 
 
 class SnapshotError(ValueError):
-    """A snapshot that can't be used; the text gives the reason."""
+    """A snapshot cannot be used; the message gives the reason."""
 
 
 class Snapshot(NamedTuple):
-    """A list as it was last received, and when (Unix ms), from which service ("host:port")."""
+    """The last received list, its service ("host:port") and the time of receipt (Unix time in ms)."""
 
     service: str
     taken_ms: float
-    table: dict[str, Any]  # in discovery's form
+    table: dict[str, Any]  # the list in the format of discovery
 
 
 class SnapshotAgeLimits(NamedTuple):
-    """How lists are used by their age, in seconds.
+    """Limits on the age of a snapshot, in seconds.
 
-    most_age: an older one is not used at all. fresh_age: up to it the list counts as the platform's `known`
-    does, as last received. Between the two every upstream of it counts as having started when the balancer
-    did: it may have been replaced since, so it is in slow start until the service has answered. So does every
-    upstream of a list from the future: the clock was stepped, and its age is unknown.
+    max_age_s: an older list is not used at all. fresh_age_s: up to this age, the list is used like the
+    platform's `known`, as the last received list. Between the two limits, every upstream counts as started
+    together with the balancer, because it may have been replaced since; it is in slow start until the service
+    has answered. The same applies to a list from the future, whose age is unknown because the clock was
+    stepped.
     """
 
-    most_age: float
-    fresh_age: float
+    max_age_s: float
+    fresh_age_s: float
 
-    def cold(self, age: float) -> bool:
-        """Whether the upstreams of a list of this age, in seconds, count as cold."""
-        return age > self.fresh_age or age < -SKEW_S
+    def is_cold(self, age_s: float) -> bool:
+        """Return whether the upstreams of a list of this age count as cold."""
+        return age_s > self.fresh_age_s or age_s < -MAX_CLOCK_SKEW_S
 
 
-def encode(one: Snapshot) -> bytes:
-    """The file's bytes: a line of JSON with length and digest, then the list as JSON."""
-    body = json.dumps(one.table, separators=(",", ":")).encode()
+def encode(snapshot: Snapshot) -> bytes:
+    """Return the bytes of the file: a line of JSON with length and digest, then the list as JSON."""
+    body = json.dumps(snapshot.table, separators=(",", ":")).encode()
     head = {
         "format": FORMAT,
-        "service": one.service,
-        "taken_ms": one.taken_ms,
+        "service": snapshot.service,
+        "taken_ms": snapshot.taken_ms,
         "bytes": len(body),
         "sha256": hashlib.sha256(body).hexdigest(),
     }
@@ -60,12 +63,15 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """SnapshotError names what is wrong: cut off, damaged, of another format."""
-    if len(data) > MOST_BYTES:
-        raise SnapshotError(f"{len(data)} bytes are more than a list has")
+    """Return the snapshot in the bytes of a file.
+
+    Raises SnapshotError if the data is truncated, damaged or of another format.
+    """
+    if len(data) > MAX_SNAPSHOT_BYTES:
+        raise SnapshotError(f"{len(data)} bytes exceed the maximum size of a snapshot")
     line, found, body = data.partition(b"\n")
     if not found:
-        raise SnapshotError("it does not begin with a snapshot's line")
+        raise SnapshotError("it does not begin with the header line of a snapshot")
     head = _read_head(line)
     _check_body(head, body)
     service, taken_ms = _origin(head)
@@ -84,7 +90,7 @@
         if not isinstance(head, dict):
             raise ValueError
     except (ValueError, RecursionError):
-        raise SnapshotError("it does not begin with a snapshot's line") from None
+        raise SnapshotError("it does not begin with the header line of a snapshot") from None
     return head
 
 
@@ -92,26 +98,29 @@
     if head.get("format") != FORMAT:
         raise SnapshotError(f"format {head.get('format')!r} is not {FORMAT}")
     if head.get("bytes") != len(body):
-        raise SnapshotError(f"cut off: {len(body)} bytes of {head.get('bytes')!r}")
+        raise SnapshotError(f"truncated: {len(body)} bytes of {head.get('bytes')!r}")
     if head.get("sha256") != hashlib.sha256(body).hexdigest():
-        raise SnapshotError("damaged: its digest differs")
+        raise SnapshotError("damaged: the SHA-256 digest differs")
 
 
 def _origin(head: dict[str, Any]) -> tuple[str, float]:
-    """Of which service the list is, and when it was taken (Unix time in ms)."""
+    """Return the service of the list and the time of its receipt (Unix time in ms)."""
     service, taken = head.get("service"), head.get("taken_ms")
     if not isinstance(service, str) or isinstance(taken, bool) or not isinstance(taken, int | float):
-        raise SnapshotError("service or taken_ms is missing")
+        raise SnapshotError("service or taken_ms is missing or has a wrong type")
     if not math.isfinite(taken):
-        raise SnapshotError("taken_ms is not a moment")
+        raise SnapshotError("taken_ms is not finite")
     return service, float(taken)
 
 
-def usable(one: Snapshot, service: str, now_ms: float, rule: SnapshotAgeLimits) -> float:
-    """Its age in seconds, negative after a step of the clock; SnapshotError where it may not be used."""
-    if one.service != service:
-        raise SnapshotError(f"it is of {one.service}, and the list service is {service}")
-    age = (now_ms - one.taken_ms) / 1000.0
-    if age > rule.most_age:
-        raise SnapshotError(f"it is {age:.0f} s old, over the {rule.most_age:g} allowed")
-    return age
+def validated_age_s(snapshot: Snapshot, service: str, now_ms: float, age_limits: SnapshotAgeLimits) -> float:
+    """Return the age of a snapshot in seconds; it is negative after a step of the clock.
+
+    Raises SnapshotError if the snapshot is too old or belongs to another service.
+    """
+    if snapshot.service != service:
+        raise SnapshotError(f"it belongs to {snapshot.service}, but the list service is {service}")
+    age_s = (now_ms - snapshot.taken_ms) / 1000.0
+    if age_s > age_limits.max_age_s:
+        raise SnapshotError(f"it is {age_s:.0f} s old, more than the allowed {age_limits.max_age_s:g} s")
+    return age_s
--- a/quartzford/membership/snapshot_writer.py
+++ b/quartzford/membership/snapshot_writer.py
@@ -1,8 +1,8 @@
-"""Writes the last list to a file, atomically and in a thread, and reads it at a start.
+"""Writes the snapshot of the last list to a file, atomically and in a thread, and reads it at startup.
 
-The file is replaced as a whole: a temporary file is written, flushed to the disk and renamed. A disk that is
-full or gone costs a log line, not the service: the newest list is written as soon as the disk takes it. All
-changes within WRITE_INTERVAL_S go into one write.
+The file is replaced as a whole: a temporary file is written, flushed to the disk and renamed. If the disk is
+full or unavailable, the balancer logs one line and continues to serve; the newest list is written as soon as
+the disk accepts writes again. All changes within WRITE_INTERVAL_S are combined into one write.
 """
 
 from __future__ import annotations
@@ -24,29 +24,32 @@
     SnapshotError,
     decode,
     encode,
-    usable,
+    validated_age_s,
 )
 
 WRITE_INTERVAL_S = 2.0
-MAX_RETRY_DELAY_S = 16.0  # a disk that fails is tried again after WRITE_INTERVAL_S, doubled up to this
-HANG_S = 10.0
-REFRESH_INTERVAL_S = 30.0  # a list that goes on being confirmed is written with its new age so often
+MAX_RETRY_DELAY_S = 16.0  # failed writes are retried after WRITE_INTERVAL_S, doubled up to this
+HANG_THRESHOLD_S = 10.0  # a write that takes longer than this is logged
+REFRESH_INTERVAL_S = 30.0  # how often an unchanged list is written with its new age
 
 
 class StoredList(NamedTuple):
-    """A snapshot's list. cold: its upstreams count as just started until the service has spoken."""
+    """The list of a snapshot. cold: its upstreams count as just started until the service has answered."""
 
     listing: Listing
     cold: bool
 
 
 class SnapshotWriter:
-    """Writes one snapshot file. table: the list as it stands; confirmed: whether a watch on it stands."""
+    """Writes one snapshot file.
+
+    table: returns the current list; confirmed: returns whether the watch of the list is established.
+    """
 
     def __init__(
         self,
         path: str,
-        rule: SnapshotAgeLimits,
+        age_limits: SnapshotAgeLimits,
         service: Callable[[], str],
         table: Callable[[], dict[str, Any]],
         confirmed: Callable[[], bool],
@@ -55,7 +58,7 @@
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.path = path
-        self.rule = rule
+        self.age_limits = age_limits
         self.service = service
         self.table = table
         self.confirmed = confirmed
@@ -64,50 +67,50 @@
         self.loop = loop
         self.timer: Handle | None = None
         self.writing = False
-        self.write_started = -math.inf
-        self.hang_logged = -math.inf  # the start of the write whose hang was logged
-        self.write_pending = False  # the list as it stands has to be written yet
-        self.retry_s = WRITE_INTERVAL_S
-        self.failed_writes = 0  # writes in a row
+        self.write_started_at = -math.inf
+        self.logged_hang_started_at = -math.inf  # the start of the write whose hang was logged
+        self.write_pending = False  # the current list has not been written yet
+        self.retry_delay_s = WRITE_INTERVAL_S
+        self.failed_writes = 0  # consecutive failed writes
         self.last_error = ""
-        self.written = 0
+        self.write_count = 0
         self.stopped = False
 
-    # ---- at a start
+    # ---- at startup
 
     def read(self) -> StoredList | None:
-        """The list of the file, if it may be used; why not goes to the log."""
+        """Return the list of the file, or None if it may not be used; the reason is logged."""
         try:
             data = Path(self.path).read_bytes()
         except FileNotFoundError:
             return None
         except OSError as error:
-            self.log.line("snapshot", f"{self.path} can't be read: {error.strerror}")
+            self.log.line("snapshot", f"{self.path} cannot be read: {error.strerror}")
             return None
         now = self.clock.unix_ms()
         try:
             snapshot = decode(data)
-            age = usable(snapshot, self.service(), now, self.rule)
+            age_s = validated_age_s(snapshot, self.service(), now, self.age_limits)
             listing = read_listing(snapshot.table)
             if not listing.complete:
                 raise SnapshotError("it is not a complete list")
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self.log.line("snapshot", f"{self.path} is not used: {error}")
             return None
-        cold = self.rule.cold(age)
-        when = f"{age:.0f} s ago" if age >= 0.0 else f"{-age:.0f} s from now"
-        how = ", its upstreams taken for cold" if cold else ""
-        self.log.line("snapshot", f"{len(listing.entries)} upstreams of {when}{how}")
+        cold = self.age_limits.is_cold(age_s)
+        when = f"{age_s:.0f} s old" if age_s >= 0.0 else f"{-age_s:.0f} s in the future"
+        how = ", upstreams treated as cold" if cold else ""
+        self.log.line("snapshot", f"{len(listing.entries)} upstreams from a snapshot, {when}{how}")
         return StoredList(listing, cold)
 
-    # ---- while it serves
+    # ---- while the balancer serves
 
     def list_changed(self) -> None:
-        """The list has changed: a write is pending until one has succeeded."""
+        """Schedule a write of the changed list; it stays pending until a write succeeds."""
         self.write_pending = True
-        self._write_in(WRITE_INTERVAL_S)
+        self._schedule_write(WRITE_INTERVAL_S)
 
-    def _write_in(self, delay_s: float) -> None:
+    def _schedule_write(self, delay_s: float) -> None:
         if not self.stopped and self.timer is None and not self.writing:
             self.timer = self.clock.call_later(delay_s, self._write)
 
@@ -121,76 +124,87 @@
         self.clock.call_later(REFRESH_INTERVAL_S, self.refresh_age)
 
     def _check_for_hang(self) -> None:
-        taken_s = self.clock.now() - self.write_started
-        if self.writing and self.write_started > self.hang_logged and taken_s >= HANG_S:
-            self.hang_logged = self.write_started
-            self.log.line("snapshot", f"{self.path} has been written for {taken_s:.0f} s: the disk hangs")
+        taken_s = self.clock.now() - self.write_started_at
+        if (
+            self.writing
+            and self.write_started_at > self.logged_hang_started_at
+            and taken_s >= HANG_THRESHOLD_S
+        ):
+            self.logged_hang_started_at = self.write_started_at
+            self.log.line(
+                "snapshot", f"{self.path}: a write has taken {taken_s:.0f} s so far, the disk hangs"
+            )
 
     def _write(self) -> None:
         self.timer = None
         if self.stopped:
             return
         if not self.confirmed():
-            return self._write_in(WRITE_INTERVAL_S)
+            return self._schedule_write(WRITE_INTERVAL_S)
         self.write_pending = False
         snapshot = Snapshot(self.service(), self.clock.unix_ms(), self.table())
         self.writing = True
-        self.write_started = self.clock.now()
-        # A thread of its own: the loop's executor is waited for at the end of the process, also where a write
-        # hangs in a disk that is gone.
-        thread = threading.Thread(target=self._replace, args=(snapshot,), name="snapshot", daemon=True)
+        self.write_started_at = self.clock.now()
+        # Not in the event loop's executor: at its end, the process waits for the executor, even if a write
+        # hangs because the disk is unavailable.
+        thread = threading.Thread(
+            target=self._write_in_thread, args=(snapshot,), name="snapshot", daemon=True
+        )
         try:
             thread.start()
         except RuntimeError as error:
-            self._written(str(error))
+            self._write_completed(str(error))
 
-    def _replace(self, snapshot: Snapshot) -> None:
-        """The thread: one write, whose outcome goes to the loop."""
-        why = ""
+    def _write_in_thread(self, snapshot: Snapshot) -> None:
+        """Write once, in the thread, and report the outcome to the event loop."""
+        error_text = ""
         try:
             write_snapshot(self.path, snapshot)
-        except Exception as error:  # whatever it is, the next write has to come
-            why = str(error) or repr(error)
-        with suppress(RuntimeError):  # the loop has ended meanwhile
-            self.loop.call_soon_threadsafe(self._written, why)
+        except Exception as error:  # any error must be reported, or no further write follows
+            error_text = str(error) or repr(error)
+        with suppress(RuntimeError):  # the event loop was closed in the meantime
+            self.loop.call_soon_threadsafe(self._write_completed, error_text)
 
-    def _written(self, why: str) -> None:
-        """A write has come to its end. why: it failed; "" where it did not."""
+    def _write_completed(self, error_text: str) -> None:
+        """Handle the end of a write. error_text: the reason of a failure, or "" if the write succeeded."""
         self.writing = False
-        if why:
-            self._fail(why)
+        if error_text:
+            self._record_failure(error_text)
         else:
-            self._succeeded()
+            self._record_success()
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         if self.failed_writes:
-            self.log.line("snapshot", f"{self.path} is written again, after {self.failed_writes} failures")
-        self.written += 1
+            self.log.line("snapshot", f"{self.path} was written again after {self.failed_writes} failures")
+        self.write_count += 1
         self.failed_writes = 0
         self.last_error = ""
-        self.retry_s = WRITE_INTERVAL_S
+        self.retry_delay_s = WRITE_INTERVAL_S
         if self.write_pending:
-            self._write_in(WRITE_INTERVAL_S)
+            self._schedule_write(WRITE_INTERVAL_S)
 
-    def _fail(self, why: str) -> None:
-        """The write stays pending. Logged once until one has succeeded, whatever the errors in between."""
+    def _record_failure(self, error_text: str) -> None:
+        """Keep the write pending; log only the first failure until a write succeeds, whatever the errors."""
         self.failed_writes += 1
-        self.last_error = f"{self.path} can't be written: {why}"
+        self.last_error = f"{self.path} cannot be written: {error_text}"
         if self.failed_writes == 1:
             self.log.line("snapshot", self.last_error)
         self.write_pending = True
-        self._write_in(self.retry_s)
-        self.retry_s = min(MAX_RETRY_DELAY_S, 2.0 * self.retry_s)
+        self._schedule_write(self.retry_delay_s)
+        self.retry_delay_s = min(MAX_RETRY_DELAY_S, 2.0 * self.retry_delay_s)
 
     def stop(self) -> None:
-        """Write nothing from now on; a write that is under way ends by itself, or with the process."""
+        """Start no further writes; a write in progress ends by itself or with the process."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
 
 
 def write_snapshot(path: str, snapshot: Snapshot) -> None:
-    """The file is the old one or the new one, whenever the machine ends; OSError if it could not be."""
+    """Replace the snapshot file atomically: after a crash, it holds either the old or the new snapshot.
+
+    Raises OSError if the file could not be replaced.
+    """
     data = encode(snapshot)
     with suppress(OSError):
         remove_stale_temporary_files(path)
--- a/quartzford/membership/start_times.py
+++ b/quartzford/membership/start_times.py
@@ -1,14 +1,15 @@
-"""When each upstream incarnation started, on the balancer's own clock. No I/O.
-
-A row's `born_ms` is a reading of the list service's wall clock. It names an incarnation: another value is
-another incarnation. As a moment it is believed only between two bounds that this process has measured itself:
-an incarnation that is new in the list started no later than now, and no earlier than the last moment at which
-the list was known without it. While a watch stands that is a moment ago, and the start is now. Where the
-value lies outside of the bounds, a clock is wrong, and the start is now as well: an upstream that is taken
-for younger than it is costs a little of its capacity for a while, one that is taken for older is overloaded.
-At the process's own start the earlier bound is missing. 0 is no reading of a clock: it says "long ago".
-
-All moments are milliseconds on the engine's clock, which no step of the wall clock moves.
+"""Start times of upstream incarnations, on the balancer's own clock. No I/O.
+
+The `born_ms` of a row is a reading of the list service's wall clock. It identifies an incarnation: a
+different value means a different incarnation. As a time it is trusted only between two bounds that this
+process measured itself. A new incarnation in the list started no later than now, and no earlier than the last
+time at which the list was known without it. While a watch is established, that time is a moment ago, and the
+start is set to now. If `born_ms` is outside the bounds, a clock is wrong, and the start is also set to now.
+An upstream that is taken for too young loses a little capacity for a while, whereas one that is taken for too
+old is overloaded. At the start of this process there is no earlier bound. The value 0 is not a clock reading:
+it means "long ago".
+
+All times are milliseconds on the engine's clock, which is not affected by steps of the wall clock.
 """
 
 from __future__ import annotations
@@ -23,31 +24,30 @@
 from quartzford.membership.listing import Listing
 
 LONG_AGO_MS = 0.0
-CURRENT_MS = (
-    LINE_TIMEOUT_S * 1000.0
-)  # a list that was known so short a time ago has been watched without a break
-# The list's removed incarnations are remembered: at least this many, or as many as its longest version had.
+# A list that was known at most this long ago has been watched without interruption.
+MAX_WATCHED_GAP_MS = LINE_TIMEOUT_S * 1000.0
+# How many incarnations are remembered after their removal: this many, or as many as the longest list had.
 MIN_REMEMBERED_REMOVALS = 64
 
 
 class Incarnation(NamedTuple):
-    """An upstream's incarnation. presumed: started_ms was not derived from born_ms, which may replace it."""
+    """An incarnation of an upstream. presumed: started_ms is assumed, and born_ms may replace it later."""
 
     born_ms: float
     started_ms: float
     presumed: bool = False
 
 
-def _start(born_ms: float, known_ms: float, now_ms: float) -> float:
-    """When an incarnation started that was not in the list at known_ms, and is now."""
+def _start_ms(born_ms: float, known_ms: float, now_ms: float) -> float:
+    """Return the start of an incarnation that is in the list now and was not at known_ms."""
     if born_ms == LONG_AGO_MS:
         return LONG_AGO_MS
-    watched = now_ms - known_ms <= CURRENT_MS
+    watched = now_ms - known_ms <= MAX_WATCHED_GAP_MS
     return born_ms if known_ms <= born_ms <= now_ms and not watched else now_ms
 
 
 class StartTimes:
-    """Dates incarnations once, when they are new in the list, and keeps the dates."""
+    """Assigns each incarnation a start time when it first appears in the list, and keeps it."""
 
     def __init__(self) -> None:
         self._current: dict[str, Incarnation] = {}
@@ -56,28 +56,28 @@
         self._source_changed = False
 
     def note_source_change(self) -> None:
-        """The next complete list may come from another list service, with other upstreams altogether."""
+        """Note that the next complete list may come from another list service with different upstreams."""
         self._source_changed = True
 
     def date_initial_list(self, listing: Listing, now_ms: float) -> None:
-        """Date a list that is known at the process's own start: by born_ms, but never in the future."""
+        """Date the list that is known when this process starts: by born_ms, but never in the future."""
         self.date_listing(listing, -math.inf, now_ms)
 
     def presume_started(self, listing: Listing, now_ms: float) -> None:
-        """Date every upstream at this moment, until a list of the service confirms its incarnation."""
+        """Set the start of every upstream to now, until a list of the service confirms its incarnation."""
         for entry in listing.entries:
             self._current[entry.server] = Incarnation(entry.started_ms, now_ms, presumed=True)
 
     def inherit(self, listing: Listing, starts: Mapping[str, float], now_ms: float) -> None:
-        """Take over the predecessor's dates. starts: of the young incarnations; all others are old."""
+        """Adopt the predecessor's start times. starts: of young incarnations; all others started long ago."""
         for entry in listing.entries:
             started_ms = min(starts.get(entry.server, LONG_AGO_MS), now_ms)
             self._current[entry.server] = Incarnation(entry.started_ms, started_ms)
 
     def date_listing(self, listing: Listing, known_ms: float, now_ms: float) -> None:
-        """Date the incarnations that a line of the list service names for the first time.
+        """Date the incarnations that appear for the first time in a line of the list service.
 
-        known_ms: the last moment before this line at which the list was known; minus infinity for never.
+        known_ms: the last time before this line at which the list was known; minus infinity if never.
         """
         self._max_removed = max(self._max_removed, len(self._current))
         if listing.complete:
@@ -86,15 +86,15 @@
             self._source_changed = False
             named = {entry.server for entry in listing.entries}
             for name in [name for name in self._current if name not in named]:
-                self._retire(name)
+                self._move_to_removed(name)
         for entry in listing.entries:
             if entry.state == "gone":
-                self._retire(entry.server)
+                self._move_to_removed(entry.server)
             else:
-                self._date(entry, known_ms, now_ms)
+                self._date_entry(entry, known_ms, now_ms)
 
     def starts_of(self, entries: Iterable[io.Endpoint]) -> dict[str, float]:
-        """The starts of these entries' incarnations by name, as far as they were dated here."""
+        """Return the start times of the entries' incarnations by name, as far as they were dated here."""
         return {
             entry.server: self._current[entry.server].started_ms
             for entry in entries
@@ -102,7 +102,7 @@
         }
 
     def started_after(self, since_ms: float) -> dict[str, float]:
-        """The starts of the incarnations that are younger than this moment, by name."""
+        """Return the start times of the incarnations that started after this time, by name."""
         return {
             name: incarnation.started_ms
             for name, incarnation in self._current.items()
@@ -113,7 +113,7 @@
         incarnation = self._current.get(entry.server)
         return incarnation is not None and incarnation.born_ms == entry.started_ms
 
-    def _date(self, entry: io.Endpoint, known_ms: float, now_ms: float) -> None:
+    def _date_entry(self, entry: io.Endpoint, known_ms: float, now_ms: float) -> None:
         incarnation = self._current.get(entry.server)
         if incarnation is None:
             incarnation = self._removed.pop(entry.server, None)
@@ -122,10 +122,10 @@
                 self._current[entry.server] = incarnation
                 return
             known_ms = -math.inf
-        started_ms = _start(entry.started_ms, known_ms, now_ms)
+        started_ms = _start_ms(entry.started_ms, known_ms, now_ms)
         self._current[entry.server] = Incarnation(entry.started_ms, started_ms)
 
-    def _retire(self, name: str) -> None:
+    def _move_to_removed(self, name: str) -> None:
         incarnation = self._current.pop(name, None)
         if incarnation is None:
             return
--- a/tests/test_beyond_standing.py
+++ b/tests/test_beyond_standing.py
@@ -1,4 +1,4 @@
-"""Troubles beyond the standing days that no other file forces; docs/endings.md names what they stand for."""
+"""Faults that neither the standing test nor another test file covers; docs/endings.md lists them."""
 
 from __future__ import annotations
 
@@ -31,24 +31,26 @@
 
 HOUR_MS = 3_600_000.0
 
-# ---- upstreams that close, reset or forget a connection at rest
+# ---- upstreams that close, reset or forget an idle connection
 
 
-def closes(writer: asyncio.StreamWriter) -> None:
+def close(writer: asyncio.StreamWriter) -> None:
     writer.close()
 
 
-def resets(writer: asyncio.StreamWriter) -> None:
+def reset(writer: asyncio.StreamWriter) -> None:
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-def forgets(writer: asyncio.StreamWriter) -> None:
-    """As a middlebox does that dropped its entry: no end is told, and nothing is answered any more."""
+def forget(writer: asyncio.StreamWriter) -> None:
+    """Act like a middlebox that dropped its entry: the connection is not closed, but no answer arrives."""
 
 
-async def rest(testbed: BalancerTestbed) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A client that has been served, so that a connection to the upstream rests."""
+async def leave_idle_connection(
+    testbed: BalancerTestbed,
+) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Serve one request, so that an idle connection to the upstream remains; return the client's streams."""
     reader, writer = await testbed.connect()
     writer.write(request())
     assert (await read_message(reader)).status == 200
@@ -57,48 +59,49 @@
 
 
 @pytest.mark.parametrize("name", ["read", "book", "pay"])
-@pytest.mark.parametrize("end", [closes, resets, forgets])
-def test_a_request_that_crosses_the_end_of_an_upstream_s_resting_connection_gets_its_answer(
-    end: Callable[[asyncio.StreamWriter], None], name: str
+@pytest.mark.parametrize("end_connection", [close, reset, forget])
+def test_idle_upstream_connection_ends_as_request_arrives_client_gets_final_answer(
+    end_connection: Callable[[asyncio.StreamWriter], None], name: str
 ) -> None:
-    """The end and the request lie in the kernel at once. What may be repeated is served; the other at least
-    gets its final answer in its time, and nothing runs twice."""
+    """The end of the connection and the request are in the kernel at the same time. A request that may be
+    repeated is served. Any other gets its final answer within its deadline, and no request runs twice.
+    """
 
     async def test() -> None:
         async with BalancerTestbed() as testbed, LoopLag() as lag:
-            reader, writer = await rest(testbed)
-            resting, up = testbed.upstreams[0].writers[-1], testbed.upstreams[0]
-            ran: list[str] = []
+            reader, writer = await leave_idle_connection(testbed)
+            idle_connection, up = testbed.upstreams[0].writers[-1], testbed.upstreams[0]
+            executed: list[str] = []
 
             async def script(message: Message, answers: asyncio.StreamWriter) -> None:
-                if answers is not resting:
-                    ran.append(message.line)
+                if answers is not idle_connection:
+                    executed.append(message.line)
                     answers.write(reply(b"served"))
 
             up.script = script
             before = asyncio.get_running_loop().time()
             writer.write(request(name, None if name == "read" else b"x", time_left="1500m"))
-            end(resting)
+            end_connection(idle_connection)
             answer = await asyncio.wait_for(read_message(reader), 8)
             assert asyncio.get_running_loop().time() - before < 2.0 + 2 * lag.max_lag_s
-            assert len(ran) <= 1
+            assert len(executed) <= 1
             assert answer.status == 200 if name == "read" else answer.status in (200, 502, 503)
-            assert (answer.status == 200) == (len(ran) == 1)
+            assert (answer.status == 200) == (len(executed) == 1)
 
     uvloop.run(test())
 
 
-# ---- retries and hedged requests that fail at once
+# ---- retries and hedged requests that fail immediately
 
 
 @pytest.mark.parametrize("count", [1, 3])
-def test_attempts_that_all_fail_at_once_end_in_one_final_answer(count: int) -> None:
-    """Whatever number of upstreams: each attempt is reset the moment it has been read."""
+def test_all_attempts_fail_immediately_client_gets_one_final_answer(count: int) -> None:
+    """Each attempt is reset as soon as the upstream has read it, whatever the number of upstreams."""
 
     async def test() -> None:
         async with BalancerTestbed(count) as testbed:
             for up in testbed.upstreams:
-                up.script = drop
+                up.script = reset_attempt
             for name in ("read", "book", "pay"):
                 answer = await asyncio.wait_for(
                     testbed.submit(request(name, None if name == "read" else b"")), 8
@@ -112,12 +115,12 @@
     uvloop.run(test())
 
 
-async def drop(message: Message, writer: asyncio.StreamWriter) -> None:
-    resets(writer)
+async def reset_attempt(message: Message, writer: asyncio.StreamWriter) -> None:
+    reset(writer)
 
 
-def test_a_hedged_request_whose_second_attempt_fails_at_once_is_still_served() -> None:
-    """The first attempt is given up for its latency, the next one is reset, the third is answered."""
+def test_hedged_request_second_attempt_fails_immediately_third_is_served() -> None:
+    """The first attempt is abandoned for its latency, the second is reset, and the third is answered."""
 
     async def test() -> None:
         async with BalancerTestbed(3) as testbed:
@@ -128,7 +131,7 @@
                 nonlocal received
                 received += 1
                 if received == 2:
-                    resets(writer)
+                    reset(writer)
                 elif received > 2:
                     writer.write(reply(b"served"))
 
@@ -140,14 +143,14 @@
     uvloop.run(test())
 
 
-# ---- answers without a length
+# ---- responses without a length
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_complete_answers_without_a_length_are_forwarded_and_broken_ones_are_not(
+def test_responses_without_length_complete_are_forwarded_and_broken_are_not(
     seed: int,
 ) -> None:
-    """Drawn sizes, pieces and pauses. Half of the whole ones are asked for; all are forwarded."""
+    """Random sizes and pauses; about half of the responses are complete, and all of these are forwarded."""
 
     async def test() -> None:
         rng = random.Random(seed)
@@ -159,7 +162,7 @@
             for at in range(0, len(body), 7_000):
                 writer.write(body[at : at + 7_000])
                 await asyncio.sleep(0.001 * (at % 3))
-            (closes if complete else resets)(writer)
+            (close if complete else reset)(writer)
 
         async with BalancerTestbed() as testbed:
             testbed.upstreams[0].script = script
@@ -171,11 +174,11 @@
     uvloop.run(test())
 
 
-# ---- new configurations in a row, and a discovery that is slow
+# ---- successive new configurations with slow discoveries
 
 
 async def slow_discovery(number: int, delay_s: float) -> tuple[BalancerTestbed, Peer]:
-    """A list service of its own, with one upstream of the name sNUMBER that says its number."""
+    """Start a list service with one upstream, which is named sNUMBER and answers with its number."""
     site = BalancerTestbed(number + 1)
     up = site.upstreams[number]
     up.script = responds_with(reply(b"%d" % number))
@@ -208,8 +211,8 @@
 
 
 @async_test
-async def test_configurations_in_quick_succession_end_with_the_last_one_s_list_and_lose_nothing() -> None:
-    """Each names a slow discovery of its own; the next comes before, or while, that one answers."""
+async def test_successive_configurations_last_list_is_applied_and_no_request_is_lost() -> None:
+    """Each configuration names its own slow discovery; the next one follows before or while it answers."""
     async with BalancerTestbed() as testbed:
         sites = [await slow_discovery(number, 0.15) for number in range(1, 5)]
         answers: list[Message] = []
@@ -225,7 +228,7 @@
         await wait_until(lambda: len(answers) > 20)
         for number, (site, _) in enumerate(sites):
             testbed.node.reconfigure(config_of(testbed, site))
-            if number % 2:  # else the next one follows in the same turn
+            if number % 2:  # otherwise the next configuration follows in the same iteration of the event loop
                 await wait_until(lambda site=site: site.discovery.received)  # type: ignore[misc]
         last = sites[-1][1]
         await wait_until(lambda: len(last.received) > 20)
@@ -233,7 +236,7 @@
         await asyncio.gather(*clients)
         assert {answer.status for answer in answers} == {200}
         assert set(testbed.node.engine.balancer.servers) == {"s4"}
-        assert testbed.discovery.closed_connections == 1  # the watch at the first discovery has ended
+        assert testbed.discovery.closed_connections == 1  # the watch at the first discovery was closed
         for site, up in sites:
             await site.discovery.stop()
             await up.stop()
@@ -243,7 +246,7 @@
 
 
 @pytest.mark.parametrize("balancers", [1, 12, 60, 200])
-def test_after_ten_minutes_without_discovery_all_have_the_list_as_soon_as_after_a_short_time(
+def test_discovery_outage_of_ten_minutes_fleet_recovers_within_bound(
     balancers: int,
 ) -> None:
     outage = ServiceBehaviour("down 600 s", outages=((0.0, 600.0),))
@@ -252,15 +255,15 @@
     assert row["most_1s"] <= 2 * CALLS_PER_S
 
 
-# ---- trouble after a long quiet time
+# ---- faults after a long idle time
 
 
-def troubled(quiet_ms: float, code: str, spent_ms: float) -> tuple[int, int]:
-    """One of four servers turns bad after a quiet time: attempts that failed, requests not served."""
+def failures_after_idle_time(idle_ms: float, code: str, spent_ms: float) -> tuple[int, int]:
+    """Let one of four servers fail after an idle time; return the failed attempts and unserved requests."""
     balancer, failed, lost = started_balancer(4), 0, 0
     for number in range(400):
         serve_request(balancer, number * 20.0, number)
-    begin = 8_000.0 + quiet_ms
+    begin = 8_000.0 + idle_ms
     for number in range(200):
         now, attempt = begin + number * 20.0, 0
         actions = submit(balancer, now, 1_000 + number)
@@ -277,11 +280,9 @@
 
 
 @pytest.mark.parametrize(("code", "spent_ms"), [("reset", 2.0), ("connect_failed", 2.0), ("timeout", 150.0)])
-@pytest.mark.parametrize("quiet_h", [1, 24])
-def test_faults_after_a_long_quiet_time_are_met_as_without_one(
-    code: str, spent_ms: float, quiet_h: int
-) -> None:
-    """Nothing that fades or fills while no request comes makes the first moments of trouble worse."""
-    failed, lost = troubled(quiet_h * HOUR_MS, code, spent_ms)
-    before, _ = troubled(0.0, code, spent_ms)
+@pytest.mark.parametrize("idle_h", [1, 24])
+def test_faults_after_long_idle_time_handled_as_without_it(code: str, spent_ms: float, idle_h: int) -> None:
+    """State that decays or refills without requests must not make the start of a fault worse."""
+    failed, lost = failures_after_idle_time(idle_h * HOUR_MS, code, spent_ms)
+    before, _ = failures_after_idle_time(0.0, code, spent_ms)
     assert lost == 0 and failed <= before + 3
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -311,10 +311,10 @@
             site.writer.list_changed()
             await site.settle(MAX_RETRY_DELAY_S)
         assert len(site.log.lines) == 1 and site.writer.failed_writes == 100
-        assert "can't be written" in site.log.lines[0] and "No space left" in site.log.lines[0]
+        assert "cannot be written" in site.log.lines[0] and "No space left" in site.log.lines[0]
         site.error = None
         await site.settle(MAX_RETRY_DELAY_S)
-        assert len(site.log.lines) == 2 and "written again, after 100 failures" in site.log.lines[1]
+        assert len(site.log.lines) == 2 and "written again after 100 failures" in site.log.lines[1]
         assert os.listdir(tmp_path) == ["last"]
 
     test()
@@ -370,7 +370,7 @@
     @async_test
     async def test() -> None:
         site, well = Site(tmp_path / "last", monkeypatch), threading.Event()
-        monkeypatch.setattr(writing, "replace", lambda path, one: well.wait(20.0))
+        monkeypatch.setattr(writing, "write_snapshot", lambda path, one: well.wait(20.0))
         site.writer.refresh_age()
         site.clock.advance(2.0)
         for _ in range(4):
--- a/tests/test_list_chunks.py
+++ b/tests/test_list_chunks.py
@@ -1,4 +1,4 @@
-"""Long lists: in pieces, bad news first, with the same outcome; read beside the loop, in order."""
+"""Long lists: applied in chunks with the same result, removals first, and parsed in threads in order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from helpers import make_endpoint, settings, use_all_servers
 from hypothesis import given
-from hypothesis import settings as budget
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from peers import BalancerTestbed, async_test, wait_until
 
@@ -33,52 +33,52 @@
 
 
 @given(st.lists(NUMBERS, unique=True), st.booleans(), st.lists(CHANGE, max_size=40), st.integers(1, 9))
-@budget(max_examples=300, deadline=None, derandomize=True, database=None)
-def test_chunks_leave_the_fleet_as_the_complete_list_would(
+@hypothesis_settings(max_examples=300, deadline=None, derandomize=True, database=None)
+def test_chunks_give_the_same_servers_as_the_undivided_listing(
     before: list[int], complete: bool, rows: list[Any], size: int
 ) -> None:
-    """Of a server that is in the end drained or gone, only that matters; of the others, all that was said."""
-    if complete:  # a whole list names each server once, and none that is gone
+    """Compares the final state for drained and removed servers, and the complete entries for the others."""
+    if complete:  # a complete list names each server once and contains no removals
         rows = [row for row in {n: (n, s, b) for n, s, b in rows}.values() if row[1] != "gone"]
     update = listing(complete, *rows)
-    one, other = Balancer(settings(), 1), Balancer(settings(), 1)
-    for balancer in (one, other):
+    undivided, chunked = Balancer(settings(), 1), Balancer(settings(), 1)
+    for balancer in (undivided, chunked):
         balancer.handle(0.0, io.EndpointListUpdate("stale", tuple(make_endpoint(n) for n in before)))
         use_all_servers(balancer)
-    one.handle(1.0, io.EndpointListUpdate("whole" if complete else "changes", update.entries))
-    parts = list(split_into_chunks(update, other.servers, size))
-    for part in parts:
-        other.handle(1.0, io.EndpointListUpdate("whole" if part.complete else "changes", part.entries))
-    mine, theirs = state(one), state(other)
-    known = {name for name, row in mine.items() if row[2]}
-    assert known == {name for name, row in theirs.items() if row[2]}
-    assert {name: mine[name] for name in known} == {name: theirs[name] for name in known}
-    assert all(mine[name][0] == theirs[name][0] for name in set(mine) & set(theirs))
-    if len(parts) > 1:
-        assert max(len(part.entries) for part in parts) <= size
-        # In front stands each server that is taken away in the end, once; of the others all that was said.
-        states = [e.state for part in parts for e in part.entries]
-        away = {n for n, row in mine.items() if not row[2]} | {f"s{n}" for n in before} - set(mine)
+    undivided.handle(1.0, io.EndpointListUpdate("whole" if complete else "changes", update.entries))
+    chunks = list(split_into_chunks(update, chunked.servers, size))
+    for chunk in chunks:
+        chunked.handle(1.0, io.EndpointListUpdate("whole" if chunk.complete else "changes", chunk.entries))
+    expected, actual = state(undivided), state(chunked)
+    known = {name for name, row in expected.items() if row[2]}
+    assert known == {name for name, row in actual.items() if row[2]}
+    assert {name: expected[name] for name in known} == {name: actual[name] for name in known}
+    assert all(expected[name][0] == actual[name][0] for name in set(expected) & set(actual))
+    if len(chunks) > 1:
+        assert max(len(chunk.entries) for chunk in chunks) <= size
+        # Each server that ends drained or removed comes first, once; the others keep all of their entries.
+        states = [e.state for chunk in chunks for e in chunk.entries]
+        removed = {n for n, row in expected.items() if not row[2]} | {f"s{n}" for n in before} - set(expected)
         last = {e.server: e.state for e in update.entries}
         count = len(
             {n for n in last if last[n] != "ready"}
-            | ({n for n in away if n not in last} if complete else set())
+            | ({n for n in removed if n not in last} if complete else set())
         )
         assert "ready" not in states[:count] and count <= len(states)
 
 
-def test_a_short_list_is_one_chunk_and_a_long_one_begins_with_removals() -> None:
+def test_split_short_list_is_one_chunk_and_long_list_starts_with_removals() -> None:
     short = listing(True, (1, "ready", 0.0))
     assert list(split_into_chunks(short, {"s7"})) == [short]
     rows = [(n, "ready", 0.0) for n in range(10)] + [(3, "draining", 0.0)]
-    parts = list(split_into_chunks(listing(True, *rows), {"s77", "s1"}, 4))
-    first = [(e.server, e.state) for e in parts[0].entries]
-    assert first[:2] == [("s3", "draining"), ("s77", "gone")] and not any(p.complete for p in parts)
-    assert [len(p.entries) for p in parts] == [4, 4, 3]
-    assert all(len(p.entries) == len(p.addresses) for p in parts)
+    chunks = list(split_into_chunks(listing(True, *rows), {"s77", "s1"}, 4))
+    first = [(e.server, e.state) for e in chunks[0].entries]
+    assert first[:2] == [("s3", "draining"), ("s77", "gone")] and not any(p.complete for p in chunks)
+    assert [len(p.entries) for p in chunks] == [4, 4, 3]
+    assert all(len(p.entries) == len(p.addresses) for p in chunks)
 
 
-def test_a_complete_list_replaces_what_waits_and_changes_follow_it() -> None:
+def test_queue_complete_list_replaces_queued_listings_and_keeps_order() -> None:
     queue = ListingQueue()
     queue.add(listing(False, *((n, "ready", 0.0) for n in range(1000))))
     assert queue.next_chunk(set()) is not None and queue.has_chunks()
@@ -114,16 +114,16 @@
 
 
 @async_test
-async def test_a_list_of_thousands_is_taken_in_beside_the_service() -> None:
+async def test_long_list_is_applied_in_chunks() -> None:
     async with BalancerTestbed(1) as testbed:
         pool, servers = testbed.node.pool, use_all_servers(testbed.node.engine.balancer).servers
         testbed.update(*hosts(3000), complete=True)
         await wait_until(lambda: len(servers) == 3000, 30)
-        left = pool.upstreams.get("s0")  # swept out already, where this took long
-        assert "s0" not in servers and (left is None or not left.ready)
+        upstream = pool.upstreams.get("s0")  # None if it took so long that the upstream was already removed
+        assert "s0" not in servers and (upstream is None or not upstream.ready)
         updates = [e for e in testbed.events if isinstance(e, io.EndpointListUpdate)]
         assert max(len(u.entries) for u in updates) <= 256 and updates[-1].kind == "changes"
-        # A rolling deploy, and right behind it a drain of one that it brings back.
+        # A rolling deploy, directly followed by a drain of one of its servers.
         testbed.update(*hosts(2550, born_ms=7))
         testbed.update(hosts(2)[1] | {"health": "draining", "born_ms": 7})
         await wait_until(lambda: servers["h2549"].entry.started_ms == 7.0, 30)
@@ -134,19 +134,20 @@
 
 
 @async_test
-async def test_a_long_line_that_is_broken_is_requested_again(monkeypatch: Any = None) -> None:
+async def test_malformed_long_line_complete_list_is_requested_again(monkeypatch: Any = None) -> None:
     async with BalancerTestbed(1) as testbed:
         broken = json.dumps({"seq": 9, "whole": True, "hosts": hosts(2000)})[:-2]
         before = len(testbed.events)
         testbed.send_line(broken)
         await wait_until(lambda: testbed.node.watch.call is not None and len(testbed.events) > before, 30)
-        assert "s0" in testbed.node.engine.balancer.servers  # what discovery really has
+        # The servers are those of discovery's current list, not of the malformed line.
+        assert "s0" in testbed.node.engine.balancer.servers
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_long_lines_do_not_overtake_each_other(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Read in threads, one after the other, with short lines between them."""
-    monkeypatch.setattr(list_call, "LONG_BYTES", 2_000)
+def test_long_and_short_lines_are_applied_in_order(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Long lines are parsed in threads, one after the other, with short lines between them."""
+    monkeypatch.setattr(list_call, "MAX_INLINE_PARSE_BYTES", 2_000)
 
     @async_test
     async def test() -> None:
--- a/tests/test_list_notifications.py
+++ b/tests/test_list_notifications.py
@@ -1,4 +1,4 @@
-"""What discovery has, and can be reached for, is acted on within six seconds, whatever went before."""
+"""A change at a reachable discovery is applied within six seconds, whatever calls failed before."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from peers import BalancerTestbed, LoopLag, Message, Peer, async_test, reply, wait_until
 
-TOLD_S = 6.0
+MAX_NOTIFICATION_S = 6.0
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -19,7 +19,7 @@
 
 
 async def drip(writer: asyncio.StreamWriter, text: bytes) -> None:
-    """Bytes that go on coming and tell nothing, for longer than anybody may wait."""
+    """Send single bytes that never form a list, for longer than any timeout."""
     writer.write(HEAD)
     for at in range(50):
         writer.write(chunk(text[at : at + 1] or b"\n"))
@@ -27,14 +27,14 @@
 
 
 async def accepted(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
-    """Not a byte."""
+    """Accept the call and send nothing."""
 
 
 async def head_only(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     writer.write(HEAD)
 
 
-async def blanks(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
+async def blank_lines(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     await drip(writer, b"")
 
 
@@ -42,7 +42,7 @@
     await drip(writer, b'{"seq":9,"whole":true,"hosts":[' + b" " * 50)
 
 
-async def turned_away(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
+async def rejected(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
     writer.write(reply(b"", "503 Busy", "Retry-After: 30\r\n"))
 
 
@@ -58,31 +58,31 @@
 
 
 async def indented(testbed: BalancerTestbed, writer: asyncio.StreamWriter) -> None:
-    """The change itself, over many lines, among them one that ends an object within it."""
+    """Send the change itself as indented JSON, in which some lines end an inner object."""
     assert testbed.served_list is not None
     writer.write(HEAD + chunk(json.dumps(testbed.served_list, indent=2).encode() + b"\n"))
 
 
-Bad = Callable[[BalancerTestbed, asyncio.StreamWriter], Any]
-CALLS: tuple[Bad, ...] = (
+FailingCall = Callable[[BalancerTestbed, asyncio.StreamWriter], Any]
+FAILING_CALLS: tuple[FailingCall, ...] = (
     accepted,
     head_only,
-    blanks,
+    blank_lines,
     half_a_line,
-    turned_away,
+    rejected,
     reset,
     closed,
     indented,
 )
 
 
-def site(polled: bool) -> BalancerTestbed:
+def make_testbed(polled: bool) -> BalancerTestbed:
     mode = "subscribe" if polled else "automatic"
     return BalancerTestbed(2, registryMode=mode, nInstances=200 if polled else 1)
 
 
-async def drained(testbed: BalancerTestbed) -> float:
-    """Until nothing more is sent to what drains, from now on."""
+async def drain_and_measure(testbed: BalancerTestbed) -> float:
+    """Drain s0 at discovery; return the seconds until the balancer stops using it."""
     loop = asyncio.get_running_loop()
     testbed.version += 5
     testbed.served_list = testbed.endpoint_list(testbed.list_row(0, "draining"), testbed.list_row(1))
@@ -91,55 +91,55 @@
     return loop.time() - before
 
 
-async def after_a_call(bad: Bad, polled: bool) -> float:
-    """The watch ends; the call that follows is the bad one, and the change comes just after it was made."""
-    async with site(polled) as testbed:
+async def after_failing_call(failing_call: FailingCall, polled: bool) -> float:
+    """End the watch, let the next call fail as given, and make the change just after that call started."""
+    async with make_testbed(polled) as testbed:
         received = asyncio.Event()
 
-        async def first(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def script(message: Message, writer: asyncio.StreamWriter) -> None:
             testbed.discovery.script = testbed._discover
             received.set()
-            await asyncio.sleep(0)  # the change is there from now on
-            await bad(testbed, writer)
+            await asyncio.sleep(0)  # let the test make the change first
+            await failing_call(testbed, writer)
 
-        testbed.discovery.script = first
+        testbed.discovery.script = script
         testbed.watches[-1].transport.abort()
         await received.wait()
-        return await drained(testbed)
+        return await drain_and_measure(testbed)
 
 
-async def after_silence(polled: bool) -> float:
-    """The watch that stands says nothing more."""
-    async with site(polled) as testbed:
-        return await drained(testbed)
+async def after_silent_watch(polled: bool) -> float:
+    """Let the established watch send nothing more."""
+    async with make_testbed(polled) as testbed:
+        return await drain_and_measure(testbed)
 
 
-async def after_a_connect_that_hangs(polled: bool) -> float:
-    async with site(polled) as testbed:
-        with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
-            held = [socket.socket() for _ in range(8)]
-            for one in held:
-                one.setblocking(False)
-                one.connect_ex(full.getsockname())
-            well = testbed.node.watch.address
+async def after_hanging_connect(polled: bool) -> float:
+    async with make_testbed(polled) as testbed:
+        with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener:
+            sockets = [socket.socket() for _ in range(8)]
+            for each in sockets:
+                each.setblocking(False)
+                each.connect_ex(full_listener.getsockname())
+            original_address = testbed.node.watch.address
             called = asyncio.Event()
 
             def hanging() -> tuple[str, int]:
-                testbed.node.watch.address = well
+                testbed.node.watch.address = original_address
                 called.set()
-                return "127.0.0.1", full.getsockname()[1]
+                return "127.0.0.1", full_listener.getsockname()[1]
 
             testbed.node.watch.address = hanging
             testbed.watches[-1].transport.abort()
             await called.wait()
-            took = await drained(testbed)
-            for one in held:
-                one.close()
-            return took
+            elapsed_s = await drain_and_measure(testbed)
+            for each in sockets:
+                each.close()
+            return elapsed_s
 
 
-async def after_a_move_while_a_call_is_out(polled: bool) -> float:
-    async with site(polled) as testbed:
+async def after_address_change_during_call(polled: bool) -> float:
+    async with make_testbed(polled) as testbed:
         received = asyncio.Event()
 
         async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -152,30 +152,36 @@
         await moved.start()
         testbed.node.watch.address = lambda: ("127.0.0.1", moved.port)
         testbed.node.watch.follow_address()
-        took = await drained(testbed)
+        elapsed_s = await drain_and_measure(testbed)
         await moved.stop()
-        return took
+        return elapsed_s
 
 
 @async_test
-async def test_a_change_is_acted_on_within_six_seconds_of_discovery_having_it() -> None:
-    """Pushed, and asked by two hundred. Bytes that told nothing kept a call alive for good; Retry-After,
-    spread intervals and patience were followed for longer."""
-    rows: dict[str, Any] = {}
+async def test_change_is_applied_within_six_seconds_after_any_failed_call() -> None:
+    """Plays each failure with a pushed list and with one that 200 balancers poll. Guards against two faults:
+    single bytes kept a useless call alive forever, and Retry-After, spread intervals and timeouts together
+    exceeded the bound.
+    """
+    cases: dict[str, Any] = {}
     for polled in (False, True):
-        way = "asked" if polled else "pushed"
-        for bad in CALLS:
-            rows[f"{way}, {bad.__name__}"] = after_a_call(bad, polled)
-        rows[f"{way}, silence"] = after_silence(polled)
-        rows[f"{way}, connect"] = after_a_connect_that_hangs(polled)
-        rows[f"{way}, move"] = after_a_move_while_a_call_is_out(polled)
+        mode = "asked" if polled else "pushed"
+        for failing_call in FAILING_CALLS:
+            cases[f"{mode}, {failing_call.__name__}"] = after_failing_call(failing_call, polled)
+        cases[f"{mode}, silence"] = after_silent_watch(polled)
+        cases[f"{mode}, connect"] = after_hanging_connect(polled)
+        cases[f"{mode}, move"] = after_address_change_during_call(polled)
     async with LoopLag() as lag:
-        took = dict(zip(rows, await asyncio.gather(*rows.values()), strict=True))
-    assert not {name: seconds for name, seconds in took.items() if seconds > TOLD_S + 2 * lag.max_lag_s}
+        elapsed_s = dict(zip(cases, await asyncio.gather(*cases.values()), strict=True))
+    assert not {
+        name: seconds
+        for name, seconds in elapsed_s.items()
+        if seconds > MAX_NOTIFICATION_S + 2 * lag.max_lag_s
+    }
 
 
 @async_test
-async def test_names_with_braces_and_lines_that_are_no_object_do_not_hold_up_the_watch() -> None:
+async def test_braces_in_names_and_lines_without_object_do_not_block_the_watch() -> None:
     async with BalancerTestbed(2) as testbed:
         odd = testbed.list_row(1) | {"class": 'a"}{'}
         text = json.dumps(testbed.endpoint_list(testbed.list_row(0, "draining"), odd), indent=1)
@@ -189,8 +195,8 @@
 
 
 @async_test
-async def test_a_call_that_is_late_is_kept_beside_the_next_and_the_first_answer_counts() -> None:
-    """A service that works through a long queue: to leave it would make its work for nobody."""
+async def test_late_call_stays_open_beside_next_call_and_first_answer_is_used() -> None:
+    """A service with a long queue answers late; closing the call would waste its work."""
     testbed = BalancerTestbed(registryMode="subscribe")
     writers: list[asyncio.StreamWriter] = []
 
@@ -201,12 +207,11 @@
     for peer in (*testbed.upstreams, testbed.discovery):
         await peer.start()
     await testbed.start_balancer(wait_for_list=False)
-    await wait_until(lambda: len(writers) == 2)  # the first one is not answered in its time
+    await wait_until(lambda: len(writers) == 2)  # the first call was not answered within its timeout
     assert testbed.discovery.closed_connections == 0 and not testbed.node.watch.ever_answered
     await testbed._discover(testbed.discovery.received[0], writers[0])
-    await wait_until(
-        lambda: testbed.node.watch.ever_answered and testbed.discovery.closed_connections == 1
-    )  # the second one
+    # The first call is answered, and the second one is closed.
+    await wait_until(lambda: testbed.node.watch.ever_answered and testbed.discovery.closed_connections == 1)
     testbed.version = 7
     testbed.send_line(testbed.endpoint_list(testbed.list_row(0)), writers[0])
     await wait_until(lambda: testbed.node.watch.version == 7)
--- a/tests/test_relay_chain.py
+++ b/tests/test_relay_chain.py
@@ -204,7 +204,7 @@
         received = [len(balancer.received) for balancer in balancers]
         at.send_line(b'{"seq":9,"whole":true,"hosts":[{"host":"bad"}]}\n')
         at.send_line(b"\x00garbage\n")
-        await wait_until(lambda: all(relay.has_logged("a bad line") for relay in at.relays))
+        await wait_until(lambda: all(relay.has_logged("cannot parse a line") for relay in at.relays))
         await wait_until(lambda: len(at.service.watches) == 2)
         assert [len(balancer.received) for balancer in balancers] == received
         await at.wait_until_current()
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The last list on a disk: its form, what may be done with it at what age, and the file that holds it."""
+"""Snapshots of the last list: file format, age limits, and the writer of the file."""
 
 from __future__ import annotations
 
@@ -21,62 +21,62 @@
     SnapshotError,
     decode,
     encode,
-    usable,
+    validated_age_s,
 )
 from quartzford.membership.snapshot_writer import SnapshotWriter, write_snapshot
 from quartzford.membership.start_times import StartTimes
 
-RULE = SnapshotAgeLimits(most_age=3_600.0, fresh_age=60.0)
+AGE_LIMITS = SnapshotAgeLimits(max_age_s=3_600.0, fresh_age_s=60.0)
 TABLE: dict[str, Any] = {
     "seq": 7,
     "whole": True,
     "hosts": [LIST_ROW, LIST_ROW | {"host": "s1", "born_ms": 9_000_000}],
 }
-ONE = Snapshot("127.0.0.1:8500", 1_000_000.0, TABLE)
+SNAPSHOT = Snapshot("127.0.0.1:8500", 1_000_000.0, TABLE)
 
 
-def test_what_is_written_is_read_again() -> None:
-    assert decode(encode(ONE)) == ONE
+def test_encode_decode_round_trip() -> None:
+    assert decode(encode(SNAPSHOT)) == SNAPSHOT
 
 
 @given(st.binary(max_size=200))
-def test_bytes_of_any_kind_are_refused_with_a_reason(data: bytes) -> None:
+def test_decode_random_bytes_raises_snapshot_error(data: bytes) -> None:
     with pytest.raises(SnapshotError):
         decode(data)
 
 
-@pytest.mark.parametrize("keep", [0, 1, 40, 150, -1, -30])
-def test_one_that_is_cut_off_is_refused(keep: int) -> None:
+@pytest.mark.parametrize("length", [0, 1, 40, 150, -1, -30])
+def test_decode_truncated_snapshot_raises_snapshot_error(length: int) -> None:
     with pytest.raises(SnapshotError):
-        decode(encode(ONE)[:keep])
+        decode(encode(SNAPSHOT)[:length])
 
 
-def test_every_single_bit_that_turns_is_found_or_changes_nothing_that_is_used() -> None:
-    data = encode(ONE)
+def test_decode_flipped_bit_is_detected_or_leaves_list_unchanged() -> None:
+    data = encode(SNAPSHOT)
     for at in range(len(data)):
         for bit in (1, 64):
-            turned = data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :]
+            damaged = data[:at] + bytes([data[at] ^ bit]) + data[at + 1 :]
             try:
-                one = decode(turned)
+                snapshot = decode(damaged)
             except SnapshotError:
                 continue
-            assert one.table == TABLE, "a damaged list was used"
+            assert snapshot.table == TABLE, "a damaged list was used"
 
 
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
         ({"format": 2}, "format 2"),
-        ({"bytes": 3}, "cut off"),
+        ({"bytes": 3}, "truncated"),
         ({"sha256": "0"}, "damaged"),
         ({"service": 5}, "missing"),
         ({"taken_ms": None}, "missing"),
         ({"taken_ms": True}, "missing"),
-        ({"taken_ms": float("nan")}, "not a moment"),
+        ({"taken_ms": float("nan")}, "not finite"),
     ],
 )
-def test_a_head_that_is_wrong_is_refused_with_its_reason(change: dict[str, Any], reason: str) -> None:
-    line, _, body = encode(ONE).partition(b"\n")
+def test_decode_invalid_header_raises_snapshot_error_with_reason(change: dict[str, Any], reason: str) -> None:
+    line, _, body = encode(SNAPSHOT).partition(b"\n")
     with pytest.raises(SnapshotError, match=reason):
         decode(json.dumps(json.loads(line) | change).encode() + b"\n" + body)
 
@@ -89,21 +89,21 @@
         ("127.0.0.1:8500", -30.0, -30.0, ""),
         ("127.0.0.1:8500", -3_600.0, -3_600.0, ""),
         ("127.0.0.1:8500", 3_601.0, 0.0, "3601 s old"),
-        ("127.0.0.1:8501", 1.0, 0.0, "it is of 127.0.0"),
+        ("127.0.0.1:8501", 1.0, 0.0, "it belongs to 127.0.0"),
     ],
 )
-def test_ages_and_services(service: str, after_s: float, age: float, reason: str) -> None:
-    now = ONE.taken_ms + after_s * 1000.0
+def test_validated_age_checks_age_and_service(service: str, after_s: float, age: float, reason: str) -> None:
+    now = SNAPSHOT.taken_ms + after_s * 1000.0
     if reason:
         with pytest.raises(SnapshotError, match=reason):
-            usable(ONE, service, now, RULE)
+            validated_age_s(SNAPSHOT, service, now, AGE_LIMITS)
     else:
-        assert usable(ONE, service, now, RULE) == age
+        assert validated_age_s(SNAPSHOT, service, now, AGE_LIMITS) == age
 
 
-def test_past_the_fresh_age_or_from_the_future_upstreams_count_as_just_started() -> None:
+def test_snapshot_not_fresh_or_from_future_upstreams_count_as_just_started() -> None:
     ages = (0.0, 60.0, 60.1, -0.9, -1.1, -30.0, -3_600.0)
-    assert [RULE.cold(age) for age in ages] == [False, False, True, False, True, True, True]
+    assert [AGE_LIMITS.is_cold(age) for age in ages] == [False, False, True, False, True, True, True]
     listing, times = read_listing(TABLE), StartTimes()
     times.presume_started(listing, 5_000.0)
     assert times.starts_of(listing.entries) == {"s0": 5_000.0, "s1": 5_000.0}
@@ -111,12 +111,14 @@
     assert times.starts_of(listing.entries) == {"s0": 0.0, "s1": 9_000_000.0}
 
 
-def kept(testbed: BalancerTestbed, path: Path, rule: SnapshotAgeLimits = RULE) -> SnapshotWriter:
-    """The node of a testbed keeps its list there."""
+def add_snapshot_writer(
+    testbed: BalancerTestbed, path: Path, age_limits: SnapshotAgeLimits = AGE_LIMITS
+) -> SnapshotWriter:
+    """Give the node of a testbed a snapshot writer for this path."""
     node = testbed.node
     node.snapshot_writer = SnapshotWriter(
         str(path),
-        rule,
+        age_limits,
         lambda: "the list",
         node.registry.table,
         node.watch.is_current,
@@ -127,46 +129,56 @@
     return node.snapshot_writer
 
 
-class Kept(BalancerTestbed):
-    """A testbed whose balancer keeps its list; discovery is silent at its start if so wanted."""
+class SnapshotTestbed(BalancerTestbed):
+    """A testbed whose balancer writes snapshots. service_silent: discovery does not answer at the start."""
 
     def __init__(
-        self, path: Path, rule: SnapshotAgeLimits = RULE, service_silent: bool = False, **settings: Any
+        self,
+        path: Path,
+        age_limits: SnapshotAgeLimits = AGE_LIMITS,
+        service_silent: bool = False,
+        **settings: Any,
     ) -> None:
         super().__init__(2, registryMode="subscribe", **settings)
-        self.path, self.rule, self.initial_list = path, rule, {"seq": 0, "whole": True, "hosts": []}
+        self.path, self.age_limits, self.initial_list = (
+            path,
+            age_limits,
+            {"seq": 0, "whole": True, "hosts": []},
+        )
         if service_silent:
             self.discovery.script = never_responds
 
-    async def start_balancer(self, heard: bool = True, listener: Any = None) -> None:
-        begin = keeping_node(self)
+    async def start_balancer(self, wait_for_list: bool = True, listener: Any = None) -> None:
+        restore_start_of_node = patch_node_start(self)
         try:
-            await super().start_balancer(heard and self.discovery.script is not never_responds, listener)
+            await super().start_balancer(
+                wait_for_list and self.discovery.script is not never_responds, listener
+            )
         finally:
-            begin()
+            restore_start_of_node()
 
 
-def keeping_node(testbed: Kept) -> Any:
-    """Nodes that are made from now on keep their list; the way back."""
+def patch_node_start(testbed: SnapshotTestbed) -> Any:
+    """Make all nodes write snapshots from now on; return a function that undoes this."""
     from quartzford import node as module
 
     start = module.Node.start
 
-    async def started(self: Any) -> None:
+    async def start_with_writer(self: Any) -> None:
         testbed.node = self
         if self.snapshot_writer is None:
-            kept(testbed, testbed.path, testbed.rule)
+            add_snapshot_writer(testbed, testbed.path, testbed.age_limits)
         await start(self)
 
-    module.Node.start = started  # type: ignore[method-assign]
+    module.Node.start = start_with_writer  # type: ignore[method-assign]
 
-    def back() -> None:
+    def restore_start() -> None:
         module.Node.start = start  # type: ignore[method-assign]
 
-    return back
+    return restore_start
 
 
-def test_a_list_is_kept_and_serves_the_next_start_while_the_service_is_silent(
+def test_snapshot_is_written_and_next_start_serves_from_it_without_list_service(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(writing, "WRITE_INTERVAL_S", 0.02)
@@ -174,16 +186,16 @@
 
     @async_test
     async def test() -> None:
-        first = Kept(path)
+        first = SnapshotTestbed(path)
         async with first:
             await wait_until(path.exists)
-        held = decode(path.read_bytes())
-        assert {row["host"] for row in held.table["hosts"]} == {"s0", "s1"}
-        second = Kept(path, service_silent=True)
-        # The next life's upstreams are where the first one's were.
+        stored = decode(path.read_bytes())
+        assert {row["host"] for row in stored.table["hosts"]} == {"s0", "s1"}
+        second = SnapshotTestbed(path, service_silent=True)
+        # The upstreams of the second start listen at the addresses of the first.
         for old, new in zip(first.upstreams, second.upstreams, strict=True):
             await new.start(old.port)
-            new.start = still  # type: ignore[method-assign]
+            new.start = already_started  # type: ignore[method-assign]
         async with second:
             assert second.node.ready() and not second.node.watch.ever_answered
             assert (await second.submit(request())).status == 200
@@ -191,36 +203,36 @@
     test()
 
 
-async def still(port: int = 0) -> None:
-    """It is up already."""
+async def already_started(port: int = 0) -> None:
+    """Replace Peer.start for a peer that is already started."""
 
 
 @pytest.mark.parametrize(
-    ("age_s", "rule"),
-    [(5.0, SnapshotAgeLimits(3_600.0, 0.0)), (-3_600.0, RULE)],
+    ("age_s", "age_limits"),
+    [(5.0, SnapshotAgeLimits(3_600.0, 0.0)), (-3_600.0, AGE_LIMITS)],
     ids=["old", "from the future"],
 )
-def test_a_list_of_doubtful_age_sends_little_until_the_service_has_spoken(
-    tmp_path: Path, age_s: float, rule: SnapshotAgeLimits
+def test_cold_snapshot_upstreams_are_in_slow_start_until_service_answers(
+    tmp_path: Path, age_s: float, age_limits: SnapshotAgeLimits
 ) -> None:
-    """Changes to the kept list are told; what its age made of the upstreams is forgotten with them."""
+    """The service answers with changes to the stored list, which also end the slow start of its upstreams."""
     path = tmp_path / "last"
 
     @async_test
     async def test() -> None:
-        testbed = Kept(path, rule, service_silent=True)
-        for up in testbed.upstreams:
-            await up.start()
-            up.start = still  # type: ignore[method-assign]
+        testbed = SnapshotTestbed(path, age_limits, service_silent=True)
+        for peer in testbed.upstreams:
+            await peer.start()
+            peer.start = already_started  # type: ignore[method-assign]
         table = testbed.endpoint_list(testbed.list_row(0), testbed.list_row(1))
         write_snapshot(str(path), Snapshot("the list", (time.time() - age_s) * 1000.0, table))
 
         async with testbed:
-            fleet = testbed.node.engine.balancer.endpoints
-            assert len(fleet.ready) == 2 and len(fleet.slow_start.cold) == 2
+            endpoints = testbed.node.engine.balancer.endpoints
+            assert len(endpoints.ready) == 2 and len(endpoints.slow_start.cold) == 2
             upstream = testbed.node.pool.upstreams["s0"]
 
-            async def speaks(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def send_changes(message: Message, writer: asyncio.StreamWriter) -> None:
                 assert "index=1" in message.line
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 testbed.watches.append(writer)
@@ -228,19 +240,19 @@
                     {"seq": 2, "whole": False, "hosts": [testbed.list_row(1, "draining")]}, writer
                 )
 
-            testbed.discovery.script = speaks
+            testbed.discovery.script = send_changes
             for writer in testbed.discovery.writers:
                 writer.transport.abort()
-            await wait_until(lambda: len(fleet.ready) == 1)
+            await wait_until(lambda: len(endpoints.ready) == 1)
             assert (await testbed.submit(request())).status == 200
-            assert not fleet.slow_start.cold and fleet.ready[0].entry.server == "s0"
+            assert not endpoints.slow_start.cold and endpoints.ready[0].entry.server == "s0"
             assert testbed.node.pool.upstreams["s0"] is upstream  # the same incarnation
 
     test()
 
 
 @pytest.mark.parametrize("how", ["no folder", "garbage", "a folder"])
-def test_a_disk_that_fails_costs_a_line_and_not_the_service(
+def test_disk_failure_balancer_logs_and_keeps_serving(
     how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(writing, "WRITE_INTERVAL_S", 0.02)
@@ -254,13 +266,13 @@
 
     @async_test
     async def test() -> None:
-        testbed = Kept(path)
+        testbed = SnapshotTestbed(path)
         async with testbed:
             assert (await testbed.submit(request())).status == 200
             writer = testbed.node.snapshot_writer
             assert writer is not None
-            await wait_until(lambda: writer.last_error or writer.written)
-            assert bool(writer.written) == (how == "garbage")
+            await wait_until(lambda: writer.last_error or writer.write_count)
+            assert bool(writer.write_count) == (how == "garbage")
 
     test()
     assert ("is not used" in capsys.readouterr().err) == (how == "garbage")
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -1,4 +1,4 @@
-"""The list of upstreams over loopback: changes, gaps, restarts, and a discovery that misbehaves."""
+"""The endpoint list over loopback: changes, gaps, restarts, and a discovery that misbehaves."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @async_test
-async def test_changes_drains_removals_and_complete_lists_are_followed() -> None:
+async def test_changes_drains_removals_and_complete_lists_are_applied() -> None:
     async with BalancerTestbed(3) as testbed:
         assert ready(testbed) == {"s0", "s1", "s2"}
         testbed.update(testbed.list_row(0, "draining"))
@@ -50,7 +50,7 @@
 
 
 @async_test
-async def test_a_drain_ends_idle_connections_and_lets_what_is_out_finish() -> None:
+async def test_drain_closes_idle_connections_and_in_flight_attempt_completes() -> None:
     async with BalancerTestbed(2) as testbed:
         gate = asyncio.Event()
 
@@ -59,18 +59,18 @@
             writer.write(reply(b"late"))
 
         testbed.upstreams[0].script = testbed.upstreams[1].script = wait
-        asking = asyncio.ensure_future(testbed.submit(request("pay", b"")))
+        submission = asyncio.ensure_future(testbed.submit(request("pay", b"")))
         await wait_until(lambda: testbed.upstreams[0].received or testbed.upstreams[1].received)
         busy = 0 if testbed.upstreams[0].received else 1
         testbed.update(testbed.list_row(busy, "draining"))
         await wait_until(lambda: len(ready(testbed)) == 1)
         gate.set()
-        assert (await asking).body == b"late"
+        assert (await submission).body == b"late"
         await wait_until(lambda: testbed.upstreams[busy].closed_connections == 1)
 
 
 @pytest.mark.parametrize("how", ["ends", "bad line", "not a host", "version back", "stalls"])
-def test_a_watch_that_goes_wrong_is_made_again(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_fails_and_is_renewed(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         if how == "stalls":
             monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.3)
@@ -99,7 +99,7 @@
 
 
 @async_test
-async def test_discovery_that_cannot_be_had_for_a_while() -> None:
+async def test_discovery_unavailable_balancer_serves_and_then_receives_new_list() -> None:
     async with BalancerTestbed(2) as testbed:
         port = testbed.discovery.port
         await testbed.discovery.stop()
@@ -111,9 +111,11 @@
 
 
 @async_test
-async def test_the_list_is_heard_before_a_client_is() -> None:
-    """A client that knew the process before comes as soon as the address listens. What its list said may be
-    long untrue: what the agent holds counts as told from the start, and sends to s0 would break its drain."""
+async def test_startup_listens_only_after_first_list() -> None:
+    """Guards against sends to a draining upstream after a restart. Clients of the former process connect as
+    soon as the address listens, when `known` may be outdated. The balancer counts as notified of everything
+    that the agent holds, so a send to s0 would violate its drain.
+    """
     testbed = BalancerTestbed(2)
     for peer in (*testbed.upstreams, testbed.discovery):
         await peer.start()
@@ -141,8 +143,8 @@
     await testbed.__aexit__()
 
 
-def test_sigterm_before_the_first_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It never listens, and ends without waiting for a list that may not come."""
+def test_sigterm_before_first_list_process_ends_without_listening(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The process ends without waiting for a list that may never arrive."""
     monkeypatch.setattr(node, "LISTED_S", 3_600.0)
 
     async def test() -> None:
@@ -153,7 +155,7 @@
         entering = asyncio.ensure_future(testbed.start_balancer(wait_for_list=False))
         await wait_until(lambda: testbed.discovery.received)
         testbed.node.terminate()
-        with pytest.raises(AssertionError):  # the helper's own: there is no server to ask
+        with pytest.raises(AssertionError):  # raised by enter(), because no listener exists
             await entering
         await testbed.node.finished
         assert testbed.node.front.listener is None and not testbed.node.watch.ever_answered
@@ -163,8 +165,8 @@
     uvloop.run(asyncio.wait_for(test(), 30))
 
 
-def test_a_listener_that_is_taken_over_is_served_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In its queue lie requests that count as taken: they don't wait for a discovery that says nothing."""
+def test_inherited_listener_is_served_before_first_list(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Requests in the queue of the listener count as accepted: they must not wait for a silent discovery."""
     monkeypatch.setattr(node, "LISTED_S", 3_600.0)
 
     async def test() -> None:
@@ -184,7 +186,7 @@
 
 
 @async_test
-async def test_a_discovery_that_says_nothing_holds_up_the_start_for_a_moment_only() -> None:
+async def test_silent_discovery_startup_listens_after_timeout() -> None:
     testbed = BalancerTestbed(2)
     for peer in (*testbed.upstreams, testbed.discovery):
         await peer.start()
@@ -197,23 +199,23 @@
 
 
 @pytest.mark.parametrize("polled", [False, True])
-def test_a_list_service_that_is_silent_then_slow_then_well(
+def test_startup_with_silent_then_slow_list_service_applies_list_and_serves_all(
     polled: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A start; known is old: its only upstream is gone. In the end the list holds, and nothing was lost."""
-    monkeypatch.setattr(call_policy, "ANSWER_S", 0.8)
+    """The only upstream of the outdated `known` is gone. The list is applied and no request is lost."""
+    monkeypatch.setattr(call_policy, "AGENT_FIRST_LINE_TIMEOUT_S", 0.8)
     monkeypatch.setattr(call_policy, "SHARED_FIRST_LINE_TIMEOUT_S", 0.9)
     monkeypatch.setattr(list_call, "LINE_TIMEOUT_S", 0.9)
 
     async def test() -> None:
-        testbed = asking() if polled else BalancerTestbed()
+        testbed = polled_testbed() if polled else BalancerTestbed()
         testbed.upstreams.append(Peer(responds_with(reply())))
         for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
         testbed.initial_list = testbed.endpoint_list(testbed.list_row(0))
         testbed.version, testbed.served_list = 4, testbed.endpoint_list(testbed.list_row(1))
 
-        async def moody(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def silent_then_slow(message: Message, writer: asyncio.StreamWriter) -> None:
             received = len(testbed.discovery.received)
             if received == 1:
                 return
@@ -221,7 +223,7 @@
                 await asyncio.sleep(0.2)
             await testbed._discover(message, writer)
 
-        testbed.discovery.script = moody
+        testbed.discovery.script = silent_then_slow
         await testbed.start_balancer()
         await wait_until(lambda: ready(testbed) == {"s1"})
         for _ in range(5):
@@ -235,7 +237,7 @@
 
 
 @async_test
-async def test_a_line_without_end_and_an_answer_that_is_no_list() -> None:
+async def test_endless_line_and_invalid_answers_watch_is_renewed() -> None:
     async with BalancerTestbed() as testbed:
         for script in (
             responds_with(reply(b"", "503 Down")),
@@ -255,14 +257,14 @@
         assert (await testbed.submit(request())).status == 200
 
 
-def asking(**settings: Any) -> BalancerTestbed:
-    """One service for the whole fleet."""
+def polled_testbed(**settings: Any) -> BalancerTestbed:
+    """Return a testbed in which one list service is polled by the whole fleet."""
     return BalancerTestbed(registryMode="subscribe", **settings)
 
 
 @async_test
-async def test_a_shared_list_service_is_called_at_once_by_a_small_fleet_and_again_after_an_end() -> None:
-    async with asking() as testbed:
+async def test_shared_list_service_small_fleet_calls_at_once_and_again_after_lost_watch() -> None:
+    async with polled_testbed() as testbed:
         watches = len(testbed.watches)
         assert watches == 1 and testbed.node.watch.counts["watched"] == 1
         testbed.watches[-1].transport.abort()
@@ -271,9 +273,9 @@
 
 
 @async_test
-async def test_a_call_that_was_accepted_is_waited_for_and_a_trickle_is_an_answer() -> None:
-    """An agent's silence of 1.5 s ends a call; a service that has a queue is let work."""
-    testbed = asking()
+async def test_shared_list_service_slow_answer_in_small_pieces_is_accepted() -> None:
+    """A call to an agent times out after 1.5 s without an answer; a service with a queue gets more time."""
+    testbed = polled_testbed()
     step = asyncio.Event()
 
     async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -301,7 +303,7 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "least", "most"),
+    ("field", "min_delay_s", "max_delay_s"),
     [
         ("Retry-After: 0.6", 0.6, 5.0),
         ("retry-after: 3600", 0.8, 5.0),
@@ -309,22 +311,27 @@
         ("", 0.0, 0.6),
     ],
 )
-def test_a_shared_list_service_says_when_to_come_back(field: str, least: float, most: float) -> None:
-    """An hour is more than a balancer may go without asking (here one second)."""
+def test_shared_list_service_retry_after_is_followed(
+    field: str, min_delay_s: float, max_delay_s: float
+) -> None:
+    """A Retry-After of an hour is capped by the longest poll interval (here one second)."""
 
     async def test() -> None:
-        testbed = asking(guarantees={**BalancerTestbed().settings["guarantees"], "askEveryMs": 1_000.0})
+        testbed = polled_testbed(
+            guarantees={**BalancerTestbed().settings["guarantees"], "askEveryMs": 1_000.0}
+        )
         received: list[float] = []
 
-        async def busy(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def reject_first(message: Message, writer: asyncio.StreamWriter) -> None:
             received.append(asyncio.get_running_loop().time())
             if len(received) > 1:
                 return await testbed._discover(message, writer)
             writer.write(reply(b"", "503 Busy", field + "\r\n" if field else ""))
 
-        testbed.discovery.script = busy
+        testbed.discovery.script = reject_first
         async with testbed:
-            assert least - 0.002 <= received[1] - received[0] <= most  # the loop's clock counts milliseconds
+            # The event loop's clock counts milliseconds.
+            assert min_delay_s - 0.002 <= received[1] - received[0] <= max_delay_s
 
     uvloop.run(test())
 
@@ -344,7 +351,7 @@
         b"[" * 100_000,
     ],
 )
-def test_a_malformed_list_is_a_value_error(text: bytes) -> None:
+def test_read_listing_malformed_list_raises_value_error(text: bytes) -> None:
     with pytest.raises(ValueError):
         read_listing(text)
 
@@ -353,7 +360,7 @@
     "change",
     [{"health": "odd"}, {"dial": "nowhere"}, {"dial": 5}, {"share": -1}, {"born_ms": "x"}, {"host": ""}],
 )
-def test_a_malformed_entry_is_a_value_error(change: dict[str, object]) -> None:
+def test_read_listing_malformed_row_raises_value_error(change: dict[str, object]) -> None:
     row = {
         "host": "s",
         "dial": "127.0.0.1:80",
@@ -370,8 +377,10 @@
 
 
 @async_test
-async def test_a_process_that_stood_still_reads_what_has_come_before_it_takes_a_watch_for_silent() -> None:
-    """The timer is found far too late: what came meanwhile is unread. Only once: silence goes on to count."""
+async def test_late_line_timer_extends_watch_once_to_read_received_data() -> None:
+    """Guards against ending a watch whose lines were received but not read while the process was stopped. The
+    timer then fires far too late. The extension is granted once; after that, the watch times out.
+    """
     async with BalancerTestbed(1) as testbed:
         watch, now = testbed.node.watch, testbed.node.clock.now
         call = watch.call
