--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -170,7 +170,7 @@
 
 
 @async_test
-async def test_an_unfinished_call_that_is_evicted_gets_an_error_answer() -> None:
+async def test_evicted_partial_operator_call_is_answered() -> None:
     async with Watched(1) as testbed:
         partial = [
             await connect_and_send(port_of(testbed), STATUS[:20]) for _ in range(operations.MAX_OPEN_CALLS)
