--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -665,7 +665,7 @@
 
     @async_test
     async def test() -> None:
-        async with extproc_site.Site(2, workers=1) as site:
+        async with extproc_site.ExtprocSite(2, workers=1) as site:
             monkeypatch.setattr(os, "unlink", fails)
             monkeypatch.setattr(os, "rmdir", fails)
             await site.front.stop()
