--- a/quartzford/fronts/client_connection.py
+++ b/quartzford/fronts/client_connection.py
@@ -35,11 +35,11 @@
 class Client(asyncio.Protocol):
     """One client connection.
 
-    exchange: the request that is being served. waiting: complete requests behind it. held: the exchange whose
-    response has been written, while the system has not taken it. closing: nothing that comes is acted on any
-    more. On the engine's clock, seconds: message_started, when the first byte of the last request came;
-    last_progress, when a byte was read or written last; paused_at, since when a body is not read for want of
-    memory, 0 if it is.
+    exchange: the request that is being served. pipelined_requests: complete requests behind it. held: the
+    exchange whose response has been written, while the system has not taken it. closing: nothing that comes
+    is acted on any more. On the engine's clock, seconds: message_started, when the first byte of the last
+    request came; last_progress, when a byte was read or written last; paused_at, since when a body is not
+    read for want of memory, 0 if it is.
     """
 
     __slots__ = (
@@ -47,7 +47,7 @@
         "transport",
         "reader",
         "exchange",
-        "waiting",
+        "pipelined_requests",
         "message_started",
         "last_progress",
         "write_blocked",
@@ -63,7 +63,7 @@
         self.front = front
         self.reader = RequestReader(self)
         self.exchange: Exchange | None = None
-        self.waiting: deque[PipelinedRequest] = deque()
+        self.pipelined_requests: deque[PipelinedRequest] = deque()
         self.message_started = front.now()
         self.last_progress = self.message_started
         self.write_blocked = False  # the client reads more slowly than its response comes
@@ -99,7 +99,7 @@
 
     def has_nothing_pending(self) -> bool:
         """No response is due here, and none is on its way out."""
-        if self.exchange is not None or self.waiting or self.held is not None:
+        if self.exchange is not None or self.pipelined_requests or self.held is not None:
             return False
         return not self.transport.is_closing() and not self.transport.get_write_buffer_size()
 
@@ -107,7 +107,7 @@
         """Nothing of a request has been read and nothing of a response is left: another process may go on."""
         return (
             self.idle()
-            and not self.waiting
+            and not self.pipelined_requests
             and not self.write_blocked
             and not self.error
             and not self.transport.is_closing()
@@ -145,7 +145,7 @@
             self.message_started = self.last_progress
             self.reader.begin_message()
         self.reader.feed(data)
-        if self.error and self.exchange is None and not self.waiting:
+        if self.error and self.exchange is None and not self.pipelined_requests:
             self.reject(self.error)
 
     def eof_received(self) -> None:
@@ -230,9 +230,9 @@
         request = None
         if not self.reader.is_health_check:
             request = new_request(self.reader, exchange, front.engine, front.now())
-        if self.exchange is not None or self.waiting:
-            self.waiting.append(PipelinedRequest(exchange, request))
-            if len(self.waiting) >= MAX_PIPELINED:
+        if self.exchange is not None or self.pipelined_requests:
+            self.pipelined_requests.append(PipelinedRequest(exchange, request))
+            if len(self.pipelined_requests) >= MAX_PIPELINED:
                 self.front.pause_reading(self)
         else:
             self._serve(exchange, request)
@@ -247,8 +247,8 @@
 
     def _serve_next(self) -> None:
         """Serve the first of the requests that wait; their time has run meanwhile."""
-        exchange, request = self.waiting.popleft()
-        if not self.waiting:
+        exchange, request = self.pipelined_requests.popleft()
+        if not self.pipelined_requests:
             self.front.resume_reading(self)
         if request is not None:
             left_s = max(0.0, exchange.deadline - self.last_progress)
@@ -257,9 +257,9 @@
 
     def _forget_waiting(self) -> None:
         """Pipelined requests that will not be served give their bytes back."""
-        for pipelined in self.waiting:
+        for pipelined in self.pipelined_requests:
             pipelined.exchange.release()
-        self.waiting.clear()
+        self.pipelined_requests.clear()
 
     # ---- responses
 
@@ -323,7 +323,7 @@
 
     def _more_was_read(self) -> bool:
         """Whether anything was read behind the request that is answered now: it gets an answer of its own."""
-        return bool(self.waiting) or self.in_message or bool(self.error)
+        return bool(self.pipelined_requests) or self.in_message or bool(self.error)
 
     def _answered(self, exchange: Exchange) -> None:
         """The last byte of a response has been written: go on with what follows on this connection."""
@@ -337,7 +337,7 @@
         if not exchange.keep_alive:
             self._forget_waiting()
             self._end_sending()
-        elif self.waiting:
+        elif self.pipelined_requests:
             self._serve_next()
         elif self.error:
             self.reject(self.error)
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -25,7 +25,7 @@
 )
 from quartzford.fronts.extproc.messages import HeaderNames, HeaderReader, ReplyWriter
 from quartzford.fronts.extproc.remote_request import Stream
-from quartzford.fronts.listener import Listener, bind_each, listen_patiently
+from quartzford.fronts.listener import Listener, bind_all_addresses, listen_with_retries
 from quartzford.protocols import http2
 
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
@@ -303,7 +303,7 @@
         """Serve on host:port (port 0: the kernel's choice), which other processes may share; the port."""
         host, _, port = address.rpartition(":")
         where = host.strip("[]"), int(port)
-        listening = await listen_patiently(lambda: bind_each(where, BACKLOG, shared=True))
+        listening = await listen_with_retries(lambda: bind_all_addresses(where, BACKLOG, shared=True))
         self.listener = Listener(listening, lambda: CallerConnection(self), self.clock, self.loop)
         self.listener.start()
         bound: int = listening[0].getsockname()[1]
--- a/quartzford/fronts/http_front.py
+++ b/quartzford/fronts/http_front.py
@@ -23,8 +23,8 @@
 
     clients: the longest unused first. draining: connections are closed behind their responses. rejecting: the
     process exits, nothing more is read as a request. listener: stays open while nothing is accepted, which
-    keeps its queue. transfer_to_successor: takes descriptors of idle connections. unread: clients whose bytes
-    are left with the system for now.
+    keeps its queue. transfer_to_successor: takes descriptors of idle connections. paused_clients: clients
+    whose bytes are left with the system for now.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.rejecting = False
         self.listener: Listener | None = None
         self.transfer_to_successor: Callable[[int], bool] | None = None
-        self.unread: dict[Client, None] = {}
+        self.paused_clients: dict[Client, None] = {}
 
     # ---- the listener
 
@@ -69,9 +69,9 @@
         """New connections are accepted."""
         return self.listener is not None and self.listener.accepting
 
-    def empty(self) -> bool:
+    def has_no_clients(self) -> bool:
         """No client is connected, and none has been accepted that is about to be."""
-        return not self.clients and (self.listener is None or not self.listener.opening)
+        return not self.clients and (self.listener is None or not self.listener.opening_count)
 
     def resume(self) -> None:
         """Accept connections again."""
@@ -122,7 +122,7 @@
     def client_closed(self, client: Client) -> None:
         """Count a connection in the bound no more."""
         self.clients.pop(client, None)
-        self.unread.pop(client, None)
+        self.paused_clients.pop(client, None)
 
     def _make_room(self, newcomer: Client) -> None:
         """End what nothing is lost with, else answer a partial request, else close the newcomer unread."""
@@ -151,27 +151,27 @@
     def pause_reading(self, client: Client) -> None:
         """Leave a client's bytes with the system for now; the loop does not report its end meanwhile."""
         client.transport.pause_reading()
-        if not self.unread:
+        if not self.paused_clients:
             self.clock.call_later(DISCONNECT_CHECK_INTERVAL_S, self._check_unread)
-        self.unread[client] = None
+        self.paused_clients[client] = None
 
     def resume_reading(self, client: Client) -> None:
         """Read a client's bytes again, if they were left."""
-        if client in self.unread:
-            del self.unread[client]
+        if client in self.paused_clients:
+            del self.paused_clients[client]
             client.transport.resume_reading()
 
     def _check_unread(self) -> None:
-        for client in list(self.unread):
+        for client in list(self.paused_clients):
             client.end_if_disconnected()
-        if self.unread:
+        if self.paused_clients:
             self.clock.call_later(DISCONNECT_CHECK_INTERVAL_S, self._check_unread)
 
     # ---- all connections
 
-    def waiting(self) -> int:
+    def pipelined_count(self) -> int:
         """Complete requests that wait behind others of their connections."""
-        return sum(len(client.waiting) for client in self.clients)
+        return sum(len(client.pipelined_requests) for client in self.clients)
 
     def close_idle(self) -> None:
         """Close the connections that nothing is lost with."""
--- a/quartzford/fronts/listener.py
+++ b/quartzford/fronts/listener.py
@@ -51,7 +51,7 @@
     return _listening(found[0], found[4], backlog, shared)
 
 
-def bind_each(address: Address, backlog: int, shared: bool = False) -> list[socket.socket]:
+def bind_all_addresses(address: Address, backlog: int, shared: bool = False) -> list[socket.socket]:
     """Listening sockets at all addresses that the name has, or an OSError and none; no name: any address."""
     host, port = address
     found = socket.getaddrinfo(host or None, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
@@ -82,7 +82,7 @@
     return sock
 
 
-async def listen_patiently(listen: Callable[[], Listening]) -> Listening:
+async def listen_with_retries(listen: Callable[[], Listening]) -> Listening:
     """What `listen` returns; while descriptors or memory are wanting it is tried again, for START_S."""
     until = time.monotonic() + START_S
     while True:
@@ -125,7 +125,7 @@
             sock.setblocking(False)
 
     @property
-    def opening(self) -> int:
+    def opening_count(self) -> int:
         """How many connections were accepted whose protocols have not been called yet."""
         return len(self._opening)
 
--- a/quartzford/fronts/operations.py
+++ b/quartzford/fronts/operations.py
@@ -10,7 +10,7 @@
 from typing import Protocol, cast
 
 from quartzford.engine import Clock, Handle
-from quartzford.fronts.listener import Listener, bind_each
+from quartzford.fronts.listener import Listener, bind_all_addresses
 from quartzford.protocols.lingering import LingeringClose
 from quartzford.protocols.onecall import OneCall, Reader, State, answer
 
@@ -27,7 +27,7 @@
     def ready(self) -> bool:
         """It can serve."""
 
-    def figures(self, prefix: str) -> str:
+    def metrics_page(self, prefix: str) -> str:
         """The page of figures."""
 
     def set_maintenance(self, name: str, out: bool) -> bool:
@@ -53,7 +53,7 @@
         ready = node.ready()
         return answer(200 if ready else 503, "ready\n" if ready else "not ready\n", call.method == "HEAD")
     if call.path == "/status/metrics":
-        return answer(200, node.figures(PREFIX), call.method == "HEAD")
+        return answer(200, node.metrics_page(PREFIX), call.method == "HEAD")
     name = call.body.decode("utf-8", "replace").strip()
     if not name:
         return answer(400, "the body names no upstream\n")
@@ -73,7 +73,7 @@
 
     def listen(self, address: tuple[str, int], loop: asyncio.AbstractEventLoop) -> None:
         """Take calls from now on; OSError where the address can't be had."""
-        self.listener = Listener(bind_each(address, BACKLOG), lambda: Caller(self), self.clock, loop)
+        self.listener = Listener(bind_all_addresses(address, BACKLOG), lambda: Caller(self), self.clock, loop)
         self.listener.start()
 
     def stop(self) -> None:
--- a/quartzford/graceful_shutdown.py
+++ b/quartzford/graceful_shutdown.py
@@ -53,7 +53,8 @@
         """Look again and again whether all clients are gone, or SIGKILL is near."""
         if self.front.draining:
             self.front.close_idle()
-        idle = self.front.empty() and not self.front.accepting  # after a failed handover, more may come
+        # After a failed handover, more clients may come.
+        idle = self.front.has_no_clients() and not self.front.accepting
         if idle or self._take_last_step():
             self.finish()
             return
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -241,11 +241,11 @@
             self.handover.publish_maintenance(name, out, balancer.in_maintenance)
         return True
 
-    def figures(self, prefix: str) -> str:
+    def metrics_page(self, prefix: str) -> str:
         """The page of metrics. prefix: of each metric's name."""
         balancer = self.engine.balancer
         gauges = (
-            ("in_flight", len(self.engine.pending_requests) + self.front.waiting()),
+            ("in_flight", len(self.engine.pending_requests) + self.front.pipelined_count()),
             ("upstreams_known", len(balancer.servers)),
             ("upstreams_excluded", balancer.endpoints.excluded_count()),
         )
--- a/quartzford/relay/server.py
+++ b/quartzford/relay/server.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 
 from quartzford.engine import Clock, Log
-from quartzford.fronts.listener import Listener, listen_patiently
+from quartzford.fronts.listener import Listener, listen_with_retries
 from quartzford.relay.catalog import Catalog
 from quartzford.relay.connection import HEARTBEAT_TICKS, ClientConnection
 from quartzford.relay.listening_socket import open_listening_socket
@@ -98,7 +98,7 @@
 
     async def listen(self, host: str, port: int) -> None:
         """Accept connections; port 0 is the kernel's choice. OSError where the address can't be had."""
-        listening = await listen_patiently(lambda: open_listening_socket(host, port))
+        listening = await listen_with_retries(lambda: open_listening_socket(host, port))
         self.address = listening.getsockname()[:2]
         self._listener = Listener([listening], lambda: ClientConnection(self), self.clock, self.loop)
         self._listener.start()
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -55,7 +55,7 @@
 
     def _disconnect(self, exchange: Exchange) -> None:
         client = exchange.client
-        self.was_paused = client in client.front.unread
+        self.was_paused = client in client.front.paused_clients
         assert self.client is not None
         self.disconnect(self.client)
         poll = select.poll()
@@ -91,7 +91,7 @@
             if where == "wait":
                 await wait_until(lambda: testbed.node.engine.pending_requests)
                 testbed.update(testbed.list_row(0), testbed.list_row(1), complete=True)
-            await wait_until(lambda: disconnect_at.heads > before and not testbed.node.front.unread)
+            await wait_until(lambda: disconnect_at.heads > before and not testbed.node.front.paused_clients)
             await wait_until(lambda: not testbed.node.engine.pending_requests)
             assert disconnect_at.heads == before + 1 and disconnect_at.was_paused == (where == "unread")
             assert forwarded_count(testbed) == before and testbed.node.engine.counts["client gone"] == 1
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -89,7 +89,7 @@
     async with BalancerTestbed() as testbed:
         testbed.node.budget.limit = 0
         sock = await connect_and_send(testbed.port, partial_request())
-        await wait_until(lambda: testbed.node.front.unread)
+        await wait_until(lambda: testbed.node.front.paused_clients)
         sock.send(b"b" * 5)  # is left in the kernel
         assert await read_status(sock) == 503
         await wait_until(lambda: not testbed.node.front.clients)
@@ -109,7 +109,7 @@
             writer.write(request() + follow[behind])
             await wait_until(lambda: testbed.upstreams[0].received and testbed.node.front.clients)
             (client,) = testbed.node.front.clients
-            await wait_until(lambda: len(client.waiting) == 4 or client.in_message or client.error)
+            await wait_until(lambda: len(client.pipelined_requests) == 4 or client.in_message or client.error)
             testbed.node.front.draining = True
             gate.set()
             answers = [await read_message(reader)]
--- a/tests/test_deadline_passed_on.py
+++ b/tests/test_deadline_passed_on.py
@@ -235,9 +235,9 @@
             up.script = waits
         reader, writer = await testbed.connect()
         writer.write(request("pay", b"") + request("pay", b"", time_left="50m"))
-        await wait_until(lambda: any(client.waiting for client in testbed.node.front.clients))
+        await wait_until(lambda: any(client.pipelined_requests for client in testbed.node.front.clients))
         (client,) = testbed.node.front.clients
-        late = client.waiting[0][0].deadline
+        late = client.pipelined_requests[0][0].deadline
         await wait_until(lambda: testbed.node.clock.now() > late)
         gate.set()
         assert (await read_message(reader)).status == 200
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -201,7 +201,7 @@
             else:
                 testbed.node.budget.limit = 0
                 sock.send(request("pay", b"") + request("pay", b"b" * 5000)[:-1000])
-            await wait_until(lambda: testbed.node.front.unread)
+            await wait_until(lambda: testbed.node.front.paused_clients)
             async with LoopLag() as lag:
                 DISCONNECTS[how](sock)
                 left = asyncio.get_running_loop().time()
@@ -211,7 +211,7 @@
             testbed.node.budget.limit = 1_000_000
             assert (await testbed.submit(request())).status == 200
             assert len(testbed.upstreams[0].received) == 2 and not testbed.node.engine.pending_requests
-            assert testbed.node.budget.used == 0 and not testbed.node.front.unread
+            assert testbed.node.budget.used == 0 and not testbed.node.front.paused_clients
 
     uvloop.run(test())
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -374,10 +374,10 @@
 
     listener = Listener([listening], Protocol, LoopClock(loop), loop)
     listener.start()
-    while not listener.opening:
+    while not listener.opening_count:
         await asyncio.sleep(0)
     listener.stop()
-    accepted = listener.opening + len(opened)
+    accepted = listener.opening_count + len(opened)
     await listener.opened()
     assert len(opened) == accepted < 3
     listener.start()
