--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -30,7 +30,7 @@
 from quartzford.decision.workingset import MIN_SERVERS_IN_USE, TARGET_SEND_INTERVAL_MS
 from quartzford.membership.call_policy import NOTIFY_BOUND_S, SHARED_FIRST_LINE_TIMEOUT_S, SMALL_FLEET_SIZE
 from quartzford.membership.line_splitter import MAX_LINE_BYTES
-from quartzford.node import LISTS_PER_S
+from quartzford.node import DEFAULT_LISTS_PER_S
 
 PAGE = Path("docs/CAPACITY.md")
 MEASUREMENTS = Path("docs/measurements")
@@ -45,7 +45,7 @@
 def program_bounds() -> ProgramBounds:
     """The bounds in this checkout's code."""
     return ProgramBounds(
-        calls_per_s=LISTS_PER_S,
+        calls_per_s=DEFAULT_LISTS_PER_S,
         spread_s=NOTIFY_BOUND_S - SHARED_FIRST_LINE_TIMEOUT_S,
         small_fleet=SMALL_FLEET_SIZE,
         line_bytes=MAX_LINE_BYTES,
--- a/quartzford/__main__.py
+++ b/quartzford/__main__.py
@@ -63,9 +63,9 @@
     interval = os.environ.get(METRICS_INTERVAL_VARIABLE)
     if not interval:
         return
-    from quartzford.metrics import MetricsReporter, interval_of
+    from quartzford.metrics import MetricsReporter, parse_interval_s
 
-    MetricsReporter(node, interval_of(interval))
+    MetricsReporter(node, parse_interval_s(interval))
 
 
 def run_command(arguments: list[str]) -> int:
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from quartzford.membership.snapshot_writer import SnapshotWriter, StoredList
 
-LISTS_PER_S = 50.0  # what a list service is taken to bear where no operator has said
+DEFAULT_LISTS_PER_S = 50.0  # what a list service is taken to bear where no operator has said
 
 
 class Follower(Protocol):
@@ -242,7 +242,7 @@
     clock: Clock,
     log: Log,
     subset: Subset | None = None,
-    lists_per_s: float = LISTS_PER_S,
+    lists_per_s: float = DEFAULT_LISTS_PER_S,
     relays: Sequence[Address] = (),
 ) -> ControlSide:
     """A control side, complete, that has not begun.
--- a/quartzford/graceful_shutdown.py
+++ b/quartzford/graceful_shutdown.py
@@ -45,7 +45,7 @@
         accept_until = min(self.started_at + ACCEPT_S, self._killed_at() - ANSWER_BEFORE_S)
         self.clock.call_later(max(0.0, accept_until - self.clock.now()), self._accept_last)
 
-    def exit_by(self) -> float:
+    def exit_deadline(self) -> float:
         """When the process has to have done everything."""
         return self._killed_at() - EXIT_BEFORE_S
 
--- a/quartzford/metrics.py
+++ b/quartzford/metrics.py
@@ -31,7 +31,7 @@
 GOOD_OUTCOMES = (io.Outcome.OK, io.Outcome.CANCELLED, io.Outcome.NOT_SENT)  # no fault of the upstream
 
 
-def interval_of(text: str) -> float:
+def parse_interval_s(text: str) -> float:
     """Seconds from one line to the next; ConfigError names the variable."""
     try:
         interval = float(text)
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from quartzford.backends.http_backend import HttpBackend
-from quartzford.control import LISTS_PER_S as LISTS_PER_S
+from quartzford.control import DEFAULT_LISTS_PER_S as DEFAULT_LISTS_PER_S
 from quartzford.control import assemble
 from quartzford.engine import BufferBudget, LoopClock, StderrLog
 from quartzford.fronts.http_front import HttpFront
@@ -28,7 +28,7 @@
     from quartzford.replaceable_node import ReplaceableNode
     from quartzford.replacement.handover import Handover
 
-LISTED_S = 1.0  # the address listens after so long even if no list has come
+FIRST_LIST_TIMEOUT_S = 1.0  # the address listens after so long even if no list has come
 BIND_TIMEOUT_S = 5.0  # the predecessor may still hold the address
 BIND_RETRY_S = 0.05
 
@@ -42,7 +42,7 @@
         loop: asyncio.AbstractEventLoop,
         subset: Subset | None = None,
         folder: str = "",
-        lists_per_s: float = LISTS_PER_S,
+        lists_per_s: float = DEFAULT_LISTS_PER_S,
         relays: Sequence[Address] = (),
     ) -> None:
         """folder: where this process and its successor find each other; "": they don't.
@@ -70,7 +70,7 @@
         self.replacement = self._make_replaceable(folder) if folder else None
         self._apply_limits(config)
         self.finished = loop.create_future()
-        self.list_due_at = clock.now() + LISTED_S  # requests wait no longer for the first list
+        self.list_due_at = clock.now() + FIRST_LIST_TIMEOUT_S  # requests wait no longer for the first list
         self._begun = False
         self._listening = False  # the address takes clients, of this process or of its predecessor
         self._listener: socket.socket | None = None  # the predecessor's
@@ -217,9 +217,9 @@
         else:
             self.handover.terminate()
 
-    def exit_by(self) -> float:
+    def exit_deadline(self) -> float:
         """When a process that shuts down has to have done everything, in seconds of its clock."""
-        return self.shutdown.exit_by()
+        return self.shutdown.exit_deadline()
 
     def _finish(self) -> None:
         self.control.stop()
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -117,7 +117,7 @@
             await self.extproc.front.stop()
         await self.node.finished
         if self.recorder is not None:
-            left_s = self.node.exit_by() - self.node.clock.now()
+            left_s = self.node.exit_deadline() - self.node.clock.now()
             self.recorder.close(max(MIN_TRACE_CLOSE_S, left_s))
 
     def reload(self) -> None:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -12,7 +12,7 @@
 from peers import BalancerTestbed, Message, never_responds, reply, request, responds_with, wait_until
 
 from bench import fleetlog
-from quartzford.metrics import MetricsReporter, interval_of
+from quartzford.metrics import MetricsReporter, parse_interval_s
 from quartzford.settings.configuration import ConfigError
 
 
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("text", ["", "x", "0", "0.01", "nan", "3601", "-1"])
 def test_a_span_that_can_t_be_is_refused_by_name(text: str) -> None:
     with pytest.raises(ConfigError, match="QUARTZFORD_COUNTS_S"):
-        interval_of(text)
+        parse_interval_s(text)
 
 
 def line(**changes: Any) -> str:
--- a/tests/test_sockets_list.py
+++ b/tests/test_sockets_list.py
@@ -145,7 +145,7 @@
 
 def test_sigterm_before_first_list_process_ends_without_listening(monkeypatch: pytest.MonkeyPatch) -> None:
     """The process ends without waiting for a list that may never arrive."""
-    monkeypatch.setattr(node, "LISTED_S", 3_600.0)
+    monkeypatch.setattr(node, "FIRST_LIST_TIMEOUT_S", 3_600.0)
 
     async def test() -> None:
         testbed = BalancerTestbed(2)
@@ -167,7 +167,7 @@
 
 def test_inherited_listener_is_served_before_first_list(monkeypatch: pytest.MonkeyPatch) -> None:
     """Requests in the queue of the listener count as accepted: they must not wait for a silent discovery."""
-    monkeypatch.setattr(node, "LISTED_S", 3_600.0)
+    monkeypatch.setattr(node, "FIRST_LIST_TIMEOUT_S", 3_600.0)
 
     async def test() -> None:
         testbed = BalancerTestbed(1)
@@ -193,7 +193,7 @@
     testbed.discovery.script = never_responds
     before = asyncio.get_running_loop().time()
     await testbed.start_balancer(wait_for_list=False)
-    assert asyncio.get_running_loop().time() - before > node.LISTED_S - 0.01
+    assert asyncio.get_running_loop().time() - before > node.FIRST_LIST_TIMEOUT_S - 0.01
     assert (await testbed.submit(request())).status == 200
     await testbed.__aexit__()
 
