--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -126,7 +126,10 @@
         self.budget.limit = limits.buffered_bytes
         self.front.max_clients = limits.client_connections
         self.pool.configure(
-            limits.upstream_connections, config.idle_ms, config.connect_ms, config.report_names
+            limits.upstream_connections,
+            config.idle_timeout_ms,
+            config.connect_timeout_ms,
+            config.report_names,
         )
 
     def reconfigure(self, config: Config) -> None:
--- a/quartzford/relay/relay.py
+++ b/quartzford/relay/relay.py
@@ -31,7 +31,7 @@
             lambda: self.watch.last_line_at,
             self.watch.is_current,
             settings.list_bytes_per_s,
-            settings.watchers(),
+            settings.max_watchers(),
             clock,
             log,
             loop,
--- a/quartzford/settings/configuration.py
+++ b/quartzford/settings/configuration.py
@@ -37,8 +37,8 @@
     known: dict[str, Any]  # the endpoint list to start from
     admin: tuple[str, int] | None  # where operators call, if anywhere
     settings: io.Settings
-    idle_ms: float
-    connect_ms: float
+    idle_timeout_ms: float
+    connect_timeout_ms: float
     report_names: tuple[str, ...]  # the load report's fields as the settings name them
 
 
@@ -82,8 +82,8 @@
         known=_require(table, "known", dict),
         admin=_read_address(table, "admin_addr") if table.get("admin_addr") else None,
         settings=settings,
-        idle_ms=_require_positive(raw_settings, "limits.connIdleMs"),
-        connect_ms=_require_positive(raw_settings, "limits.connectTimeoutMs"),
+        idle_timeout_ms=_require_positive(raw_settings, "limits.connIdleMs"),
+        connect_timeout_ms=_require_positive(raw_settings, "limits.connectTimeoutMs"),
         report_names=settings.report_fields,
     )
 
--- a/quartzford/settings/operator_settings.py
+++ b/quartzford/settings/operator_settings.py
@@ -72,7 +72,7 @@
     most_watchers: int = 0  # open watches; 0: derived from the fleet and the relays
     source_calls_per_s: float = 50.0  # that the source answers
 
-    def watchers(self) -> int:
+    def max_watchers(self) -> int:
         """The bound on open watches: with headroom, the share of the fleet while some relays are gone."""
         relays_left = max(1, self.relays - math.ceil(self.relays / RELAYS_PER_FAILURE))
         return self.most_watchers or math.ceil(WATCHER_HEADROOM * self.balancers / relays_left)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -481,7 +481,7 @@
     await balancer.processes[-1].wait()
     await balancer.start()
     await balancer.yes()
-    assert (await balancer.figures())["edge.upstreams_excluded"] == 1
+    assert (await balancer.metrics())["edge.upstreams_excluded"] == 1
 
 
 @pytest.mark.parametrize("name", ["open", "chmod", "replace"])
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -324,8 +324,8 @@
 def test_a_relays_section_and_the_relays_that_balancers_call() -> None:
     settings = read_operator_settings(RELAY + "relays = 11").relay
     assert settings == RelaySettings("127.0.0.1:9301", "127.0.0.1:8500", 4_600, 11)
-    assert settings.watchers() == 719  # 1.25 * 4,600 over the eight that are left of eleven
-    assert read_operator_settings(RELAY + "relays = 11\nmost_watchers = 419").relay.watchers() == 419  # type: ignore[union-attr]
+    assert settings.max_watchers() == 719  # 1.25 * 4,600 over the eight that are left of eleven
+    assert read_operator_settings(RELAY + "relays = 11\nmost_watchers = 419").relay.max_watchers() == 419  # type: ignore[union-attr]
     named = read_operator_settings('[lists]\nrelays = ["127.0.0.1:9301", "h:2"]')
     assert named.lists is not None and named.lists.relays == ("127.0.0.1:9301", "h:2")
     assert first_restart_only_change(named, read_operator_settings('[lists]\nrelays = ["h:2"]')) == "lists"
--- a/tests/test_frozen_replacement.py
+++ b/tests/test_frozen_replacement.py
@@ -105,7 +105,7 @@
             await balancer.replace()
             assert runs_from(balancer.processes[-1], root)
             await clients.wait_until_served(5)
-            assert (await balancer.figures())["edge.upstreams_excluded"] == 1
+            assert (await balancer.metrics())["edge.upstreams_excluded"] == 1
         await clients.stop()
         received = [
             message.fields.get("x-service-class")
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -284,13 +284,13 @@
             await asyncio.sleep(0.01)
         raise AssertionError("it was never ready")
 
-    async def figures(self, at: int = -1) -> dict[str, int]:
+    async def metrics(self, at: int = -1) -> dict[str, int]:
         body = (await self.call("GET /status/metrics", at=at)).body.decode()
         return {name: int(value) for name, _, value in (li.partition("=") for li in body.splitlines())}
 
     async def until_figure(self, name: str, wanted: int, at: int = -1) -> None:
         for _ in range(1000):
-            if (await self.figures(at))[f"edge.{name}"] == wanted:
+            if (await self.metrics(at))[f"edge.{name}"] == wanted:
                 return
             await asyncio.sleep(0.01)
         raise AssertionError(f"{name} was never {wanted}")
@@ -383,7 +383,7 @@
     stop.set()
     await asyncio.gather(*clients)
     assert (await resting.submit()).status == 200
-    assert (await balancer.figures())["edge.upstreams_excluded"] == 1
+    assert (await balancer.metrics())["edge.upstreams_excluded"] == 1
     received = len(balancer.testbed.upstreams[0].received)
     assert (await balancer.submit()).status == 200 and len(balancer.testbed.upstreams[0].received) == received
     assert (await balancer.call("PUT /maintenance/exit", "s0")).status == 200
@@ -417,7 +417,7 @@
     assert (await pending).body == b"late" and (await read_message(half.reader)).body == b"late"
     assert await asyncio.wait_for(old.wait(), 20) == 0
     assert (await kept.submit()).status == (await half.submit()).status == 200
-    assert (await balancer.figures())["edge.served.read"] == 2
+    assert (await balancer.metrics())["edge.served.read"] == 2
 
 
 @with_replaced_balancer
@@ -502,14 +502,14 @@
                 await balancer.processes[0].wait()
             await balancer.start()
             await balancer.yes()
-            assert (await balancer.figures())["edge.upstreams_excluded"] == 1
+            assert (await balancer.metrics())["edge.upstreams_excluded"] == 1
             if how == "hangs":  # half of the new connections wait in its queue until it is gone
                 balancer.processes[0].send_signal(signal.SIGKILL)
                 await balancer.processes[0].wait()
             assert (await balancer.submit()).status == 200
             balancer.processes[0:1] = []
             await balancer.replace()
-            assert (await balancer.figures())["edge.upstreams_excluded"] == 1
+            assert (await balancer.metrics())["edge.upstreams_excluded"] == 1
 
     uvloop.run(asyncio.wait_for(test(), 60))
 
@@ -582,10 +582,10 @@
     await balancer.start()
     await balancer.yes()
     moved = await balancer.connect()
-    assert (await moved.submit()).status == 200 and (await balancer.figures())["edge.served.read"] == 1
+    assert (await moved.submit()).status == 200 and (await balancer.metrics())["edge.served.read"] == 1
     for _ in range(1000):  # the resting one has gone over: the new process answers it
         assert (await resting.submit()).status == 200
-        if (await balancer.figures())["edge.served.read"] > 1:
+        if (await balancer.metrics())["edge.served.read"] > 1:
             break
     balancer.processes[0].kill()
     await balancer.processes[0].wait()
