--- a/quartzford/fronts/__init__.py
+++ b/quartzford/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Sources of requests: HTTP clients, operators, and calling proxies (extproc)."""
+"""Fronts accept requests from HTTP clients, operators, and calling proxies (external processor)."""
--- a/quartzford/fronts/client_connection.py
+++ b/quartzford/fronts/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: one request at a time is answered on it, later ones wait their turn."""
+"""A client's connection: serves one request at a time; pipelined requests wait until it is answered."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from quartzford.fronts.exchange import Exchange, PausableAttempt
 from quartzford.fronts.request_intake import new_exchange, new_request
 from quartzford.fronts.request_reader import SERVICE_CLASS, RequestReader
-from quartzford.fronts.response_writer import begin_streamed_response, body_piece, complete_response
+from quartzford.fronts.response_writer import begin_streamed_response, complete_response, encode_body_part
 from quartzford.protocols.lingering import LingeringClose
 
-MAX_PIPELINED = 16
+MAX_PIPELINED_REQUESTS = 16
 WRITE_HIGH_WATER_BYTES = 16 * 1024
 HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER, enabled with 0 s: close() sends a reset
 
 
 class PipelinedRequest(NamedTuple):
-    """A complete request that waits behind another one; request: None for a health check."""
+    """A complete request that waits for the response to an earlier one. request: None for a health check."""
 
     exchange: Exchange
     request: io.Request | None
@@ -35,11 +35,13 @@
 class Client(asyncio.Protocol):
     """One client connection.
 
-    exchange: the request that is being served. pipelined_requests: complete requests behind it. held: the
-    exchange whose response has been written, while the system has not taken it. closing: nothing that comes
-    is acted on any more. On the engine's clock, seconds: message_started, when the first byte of the last
-    request came; last_progress, when a byte was read or written last; paused_at, since when a body is not
-    read for want of memory, 0 if it is.
+    exchange: the request that is being served. pipelined_requests: complete requests that wait for its
+    response. unflushed_exchange: the last exchange, while the kernel has not yet accepted all of its written
+    response. closing: received bytes are discarded.
+
+    Times in seconds on the engine's clock: message_started, when the first byte of the last request was
+    received; last_progress, when a byte was last read or written; paused_at, since when reading of a body has
+    been paused for lack of memory, 0 if it is not paused.
     """
 
     __slots__ = (
@@ -52,7 +54,7 @@
         "last_progress",
         "write_blocked",
         "unsent_bytes",
-        "held",
+        "unflushed_exchange",
         "closing",
         "lingering",
         "paused_at",
@@ -66,9 +68,9 @@
         self.pipelined_requests: deque[PipelinedRequest] = deque()
         self.message_started = front.now()
         self.last_progress = self.message_started
-        self.write_blocked = False  # the client reads more slowly than its response comes
+        self.write_blocked = False  # the client reads more slowly than its response arrives
         self.unsent_bytes = 0
-        self.held: Exchange | None = None
+        self.unflushed_exchange: Exchange | None = None
         self.closing = False
         self.lingering: LingeringClose | None = None
         self.paused_at = 0.0
@@ -77,34 +79,39 @@
 
     @property
     def in_message(self) -> bool:
-        """A request has begun that is not complete."""
+        """Whether a part of a request has been received, but not all of it."""
         return self.reader.in_message
 
     @property
     def error(self) -> int:
-        """The status that answers what was read and is no request; 0 if there is none."""
+        """Return the status code for invalid input on this connection, 0 if all input was valid."""
         return self.reader.error
 
     def idle(self) -> bool:
-        """No request is being read or served, and the last response has been taken."""
-        return self.exchange is None and not self.in_message and not self.closing and self.held is None
+        """Return whether no request is being read or served and the kernel has accepted the last response."""
+        return (
+            self.exchange is None
+            and not self.in_message
+            and not self.closing
+            and self.unflushed_exchange is None
+        )
 
-    def lingers(self) -> bool:
-        """The last response has been written."""
+    def is_lingering(self) -> bool:
+        """Return whether the last response of the connection was written and its lingering close began."""
         return self.lingering is not None
 
     def has_partial_request(self) -> bool:
-        """A part of a request has been read, and not answered."""
+        """Return whether a part of a request has been read and no response to it is written or due."""
         return self.in_message and self.exchange is None and not self.closing
 
     def has_nothing_pending(self) -> bool:
-        """No response is due here, and none is on its way out."""
-        if self.exchange is not None or self.pipelined_requests or self.held is not None:
+        """Return whether the connection is open and no response is due or still in its write buffer."""
+        if self.exchange is not None or self.pipelined_requests or self.unflushed_exchange is not None:
             return False
         return not self.transport.is_closing() and not self.transport.get_write_buffer_size()
 
     def is_transferable(self) -> bool:
-        """Nothing of a request has been read and nothing of a response is left: another process may go on."""
+        """Return whether another process can take over: no request or response is in progress."""
         return (
             self.idle()
             and not self.pipelined_requests
@@ -115,7 +122,7 @@
         )
 
     def connected(self) -> bool:
-        """Whether neither a FIN nor a reset has come, also one behind bytes that were not read yet."""
+        """Return whether no FIN or reset has arrived, not even one behind bytes that were not read yet."""
         if self.transport.is_closing():
             return False
         poll = select.poll()
@@ -129,13 +136,13 @@
     # ---- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Register the connection with the front."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         self.front.client_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read on in the request."""
+        """Parse received bytes; reject the input if it is invalid and no earlier response is due."""
         if self.closing:
             if self.lingering is not None:
                 self.lingering.received(len(data))
@@ -149,20 +156,20 @@
             self.reject(self.error)
 
     def eof_received(self) -> None:
-        """The client has ended its side, which withdraws its requests."""
+        """Cancel the client's requests: it has half-closed the connection."""
         self._disconnected()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended, on either side."""
+        """Release everything: the connection was closed by either side."""
         self.front.client_closed(self)
         self._disconnected()
         self.reader.release()
         self.closing = True
         self.write_blocked = False
-        self._release_held()
+        self._release_unflushed()
 
     def _disconnected(self) -> None:
-        self._forget_waiting()
+        self._release_pipelined()
         self._drop_body()
         exchange = self.exchange
         self.exchange = None
@@ -170,7 +177,7 @@
             self.front.engine.client_disconnected(exchange)
 
     def pause_writing(self) -> None:
-        """The client reads more slowly than its response comes: the upstream is read no faster."""
+        """Pause reading from the upstream: the client reads more slowly than its response arrives."""
         self.write_blocked = True
         self.last_progress = self.front.now()
         attempt = self._streaming_attempt()
@@ -178,9 +185,9 @@
             attempt.pause()
 
     def resume_writing(self) -> None:
-        """The client has caught up."""
+        """Resume reading from the upstream: the client has read enough of the response."""
         self.write_blocked = False
-        self._release_held()
+        self._release_unflushed()
         attempt = self._streaming_attempt()
         if attempt is not None:
             attempt.resume()
@@ -188,34 +195,34 @@
     def _streaming_attempt(self) -> PausableAttempt | None:
         return self.exchange.streaming_attempt() if self.exchange is not None else None
 
-    # ---- requests, as they are read
+    # ---- RequestSink: events of the request reader
 
     def head_expects_continue(self) -> None:
-        """Have the body sent, unless another response comes first."""
+        """Ask for the body with a 100 response, unless an earlier request is still due its response."""
         if self.exchange is None:
             self.transport.write(responses.CONTINUE)
 
     def upgrade_requested(self) -> None:
-        """Answer the plain request that it also is, as the last one of the connection."""
+        """Ignore the upgrade: answer the request as a plain one, and close the connection after it."""
         if self.exchange is None:
             self.reader.fail(responses.BAD_REQUEST)
         else:
             self.exchange.keep_alive = False
 
     def body_received(self, size: int) -> None:
-        """Charge a piece of a body; read no more where memory is short."""
+        """Charge a part of a body to the budget; pause reading if the budget is exhausted."""
         self.front.budget.used += size
         if self.front.budget.is_exhausted():
             self.paused_at = self.paused_at or self.front.now()
             self.front.pause_reading(self)
 
     def resume_body(self) -> None:
-        """Read a body again: there is memory for it."""
+        """Resume reading a body: the budget has memory for it."""
         self.paused_at = 0.0
         self.front.resume_reading(self)
 
-    def body_refused(self) -> None:
-        """Give back what is held of a body that is too long."""
+    def body_too_large(self) -> None:
+        """Release the buffered part of a body that exceeds the maximum size."""
         self._drop_body()
 
     def _drop_body(self) -> None:
@@ -223,7 +230,7 @@
         self.paused_at = 0.0
 
     def request_completed(self) -> None:
-        """Serve the request, or let it wait for its turn."""
+        """Serve the request, or queue it if an earlier request on this connection is not answered."""
         front = self.front
         exchange = new_exchange(self.reader, self, front.backend, front.budget)
         self.paused_at = 0.0
@@ -232,7 +239,7 @@
             request = new_request(self.reader, exchange, front.engine, front.now())
         if self.exchange is not None or self.pipelined_requests:
             self.pipelined_requests.append(PipelinedRequest(exchange, request))
-            if len(self.pipelined_requests) >= MAX_PIPELINED:
+            if len(self.pipelined_requests) >= MAX_PIPELINED_REQUESTS:
                 self.front.pause_reading(self)
         else:
             self._serve(exchange, request)
@@ -246,7 +253,7 @@
         self.front.engine.request_arrived(exchange, request, exchange.charged)
 
     def _serve_next(self) -> None:
-        """Serve the first of the requests that wait; their time has run meanwhile."""
+        """Serve the next pipelined request, with the time that is left until its deadline."""
         exchange, request = self.pipelined_requests.popleft()
         if not self.pipelined_requests:
             self.front.resume_reading(self)
@@ -255,8 +262,8 @@
             request = request._replace(budget_ms=left_s * 1000.0)
         self._serve(exchange, request)
 
-    def _forget_waiting(self) -> None:
-        """Pipelined requests that will not be served give their bytes back."""
+    def _release_pipelined(self) -> None:
+        """Release the buffered bytes of pipelined requests that will not be served."""
         for pipelined in self.pipelined_requests:
             pipelined.exchange.release()
         self.pipelined_requests.clear()
@@ -271,120 +278,123 @@
         fields: list[bytes] | None = None,
         chunks: list[bytes] | None = None,
     ) -> None:
-        """Write a complete response; pause_ms: of its Retry-After, none if 0."""
+        """Write a complete response. pause_ms: value of its Retry-After field, 0 for no field."""
         if self.exchange is not exchange:
             return exchange.release()
         exchange.body = b""
         self._decide_keep_alive(exchange)
         self.transport.write(complete_response(exchange, status, pause_ms, fields or [], chunks or []))
-        self._answered(exchange)
+        self._response_written(exchange)
 
     def begin(self, exchange: Exchange, fields: list[bytes], length: int | None) -> None:
-        """Write the head of a streamed response; length: of its body in bytes, None where not stated."""
+        """Write the head of a streamed response. length: bytes of its body, None if not stated."""
         exchange.body = b""
         self._decide_keep_alive(exchange)
         head = begin_streamed_response(exchange, fields, length)
-        # Also where the head of the next request has begun, whose framing this then stands for.
+        # Overwrites the flag even if the head of the next request has been partly read: the value then counts
+        # as that request's framing.
         self.reader.chunked = exchange.chunked_response
         self.transport.write(head)
 
     def write(self, data: bytes) -> None:
-        """Write a piece of a streamed response's body."""
+        """Write a part of the body of a streamed response."""
         exchange = self.exchange
         if exchange is None or not data:
             return
         self.last_progress = self.front.now()
-        self.transport.write(body_piece(exchange, data))
+        self.transport.write(encode_body_part(exchange, data))
 
     def end(self, exchange: Exchange, complete: bool) -> None:
-        """End a streamed response; one that is incomplete ends so that the client can tell."""
+        """End a streamed response; if it is incomplete, close so that the client can detect that."""
         if self.exchange is not exchange:
             return exchange.release()
         if not complete:
-            if exchange.response_ends_with_close:  # a close would look like its end: a reset does not
+            if (
+                exchange.response_ends_with_close
+            ):  # an orderly close would mark a complete body, a reset does not
                 sock = self.transport.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             return self.transport.abort()
         if exchange.chunked_response:
             self.transport.write(responses.LAST_CHUNK)
-        self._answered(exchange)
+        self._response_written(exchange)
 
     def reject(self, status: int) -> None:
-        """Answer what is no request, and close: nothing is forwarded."""
+        """Answer with an error status and close; the input is not forwarded."""
         if self.closing or self.transport.is_closing():
             return
         self._drop_body()
         self.front.engine.request_counters.count_rejection(status, self.reader.value(SERVICE_CLASS))
         self.transport.write(responses.rejection(status))
-        self._end_sending()
+        self._begin_lingering_close()
 
     def _decide_keep_alive(self, exchange: Exchange) -> None:
-        exchange.keep_alive = exchange.keep_alive and (self._more_was_read() or not self.front.draining)
+        exchange.keep_alive = exchange.keep_alive and (self._has_more_input() or not self.front.draining)
 
-    def _more_was_read(self) -> bool:
-        """Whether anything was read behind the request that is answered now: it gets an answer of its own."""
+    def _has_more_input(self) -> bool:
+        """Return whether input after the current request was read; that input gets a response of its own."""
         return bool(self.pipelined_requests) or self.in_message or bool(self.error)
 
-    def _answered(self, exchange: Exchange) -> None:
-        """The last byte of a response has been written: go on with what follows on this connection."""
+    def _response_written(self, exchange: Exchange) -> None:
+        """Continue after a response was written: with pipelined input, a close or a handover."""
         self.exchange = None
         self.last_progress = self.front.now()
-        self._release_held()
+        self._release_unflushed()
         if self.write_blocked:
-            self.held = exchange
+            self.unflushed_exchange = exchange
         else:
             exchange.release()
         if not exchange.keep_alive:
-            self._forget_waiting()
-            self._end_sending()
+            self._release_pipelined()
+            self._begin_lingering_close()
         elif self.pipelined_requests:
             self._serve_next()
         elif self.error:
             self.reject(self.error)
         elif self.front.transfer_to_successor is not None:
-            self.front.clock.call_soon(self.front.offer, self)  # once the response is written
+            self.front.clock.call_soon(self.front.offer, self)  # after the response is flushed
 
-    def _release_held(self) -> None:
-        if self.held is not None:
-            self.held.release()
-            self.held = None
+    def _release_unflushed(self) -> None:
+        if self.unflushed_exchange is not None:
+            self.unflushed_exchange.release()
+            self.unflushed_exchange = None
 
-    def _end_sending(self) -> None:
-        """Close this side once what is written has gone, and read on for a moment."""
+    def _begin_lingering_close(self) -> None:
+        """Half-close once the written bytes are sent, and read on for a limited time (lingering close)."""
         if self.transport.is_closing():
             return
         self.closing = True
         self.front.resume_reading(self)
         self.lingering = LingeringClose(self.transport, self.front.now())
 
-    # ---- the end, by the front
+    # ---- closing, by the front
 
     def end_if_disconnected(self) -> None:
-        """End what a client that is not read has left behind."""
+        """Cancel the requests of a client that has disconnected while reading from it was paused."""
         if not self.connected():
             self._disconnected()
             self.transport.abort()
 
     def hand_over(self, successor: Callable[[int], bool]) -> None:
-        """Give the connection to another process, which takes the descriptor or refuses it."""
+        """Transfer the connection to a successor process, which may reject the descriptor."""
         self.transport.pause_reading()
         if successor(self._descriptor()):
             self.closing = True
-            self.transport.abort()  # this process's end only: the connection goes on
+            self.transport.abort()  # closes only this process's descriptor: the connection stays open
         else:
             self.transport.resume_reading()
 
     def close_if_idle(self) -> None:
-        """Close the connection if nothing is lost with it."""
+        """Close the connection if no request or response is lost by that."""
         if self.idle():
             self.closing = True
             self.transport.close()
 
     def reject_unfinished(self) -> None:
-        """Answer a request that is not complete; read no other one."""
+        """Answer a partly received request with 503, and read no further requests."""
         if self.closing or self.exchange is not None:
             return
         if self.in_message:
             self.reject(responses.UNAVAILABLE)
         else:
-            self._end_sending()
+            self._begin_lingering_close()
--- a/quartzford/fronts/client_owner.py
+++ b/quartzford/fronts/client_owner.py
@@ -1,4 +1,4 @@
-"""What a client connection needs of the front that accepted it."""
+"""The interface of a front that its client connections use."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ClientOwner(Protocol[ClientT]):
-    """The front, as its client connections see it. See HttpFront."""
+    """The front that owns client connections. HttpFront implements it and describes the attributes."""
 
     engine: Engine
     backend: Backend
@@ -23,19 +23,19 @@
     transfer_to_successor: Callable[[int], bool] | None
 
     def client_opened(self, client: ClientT) -> None:
-        """The connection has a transport."""
+        """Register a connection; its transport is open."""
 
     def client_used(self, client: ClientT) -> None:
-        """A request on the connection is being served."""
+        """Record that a request on the connection is now being served."""
 
     def client_closed(self, client: ClientT) -> None:
-        """The connection has ended."""
+        """Unregister a closed connection."""
 
     def pause_reading(self, client: ClientT) -> None:
-        """Leave the client's bytes with the system for now."""
+        """Stop reading from the client; its bytes stay in the kernel's buffer."""
 
     def resume_reading(self, client: ClientT) -> None:
-        """Read them again."""
+        """Resume reading from the client."""
 
     def offer(self, client: ClientT) -> None:
-        """Hand the connection over to a successor, if that can be."""
+        """Hand the connection over to the successor if there is one and the connection is transferable."""
--- a/quartzford/fronts/client_timeouts.py
+++ b/quartzford/fronts/client_timeouts.py
@@ -1,4 +1,4 @@
-"""How long a client connection may be silent, send a request or take a response."""
+"""Time limits for client connections: idle, sending a request, reading a response."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from quartzford.fronts.client_connection import Client
 from quartzford.fronts.responses import REQUEST_TIMEOUT, UNAVAILABLE
 
-IDLE_TIMEOUT_S = 2.25  # a silent client, also one that has never sent, gives its descriptor back after this
-HEAD_TIMEOUT_S = 2.0  # a client that stops within a request gets its error within 3 s
-BODY_STALL_S = 2.0  # without a byte of a body
-REQUEST_TIMEOUT_S = 5.0  # for a complete request, however slowly its bytes drip in
-WRITE_STALL_S = 20.0  # without a byte of a response that the client has taken
-MAX_PAUSE_S = 1.0  # in reading a body, for want of memory
+IDLE_TIMEOUT_S = 2.25  # without a request; also applies to a client that has never sent any byte
+HEAD_TIMEOUT_S = 2.0  # for a complete head; a client that stops within a request gets its error within 3 s
+BODY_STALL_S = 2.0  # without receiving a byte of a body
+REQUEST_TIMEOUT_S = 5.0  # for a complete request, even if its bytes keep arriving slowly
+WRITE_STALL_S = 20.0  # without the client reading a byte of its response
+MAX_BODY_PAUSE_S = 1.0  # of reading a body, for lack of memory
 
 
 def check_timeouts(client: Client, budget: BufferBudget, now: float) -> None:
-    """End what has taken too long; now: on the engine's clock, seconds."""
+    """Close or reject a connection that has exceeded a limit. now: in seconds, on the engine's clock."""
     unsent_bytes = client.transport.get_write_buffer_size()
     if client.lingering is not None and client.lingering.expired(now):
         client.transport.abort()
@@ -46,5 +46,5 @@
         client.reject(REQUEST_TIMEOUT)
     elif client.paused_at and not budget.is_exhausted():
         client.resume_body()
-    elif client.paused_at and now - client.paused_at > MAX_PAUSE_S:
+    elif client.paused_at and now - client.paused_at > MAX_BODY_PAUSE_S:
         client.reject(UNAVAILABLE)
--- a/quartzford/fronts/exchange.py
+++ b/quartzford/fronts/exchange.py
@@ -1,4 +1,4 @@
-"""A client's request, from its last byte to its final response: the pending request of the engine."""
+"""The HTTP front's pending request: a client's request from its last byte to its final response."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class ResponseChannel(Protocol):
-    """The client connection that an exchange is answered on."""
+    """The client connection that the response of an exchange is written to."""
 
-    write_blocked: bool  # the client reads more slowly than its response comes
+    write_blocked: bool  # the client reads more slowly than its response arrives
 
     def answer(
         self,
@@ -28,38 +28,39 @@
         fields: list[bytes] | None = None,
         chunks: list[bytes] | None = None,
     ) -> None:
-        """Write a complete response; pause_ms: of its Retry-After, none if 0."""
+        """Write a complete response. pause_ms: value of its Retry-After field, 0 for no field."""
 
     def begin(self, exchange: Exchange, fields: list[bytes], length: int | None) -> None:
         """Write the head of a streamed response."""
 
     def write(self, data: bytes) -> None:
-        """Write a piece of a streamed response's body."""
+        """Write a part of the body of a streamed response."""
 
     def end(self, exchange: Exchange, complete: bool) -> None:
         """End a streamed response."""
 
     def connected(self) -> bool:
-        """Whether the client is connected, by the system's word at this moment."""
+        """Return whether the client is connected, by the state of its socket at the time of the call."""
 
 
 class PausableAttempt(Protocol):
-    """An attempt whose response is passed on as it comes."""
+    """An attempt whose response is forwarded as it arrives."""
 
     def pause(self) -> None:
         """Stop reading the response."""
 
     def resume(self) -> None:
-        """Read it again."""
+        """Resume reading the response."""
 
 
 class Exchange(PendingRequest):
     """A client's request, from its last byte to its final response.
 
-    line, fields: of the request's head, for the upstream. keep_alive: the connection stays open behind the
-    response. is_http_1_0: the client speaks that. streams_response: the class's responses are passed on as
-    they come. charged: bytes held for this exchange. has_no_length: the request came with no body and no
-    length.
+    line, fields: request line and header fields as sent to the upstream. keep_alive: the connection stays
+    open after the response. is_http_1_0: the client uses HTTP/1.0. streams_response: responses of the service
+    class are forwarded as they arrive. charged: bytes buffered for this exchange, charged to the budget.
+    has_no_length: the request has no body and states no length. chunked_response: the response has chunked
+    framing. response_ends_with_close: the end of the connection marks the end of the response.
     """
 
     __slots__ = (
@@ -101,19 +102,19 @@
         self.charged = 0
 
     def streaming_attempt(self) -> PausableAttempt | None:
-        """The attempt whose response is being passed on, if there is one."""
+        """Return the attempt whose response is being forwarded, None if there is none."""
         if self.attempt is None or not self.attempt.streaming:
             return None
         return cast(PausableAttempt, self.attempt)
 
-    # ---- what the engine calls
+    # ---- called by the engine
 
     def served(self, answer: CompleteResponse) -> None:
         """Forward a complete response."""
         self.client.answer(self, OK, 0.0, answer.fields, answer.chunks)
 
     def refused(self, pause_ms: float, over_quota: bool) -> None:
-        """Answer a request that has not run; pause_ms: before a retry, none if 0."""
+        """Answer a request that has not run. pause_ms: value of Retry-After, 0 for no field."""
         self.client.answer(self, UNAVAILABLE, pause_ms)
 
     def failed(self) -> None:
@@ -121,7 +122,7 @@
         self.client.answer(self, BAD_GATEWAY)
 
     def aborted(self) -> None:
-        """Answer a request that ended by a fault of this program."""
+        """Answer a request that was abandoned because of a fault in this program."""
         self.client.answer(self, INTERNAL_ERROR)
 
     def streamed(self, complete: bool) -> None:
@@ -129,43 +130,43 @@
         self.client.end(self, complete)
 
     def client_disconnected(self) -> None:
-        """Give back what is held: the client has disconnected."""
+        """Release the buffered bytes: the client has disconnected."""
         self.release()
 
     def attempt_discarded(self) -> None:
-        """Give back what the last attempt left; the request's own body stays."""
+        """Release what the last attempt buffered; the request's own body stays charged."""
         self.charge(len(self.body) - self.charged)
 
-    # ---- what an attempt calls
+    # ---- called by an attempt
 
     def charge(self, size: int) -> None:
-        """Hold so many bytes more (fewer, if below 0)."""
+        """Charge `size` bytes to the budget; release them if it is negative."""
         self.budget.used += size
         self.charged += size
 
     def release(self) -> None:
-        """Hold nothing any more."""
+        """Release all bytes charged for this exchange."""
         self.budget.used -= self.charged
         self.charged = 0
 
     def begin(self, fields: list[bytes], length: int | None) -> None:
-        """Write the head of a streamed response; length: of its body in bytes, None where not stated."""
+        """Write the head of a streamed response. length: bytes of its body, None if not stated."""
         self.client.begin(self, fields, length)
 
     def write(self, data: bytes) -> None:
-        """Write a piece of a streamed response's body."""
+        """Write a part of the body of a streamed response."""
         self.client.write(data)
 
     def write_blocked(self) -> bool:
-        """The client reads its response more slowly than it comes."""
+        """Return whether the client reads its response more slowly than it arrives."""
         return self.client.write_blocked
 
     def client_connected(self) -> bool:
-        """Whether the client is connected, by the system's word at this moment."""
+        """Return whether the client is connected, by the state of its socket at the time of the call."""
         return self.client.connected()
 
-    def upstream_head(self, left: float) -> bytes:
-        """The request's head, with a deadline of `left` seconds for the upstream."""
-        time_left_us = max(0, int(left * 1_000_000))
+    def upstream_head(self, time_left_s: float) -> bytes:
+        """Return the request's head for the upstream, with its time left in the X-Time-Left field."""
+        time_left_us = max(0, int(time_left_s * 1_000_000))
         framing = b"" if self.has_no_length else content_length(len(self.body))
         return b"%b%bX-Time-Left: %du\r\n%b\r\n" % (self.line, self.fields, time_left_us, framing)
--- a/quartzford/fronts/http_front.py
+++ b/quartzford/fronts/http_front.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 front: its listener, the client connections, and the bound on them."""
+"""The HTTP/1.1 front: its listener, its client connections and the limit on their number."""
 
 from __future__ import annotations
 
@@ -13,24 +13,27 @@
 from quartzford.fronts.responses import UNAVAILABLE
 
 DEFAULT_MAX_CLIENTS = 16
-MAX_LINGERING = 16  # connections beyond the bound, while those that make room for them take their responses
-DISCONNECT_CHECK_INTERVAL_S = 0.04  # of connections that are not read: the loop reports no end of these
+# Connections allowed beyond max_clients while rejected ones, closed to make room, receive their responses.
+MAX_LINGERING_CLIENTS = 16
+# For connections whose reading is paused: the event loop does not report that these have ended.
+DISCONNECT_CHECK_INTERVAL_S = 0.04
 BACKLOG = 2048
 
 
 class HttpFront:
-    """Accepts client connections and bounds how many there are.
+    """Accepts client connections and limits their number.
 
-    clients: the longest unused first. draining: connections are closed behind their responses. rejecting: the
-    process exits, nothing more is read as a request. listener: stays open while nothing is accepted, which
-    keeps its queue. transfer_to_successor: takes descriptors of idle connections. paused_clients: clients
-    whose bytes are left with the system for now.
+    clients: the open connections, least recently used first. draining: connections are closed after their
+    responses. rejecting: the process is about to exit, and no further requests are read. listener: stays open
+    while accepting is stopped, so that the kernel keeps its accept queue. transfer_to_successor: passes the
+    descriptor of an idle connection to the successor and returns whether it was accepted; None without a
+    successor. paused_clients: clients whose bytes are not read for now and stay in the kernel's buffers.
     """
 
     def __init__(
         self, engine: Engine, backend: Backend, budget: BufferBudget, clock: Clock, ready: Callable[[], bool]
     ) -> None:
-        """ready: whether requests can be served, for health checks."""
+        """ready: returns whether requests can be served, which health checks ask for."""
         self.engine = engine
         self.backend = backend
         self.budget = budget
@@ -54,10 +57,10 @@
         shared: bool = False,
         listening: socket.socket | None = None,
     ) -> None:
-        """Accept connections from now on; OSError where the address can't be had.
+        """Start accepting connections. Raises OSError if the address is not available.
 
-        shared: a successor may listen there too, while this process ends. listening: a socket that listens
-        already, in place of a new one.
+        shared: a successor may listen on the same address while this process shuts down. listening: a socket
+        that is already listening, used instead of a new one.
         """
         self.loop = loop
         listening = listening or bind(address, BACKLOG, shared)
@@ -66,50 +69,53 @@
 
     @property
     def accepting(self) -> bool:
-        """New connections are accepted."""
+        """Whether new connections are accepted."""
         return self.listener is not None and self.listener.accepting
 
     def has_no_clients(self) -> bool:
-        """No client is connected, and none has been accepted that is about to be."""
+        """Return whether no client is connected and no accepted connection is still being opened."""
         return not self.clients and (self.listener is None or not self.listener.opening_count)
 
     def resume(self) -> None:
-        """Accept connections again."""
+        """Resume accepting connections, unless the listener is closed."""
         if self.listener is not None and not self.listener.closed:
             self.listener.start()
 
     def stop_accepting(self) -> socket.socket | None:
-        """Leave connections in the listener's queue, for whoever accepts there next; the listening socket."""
+        """Stop accepting, and return the listening socket, None if there is none.
+
+        New connections stay in the accept queue, for the next process that accepts from it.
+        """
         if self.listener is None or self.listener.closed:
             return None
         self.listener.stop()
         return self.listener.sockets[0]
 
     def stop_listening(self) -> None:
-        """Give the address back."""
+        """Close the listening socket."""
         if self.listener is not None:
             self.listener.close()
 
     # ---- replacement
 
     async def adopt(self, sock: socket.socket) -> None:
-        """Go on with an idle connection of the predecessor."""
+        """Take over an idle connection of the predecessor."""
         await open_connection(self.loop, lambda: Client(self), sock)
 
     def offer_all(self) -> None:
-        """Hand all idle connections over."""
+        """Hand all idle connections over to the successor."""
         for client in list(self.clients):
             self.offer(client)
 
     def offer(self, client: Client) -> None:
-        """Hand a connection over, if nothing of a request or a response is on its way."""
+        """Hand a connection over to the successor, unless a request or a response is in transfer on it."""
         if self.transfer_to_successor is not None and client.is_transferable():
             client.hand_over(self.transfer_to_successor)
 
-    # ---- what client connections report
+    # ---- called by client connections
 
     def client_opened(self, client: Client) -> None:
-        """Count a connection in the bound."""
+        """Register a connection; if there are more than max_clients, make room for it."""
         self.clients[client] = None
         if len(self.clients) > self.max_clients:
             self._make_room(client)
@@ -120,14 +126,19 @@
         self.clients[client] = None
 
     def client_closed(self, client: Client) -> None:
-        """Count a connection in the bound no more."""
+        """Unregister a closed connection."""
         self.clients.pop(client, None)
         self.paused_clients.pop(client, None)
 
     def _make_room(self, newcomer: Client) -> None:
-        """End what nothing is lost with, else answer a partial request, else close the newcomer unread."""
+        """Close connections on which nothing is lost; failing that, reject a partial request.
+
+        If even the limit with lingering connections is exceeded, abort the new connection unread.
+        """
         while len(self.clients) > self.max_clients:
-            closable = self._another(newcomer, Client.idle) or self._another(newcomer, Client.lingers)
+            closable = self._first_other(newcomer, Client.idle) or self._first_other(
+                newcomer, Client.is_lingering
+            )
             if closable is None:
                 break
             del self.clients[closable]
@@ -135,57 +146,57 @@
         excess = len(self.clients) - self.max_clients
         if excess <= 0:
             return
-        partial = self._another(newcomer, Client.has_partial_request)
+        partial = self._first_other(newcomer, Client.has_partial_request)
         if partial is None:
             return
-        if excess > MAX_LINGERING:
+        if excess > MAX_LINGERING_CLIENTS:
             newcomer.transport.abort()
         else:
             partial.reject(UNAVAILABLE)
 
-    def _another(self, newcomer: Client, condition: Callable[[Client], bool]) -> Client | None:
-        """The first of the other connections, longest unused first, on which no response is due."""
+    def _first_other(self, newcomer: Client, condition: Callable[[Client], bool]) -> Client | None:
+        """Return the least recently used other connection that meets the condition and is due no response."""
         others = (client for client in self.clients if client is not newcomer)
         return next((client for client in others if condition(client) and client.has_nothing_pending()), None)
 
     def pause_reading(self, client: Client) -> None:
-        """Leave a client's bytes with the system for now; the loop does not report its end meanwhile."""
+        """Stop reading from a client, and poll for its disconnect, which the loop does not report then."""
         client.transport.pause_reading()
         if not self.paused_clients:
-            self.clock.call_later(DISCONNECT_CHECK_INTERVAL_S, self._check_unread)
+            self.clock.call_later(DISCONNECT_CHECK_INTERVAL_S, self._check_paused)
         self.paused_clients[client] = None
 
     def resume_reading(self, client: Client) -> None:
-        """Read a client's bytes again, if they were left."""
+        """Resume reading from a client, if it was paused."""
         if client in self.paused_clients:
             del self.paused_clients[client]
             client.transport.resume_reading()
 
-    def _check_unread(self) -> None:
+    def _check_paused(self) -> None:
         for client in list(self.paused_clients):
             client.end_if_disconnected()
         if self.paused_clients:
-            self.clock.call_later(DISCONNECT_CHECK_INTERVAL_S, self._check_unread)
+            self.clock.call_later(DISCONNECT_CHECK_INTERVAL_S, self._check_paused)
 
     # ---- all connections
 
     def pipelined_count(self) -> int:
-        """Complete requests that wait behind others of their connections."""
+        """Return how many complete requests wait for an earlier response on their connections."""
         return sum(len(client.pipelined_requests) for client in self.clients)
 
     def close_idle(self) -> None:
-        """Close the connections that nothing is lost with."""
+        """Close the connections on which no request or response is in progress."""
         for client in list(self.clients):
             client.close_if_idle()
 
     def reject_unfinished(self) -> None:
-        """Read nothing more as a request; one of which a part was read is answered 503."""
+        """Read no further requests, and answer partly received ones with 503."""
         self.rejecting = True
         for client in list(self.clients):
             client.reject_unfinished()
 
     def sweep(self) -> None:
-        """End what has taken too long."""
+        """Close or reject connections that have exceeded a time limit."""
         now = self.now()
         for client in list(self.clients):
             check_timeouts(client, self.budget, now)
--- a/quartzford/fronts/listener.py
+++ b/quartzford/fronts/listener.py
@@ -1,7 +1,7 @@
-"""Listening sockets and the connections that are accepted from them.
+"""Listening sockets and accepting connections from them.
 
-The event loop's own server answers ENFILE and EMFILE from accept(2) by closing the connections that wait.
-Here they stay in the kernel's queue: accepting pauses for a moment and goes on.
+When accept(2) fails with ENFILE or EMFILE, the event loop's own server closes the waiting connections. The
+listener here leaves them in the kernel's accept queue, and retries after a short pause.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 Listening = TypeVar("Listening")
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 
-START_S = 5.0  # for as long a start waits for descriptors or memory
-PAUSE_S = 0.02  # after an accept that failed for want of descriptors or memory
-# accept(2) passes on errors that were pending on the connection it took from the queue: the next may be good.
-NEXT_CONNECTION = frozenset(
+LISTEN_RETRY_TIMEOUT_S = 5.0  # to open listening sockets while descriptors or memory are exhausted
+EXHAUSTED_RETRY_S = 0.02  # delay after a call that failed for lack of descriptors or memory
+# accept(2) returns errors that were pending on the connection it dequeued; the next connection may be sound.
+PER_CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -43,30 +43,33 @@
 
 
 def bind(address: Address, backlog: int, shared: bool = False) -> socket.socket:
-    """A listening socket at the first address that the name has; OSError where it can't be had.
+    """Return a socket listening on the first address of the host name. Raises OSError if it is not available.
 
-    shared: other processes may listen there too.
+    shared: other processes may listen on the same address.
     """
-    found = socket.getaddrinfo(*address, type=socket.SOCK_STREAM)[0]
-    return _listening(found[0], found[4], backlog, shared)
+    first = socket.getaddrinfo(*address, type=socket.SOCK_STREAM)[0]
+    return _open_listening_socket(first[0], first[4], backlog, shared)
 
 
 def bind_all_addresses(address: Address, backlog: int, shared: bool = False) -> list[socket.socket]:
-    """Listening sockets at all addresses that the name has, or an OSError and none; no name: any address."""
+    """Return sockets listening on all addresses of the host name; an empty name means any address.
+
+    Raises OSError, and leaves no socket open, if one of the addresses is not available.
+    """
     host, port = address
-    found = socket.getaddrinfo(host or None, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
+    address_infos = socket.getaddrinfo(host or None, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)
     listening: list[socket.socket] = []
     try:
-        for family, _, _, _, where in dict.fromkeys(found):
-            listening.append(_listening(family, where, backlog, shared))
+        for family, _, _, _, socket_address in dict.fromkeys(address_infos):
+            listening.append(_open_listening_socket(family, socket_address, backlog, shared))
     except BaseException:
-        for one in listening:
-            one.close()
+        for sock in listening:
+            sock.close()
         raise
     return listening
 
 
-def _listening(family: int, where: object, backlog: int, shared: bool) -> socket.socket:
+def _open_listening_socket(family: int, socket_address: object, backlog: int, shared: bool) -> socket.socket:
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -74,7 +77,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         if family == socket.AF_INET6:
             sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
-        sock.bind(where)  # type: ignore[arg-type]
+        sock.bind(socket_address)  # type: ignore[arg-type]
         sock.listen(backlog)
     except BaseException:
         sock.close()
@@ -83,21 +86,24 @@
 
 
 async def listen_with_retries(listen: Callable[[], Listening]) -> Listening:
-    """What `listen` returns; while descriptors or memory are wanting it is tried again, for START_S."""
-    until = time.monotonic() + START_S
+    """Return the result of `listen`, retried while descriptors or memory are exhausted.
+
+    Raises its OSError if that lasts for longer than LISTEN_RETRY_TIMEOUT_S, and any other OSError at once.
+    """
+    retry_until = time.monotonic() + LISTEN_RETRY_TIMEOUT_S
     while True:
         try:
             return listen()
         except OSError as error:
-            if not is_exhausted(error) or time.monotonic() > until:
+            if not is_exhausted(error) or time.monotonic() > retry_until:
                 raise
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(EXHAUSTED_RETRY_S)
 
 
 async def open_connection(
     loop: asyncio.AbstractEventLoop, factory: ProtocolFactory, connection: socket.socket
 ) -> None:
-    """Give a connected socket a transport and a protocol; it is closed if that fails."""
+    """Create a transport and a protocol for a connected socket; close the socket if that fails."""
     try:
         await loop.connect_accepted_socket(factory, connection)
     except OSError:
@@ -105,7 +111,7 @@
 
 
 class Listener:
-    """Accepts connections from listening sockets, which it owns, while it is started."""
+    """Accepts connections from listening sockets between `start` and `stop`; it owns the sockets."""
 
     def __init__(
         self,
@@ -114,7 +120,7 @@
         clock: Clock,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """factory: makes the protocol of each connection."""
+        """factory: creates the protocol object of each connection."""
         self.sockets = tuple(sockets)
         self.factory, self.clock, self.loop = factory, clock, loop
         self.accepting = False
@@ -126,11 +132,11 @@
 
     @property
     def opening_count(self) -> int:
-        """How many connections were accepted whose protocols have not been called yet."""
+        """The number of accepted connections whose connection_made() has not been called yet."""
         return len(self._opening)
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start accepting connections."""
         if self.accepting:
             return
         self.accepting = True
@@ -138,7 +144,7 @@
             self.loop.add_reader(sock, self._accept, sock)
 
     def stop(self) -> None:
-        """Accept none from now on: connections wait in the kernel's queue. What was accepted is opened."""
+        """Stop accepting: new connections wait in the accept queue. Accepted connections are still opened."""
         if not self.accepting:
             return
         self.accepting = False
@@ -149,25 +155,25 @@
         self._pauses.clear()
 
     def close(self) -> None:
-        """Stop, and give the addresses back; what waits in the kernel's queue is reset."""
+        """Stop accepting and close the sockets; the kernel resets the connections in the accept queue."""
         self.stop()
         self.closed = True
         for sock in self.sockets:
             sock.close()
 
     async def opened(self) -> None:
-        """Wait until the protocols of all accepted connections have been called."""
+        """Wait until connection_made() has been called for all accepted connections."""
         if self._opening:
             await asyncio.wait(self._opening)
 
     def _accept(self, sock: socket.socket) -> None:
-        """Take one of the connections that wait: the loop calls again for the next one."""
+        """Accept one connection; the event loop calls again while others wait in the queue."""
         try:
             connection, _ = sock.accept()
         except BlockingIOError:
             return
         except OSError as error:
-            if error.errno not in NEXT_CONNECTION:
+            if error.errno not in PER_CONNECTION_ERRNOS:
                 self._pause(sock)
             return
         connection.setblocking(False)
@@ -177,7 +183,7 @@
 
     def _pause(self, sock: socket.socket) -> None:
         self.loop.remove_reader(sock)
-        self._pauses[sock] = self.clock.call_later(PAUSE_S, self._resume, sock)
+        self._pauses[sock] = self.clock.call_later(EXHAUSTED_RETRY_S, self._resume, sock)
 
     def _resume(self, sock: socket.socket) -> None:
         del self._pauses[sock]
--- a/quartzford/fronts/operations.py
+++ b/quartzford/fronts/operations.py
@@ -1,7 +1,8 @@
-"""The second address: status and maintenance, one call to a connection. docs/operators/operations.md
+"""The second address, for operators: status, metrics and maintenance. docs/operators/operations.md
 
-Answered in the loop, from a reserve of descriptors that clients can't take. Once too many are open, whoever
-has said nothing makes room for the next caller; a call of which something was read is answered in any case.
+Each connection carries one call. Calls are answered in the event loop, and their descriptors come from a
+reserve that clients can't use. If too many connections are open, one that has sent nothing is closed for the
+next caller; a call of which a part was read is answered in any case.
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 from quartzford.protocols.onecall import OneCall, Reader, State, answer
 
 BACKLOG = 256
-MAX_OPEN_CALLS = 20  # within the descriptors that a balancer keeps for itself
-CALL_TIMEOUT_S = 10.0  # a call that is not complete by then is answered 408
-STALL_S = 2.0  # and so is one that has begun, and of which nothing more has come for so long
-PREFIX = "edge"
+MAX_OPEN_CALLS = 20  # fits in the descriptors that a balancer reserves for itself
+CALL_TIMEOUT_S = 10.0  # an incomplete call is answered with 408 after this time
+STALL_S = 2.0  # a call that has begun is answered with 408 if no byte of it arrives for this time
+METRICS_PREFIX = "edge"
 
 
-class Operated(Protocol):
-    """The balancer that is operated."""
+class OperatedNode(Protocol):
+    """The balancer that operators' calls act on."""
 
     def ready(self) -> bool:
-        """It can serve."""
+        """Return whether the balancer can serve requests."""
 
     def metrics_page(self, prefix: str) -> str:
-        """The page of figures."""
+        """Return the text of the metrics page; prefix: first part of each metric's name."""
 
-    def set_maintenance(self, name: str, out: bool) -> bool:
-        """Take an upstream out, or put it back, from this moment on; False: no such upstream."""
+    def set_maintenance(self, name: str, in_maintenance: bool) -> bool:
+        """Put an upstream into maintenance or return it to service at once; return False if it is unknown."""
 
 
 ROUTES = {
@@ -42,8 +43,8 @@
 }
 
 
-def respond(call: OneCall, node: Operated) -> bytes:
-    """Carry out a call: 2xx is yes, 4xx and 5xx are no, and what is no changes nothing."""
+def respond(call: OneCall, node: OperatedNode) -> bytes:
+    """Execute a call and return its response; a call answered with 4xx or 5xx has changed nothing."""
     method = ROUTES.get(call.path)
     if method is None:
         return answer(404, "no such call\n", call.method == "HEAD")
@@ -53,7 +54,7 @@
         ready = node.ready()
         return answer(200 if ready else 503, "ready\n" if ready else "not ready\n", call.method == "HEAD")
     if call.path == "/status/metrics":
-        return answer(200, node.metrics_page(PREFIX), call.method == "HEAD")
+        return answer(200, node.metrics_page(METRICS_PREFIX), call.method == "HEAD")
     name = call.body.decode("utf-8", "replace").strip()
     if not name:
         return answer(400, "the body names no upstream\n")
@@ -63,39 +64,41 @@
 
 
 class OperationsFront:
-    """The listener for operators' calls."""
+    """Accepts connections of operators and limits their number."""
 
-    def __init__(self, node: Operated, clock: Clock) -> None:
+    def __init__(self, node: OperatedNode, clock: Clock) -> None:
         self.node = node
         self.clock = clock
-        self.calls: dict[Caller, None] = {}  # oldest first
+        self.calls: dict[OperatorConnection, None] = {}  # oldest first
         self.listener: Listener | None = None
 
     def listen(self, address: tuple[str, int], loop: asyncio.AbstractEventLoop) -> None:
-        """Take calls from now on; OSError where the address can't be had."""
-        self.listener = Listener(bind_all_addresses(address, BACKLOG), lambda: Caller(self), self.clock, loop)
+        """Start accepting calls. Raises OSError if the address is not available."""
+        self.listener = Listener(
+            bind_all_addresses(address, BACKLOG), lambda: OperatorConnection(self), self.clock, loop
+        )
         self.listener.start()
 
     def stop(self) -> None:
-        """Accept no connection any more; calls of which something was read are answered 503."""
+        """Stop accepting connections; answer calls that were partly read with 503."""
         if self.listener is not None:
             self.listener.close()
         for caller in list(self.calls):
-            caller.leave()
+            caller.end_incomplete_call()
 
-    def make_room(self, newcomer: Caller) -> None:
-        """End one call for the newcomer: at once if nothing was read of it, or if its answer is out."""
+    def make_room(self, newcomer: OperatorConnection) -> None:
+        """Close one other connection: at once if its call is unread or its answer sent, else after a 503."""
         others = [caller for caller in self.calls if caller is not newcomer]
         closable = next((caller for caller in others if caller.unread()), None)
-        closable = closable or next((caller for caller in others if caller.answer_is_out()), None)
+        closable = closable or next((caller for caller in others if caller.answer_sent()), None)
         if closable is not None:
             closable.transport.abort()
         elif unanswered := next((caller for caller in others if not caller.answered), None):
-            unanswered.leave()
+            unanswered.end_incomplete_call()
 
 
-class Caller(asyncio.Protocol):
-    """One connection, one call."""
+class OperatorConnection(asyncio.Protocol):
+    """A connection of an operator, which carries one call."""
 
     transport: asyncio.Transport
 
@@ -108,42 +111,42 @@
 
     @property
     def answered(self) -> bool:
-        """Its answer has been written."""
+        """Whether the answer has been written."""
         return self.lingering is not None
 
     def unread(self) -> bool:
-        """Nothing of a call has been read."""
+        """Return whether no part of a call has been read."""
         return not self.reader.begun and not self.answered
 
-    def answer_is_out(self) -> bool:
-        """The system has taken all of its answer."""
+    def answer_sent(self) -> bool:
+        """Return whether the kernel has accepted the whole answer."""
         return self.answered and not self.transport.get_write_buffer_size()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the call in the bound, and give it its time."""
+        """Register the connection, close another one if there are too many, and start the timeout."""
         self.transport = cast(asyncio.Transport, transport)
         calls = self.front.calls
         calls[self] = None
         if len(calls) > MAX_OPEN_CALLS:
             self.front.make_room(self)
-        self._give_up_after(CALL_TIMEOUT_S)
+        self._start_timeout(CALL_TIMEOUT_S)
 
     def data_received(self, data: bytes) -> None:
-        """Read on in the call; carry it out once it is complete."""
+        """Parse received bytes, and execute the call once it is complete."""
         if self.lingering is not None:
             return self.lingering.received(len(data))
         reader = self.reader
         reader.feed(data)
-        self._give_up_after(min(STALL_S, self.complete_by - self.front.clock.now()))
+        self._start_timeout(min(STALL_S, self.complete_by - self.front.clock.now()))
         if reader.error:
             self._answer(answer(reader.error))
         elif reader.call is not None:
-            self._carry_out(reader.call)
+            self._execute(reader.call)
         elif reader.expects and reader.state is State.BODY:
             reader.expects = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _carry_out(self, call: OneCall) -> None:
+    def _execute(self, call: OneCall) -> None:
         try:
             response = respond(call, self.front.node)
         except Exception:
@@ -152,12 +155,15 @@
         self._answer(response)
 
     def eof_received(self) -> None:
-        """A caller may end its sending and still read; a call that is incomplete by then gets its 400."""
+        """Answer an incomplete call with 400: the caller has half-closed, and may still read."""
         if not self.answered:
             self._answer(answer(400))
 
-    def leave(self) -> None:
-        """End an incomplete call: it has changed nothing, and may be retried."""
+    def end_incomplete_call(self) -> None:
+        """Close the connection, after a 503 if a part of the call was read. The call may be retried.
+
+        An incomplete call has changed nothing.
+        """
         if self.answered:
             return
         if self.unread():
@@ -165,10 +171,10 @@
         else:
             self._answer(answer(503))
 
-    def _give_up_after(self, wait_s: float) -> None:
+    def _start_timeout(self, timeout_s: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.front.clock.call_later(wait_s, self._timed_out)
+        self.timer = self.front.clock.call_later(timeout_s, self._timed_out)
 
     def _timed_out(self) -> None:
         if not self.answered:
@@ -181,10 +187,10 @@
         self.transport.write(data)
         self.lingering = LingeringClose(self.transport, clock.now())
         self.lingering.close_in_time(clock)
-        self._give_up_after(CALL_TIMEOUT_S)  # where its answer is not taken
+        self._start_timeout(CALL_TIMEOUT_S)  # in case the caller does not read its answer
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended, on either side."""
+        """Unregister the connection, which was closed by either side, and cancel its timeout."""
         self.front.calls.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
--- a/quartzford/fronts/request_intake.py
+++ b/quartzford/fronts/request_intake.py
@@ -1,4 +1,4 @@
-"""A request that was read, as the engine takes it: an exchange, and the request for the decision module."""
+"""Converts a request that was read into an exchange and into the decision module's request."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 def new_exchange(
     reader: RequestReader, client: ResponseChannel, backend: Backend, budget: BufferBudget
 ) -> Exchange:
-    """The exchange of the request that the reader has completed; it takes body and charge over."""
+    """Return an exchange for the request that the reader has completed.
+
+    The exchange takes over the request's body and the bytes charged for it.
+    """
     line = b"%b %b HTTP/1.1\r\n" % (reader.method, reader.target)
     exchange = Exchange(client, backend, budget, line, reader.forwarded_fields(), reader.body)
     exchange.keep_alive = reader.keep_alive
@@ -35,9 +38,10 @@
 
 
 def new_request(reader: RequestReader, exchange: Exchange, engine: Engine, now: float) -> io.Request:
-    """The request for the decision module; numbers the exchange and sets its deadline.
+    """Return the request for the decision module; set number, deadline and correlation ID of the exchange.
 
-    No deadline is longer than that of the request's class. now: on the engine's clock, seconds.
+    The time that the client states is limited to the deadline of the request's service class. now: in
+    seconds, on the engine's clock.
     """
     name = reader.value(SERVICE_CLASS)
     service_class = engine.classes.get(name)
--- a/quartzford/fronts/request_reader.py
+++ b/quartzford/fronts/request_reader.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests of one client connection, sans I/O: bytes in, complete requests out."""
+"""Parser for the HTTP/1.1 requests of one client connection: bytes in, complete requests out. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 MAX_HEAD_BYTES = 32 * 1024
 MAX_BODY_BYTES = 32 * 1024 * 1024
-FIELD_OVERHEAD_BYTES = 4  # of a header field: colon, space, line end
+FIELD_OVERHEAD_BYTES = 4  # per header field: colon, space, CR LF
 HEALTH_PATH = b"/_health"
 
 HOST = b"host"
@@ -44,41 +44,44 @@
         CONTENT_LENGTH,
     )
 )
-SINGLE_FIELDS = frozenset((HOST, CORRELATION_ID))  # of two, the next reader may take the other one
-# Fields that are hop-by-hop, or that this balancer frames or counts anew for each attempt
+# A request that repeats one of these is rejected: the upstream and this balancer might use different values.
+SINGLE_FIELDS = frozenset((HOST, CORRELATION_ID))
+# Hop-by-hop fields, and fields that this balancer sets itself for each attempt (framing, time left)
 NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect content-length"
     b" x-time-left".split()
 )
-# Whatever Connection names: without these an upstream would run a repeat that it should drop.
+# Forwarded even if the Connection field names them: without them, an upstream would execute a repeated
+# request that it should drop as a duplicate.
 ALWAYS_FORWARDED = frozenset((HOST, CORRELATION_ID, IDEMPOTENCY_KEY))
 
 
 class RequestSink(Protocol):
-    """What is called as a request is read."""
+    """Receives the events of a RequestReader."""
 
     def head_expects_continue(self) -> None:
-        """A head without an error is complete, and its client waits for a 100 response."""
+        """Called after a valid head with an Expect field: the client waits for a 100 response."""
 
     def upgrade_requested(self) -> None:
-        """The request that was read requests another protocol; nothing after it can be read."""
+        """Called after a request for a protocol upgrade; no input after it can be parsed."""
 
     def body_received(self, size: int) -> None:
-        """So many bytes of the body have been added to those that are held."""
+        """Called after `size` more bytes of the body were buffered."""
 
-    def body_refused(self) -> None:
-        """The body is longer than MAX_BODY_BYTES."""
+    def body_too_large(self) -> None:
+        """Called when the body exceeds MAX_BODY_BYTES."""
 
     def request_completed(self) -> None:
-        """A request without an error is complete; the reader describes it until this returns."""
+        """Called after a complete valid request; the reader's attributes describe it until this returns."""
 
 
 class RequestReader:
-    """Reads one request after the other.
+    """Parses consecutive requests.
 
-    in_head, in_message: where the next byte belongs. error: the status of the first error, 0 before; from
-    then on no request is completed. values: the fields that this balancer reads, by lower-case name.
-    fields: those that are forwarded. chunked: the body has no stated length.
+    in_head, in_message: whether the next byte belongs to a head, and to a request that has begun. error:
+    status code of the first error, 0 if there is none; after an error no request is completed. values: values
+    of the fields that this balancer reads, by lower-case name. fields: the fields to forward. body_bytes:
+    size of the buffered body. chunked: the body has chunked framing, so its length is not known in advance.
     """
 
     __slots__ = (
@@ -111,13 +114,13 @@
         self.chunked = False
 
     def begin_message(self) -> None:
-        """The next byte is the first one of a request."""
+        """Prepare for the first byte of a request."""
         self.in_head = True
         self.in_message = True
         self.head_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Take bytes, however they are cut."""
+        """Parse bytes, which may end at any position within a request."""
         if self.in_head:
             self.head_bytes += len(data)
         try:
@@ -130,69 +133,69 @@
             self.fail(FIELDS_TOO_LARGE)
 
     def fail(self, status: int) -> None:
-        """What is read is no request; the first error counts."""
+        """Record an error's status code, unless an earlier error is recorded."""
         self.error = self.error or status
 
     def release(self) -> None:
-        """Break the reference cycles with parser and sink; nothing is fed any more."""
+        """Break the reference cycles with parser and sink. `feed` must not be called afterwards."""
         self._parser = None
         del self._sink
 
     def drop_body(self) -> int:
-        """Forget the part of a body that is held; how many bytes it had."""
+        """Discard the buffered part of a body, and return its size in bytes."""
         size = self.body_bytes
         self.body = b""
         self.body_bytes = 0
         return size
 
-    # ---- the request that is read
+    # ---- the current request
 
     @property
     def method(self) -> bytes:
-        """The request's method."""
+        """The current request's method."""
         method: bytes = self._parser.get_method()
         return method
 
     @property
     def keep_alive(self) -> bool:
-        """The client keeps the connection behind the response."""
+        """Whether the client wants the connection to stay open after the response."""
         keep_alive: bool = self._parser.should_keep_alive()
         return keep_alive
 
     @property
     def is_http_1_0(self) -> bool:
-        """The client speaks HTTP/1.0."""
+        """Whether the request's version is HTTP/1.0."""
         version: str = self._parser.get_http_version()
         return version == "1.0"
 
     @property
     def is_health_check(self) -> bool:
-        """The request is for this balancer itself."""
+        """Whether the request is a health check of this balancer."""
         return self.target.partition(b"?")[0] == HEALTH_PATH
 
     @property
     def has_no_length(self) -> bool:
-        """Neither a body nor a statement about its length came."""
+        """Whether the request has no body, no Content-Length and no chunked framing."""
         return not self.body_bytes and CONTENT_LENGTH not in self.values and not self.chunked
 
     def value(self, name: bytes) -> str:
-        """The value of one of READ_FIELDS, "" where it is absent."""
+        """Return the value of one of READ_FIELDS, "" if the request does not have it."""
         return self.values.get(name, "")
 
     def forwarded_fields(self) -> bytes:
-        """The fields for the upstream, without those that Connection names as hop-by-hop."""
+        """Return the encoded fields for the upstream, without those that Connection names as hop-by-hop."""
         fields = self.fields
-        named = self.value(CONNECTION)
-        if "," in named or named.lower() not in ("", "close", "keep-alive"):
-            hop_by_hop = {part.strip().lower().encode("latin-1") for part in named.split(",")}
+        connection = self.value(CONNECTION)
+        if "," in connection or connection.lower() not in ("", "close", "keep-alive"):
+            hop_by_hop = {option.strip().lower().encode("latin-1") for option in connection.split(",")}
             hop_by_hop -= ALWAYS_FORWARDED
             fields = [(name, value) for name, value in fields if name.lower() not in hop_by_hop]
         return b"".join([b"%b: %b\r\n" % field for field in fields])
 
-    # ---- callbacks of httptools
+    # ---- called by httptools
 
     def on_message_begin(self) -> None:
-        """The first byte of a request has been read."""
+        """Reset the state of the request: its first byte has been read."""
         self.in_head = True
         self.in_message = True
         self.target = b""
@@ -203,11 +206,11 @@
         self.chunked = False
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the request's target."""
+        """Append a part of the request's target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a field for the upstream, for the balancer, or for both."""
+        """Store a field for the upstream, for this balancer, or for both."""
         key = name.lower()
         if key in READ_FIELDS:
             if key in SINGLE_FIELDS and key in self.values:
@@ -217,7 +220,7 @@
             self.fields.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Validate the head."""
         self.in_head = False
         if self.method == b"CONNECT":
             self.fail(BAD_REQUEST)
@@ -225,7 +228,7 @@
             self.fail(FIELDS_TOO_LARGE)
         self._check_framing()
         if not self.value(CORRELATION_ID).strip() and not self.is_health_check:
-            self.fail(BAD_REQUEST)  # no upstream has a use for it
+            self.fail(BAD_REQUEST)  # upstreams reject requests without a correlation ID
         if EXPECT in self.values and not self.error:
             self._sink.head_expects_continue()
 
@@ -238,18 +241,18 @@
         if TRANSFER_ENCODING in values:
             self.chunked = True
             if values[TRANSFER_ENCODING].strip().lower() != "chunked" or CONTENT_LENGTH in values:
-                self.fail(BAD_REQUEST)  # two readers could frame this in two ways
+                self.fail(BAD_REQUEST)  # different parsers could find different ends of the body
         elif CONTENT_LENGTH in values and int(values[CONTENT_LENGTH]) > MAX_BODY_BYTES:
             self.fail(CONTENT_TOO_LARGE)
 
     def on_body(self, data: bytes) -> None:
-        """Hold a piece of the body."""
+        """Buffer a part of the body."""
         if self.error:
             return
         size = self.body_bytes + len(data)
         if size > MAX_BODY_BYTES:
             self.fail(CONTENT_TOO_LARGE)
-            return self._sink.body_refused()
+            return self._sink.body_too_large()
         if not self.body_bytes:
             self.body = data
         else:
@@ -260,7 +263,7 @@
         self._sink.body_received(len(data))
 
     def on_message_complete(self) -> None:
-        """The last byte of a request has been read."""
+        """Report the request, unless it is invalid: its last byte has been read."""
         self.in_message = False
         self.head_bytes = 0
         if not self.error:
--- a/quartzford/fronts/response_writer.py
+++ b/quartzford/fronts/response_writer.py
@@ -1,4 +1,4 @@
-"""The bytes that answer an exchange: complete responses, and streamed ones piece by piece."""
+"""Encodes the response of an exchange: complete ones, and the head and body parts of streamed ones."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 def complete_response(
     exchange: Exchange, status: int, pause_ms: float, fields: list[bytes], chunks: list[bytes]
 ) -> bytes:
-    """Head and body; pause_ms: of the Retry-After, none if 0."""
+    """Return head and body of a response. pause_ms: value of its Retry-After field, 0 for no field."""
     body = b"".join(chunks)
     framing = responses.content_length(len(body))
     if pause_ms > 0:
@@ -18,7 +18,10 @@
 
 
 def begin_streamed_response(exchange: Exchange, fields: list[bytes], length: int | None) -> bytes:
-    """The head; chooses the framing. length: of the body in bytes, None where the upstream states none."""
+    """Return the head of a streamed response, and record its framing in the exchange.
+
+    length: bytes of the body, None if the upstream states none.
+    """
     if length is not None:
         return _head(exchange, responses.OK, fields, responses.content_length(length))
     if exchange.is_http_1_0:
@@ -29,8 +32,8 @@
     return _head(exchange, responses.OK, fields, responses.CHUNKED)
 
 
-def body_piece(exchange: Exchange, data: bytes) -> bytes:
-    """A piece of a streamed body, in the framing that its head has stated."""
+def encode_body_part(exchange: Exchange, data: bytes) -> bytes:
+    """Return a part of a streamed body in the framing that the head stated."""
     return responses.chunk(data) if exchange.chunked_response else data
 
 
--- a/quartzford/fronts/responses.py
+++ b/quartzford/fronts/responses.py
@@ -1,4 +1,4 @@
-"""The bytes of responses to clients: status line, head, chunks."""
+"""Encodes responses to clients: status line, header fields, chunks."""
 
 from __future__ import annotations
 
@@ -35,33 +35,33 @@
 
     @property
     def fields(self) -> list[bytes]:
-        """Header fields as they are forwarded, each with its line end."""
+        """The header fields to forward, each with its CR LF."""
 
     @property
     def chunks(self) -> list[bytes]:
-        """The body in pieces."""
+        """The body, in parts."""
 
 
 def response_head(status: int, fields: list[bytes], framing: bytes) -> bytes:
-    """A head; framing: more fields, with their line ends."""
+    """Return a response head. framing: additional encoded fields, each with its CR LF."""
     return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, REASONS[status], b"".join(fields), framing)
 
 
 def content_length(size: int) -> bytes:
-    """The field that states a body's length in bytes."""
+    """Return the Content-Length field for a body of `size` bytes."""
     return b"Content-Length: %d\r\n" % size
 
 
 def retry_after(pause_ms: float) -> bytes:
-    """The Retry-After field, in seconds with three decimals."""
+    """Return the Retry-After field, in seconds with three decimals."""
     return b"Retry-After: %.3f\r\n" % (pause_ms / 1000.0)
 
 
 def chunk(data: bytes) -> bytes:
-    """A piece of a body with chunked framing."""
+    """Return a part of a body as a chunk of chunked framing."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def rejection(status: int) -> bytes:
-    """A response without a body, the last one of its connection."""
+    """Return a response without a body, after which the connection is closed."""
     return response_head(status, [], content_length(0) + CLOSE)
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -13,7 +13,7 @@
 from test_relay_server import PATH, Site, site
 
 from quartzford.fronts import operations
-from quartzford.fronts.http_front import MAX_LINGERING
+from quartzford.fronts.http_front import MAX_LINGERING_CLIENTS
 from quartzford.relay.connection import CallState
 
 STATUS = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -80,8 +80,11 @@
             await asyncio.sleep(0)
             most_open = max(most_open, len(front.clients))
         answered = [await read_status(sock) for sock in partial]
-        assert set(answered) <= {503, 408, 0} and answered.count(0) <= 60 - front.max_clients - MAX_LINGERING
-        assert most_open <= front.max_clients + MAX_LINGERING + 1
+        assert (
+            set(answered) <= {503, 408, 0}
+            and answered.count(0) <= 60 - front.max_clients - MAX_LINGERING_CLIENTS
+        )
+        assert most_open <= front.max_clients + MAX_LINGERING_CLIENTS + 1
 
 
 @async_test
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -212,13 +212,13 @@
 
 def record_ends(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """Return a list that gets the time at which each connection's last answer was written."""
-    end, ends = Client._end_sending, list[float]()
+    end, ends = Client._begin_lingering_close, list[float]()
 
     def noted(client: Client) -> None:
         end(client)
         ends.append(time.monotonic())
 
-    monkeypatch.setattr(Client, "_end_sending", noted)
+    monkeypatch.setattr(Client, "_begin_lingering_close", noted)
     return ends
 
 
