--- a/quartzford/fronts/extproc/attempt_result.py
+++ b/quartzford/fronts/extproc/attempt_result.py
@@ -8,7 +8,7 @@
 
 # What Envoy puts into response.code_details where it answered itself (its page "Response code details").
 # Only what surely wrote no byte of the request to an upstream proves that it did not run.
-NEVER_SENT = (
+NEVER_SENT_DETAILS = (
     "cluster_not_found",
     "direct_response",
     "maintenance_mode",
@@ -20,14 +20,14 @@
     "upstream_reset_before_response_started{overflow",
     "upstream_reset_before_response_started{remote_connection_failure",
 )
-TIMED_OUT = (
+TIMEOUT_DETAILS = (
     "response_timeout",
     "upstream_per_try_timeout",
     "request_overall_timeout",
 )
 # A caller that keeps to the end of a decision's validity says so in these words, having sent nothing.
-EXPIRED = ("decision_expired",)
-RESET = ("upstream_reset", "upstream_response_header")
+EXPIRED_DETAILS = ("decision_expired",)
+RESET_DETAILS = ("upstream_reset", "upstream_response_header")
 
 
 class AttemptResult(NamedTuple):
@@ -42,9 +42,14 @@
     status: int, unprocessed: bool, details: str, load: bytes, names: tuple[str, ...]
 ) -> AttemptResult:
     """From an answer's status, X-Unprocessed, code details ('' where there are none) and load report."""
-    local = (("connect_failed", NEVER_SENT), ("moot", EXPIRED), ("timeout", TIMED_OUT), ("reset", RESET))
-    for code, starts in local:
-        if details.startswith(starts):
+    outcomes = (
+        ("connect_failed", NEVER_SENT_DETAILS),
+        ("moot", EXPIRED_DETAILS),
+        ("timeout", TIMEOUT_DETAILS),
+        ("reset", RESET_DETAILS),
+    )
+    for code, prefixes in outcomes:
+        if details.startswith(prefixes):
             return AttemptResult(code)
     report = read_report(load, names) if load else ()
     if status == 200:
--- a/quartzford/fronts/extproc/channel_messages.py
+++ b/quartzford/fronts/extproc/channel_messages.py
@@ -40,4 +40,4 @@
     RetryOffered: "Again",
     DeadlineExceeded: "Cut",
 }
-REPLIES: dict[str, type[Any]] = {tag: kind for kind, tag in REPLY_TAGS.items()}
+REPLIES: dict[str, type[Any]] = {tag: reply_type for reply_type, tag in REPLY_TAGS.items()}
--- a/quartzford/fronts/extproc/decision_messages.py
+++ b/quartzford/fronts/extproc/decision_messages.py
@@ -40,7 +40,7 @@
 
     address: str
     token: str
-    due: float
+    timeout_at: float
     server_deadline: float
     valid_for_ms: float
     valid_until: float
--- a/quartzford/fronts/extproc/decision_service.py
+++ b/quartzford/fronts/extproc/decision_service.py
@@ -62,11 +62,11 @@
     # ---- what streams say
 
     def request_decision(
-        self, stream: Stream, decision_request: DecisionRequest, at: float = math.inf
+        self, stream: Stream, decision_request: DecisionRequest, requested_at: float = math.inf
     ) -> None:
         """A request's headers came at this moment (seconds), or now; one reply follows, unless it closes."""
         now = self.clock.now()
-        stream.requested_at = min(at, now)
+        stream.requested_at = min(requested_at, now)
         if decision_request.token and decision_request.opens:
             # Only a client can have written it: whoever opens a request has no token yet.
             self.engine.counts["token forged"] += 1
@@ -100,7 +100,7 @@
 
         unwritten: no reply to its last request had been written, nor will be.
         """
-        stream.over = True
+        stream.closed = True
         request = stream.request
         stream.request = None
         if request is not None and not request.done:
@@ -158,7 +158,7 @@
             stream.request = request
         self.engine.request_arrived(request, module_request(request.number, decision_request, left_ms))
         if decision_request.opens and not request.done:
-            request.opened(stream)
+            request.send_token(stream)
 
     def _deadline_ms(self, decision_request: DecisionRequest) -> float:
         """The client's time; the class's own deadline where the client named none."""
--- a/quartzford/fronts/extproc/message_queue.py
+++ b/quartzford/fronts/extproc/message_queue.py
@@ -22,31 +22,31 @@
         self.priority_weight = priority_weight
         self.end_messages: deque[Message] = deque()
         self.decision_requests: dict[float, deque[Message]] = {}  # by priority weight
-        self.requests_by_stream: dict[int, int] = {}  # how many decision requests of a stream wait
+        self.request_counts: dict[int, int] = {}  # how many decision requests of a stream wait
         self.request_count = 0
         self.closed_streams: set[int] = set()  # streams that ended while their decision request waited
 
     def __len__(self) -> int:
         return len(self.end_messages) + self.request_count
 
-    def put(self, message: Message) -> None:
+    def add(self, message: Message) -> None:
         """Queue a message as it came from the channel."""
         if message[0] != DECISION_REQUEST:
             return self.end_messages.append(message)
         stream = message[1]
-        self.requests_by_stream[stream] = self.requests_by_stream.get(stream, 0) + 1
+        self.request_counts[stream] = self.request_counts.get(stream, 0) + 1
         self.request_count += 1
         self.decision_requests.setdefault(self.priority_weight(message[4]), deque()).append(message)
 
-    def next(self) -> Message | None:
+    def next_message(self) -> Message | None:
         """The message to be handled now; None if nothing is left."""
         while len(self):
             message = self._pop()
             stream = message[1]
-            if message[0] == STREAM_CLOSED and stream in self.requests_by_stream:
+            if message[0] == STREAM_CLOSED and stream in self.request_counts:
                 self.closed_streams.add(stream)
             if message[0] == DECISION_REQUEST and stream in self.closed_streams:
-                if stream not in self.requests_by_stream:
+                if stream not in self.request_counts:
                     self.closed_streams.discard(stream)
                 continue
             return message
@@ -59,13 +59,13 @@
         message = self.decision_requests[highest].popleft()
         if not self.decision_requests[highest]:
             del self.decision_requests[highest]
-        self._count_out(message[1])
+        self._decrement_count(message[1])
         return message
 
-    def _count_out(self, stream: int) -> None:
+    def _decrement_count(self, stream: int) -> None:
         self.request_count -= 1
-        left = self.requests_by_stream[stream] - 1
-        if left:
-            self.requests_by_stream[stream] = left
+        remaining = self.request_counts[stream] - 1
+        if remaining:
+            self.request_counts[stream] = remaining
         else:
-            del self.requests_by_stream[stream]
+            del self.request_counts[stream]
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -27,13 +27,13 @@
 )
 from quartzford.settings.header_values import read_cookie, read_number, read_time_left
 
-ATTRIBUTES = "envoy.filters.http.ext_proc"
-DETAILS = "response.code_details"
-LOAD = "x-backend-load"
-UNPROCESSED = "x-unprocessed"
+ATTRIBUTES_KEY = "envoy.filters.http.ext_proc"
+CODE_DETAILS_ATTRIBUTE = "response.code_details"
+LOAD_REPORT_HEADER = "x-backend-load"
+UNPROCESSED_HEADER = "x-unprocessed"
 # Envoy's router takes the attempt's time-out from here (its page "Router", HTTP headers), in whole ms.
-TIME_OUT = "x-envoy-upstream-rq-timeout-ms"
-OVERWRITE = core.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
+TIMEOUT_HEADER = "x-envoy-upstream-rq-timeout-ms"
+OVERWRITE_ACTION = core.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
-        self.wanted = {
+        self.fields_by_header = {
             names.identity: "identity",
             names.service_class: "service_class",
             names.tenant: "tenant",
@@ -80,46 +80,46 @@
         rows = headers.headers.headers
         if len(rows) > self.names.most_headers or headers.ByteSize() > self.names.most_bytes:
             return Failed(431)
-        read: dict[str, str] = {}
+        values: dict[str, str] = {}
         for row in rows:
-            name = self.wanted.get(row.key)
+            name = self.fields_by_header.get(row.key)
             if name is None:
                 continue
-            if name in ("identity", "token") and name in read:
+            if name in ("identity", "token") and name in values:
                 return Failed(400)  # the next reader may take the other one
-            read[name] = text_of(row)
-        identity = read.get("identity", "").strip()
+            values[name] = header_text(row)
+        identity = values.get("identity", "").strip()
         if not identity:
             return Failed(400)
-        left = read_time_left(read.get("left", "").strip())
+        left_ms = read_time_left(values.get("left", "").strip())
         return DecisionRequest(
             identity,
-            read.get("service_class", "") or self.names.default_class,
-            -1.0 if left is None else left,
-            read.get("tenant", ""),
-            read_cookie(read.get("cookie", ""), self.names.cookie),
-            read_number(read.get("hint", "")) / 1000.0,
-            read.get("repeat", "").strip() == "1",
-            bool(read.get("idempotency", "").strip()),
-            read.get("token", ""),
+            values.get("service_class", "") or self.names.default_class,
+            -1.0 if left_ms is None else left_ms,
+            values.get("tenant", ""),
+            read_cookie(values.get("cookie", ""), self.names.cookie),
+            read_number(values.get("hint", "")) / 1000.0,
+            values.get("repeat", "").strip() == "1",
+            bool(values.get("idempotency", "").strip()),
+            values.get("token", ""),
             opens,
         )
 
-    def result(self, request: Any) -> AttemptResult:
+    def read_response(self, request: Any) -> AttemptResult:
         """What a ProcessingRequest with response headers reports."""
         status, unprocessed, load = 0, False, b""
         for row in request.response_headers.headers.headers:
             if row.key == ":status":
-                text = text_of(row)
+                text = header_text(row)
                 status = int(text) if text.isdecimal() else 0
-            elif row.key == UNPROCESSED:
-                unprocessed = text_of(row).strip() == "1"
-            elif row.key == LOAD:
+            elif row.key == UNPROCESSED_HEADER:
+                unprocessed = header_text(row).strip() == "1"
+            elif row.key == LOAD_REPORT_HEADER:
                 load = row.raw_value or row.value.encode()
         details = ""
-        if ATTRIBUTES in request.attributes:
-            fields = request.attributes[ATTRIBUTES].fields
-            details = fields[DETAILS].string_value if DETAILS in fields else ""
+        if ATTRIBUTES_KEY in request.attributes:
+            fields = request.attributes[ATTRIBUTES_KEY].fields
+            details = fields[CODE_DETAILS_ATTRIBUTE].string_value if CODE_DETAILS_ATTRIBUTE in fields else ""
         return read_result(status, unprocessed, details, load, self.names.report_names)
 
 
@@ -130,20 +130,23 @@
         self.names = names
         self.attempt_mode = headers_only_mode(mode.ProcessingMode.SEND)
         self.opener_mode = headers_only_mode(mode.ProcessingMode.SKIP)
-        removed = [LOAD, names.token, names.retry, names.destination]
-        self.passed = self._response_headers(proto.HeaderMutation(remove_headers=removed))
+        removed = [LOAD_REPORT_HEADER, names.token, names.retry, names.destination]
+        self.response_forwarded = self._build_response_headers(proto.HeaderMutation(remove_headers=removed))
         # If the caller can't go on, a server's own 503 must not pass for a rejection of what may have run.
-        self.retry_offered = {True: self._retry_offered(b"503"), False: self._retry_offered(b"502")}
-        self.neutral = self._neutral_replies()
+        self.retry_offered = {
+            True: self._build_retry_offered(b"503"),
+            False: self._build_retry_offered(b"502"),
+        }
+        self.neutral_replies = self._build_neutral_replies()
 
-    def _retry_offered(self, status: bytes) -> bytes:
+    def _build_retry_offered(self, status: bytes) -> bytes:
         mutation = proto.HeaderMutation(
-            set_headers=[header(self.names.retry, b"1"), header(":status", status)],
-            remove_headers=[LOAD, self.names.token],
+            set_headers=[overwrite_header(self.names.retry, b"1"), overwrite_header(":status", status)],
+            remove_headers=[LOAD_REPORT_HEADER, self.names.token],
         )
-        return self._response_headers(mutation)
+        return self._build_response_headers(mutation)
 
-    def _neutral_replies(self) -> dict[str, bytes]:
+    def _build_neutral_replies(self) -> dict[str, bytes]:
         """The reply by the kind of message, where there is nothing to decide."""
         # A request that no attempt may be made for keeps no destination that a client wrote.
         mutation = proto.HeaderMutation(remove_headers=[self.names.destination])
@@ -152,7 +155,7 @@
         trailers = proto.TrailersResponse()
         return {
             "request_headers": serialized(proto.ProcessingResponse(request_headers=request_headers)),
-            "response_headers": self.passed,
+            "response_headers": self.response_forwarded,
             "request_body": serialized(proto.ProcessingResponse(request_body=body)),
             "response_body": serialized(proto.ProcessingResponse(response_body=body)),
             "request_trailers": serialized(proto.ProcessingResponse(request_trailers=trailers)),
@@ -160,36 +163,38 @@
         }
 
     @staticmethod
-    def _response_headers(mutation: Any) -> bytes:
+    def _build_response_headers(mutation: Any) -> bytes:
         common = proto.CommonResponse(header_mutation=mutation)
         return serialized(proto.ProcessingResponse(response_headers=proto.HeadersResponse(response=common)))
 
     def write(self, reply: Reply, now: float) -> bytes:
         """The reply as it leaves at this moment, in seconds on the machine's monotonic clock."""
         match reply:
-            case Decision(address, token, due, server_deadline, within, _):
+            case Decision(address, token, timeout_at, server_deadline, within, _):
                 rows = [
-                    header(self.names.destination, address.encode()),
-                    header(self.names.token, token.encode()),
-                    header(TIME_OUT, b"%d" % ((due - now) * 1000.0)),
-                    header(self.names.left, b"%dm" % ((server_deadline - now) * 1000.0)),
-                    header(self.names.within, b"%d" % max(0.0, within)),
+                    overwrite_header(self.names.destination, address.encode()),
+                    overwrite_header(self.names.token, token.encode()),
+                    overwrite_header(TIMEOUT_HEADER, b"%d" % ((timeout_at - now) * 1000.0)),
+                    overwrite_header(self.names.left, b"%dm" % ((server_deadline - now) * 1000.0)),
+                    overwrite_header(self.names.within, b"%d" % max(0.0, within)),
                 ]
-                return self._request_headers(rows, self.attempt_mode)
+                return self._build_request_headers(rows, self.attempt_mode)
             case RequestOpened(token):
-                return self._request_headers([header(self.names.token, token.encode())], self.opener_mode)
-            case Rejected(pause, over_quota):
-                return immediate(429 if over_quota else 503, pause, self.names.retry)
+                return self._build_request_headers(
+                    [overwrite_header(self.names.token, token.encode())], self.opener_mode
+                )
+            case Rejected(retry_after_ms, over_quota):
+                return immediate_reply(429 if over_quota else 503, retry_after_ms, self.names.retry)
             case Failed(status):
-                return immediate(status, 0.0, self.names.retry)
+                return immediate_reply(status, 0.0, self.names.retry)
             case ResponseForwarded():
-                return self.passed
+                return self.response_forwarded
             case RetryOffered(never_ran):
                 return self.retry_offered[never_ran]
             case _:
                 raise ValueError(f"{reply!r} is no message")
 
-    def _request_headers(self, rows: list[Any], mode_override: Any) -> bytes:
+    def _build_request_headers(self, rows: list[Any], mode_override: Any) -> bytes:
         removed = [] if len(rows) > 1 else [self.names.destination]
         mutation = proto.HeaderMutation(set_headers=rows, remove_headers=removed)
         common = proto.CommonResponse(header_mutation=mutation, clear_route_cache=False)
@@ -218,14 +223,18 @@
     return data
 
 
-def header(name: str, value: bytes) -> Any:
+def overwrite_header(name: str, value: bytes) -> Any:
     """Sets a header whatever the client sent: the protocol's default would append."""
-    return core.HeaderValueOption(header=core.HeaderValue(key=name, raw_value=value), append_action=OVERWRITE)
+    return core.HeaderValueOption(
+        header=core.HeaderValue(key=name, raw_value=value), append_action=OVERWRITE_ACTION
+    )
 
 
-def immediate(status: int, retry_after_ms: float, retry: str) -> bytes:
+def immediate_reply(status: int, retry_after_ms: float, retry: str) -> bytes:
     """An answer to the client at once, from here."""
-    rows = [header("retry-after", b"%.3f" % (retry_after_ms / 1000.0))] if retry_after_ms > 0 else []
+    rows = (
+        [overwrite_header("retry-after", b"%.3f" % (retry_after_ms / 1000.0))] if retry_after_ms > 0 else []
+    )
     message = proto.ImmediateResponse(
         headers=proto.HeaderMutation(set_headers=rows, remove_headers=[retry]), details="quartzford"
     )
@@ -233,7 +242,7 @@
     return serialized(proto.ProcessingResponse(immediate_response=message))
 
 
-def text_of(row: Any) -> str:
+def header_text(row: Any) -> str:
     """Envoy fills raw_value or value, by a runtime flag; bytes that are no UTF-8 are kept apart."""
     raw: bytes = row.raw_value
     return raw.decode("utf-8", "surrogateescape") if raw else str(row.value)
--- a/quartzford/fronts/extproc/remote_request.py
+++ b/quartzford/fronts/extproc/remote_request.py
@@ -93,18 +93,18 @@
 class Stream:
     """One stream of a caller. reply is called once a decision request, once a report, and at the deadline."""
 
-    __slots__ = ("reply", "request", "attempt", "over", "requested_at")
+    __slots__ = ("reply", "request", "attempt", "closed", "requested_at")
 
     def __init__(self, reply: Callable[[Reply], None]) -> None:
         self.reply = reply
         self.request: RemoteRequest | None = None
         self.attempt: AttemptHandle | None = None  # the attempt whose decision this stream got
-        self.over = False
+        self.closed = False
         self.requested_at = 0.0  # when its last decision request came, seconds
 
     def send_reply(self, reply: Reply) -> None:
         """Hand a reply to the caller, unless the stream is over."""
-        if not self.over:
+        if not self.closed:
             self.reply(reply)
 
 
@@ -168,7 +168,7 @@
 
     def _end(self, reply: Reply) -> None:
         self._stop_timers()
-        listeners = (self.awaiting_outcome, self.awaiting_decision)
+        reply_streams = (self.awaiting_outcome, self.awaiting_decision)
         attempt_stream = self.attempt_stream
         next_stream = self.next_stream
         self.awaiting_outcome = None
@@ -176,7 +176,7 @@
         self.attempt_stream = None
         self.next_stream = None
         self.service.request_ended(self, reply)
-        for stream in listeners:
+        for stream in reply_streams:
             if stream is not None:
                 stream.send_reply(reply)
         if attempt_stream is not None:
@@ -253,7 +253,7 @@
                 stream.attempt.mark_lost()
             self._await_next_stream()
 
-    def opened(self, stream: Stream) -> None:
+    def send_token(self, stream: Stream) -> None:
         """The request is registered; its opening stream gets the token."""
         self.awaiting_outcome = None
         stream.send_reply(RequestOpened(self.token))
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -28,17 +28,17 @@
 from quartzford.fronts.listener import Listener, bind_all_addresses, listen_with_retries
 from quartzford.protocols import http2
 
-PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
+PROCESS_PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 ROLE_HEADER = b"x-quartzford-role"
 OPENER_ROLE = b"open"
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 MAX_MESSAGE_BYTES = 256 * 1024
-MAX_READ_AHEAD = 16  # messages of one stream that came ahead of a reply
+MAX_QUEUED_MESSAGES = 16  # messages of one stream that came ahead of a reply
 STREAM_GRACE_S = 2.0  # a stream is open for the longest deadline and so much more, whatever its caller does
 SWEEP_INTERVAL_S = 0.25
-MIN_REMAINING_S = 0.001  # time-outs are written in whole ms, and 0 of them would mean none
-FRAME_HEADER_BYTES = 5  # of a gRPC message: whether it is compressed, and its length
-DRAIN_POLL_S = 0.02
+MIN_ATTEMPT_TIMEOUT_S = 0.001  # time-outs are written in whole ms, and 0 of them would mean none
+MESSAGE_PREFIX_BYTES = 5  # of a gRPC message: whether it is compressed, and its length
+DRAIN_POLL_INTERVAL_S = 0.02
 # gRPC status codes
 OK = 0
 INVALID_ARGUMENT = 3
@@ -59,13 +59,13 @@
         "caller",
         "number",
         "opens",
-        "decided",
-        "busy",
-        "begun",
-        "answered",
+        "decision_sent",
+        "reply_pending",
+        "opened_at",
+        "headers_sent",
         "buffer",
         "queue",
-        "ended",
+        "half_closed",
     )
 
     def __init__(self, caller: CallerConnection, number: int, opens: bool, now: float) -> None:
@@ -73,86 +73,86 @@
         self.caller = caller
         self.number = number
         self.opens = opens
-        self.begun = now
-        self.decided = False  # got a destination or a token, and may report on it
-        self.busy = False  # a reply is due
-        self.answered = False  # our headers are out
-        self.ended = False  # the caller writes no more
+        self.opened_at = now
+        self.decision_sent = False  # got a destination or a token, and may report on it
+        self.reply_pending = False  # a reply is due
+        self.headers_sent = False  # our headers are out
+        self.half_closed = False  # the caller writes no more
         self.buffer = b""
         self.queue: deque[bytes] = deque()
 
     def feed(self, data: bytes, end: bool) -> None:
         """Bytes of length-prefixed messages; end: the caller writes no more."""
-        self.ended = self.ended or end
+        self.half_closed = self.half_closed or end
         self.buffer = self.buffer + data if self.buffer else data
-        while len(self.buffer) >= FRAME_HEADER_BYTES:
+        while len(self.buffer) >= MESSAGE_PREFIX_BYTES:
             size = int.from_bytes(self.buffer[1:5], "big")
             if self.buffer[0]:
                 return self.caller.finish(self, UNIMPLEMENTED, "no compression was offered")
-            if size > MAX_MESSAGE_BYTES or len(self.queue) >= MAX_READ_AHEAD:
+            if size > MAX_MESSAGE_BYTES or len(self.queue) >= MAX_QUEUED_MESSAGES:
                 return self.caller.finish(self, RESOURCE_EXHAUSTED, "more than is read ahead")
-            frame_end = FRAME_HEADER_BYTES + size
-            if len(self.buffer) < frame_end:
+            message_end = MESSAGE_PREFIX_BYTES + size
+            if len(self.buffer) < message_end:
                 break
-            self.queue.append(self.buffer[FRAME_HEADER_BYTES:frame_end])
-            self.buffer = self.buffer[frame_end:]
+            self.queue.append(self.buffer[MESSAGE_PREFIX_BYTES:message_end])
+            self.buffer = self.buffer[message_end:]
         self.advance()
 
     def advance(self) -> None:
         """One message after the other; the next one waits for the reply to the one before."""
-        while self.queue and not self.busy and not self.over:
+        while self.queue and not self.reply_pending and not self.closed:
             try:
-                self._message(proto.ProcessingRequest.FromString(self.queue.popleft()))
+                self._handle_message(proto.ProcessingRequest.FromString(self.queue.popleft()))
             except DecodeError:
                 return self.caller.finish(self, INVALID_ARGUMENT, "not a ProcessingRequest")
-        if self.ended and not self.busy and not self.over:
+        if self.half_closed and not self.reply_pending and not self.closed:
             if self.buffer:
                 return self.caller.finish(self, INVALID_ARGUMENT, "half a message")
             self.caller.finish(self, OK, "")
 
-    def _message(self, request: Any) -> None:
+    def _handle_message(self, request: Any) -> None:
         processor = self.caller.processor
         kind = request.WhichOneof("request")
         if kind is None:
             raise DecodeError("no phase is set")
-        if kind == "request_headers" and not self.decided:
+        if kind == "request_headers" and not self.decision_sent:
             decision_request = processor.reader.read_request(request.request_headers, self.opens)
             if isinstance(decision_request, Failed):
                 return self._send(processor.writer.write(decision_request, processor.clock.now()))
-            self.busy = True
+            self.reply_pending = True
             return processor.link.request_decision(self, decision_request)
-        if kind == "response_headers" and self.decided and not self.opens:
-            self.decided = False
-            self.busy = True
-            return processor.link.report_result(self, processor.reader.result(request))
-        return self._send(processor.writer.neutral[kind])
+        if kind == "response_headers" and self.decision_sent and not self.opens:
+            self.decision_sent = False
+            self.reply_pending = True
+            return processor.link.report_result(self, processor.reader.read_response(request))
+        return self._send(processor.writer.neutral_replies[kind])
 
     def _replied(self, reply: Reply) -> None:
         if isinstance(reply, DeadlineExceeded):
             return self.caller.finish(self, DEADLINE_EXCEEDED, "the request's time is over")
-        if not self.busy:
+        if not self.reply_pending:
             return
         processor = self.caller.processor
         now = processor.clock.now()
-        if isinstance(reply, Decision) and expired(reply, now):
+        if isinstance(reply, Decision) and is_expired(reply, now):
             return processor.link.decision_expired(self)
-        self.busy = False
-        self.decided = isinstance(reply, Decision | RequestOpened)
+        self.reply_pending = False
+        self.decision_sent = isinstance(reply, Decision | RequestOpened)
         self._send(processor.writer.write(reply, now))
         self.advance()
 
     def _send(self, message: bytes) -> None:
         connection = self.caller.connection
-        if not self.answered:
-            self.answered = True
+        if not self.headers_sent:
+            self.headers_sent = True
             connection.send_headers(self.number, RESPONSE_HEADERS)
         connection.send_data(self.number, b"\0" + len(message).to_bytes(4, "big") + message)
         self.caller.flush()
 
 
-def expired(decision: Decision, now: float) -> bool:
+def is_expired(decision: Decision, now: float) -> bool:
     """Whether it is too late to write the decision: the server may drain by now, or the time is over."""
-    return now > decision.valid_until or decision.server_deadline - now < MIN_REMAINING_S
+    return now > decision.valid_until or decision.server_deadline - now < MIN_ATTEMPT_TIMEOUT_S
 
 
 class CallerConnection(asyncio.Protocol):
@@ -163,10 +163,10 @@
     def __init__(self, processor: Processor) -> None:
         self.processor = processor
         self.connection: http2.ServerConnection = http2.ServerConnection(
-            self, processor.most_streams, processor.list_bytes
+            self, processor.max_streams, processor.max_header_list_bytes
         )
         self.extproc_streams: dict[int, ExtprocStream] = {}
-        self.flushing = False
+        self.flush_scheduled = False
 
     # ---- asyncio.Protocol
 
@@ -182,26 +182,26 @@
         self._write()
         if self.connection.over:
             self.transport.close()
-            self._drop_all()
+            self._close_all_streams()
 
     def connection_lost(self, error: Exception | None) -> None:
         """Part of asyncio.Protocol: all its streams are closed."""
         self.processor.callers.discard(self)
-        self._drop_all()
+        self._close_all_streams()
 
-    def _drop_all(self) -> None:
+    def _close_all_streams(self) -> None:
         extproc_streams, self.extproc_streams = self.extproc_streams, {}
         for extproc_stream in extproc_streams.values():
-            self._drop(extproc_stream)
+            self._close_stream(extproc_stream)
 
     def flush(self) -> None:
         """Write, at the end of this iteration of the loop, all that was sent in it."""
-        if not self.flushing:
-            self.flushing = True
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
             self.processor.loop.call_soon(self._write)
 
     def _write(self) -> None:
-        self.flushing = False
+        self.flush_scheduled = False
         if not self.connection.output or self.transport.is_closing():
             return
         self.transport.write(self.connection.take())
@@ -214,7 +214,7 @@
         """A new HTTP/2 stream; what is not this method of gRPC is rejected."""
         processor = self.processor
         read = dict(headers)
-        if read.get(b":method") != b"POST" or read.get(b":path") != PATH:
+        if read.get(b":method") != b"POST" or read.get(b":path") != PROCESS_PATH:
             return self._reject(stream_id, UNIMPLEMENTED, "no such method")
         if not read.get(b"content-type", b"").startswith(b"application/grpc"):
             return self._reject(stream_id, UNIMPLEMENTED, "not gRPC")
@@ -236,34 +236,34 @@
         """The caller has cancelled a stream."""
         extproc_stream = self.extproc_streams.pop(stream_id, None)
         if extproc_stream is not None:
-            self._drop(extproc_stream)
+            self._close_stream(extproc_stream)
 
     # ---- ends
 
-    def _drop(self, extproc_stream: ExtprocStream) -> None:
-        if not extproc_stream.over:
+    def _close_stream(self, extproc_stream: ExtprocStream) -> None:
+        if not extproc_stream.closed:
             self.processor.streams -= 1
-            self.processor.link.stream_closed(extproc_stream, extproc_stream.busy)
-            extproc_stream.over = True
+            self.processor.link.stream_closed(extproc_stream, extproc_stream.reply_pending)
+            extproc_stream.closed = True
 
-    def finish(self, extproc_stream: ExtprocStream, status: int, why: str) -> None:
+    def finish(self, extproc_stream: ExtprocStream, status: int, grpc_message: str) -> None:
         """Trailers end the stream; where the caller still writes to it, it is reset."""
         if self.extproc_streams.pop(extproc_stream.number, None) is None:
             return
-        self._trailers(extproc_stream.number, extproc_stream.answered, status, why)
-        self._drop(extproc_stream)
+        self._trailers(extproc_stream.number, extproc_stream.headers_sent, status, grpc_message)
+        self._close_stream(extproc_stream)
 
-    def _reject(self, stream: int, status: int, why: str) -> None:
-        self._trailers(stream, False, status, why)
+    def _reject(self, stream: int, status: int, grpc_message: str) -> None:
+        self._trailers(stream, False, status, grpc_message)
 
-    def _trailers(self, stream: int, answered: bool, status: int, why: str) -> None:
+    def _trailers(self, stream: int, headers_sent: bool, status: int, grpc_message: str) -> None:
         trailers = OK_TRAILERS
         if status != OK:
             trailers = http2.encode_header_block(
-                ((b"grpc-status", b"%d" % status), (b"grpc-message", why.encode()))
+                ((b"grpc-status", b"%d" % status), (b"grpc-message", grpc_message.encode()))
             )
         self.connection.send_headers(
-            stream, trailers if answered else RESPONSE_HEADERS + trailers, end_stream=True
+            stream, trailers if headers_sent else RESPONSE_HEADERS + trailers, end_stream=True
         )
         self.connection.reset(stream, http2.ErrorCode.NO_ERROR)  # if its caller has not ended it
         self.flush()
@@ -276,49 +276,51 @@
         self,
         link: DecisionLink,
         names: HeaderNames,
-        longest_s: float,
-        most_streams: int,
+        max_deadline_s: float,
+        max_streams: int,
         clock: Clock,
         log: Log,
     ) -> None:
         self.link = link
         self.clock = clock
         self.log = log
-        self.most_streams = most_streams
+        self.max_streams = max_streams
         self.loop = asyncio.get_running_loop()
         self.callers: set[CallerConnection] = set()
         self.streams = 0
-        self.list_bytes = 32 * 1024
+        self.max_header_list_bytes = 32 * 1024
         self.listener: Listener | None = None
-        self.configure(names, longest_s)
-        clock.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self.configure(names, max_deadline_s)
+        clock.call_later(SWEEP_INTERVAL_S, self._close_old_streams)
 
-    def configure(self, names: HeaderNames, longest_s: float) -> None:
+    def configure(self, names: HeaderNames, max_deadline_s: float) -> None:
         """Header names in force, and the longest deadline in seconds."""
         self.reader = HeaderReader(names)
         self.writer = ReplyWriter(names)
-        self.stream_s = longest_s + STREAM_GRACE_S
+        self.max_stream_s = max_deadline_s + STREAM_GRACE_S
 
     async def listen(self, address: str) -> int:
         """Serve on host:port (port 0: the kernel's choice), which other processes may share; the port."""
         host, _, port = address.rpartition(":")
-        where = host.strip("[]"), int(port)
-        listening = await listen_with_retries(lambda: bind_all_addresses(where, BACKLOG, shared=True))
+        listen_address = host.strip("[]"), int(port)
+        listening = await listen_with_retries(
+            lambda: bind_all_addresses(listen_address, LISTEN_BACKLOG, shared=True)
+        )
         self.listener = Listener(listening, lambda: CallerConnection(self), self.clock, self.loop)
         self.listener.start()
         bound: int = listening[0].getsockname()[1]
         return bound
 
-    def _sweep(self) -> None:
+    def _close_old_streams(self) -> None:
         """No stream outlives its time, whatever its caller does."""
-        before = self.clock.now() - self.stream_s
+        opened_before = self.clock.now() - self.max_stream_s
         for caller in list(self.callers):
             # In the order of their beginning: the first young one ends the search.
             for extproc_stream in list(caller.extproc_streams.values()):
-                if extproc_stream.begun > before:
+                if extproc_stream.opened_at > opened_before:
                     break
                 caller.finish(extproc_stream, DEADLINE_EXCEEDED, "the stream's time is over")
-        self.clock.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self.clock.call_later(SWEEP_INTERVAL_S, self._close_old_streams)
 
     async def stop(self, grace_s: float) -> None:
         """GOAWAY to all; streams that are open finish, in so many seconds at most."""
@@ -328,9 +330,9 @@
         for caller in self.callers:
             caller.connection.go_away()
             caller.flush()
-        limit = self.clock.now() + grace_s
-        while self.streams and self.clock.now() < limit:
-            await asyncio.sleep(DRAIN_POLL_S)
+        close_at = self.clock.now() + grace_s
+        while self.streams and self.clock.now() < close_at:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         for caller in list(self.callers):
             caller._write()
             caller.transport.close()
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -48,7 +48,7 @@
     return key
 
 
-def names_of(settings: ExtprocSettings, report_names: tuple[str, ...]) -> HeaderNames:
+def header_names(settings: ExtprocSettings, report_names: tuple[str, ...]) -> HeaderNames:
     """The header names and bounds in force. report_names: the load report's figures, in their order."""
     return HeaderNames(
         **dict(settings.headers),
@@ -76,7 +76,7 @@
         self.engine = engine
         self.clock = clock
         self.log = log
-        self.names = names_of(settings, report_names)
+        self.names = header_names(settings, report_names)
         tokens = Tokens(token_key(settings.token_key_file), os.urandom(INCARNATION_BYTES))
         self.service = DecisionService(
             engine,
@@ -91,68 +91,72 @@
         self.port = 0
         self.channels: set[ServiceChannel] = set()
         self.workers: dict[int, asyncio.subprocess.Process] = {}
-        self.tasks: list[asyncio.Task[None]] = []
+        self.supervisors: list[asyncio.Task[None]] = []
         self.processor: Processor | None = None
-        self.unix: asyncio.Server | None = None
-        self.folder: tempfile.TemporaryDirectory[str] | None = None
+        self.unix_server: asyncio.Server | None = None
+        self.socket_folder: tempfile.TemporaryDirectory[str] | None = None
         self.stopping = False
 
     @property
-    def longest_s(self) -> float:
+    def max_deadline_s(self) -> float:
         """The longest deadline of all classes, seconds."""
         return self.engine.max_deadline_ms / 1000.0
 
     async def start(self) -> None:
         """Listen, here or in workers; returns when these are up, or after a time-out without some of them."""
         if self.settings.workers == 0:
-            link, most = LocalLink(self.service), self.settings.most_streams
-            self.processor = Processor(link, self.names, self.longest_s, most, self.clock, self.log)
+            link, max_streams = LocalLink(self.service), self.settings.most_streams
+            self.processor = Processor(
+                link, self.names, self.max_deadline_s, max_streams, self.clock, self.log
+            )
             self.port = await self.processor.listen(self.settings.listen)
             return
-        self.folder = tempfile.TemporaryDirectory(prefix="quartzford-", ignore_cleanup_errors=True)
-        path = str(Path(self.folder.name) / "desk")
+        self.socket_folder = tempfile.TemporaryDirectory(prefix="quartzford-", ignore_cleanup_errors=True)
+        path = str(Path(self.socket_folder.name) / "desk")
         loop = asyncio.get_running_loop()
-        self.unix = await loop.create_unix_server(
-            lambda: ServiceChannel(self.service, self.log, self.channels, self._greeting), path
+        self.unix_server = await loop.create_unix_server(
+            lambda: ServiceChannel(self.service, self.log, self.channels, self._initial_message), path
         )
         host, _, port = self.settings.listen.rpartition(":")
         for number in range(self.settings.workers):
-            self.tasks.append(loop.create_task(self._supervise(number, path, f"{host}:{self.port or port}")))
+            self.supervisors.append(
+                loop.create_task(self._supervise(number, path, f"{host}:{self.port or port}"))
+            )
             if port == "0" and not self.port:  # the kernel's choice is every worker's port
-                self.port = await self._bound()
+                self.port = await self._wait_for_port()
         if not self.port:
             self.port = int(port)
-        limit = self.clock.now() + WORKER_START_TIMEOUT_S
+        give_up_at = self.clock.now() + WORKER_START_TIMEOUT_S
         while sum(bool(channel.port) for channel in self.channels) < self.settings.workers:
-            if self.clock.now() > limit:
+            if self.clock.now() > give_up_at:
                 return self.log.line("extproc", "not all workers are up yet")
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _bound(self) -> int:
+    async def _wait_for_port(self) -> int:
         while True:
             for channel in self.channels:
                 if channel.port:
                     return channel.port
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _greeting(self) -> tuple[Any, ...]:
+    def _initial_message(self) -> tuple[Any, ...]:
         """The names in force; to a worker that comes up while all stop, that it is to stop too."""
         if self.stopping:
             return (STOP,)
-        return (CONFIGURATION, asdict(self.names), self.longest_s)
+        return (CONFIGURATION, asdict(self.names), self.max_deadline_s)
 
     async def _supervise(self, number: int, path: str, address: str) -> None:
         """Run a worker, and its successors: the requests of a dead one's callers stay with the service."""
         backoff_s = MIN_RESTART_BACKOFF_S
         while not self.stopping:
-            begun = self.clock.now()
-            where = f"{address.rpartition(':')[0]}:{self.port}" if self.port else address
+            started_at = self.clock.now()
+            listen_address = f"{address.rpartition(':')[0]}:{self.port}" if self.port else address
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "quartzford.fronts.extproc.worker",
                 path,
-                where,
+                listen_address,
                 str(self.settings.most_streams),
             )
             self.workers[number] = process
@@ -160,7 +164,7 @@
             if self.stopping:
                 return
             self.log.line("extproc", f"worker {number} ended with {code}; another one follows")
-            if self.clock.now() - begun > MAX_RESTART_BACKOFF_S:
+            if self.clock.now() - started_at > MAX_RESTART_BACKOFF_S:
                 backoff_s = MIN_RESTART_BACKOFF_S
             else:
                 backoff_s = min(MAX_RESTART_BACKOFF_S, 2 * backoff_s)
@@ -169,13 +173,13 @@
     def reconfigure(self, settings: ExtprocSettings, report_names: tuple[str, ...]) -> None:
         """New settings under load. Streams that are open go on by the new names."""
         self.settings = settings
-        self.names = names_of(settings, report_names)
+        self.names = header_names(settings, report_names)
         self.service.return_s = settings.return_ms / 1000.0
         self.service.overlap_s = settings.overlap_ms / 1000.0
         self.service.max_requests = settings.most_requests
         self.service.queue_s = settings.queue_ms / 1000.0
         if self.processor is not None:
-            self.processor.configure(self.names, self.longest_s)
+            self.processor.configure(self.names, self.max_deadline_s)
         for channel in self.channels:
             channel.configure()
 
@@ -183,19 +187,19 @@
         """GOAWAY to all callers; open streams finish, within the longest deadline."""
         self.stopping = True
         if self.processor is not None:
-            await self.processor.stop(self.longest_s + STREAM_GRACE_S)
+            await self.processor.stop(self.max_deadline_s + STREAM_GRACE_S)
         for channel in list(self.channels):
             channel.send(STOP)
         for process in self.workers.values():
             try:
-                await asyncio.wait_for(process.wait(), self.longest_s + 2 * STREAM_GRACE_S)
+                await asyncio.wait_for(process.wait(), self.max_deadline_s + 2 * STREAM_GRACE_S)
             except TimeoutError:
                 process.kill()
                 await process.wait()
-        for task in self.tasks:
+        for task in self.supervisors:
             task.cancel()
-        await asyncio.gather(*self.tasks, return_exceptions=True)
-        if self.unix is not None:
-            self.unix.close()
-        if self.folder is not None:
-            self.folder.cleanup()
+        await asyncio.gather(*self.supervisors, return_exceptions=True)
+        if self.unix_server is not None:
+            self.unix_server.close()
+        if self.socket_folder is not None:
+            self.socket_folder.cleanup()
--- a/quartzford/fronts/extproc/service_channel.py
+++ b/quartzford/fronts/extproc/service_channel.py
@@ -24,7 +24,7 @@
 from quartzford.fronts.extproc.remote_request import Stream
 
 MAX_TURN_S = 0.004  # the process works so long at a channel, then looks at all else: drains above all
-MAX_QUEUED = 8_192  # messages read ahead
+MAX_QUEUED_MESSAGES = 8_192  # messages read ahead
 
 
 class ServiceChannel(JsonLinesProtocol):
@@ -39,17 +39,17 @@
         service: DecisionService,
         log: Log,
         channels: set[ServiceChannel],
-        greeting: Callable[[], tuple[Any, ...]],
+        initial_message: Callable[[], tuple[Any, ...]],
     ) -> None:
         super().__init__()
         self.service = service
         self.log = log
         self.channels = channels
-        self.greeting = greeting
+        self.initial_message = initial_message
         self.streams: dict[int, Stream] = {}
         self.port = 0
         self.queue = MessageQueue(self._priority_weight)
-        self.working = False
+        self.turn_scheduled = False
         self.paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -60,7 +60,7 @@
 
     def configure(self) -> None:
         """Send the worker the configuration in force."""
-        self.send(*self.greeting())
+        self.send(*self.initial_message())
 
     def connection_lost(self, error: Exception | None) -> None:
         """Part of asyncio.Protocol: the worker has died, and its streams with it."""
@@ -74,29 +74,29 @@
     def messages_received(self, messages: list[Message]) -> None:
         """Queue messages, and stop reading where too many wait."""
         for message in messages:
-            self.queue.put(message)
-        if not self.paused and len(self.queue) > MAX_QUEUED:
+            self.queue.add(message)
+        if not self.paused and len(self.queue) > MAX_QUEUED_MESSAGES:
             self.paused = True
             self.transport.pause_reading()
-        if not self.working:
-            self._work()
+        if not self.turn_scheduled:
+            self._run_turn()
 
     def _priority_weight(self, name: str) -> float:
         service_class = self.service.engine.classes.get(name)
         return service_class.priority_weight if service_class is not None else 0.0
 
-    def _work(self) -> None:
+    def _run_turn(self) -> None:
         now = self.service.clock.now
-        end = now() + MAX_TURN_S
-        while now() < end and (message := self.queue.next()) is not None:
+        turn_end = now() + MAX_TURN_S
+        while now() < turn_end and (message := self.queue.next_message()) is not None:
             try:
                 self._dispatch(message)
             except Exception:
                 self.log.exception("line")
         self._flush()
-        self.working = bool(len(self.queue))
-        if self.working:
-            self.loop.call_soon(self._work)
+        self.turn_scheduled = bool(len(self.queue))
+        if self.turn_scheduled:
+            self.loop.call_soon(self._run_turn)
         elif self.paused:
             self._resume_reading()
 
--- a/quartzford/fronts/extproc/token.py
+++ b/quartzford/fronts/extproc/token.py
@@ -10,7 +10,9 @@
 from enum import Enum
 
 MAC_BYTES = 16
-LAYOUT = struct.Struct(">8sIQ")  # the incarnation that made it, the request's number, its end in Unix ms
+TOKEN_LAYOUT = struct.Struct(
+    ">8sIQ"
+)  # the incarnation that made it, the request's number, its end in Unix ms
 VERSION = b"q1"
 
 
@@ -30,9 +32,9 @@
         self.key = hashlib.blake2b(key).digest()
         self.incarnation = incarnation
 
-    def make(self, number: int, identity: str, ends_ms: float) -> str:
+    def make(self, number: int, identity: str, expires_unix_ms: float) -> str:
         """A token for a request; identity is the request's correlation id, which it is good for alone."""
-        body = LAYOUT.pack(self.incarnation, number, int(ends_ms))
+        body = TOKEN_LAYOUT.pack(self.incarnation, number, int(expires_unix_ms))
         return base64.urlsafe_b64encode(body + self._mac(body, identity)).decode().rstrip("=")
 
     def read(self, text: str, identity: str, now_ms: float) -> int | InvalidToken:
@@ -41,14 +43,20 @@
         A token of an earlier incarnation differs from a forged one only where the key is kept.
         """
         try:
-            raw = base64.b64decode(text + "=" * (-len(text) % 4), b"-_", validate=True)
+            decoded = base64.b64decode(text + "=" * (-len(text) % 4), b"-_", validate=True)
         except (ValueError, binascii.Error):
             return InvalidToken.FORGED
-        body, mac = raw[: LAYOUT.size], raw[LAYOUT.size :]
-        if len(raw) != LAYOUT.size + MAC_BYTES or not hmac.compare_digest(mac, self._mac(body, identity)):
+        body, mac = decoded[: TOKEN_LAYOUT.size], decoded[TOKEN_LAYOUT.size :]
+        if len(decoded) != TOKEN_LAYOUT.size + MAC_BYTES or not hmac.compare_digest(
+            mac, self._mac(body, identity)
+        ):
             return InvalidToken.FORGED
-        incarnation, number, ends = LAYOUT.unpack(body)
-        return int(number) if incarnation == self.incarnation and now_ms <= ends else InvalidToken.STALE
+        incarnation, number, expires_unix_ms = TOKEN_LAYOUT.unpack(body)
+        return (
+            int(number)
+            if incarnation == self.incarnation and now_ms <= expires_unix_ms
+            else InvalidToken.STALE
+        )
 
     def _mac(self, body: bytes, identity: str) -> bytes:
         text = VERSION + body + identity.encode("utf-8", "surrogateescape")
--- a/quartzford/fronts/extproc/worker_channel.py
+++ b/quartzford/fronts/extproc/worker_channel.py
@@ -45,13 +45,13 @@
     def messages_received(self, messages: list[Message]) -> None:
         """Hand replies to their streams, and the rest to the worker."""
         for message in messages:
-            kind = REPLIES.get(message[0])
-            if kind is None:
+            reply_type = REPLIES.get(message[0])
+            if reply_type is None:
                 self.on_message(message)
                 continue
             stream = self.streams.get(message[1])
             if stream is not None:
-                stream.send_reply(kind(*message[2:]))
+                stream.send_reply(reply_type(*message[2:]))
 
     def open(self, stream: Stream) -> None:
         """Give a new stream its number."""
--- a/tests/test_extproc_channel.py
+++ b/tests/test_extproc_channel.py
@@ -10,14 +10,14 @@
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from test_extproc_decisions import World
+from test_extproc_decisions import ServiceTestbed
 
 from quartzford.fronts.extproc.decision_messages import DecisionRequest
 from quartzford.fronts.extproc.message_queue import MessageQueue
 from quartzford.fronts.extproc.service_channel import ServiceChannel
 
 
-class Pipe:
+class RecordingTransport:
     """A transport that keeps what is written."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self.reading = True
 
     def write(self, data: bytes) -> None:
-        self.written += [json.loads(line) for line in data.splitlines()]
+        self.written += [json.loads(channel) for channel in data.splitlines()]
 
     def is_closing(self) -> bool:
         return False
@@ -37,7 +37,7 @@
         self.reading = True
 
 
-def up(*messages: Any) -> bytes:
+def encode_lines(*messages: Any) -> bytes:
     return b"".join(json.dumps(m).encode() + b"\n" for m in messages)
 
 
@@ -45,93 +45,97 @@
     return ["ask", number, at, *DecisionRequest(identity or f"c{number}", name, 500.0)]
 
 
-def on_loop(test: Any) -> None:
+def run_on_loop(test: Any) -> None:
     async def main() -> None:
-        world = World()
-        line = ServiceChannel(world.service, world.log, set(), lambda: ("names", {}, 1.0))
-        pipe = Pipe()
-        line.connection_made(pipe)  # type: ignore[arg-type]
+        testbed = ServiceTestbed()
+        channel = ServiceChannel(testbed.service, testbed.log, set(), lambda: ("names", {}, 1.0))
+        transport = RecordingTransport()
+        channel.connection_made(transport)  # type: ignore[arg-type]
         await asyncio.sleep(0)
-        pipe.written.clear()
-        await test(world, line, pipe)
+        transport.written.clear()
+        await test(testbed, channel, transport)
 
     uvloop.run(main())
 
 
 def test_lines_in_pieces_and_their_replies() -> None:
-    async def test(world: World, line: ServiceChannel, pipe: Pipe) -> None:
-        data = up(request_message(1, world.clock.at, "pay"))
+    async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
+        data = encode_lines(request_message(1, testbed.clock.at, "pay"))
         for at in range(0, len(data), 9):
-            line.data_received(data[at : at + 9])
+            channel.data_received(data[at : at + 9])
         await asyncio.sleep(0)
-        assert [m[:2] for m in pipe.written] == [["Told", 1]]
-        line.data_received(up(["report", 1, "ok", [], False], ["drop", 1, False]))
+        assert [m[:2] for m in transport.written] == [["Told", 1]]
+        channel.data_received(encode_lines(["report", 1, "ok", [], False], ["drop", 1, False]))
         await asyncio.sleep(0)
-        assert pipe.written[1:] == [["Passed", 1]] and not line.streams and not world.service.requests
+        assert (
+            transport.written[1:] == [["Passed", 1]] and not channel.streams and not testbed.service.requests
+        )
 
-    on_loop(test)
+    run_on_loop(test)
 
 
 def test_ends_go_before_decision_requests_and_these_by_priority_weight() -> None:
-    async def test(world: World, line: ServiceChannel, pipe: Pipe) -> None:
-        line.data_received(up(request_message(1, world.clock.at, "pay")))
-        line.working = True  # a turn is under way: what comes now waits
-        now = world.clock.at
-        line.data_received(
-            up(
+    async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
+        channel.data_received(encode_lines(request_message(1, testbed.clock.at, "pay")))
+        channel.turn_scheduled = True  # a turn is under way: what comes now waits
+        now = testbed.clock.at
+        channel.data_received(
+            encode_lines(
                 request_message(2, now, "read"),
                 request_message(3, now, "pay"),
                 request_message(4, now, "book"),
             )
         )
-        line.data_received(up(["report", 1, "ok", [], False]))
-        line._work()
+        channel.data_received(encode_lines(["report", 1, "ok", [], False]))
+        channel._run_turn()
         await asyncio.sleep(0)
-        assert [m[1] for m in pipe.written] == [1, 1, 3, 4, 2]
-        assert pipe.written[1][0] == "Passed"
+        assert [m[1] for m in transport.written] == [1, 1, 3, 4, 2]
+        assert transport.written[1][0] == "Passed"
 
-    on_loop(test)
+    run_on_loop(test)
 
 
 def test_a_stream_that_closed_before_its_decision_request_was_handled_opens_nothing() -> None:
-    async def test(world: World, line: ServiceChannel, pipe: Pipe) -> None:
-        line.working = True
-        line.data_received(
-            up(request_message(1, world.clock.at, "pay"), ["drop", 1, False], ["drop", 9, False])
+    async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
+        channel.turn_scheduled = True
+        channel.data_received(
+            encode_lines(request_message(1, testbed.clock.at, "pay"), ["drop", 1, False], ["drop", 9, False])
         )
-        line._work()
+        channel._run_turn()
         await asyncio.sleep(0)
         assert (
-            not pipe.written
-            and not world.engine.pending_requests
-            and not line.queue.closed_streams
-            and not line.streams
+            not transport.written
+            and not testbed.engine.pending_requests
+            and not channel.queue.closed_streams
+            and not channel.streams
         )
 
-    on_loop(test)
+    run_on_loop(test)
 
 
 def test_a_closed_stream_takes_all_its_waiting_decision_requests() -> None:
     """A stream that was known and asked again once came back to life, and was never dropped."""
 
-    async def test(world: World, line: ServiceChannel, pipe: Pipe) -> None:
-        now = world.clock.at
-        line.data_received(up(request_message(1, now, "pay")))
-        line.data_received(up(["report", 1, "ok", [], False]))
-        line.working = True
-        line.data_received(
-            up(
+    async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
+        now = testbed.clock.at
+        channel.data_received(encode_lines(request_message(1, now, "pay")))
+        channel.data_received(encode_lines(["report", 1, "ok", [], False]))
+        channel.turn_scheduled = True
+        channel.data_received(
+            encode_lines(
                 request_message(1, now, "pay", "c5"),
                 request_message(1, now, "read", "c6"),
                 ["drop", 1, False],
             )
         )
-        line._work()
+        channel._run_turn()
         await asyncio.sleep(0)
-        assert len(pipe.written) == 2 and not line.streams and not world.service.requests
-        assert not len(line.queue) and not line.queue.closed_streams and not line.queue.requests_by_stream
+        assert len(transport.written) == 2 and not channel.streams and not testbed.service.requests
+        assert (
+            not len(channel.queue) and not channel.queue.closed_streams and not channel.queue.request_counts
+        )
 
-    on_loop(test)
+    run_on_loop(test)
 
 
 @given(
@@ -156,10 +160,10 @@
             if what == "drop":
                 dropped.add(stream)
             put.append([what, stream, number, "id", name])
-            queue.put(put[-1])
+            queue.add(put[-1])
             continue
         before = list(queue.end_messages), {w: list(q) for w, q in queue.decision_requests.items()}
-        message = queue.next()
+        message = queue.next_message()
         if message is None:
             continue
         got.append(message)
@@ -169,7 +173,7 @@
             assert all(
                 m[1] in queue.closed_streams or m[1] in dropped for m in higher
             ), "not by priority weight"
-    assert not len(queue) and not queue.closed_streams and not queue.requests_by_stream
+    assert not len(queue) and not queue.closed_streams and not queue.request_counts
     ends = [m for m in put if m[0] != "ask"]
     assert [m for m in got if m[0] != "ask"] == ends, "an end was lost, or out of order"
     for message in put:
@@ -179,32 +183,34 @@
 
 
 def test_an_overload_stops_reading_and_rejects_what_waited() -> None:
-    async def test(world: World, line: ServiceChannel, pipe: Pipe) -> None:
-        line.working = True
-        old = world.clock.at - 0.2
-        line.data_received(up(*(request_message(n, old, "read") for n in range(10_000))))
-        assert not pipe.reading
-        line._work()
-        while line.working:
+    async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
+        channel.turn_scheduled = True
+        old = testbed.clock.at - 0.2
+        channel.data_received(encode_lines(*(request_message(n, old, "read") for n in range(10_000))))
+        assert not transport.reading
+        channel._run_turn()
+        while channel.turn_scheduled:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert pipe.reading and len(pipe.written) == 10_000
-        assert {m[0] for m in pipe.written} == {"Refused"} and not world.engine.pending_requests
+        assert transport.reading and len(transport.written) == 10_000
+        assert {m[0] for m in transport.written} == {"Refused"} and not testbed.engine.pending_requests
 
-    on_loop(test)
+    run_on_loop(test)
 
 
 def test_a_lost_channel_closes_its_streams_and_a_bad_message_spoils_nothing() -> None:
-    async def test(world: World, line: ServiceChannel, pipe: Pipe) -> None:
-        line.data_received(
-            up(request_message(1, world.clock.at, "pay"), request_message(2, world.clock.at, "read"))
+    async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
+        channel.data_received(
+            encode_lines(
+                request_message(1, testbed.clock.at, "pay"), request_message(2, testbed.clock.at, "read")
+            )
         )
-        world.log.exception = lambda where: world.log.lines.append(where)  # type: ignore[method-assign]
-        line.data_received(up(["report", 77, "ok", [], False], ["odd", 1]))
-        assert len(world.service.requests) == 2
-        line.connection_lost(None)
-        world.clock.pass_time(1.0)
-        assert not world.service.requests and world.engine.counts["client gone"] == 2
-        assert world.service.completed["c1"].never_ran is False
-
-    on_loop(test)
+        testbed.log.exception = lambda where: testbed.log.lines.append(where)  # type: ignore[method-assign]
+        channel.data_received(encode_lines(["report", 77, "ok", [], False], ["odd", 1]))
+        assert len(testbed.service.requests) == 2
+        channel.connection_lost(None)
+        testbed.clock.pass_time(1.0)
+        assert not testbed.service.requests and testbed.engine.counts["client gone"] == 2
+        assert testbed.service.completed["c1"].never_ran is False
+
+    run_on_loop(test)
--- a/tests/test_extproc_decisions.py
+++ b/tests/test_extproc_decisions.py
@@ -75,7 +75,7 @@
         self.at = end
 
 
-class Quiet:
+class MemoryLog:
     def __init__(self) -> None:
         self.lines: list[str] = []
 
@@ -86,11 +86,11 @@
         raise  # noqa: PLE0704  (called from within a handler)
 
 
-class World:
+class ServiceTestbed:
     """Callers that do as the test draws, and a referee over the four rules."""
 
     def __init__(self, servers: int = 6, seed: int = 3) -> None:
-        self.clock, self.log = FakeClock(), Quiet()
+        self.clock, self.log = FakeClock(), MemoryLog()
         self.engine = Engine(settings(), seed, self.clock, self.log)
         self.backend = CallerBackend(self.engine, self.clock, 0.1)
         tokens = Tokens(b"k" * 16, b"life-one")
@@ -99,7 +99,7 @@
         self.drained: dict[str, float] = {}
         self.list()
         self.engine.start()
-        self.streams: list[Peer] = []
+        self.streams: list[CallerStream] = []
 
     def list(self) -> None:
         rows = tuple(self.entries.values())
@@ -115,47 +115,47 @@
         self.list()
 
 
-class Peer:
+class CallerStream:
     """A stream, and what its caller heard on it."""
 
-    def __init__(self, world: World, slow: bool = False) -> None:
-        self.world, self.slow = world, slow  # slow: its worker has the first Told too late to write it
+    def __init__(self, testbed: ServiceTestbed, slow: bool = False) -> None:
+        self.testbed, self.slow = testbed, slow  # slow: its worker has the first Told too late to write it
         self.held: Decision | None = None
         self.received: list[Reply] = []
         self.requested = self.reported = 0
         self.stream = Stream(self.receive)
         self.dropped = False
-        world.streams.append(self)
+        testbed.streams.append(self)
 
     def receive(self, reply: Reply) -> None:
         assert not self.dropped, "a word to a stream that has ended"
         if self.slow and isinstance(reply, Decision):
             self.slow, self.held = False, reply
-            late_s = reply.valid_until - self.world.clock.at + 0.001
-            self.world.clock.call_later(late_s, self.late)
+            late_s = reply.valid_until - self.testbed.clock.at + 0.001
+            self.testbed.clock.call_later(late_s, self.late)
             return
         self.received.append(reply)
         replies = [r for r in self.received if not isinstance(r, DeadlineExceeded)]
         assert len(replies) <= self.requested + self.reported, "a reply that nobody waits for"
 
-    def submit(self, request: DecisionRequest) -> Peer:
+    def submit(self, request: DecisionRequest) -> CallerStream:
         self.requested += 1
-        self.world.service.request_decision(self.stream, request)
+        self.testbed.service.request_decision(self.stream, request)
         return self
 
     def report(self, code: str) -> None:
         self.reported += 1
-        self.world.service.report_result(self.stream, AttemptResult(code))
+        self.testbed.service.report_result(self.stream, AttemptResult(code))
 
     def drop(self) -> None:
         if not self.dropped:
             self.dropped = True
-            self.world.service.stream_closed(self.stream, self.held is not None)
+            self.testbed.service.stream_closed(self.stream, self.held is not None)
 
     def late(self) -> None:
         held, self.held = self.held, None
         if held is not None and not self.dropped:
-            self.world.service.decision_expired(self.stream)
+            self.testbed.service.decision_expired(self.stream)
 
     def decision(self) -> Decision | None:
         return next((r for r in self.received if isinstance(r, Decision)), None)
@@ -170,20 +170,22 @@
     """One request in its caller's hands, and what is true of it."""
 
     def __init__(
-        self, world: World, number: int, name: str, left_ms: float, opens: bool, slow: bool = False
+        self, testbed: ServiceTestbed, number: int, name: str, left_ms: float, opens: bool, slow: bool = False
     ) -> None:
-        self.world, self.name, self.identity = world, name, f"c{number}"
-        self.deadline = world.clock.at + left_ms / 1000.0
+        self.testbed, self.name, self.identity = testbed, name, f"c{number}"
+        self.deadline = testbed.clock.at + left_ms / 1000.0
         self.sends: list[tuple[float, int, str]] = []  # when, where, how it ended
         self.final: list[str] = []
         self.token = ""
-        self.peer = Peer(world, slow)
+        self.peer = CallerStream(testbed, slow)
         self.peer.submit(DecisionRequest(self.identity, name, left_ms, keyed=name != "pay", opens=opens))
         self.opens, self.spare = opens, 0
         self.look()
 
     def next(self) -> None:
-        self.peer = Peer(self.world).submit(DecisionRequest(self.identity, self.name, token=self.token))
+        self.peer = CallerStream(self.testbed).submit(
+            DecisionRequest(self.identity, self.name, token=self.token)
+        )
         self.look()
 
     def look(self) -> None:
@@ -214,10 +216,10 @@
     def send(self, decision: Decision) -> None:
         self.peer.used = True  # type: ignore[attr-defined]
         self.token = decision.token
-        now, number = self.world.clock.at, int(decision.address.rpartition(":")[2])
+        now, number = self.testbed.clock.at, int(decision.address.rpartition(":")[2])
         assert now <= self.deadline, "told after the deadline"
         assert all(how for _, _, how in self.sends), "two attempts out at once"
-        drained = self.world.drained.get(f"s{number}")
+        drained = self.testbed.drained.get(f"s{number}")
         assert drained is None or now - drained <= RULES.drain_grace_ms / 1000.0, "told of a drained nodo"
         assert drained is None, "told of a nodo known to drain"
         ran = [(at, n) for at, n, how in self.sends if how not in NEVER_RAN_CODES]
@@ -270,21 +272,21 @@
 )
 
 
-def step(world: World, customers: list[Customer], number: int, drawn: Any) -> None:
+def step(testbed: ServiceTestbed, customers: list[Customer], number: int, drawn: Any) -> None:
     what, who, name, code, wait = drawn
-    world.clock.pass_time(wait)
+    testbed.clock.pass_time(wait)
     for customer in customers:
         customer.look()
     if what in ("new", "open", "slow"):
         left_ms = 500.0 if who % 2 else 150.0
-        customers.append(Customer(world, number, name, left_ms, what == "open", what == "slow"))
+        customers.append(Customer(testbed, number, name, left_ms, what == "open", what == "slow"))
     elif what == "drain":
-        world.move(who % 6, "draining")
+        testbed.move(who % 6, "draining")
     elif what == "ready":
-        world.move(who % 6, "ready")
+        testbed.move(who % 6, "ready")
     elif what == "all":
         for n in range(6):
-            world.move(n, "ready" if who % 2 else "draining")
+            testbed.move(n, "ready" if who % 2 else "draining")
     live = [c for c in customers if not c.final]
     if not live or what in ("new", "open", "slow", "drain", "ready", "wait", "all"):
         return
@@ -309,12 +311,14 @@
         else:
             customer.final.append("left")
     elif what == "overlap" and peer.out():
-        other = Peer(world).submit(DecisionRequest(customer.identity, customer.name, token=customer.token))
-        world.clock.pass_time(0.02)
+        other = CallerStream(testbed).submit(
+            DecisionRequest(customer.identity, customer.name, token=customer.token)
+        )
+        testbed.clock.pass_time(0.02)
         assert not other.decision(), "a second attempt beside one that is out"
         other.drop()
     elif what == "copy" and peer.out():
-        other = Peer(world).submit(DecisionRequest(customer.identity, customer.name, 100.0))
+        other = CallerStream(testbed).submit(DecisionRequest(customer.identity, customer.name, 100.0))
         assert other.received == [Failed(409)]
         other.drop()
 
@@ -322,34 +326,34 @@
 @given(st.integers(0, 50), st.lists(STEP, min_size=5, max_size=50))
 @budget(max_examples=400, deadline=None, derandomize=True, database=None)
 def test_answered_once_no_effect_twice_drains_kept(seed: int, steps: list[Any]) -> None:
-    world = World(seed=seed)
+    testbed = ServiceTestbed(seed=seed)
     customers: list[Customer] = []
     for number, drawn in enumerate(steps):
-        step(world, customers, number, drawn)
+        step(testbed, customers, number, drawn)
     for _ in range(40):
-        world.clock.pass_time(0.1)
+        testbed.clock.pass_time(0.1)
         for customer in customers:
             customer.look()
     for customer in customers:
         assert len(customer.final) == 1 or (not customer.final and customer.opens), "not answered once"
-    assert not world.service.requests and not world.service.requests_by_identity
-    assert not world.engine.pending_requests and not world.engine.balancer.pending_requests
-    assert not any(s.in_flight for s in world.engine.balancer.servers.values()), "an attempt without an end"
-    assert not any("overdue" in line for line in world.log.lines)
+    assert not testbed.service.requests and not testbed.service.requests_by_identity
+    assert not testbed.engine.pending_requests and not testbed.engine.balancer.pending_requests
+    assert not any(s.in_flight for s in testbed.engine.balancer.servers.values()), "an attempt without an end"
+    assert not any("overdue" in line for line in testbed.log.lines)
 
 
 def test_the_steps_reach_every_reply() -> None:
     """The property above must not hold for want of retries, refusals and cuts."""
     kinds: set[type[Any]] = set()
     for seed in range(30):
-        world, customers = World(seed=seed), []
+        testbed, customers = ServiceTestbed(seed=seed), []
         for number in range(60):
             what = ("new", "report", "again", "open", "report", "wait", "all", "report")[number % 8]
             code = ("error", "full", "reset", "ok")[(number + seed) % 4]
             name = ("read", "book", "pay")[number % 3]
-            step(world, customers, number, (what, number % 7, name, code, (0.0, 0.02, 0.15)[number % 3]))
-        world.clock.pass_time(5.0)
-        kinds |= {type(r) for peer in world.streams for r in peer.received}
+            step(testbed, customers, number, (what, number % 7, name, code, (0.0, 0.02, 0.15)[number % 3]))
+        testbed.clock.pass_time(5.0)
+        kinds |= {type(r) for peer in testbed.streams for r in peer.received}
     assert kinds == {
         Decision,
         RequestOpened,
@@ -364,98 +368,100 @@
 # ---- the table in docs/extproc.md, row by row
 
 
-def peer_with_decision(world: World, name: str = "pay", identity: str = "c1") -> Peer:
-    peer = Peer(world).submit(DecisionRequest(identity, name, 500.0, keyed=name != "pay"))
+def peer_with_decision(testbed: ServiceTestbed, name: str = "pay", identity: str = "c1") -> CallerStream:
+    peer = CallerStream(testbed).submit(DecisionRequest(identity, name, 500.0, keyed=name != "pay"))
     assert peer.decision()
     return peer
 
 
 @pytest.mark.parametrize("code", ["error", "timeout", "reset"])
 def test_an_unsafe_request_reported_as_maybe_executed_fails(code: str) -> None:
-    world = World()
-    peer = peer_with_decision(world)
+    testbed = ServiceTestbed()
+    peer = peer_with_decision(testbed)
     peer.report(code)
     assert peer.received[1:] == [Failed(502)]
-    assert Peer(world).submit(DecisionRequest("c1", "pay")).received == [Failed(409)]
+    assert CallerStream(testbed).submit(DecisionRequest("c1", "pay")).received == [Failed(409)]
 
 
 @pytest.mark.parametrize("code", NEVER_RAN_CODES)
 def test_a_request_reported_as_never_executed_is_retried(code: str) -> None:
-    world = World()
-    peer = peer_with_decision(world)
+    testbed = ServiceTestbed()
+    peer = peer_with_decision(testbed)
     first = peer.decision()
     peer.report(code)
     assert peer.received[1:] == [RetryOffered(True)] and first is not None
-    following = Peer(world).submit(DecisionRequest("c1", "pay", token=first.token))
+    following = CallerStream(testbed).submit(DecisionRequest("c1", "pay", token=first.token))
     assert following.decision() and following.decision().address != first.address  # type: ignore[union-attr]
 
 
 def test_decided_and_never_claimed_counts_as_never_sent() -> None:
-    world = World()
-    opener = Peer(world).submit(DecisionRequest("c1", "pay", 500.0, opens=True))
+    testbed = ServiceTestbed()
+    opener = CallerStream(testbed).submit(DecisionRequest("c1", "pay", 500.0, opens=True))
     assert isinstance(opener.received[0], RequestOpened)
-    world.clock.pass_time(0.25)  # nobody comes for it
-    assert not world.service.requests and not world.engine.counts["overdue"]
-    assert world.service.completed["c1"].never_ran
-    again = Peer(world).submit(DecisionRequest("c1", "pay", 500.0))
+    testbed.clock.pass_time(0.25)  # nobody comes for it
+    assert not testbed.service.requests and not testbed.engine.counts["overdue"]
+    assert testbed.service.completed["c1"].never_ran
+    again = CallerStream(testbed).submit(DecisionRequest("c1", "pay", 500.0))
     assert again.decision()
 
 
 def test_a_lost_attempt_is_remembered_as_maybe_executed() -> None:
-    world = World()
-    peer = peer_with_decision(world)
+    testbed = ServiceTestbed()
+    peer = peer_with_decision(testbed)
     peer.drop()
-    assert world.service.requests
-    world.clock.pass_time(0.25)
-    assert not world.service.requests and not world.service.completed["c1"].never_ran
-    assert world.engine.counts["cancelled"] == 1 and world.engine.counts["client gone"] == 1
+    assert testbed.service.requests
+    testbed.clock.pass_time(0.25)
+    assert not testbed.service.requests and not testbed.service.completed["c1"].never_ran
+    assert testbed.engine.counts["cancelled"] == 1 and testbed.engine.counts["client gone"] == 1
 
 
 def test_a_report_that_comes_twice_or_for_nothing_teaches_nothing() -> None:
-    world = World()
-    peer = peer_with_decision(world)
+    testbed = ServiceTestbed()
+    peer = peer_with_decision(testbed)
     peer.report("ok")
     peer.report("error")
     assert peer.received[1:] == [ResponseForwarded(), ResponseForwarded()]
-    assert world.engine.counts["error"] == 0
-    stranger = Peer(world)
+    assert testbed.engine.counts["error"] == 0
+    stranger = CallerStream(testbed)
     stranger.report("error")
-    assert stranger.received == [ResponseForwarded()] and world.engine.counts["error"] == 0
+    assert stranger.received == [ResponseForwarded()] and testbed.engine.counts["error"] == 0
 
 
 def test_the_memory_of_ended_requests_is_bounded_in_time() -> None:
-    world = World()
+    testbed = ServiceTestbed()
     for n in range(300):
-        peer_with_decision(world, "read", f"c{n}").report("ok")
-        world.clock.pass_time(0.01)
-    assert len(world.service.completed) < 200
+        peer_with_decision(testbed, "read", f"c{n}").report("ok")
+        testbed.clock.pass_time(0.01)
+    assert len(testbed.service.completed) < 200
 
 
 def test_without_capacity_a_request_is_rejected_and_nothing_is_opened() -> None:
-    world = World()
-    world.service.max_requests = 1
-    peer_with_decision(world)
-    assert Peer(world).submit(DecisionRequest("c2", "pay")).received == [Rejected(0.0, False)]
-    assert len(world.engine.pending_requests) == 1
+    testbed = ServiceTestbed()
+    testbed.service.max_requests = 1
+    peer_with_decision(testbed)
+    assert CallerStream(testbed).submit(DecisionRequest("c2", "pay")).received == [Rejected(0.0, False)]
+    assert len(testbed.engine.pending_requests) == 1
 
 
 def test_a_request_that_waited_too_long_for_the_service_is_rejected_undecided() -> None:
-    world = World()
-    peer = Peer(world)
+    testbed = ServiceTestbed()
+    peer = CallerStream(testbed)
     peer.requested += 1
-    world.service.request_decision(peer.stream, DecisionRequest("c1", "pay", 500.0), world.clock.at - 0.2)
-    assert peer.received == [Rejected(0.0, False)] and not world.engine.pending_requests
-    late = Peer(world)
+    testbed.service.request_decision(peer.stream, DecisionRequest("c1", "pay", 500.0), testbed.clock.at - 0.2)
+    assert peer.received == [Rejected(0.0, False)] and not testbed.engine.pending_requests
+    late = CallerStream(testbed)
     late.requested += 1
-    world.service.request_decision(late.stream, DecisionRequest("c2", "pay", 500.0), world.clock.at - 0.05)
-    (call,) = world.engine.pending_requests.values()
-    assert late.decision() and call.deadline == pytest.approx(world.clock.at + 0.45)
+    testbed.service.request_decision(
+        late.stream, DecisionRequest("c2", "pay", 500.0), testbed.clock.at - 0.05
+    )
+    (call,) = testbed.engine.pending_requests.values()
+    assert late.decision() and call.deadline == pytest.approx(testbed.clock.at + 0.45)
 
 
 def test_a_reload_keeps_what_is_in_flight() -> None:
-    world = World()
-    peer = peer_with_decision(world)
-    world.engine.reconfigure(settings(balancers=3))
+    testbed = ServiceTestbed()
+    peer = peer_with_decision(testbed)
+    testbed.engine.reconfigure(settings(balancers=3))
     peer.report("ok")
     assert peer.received[1:] == [ResponseForwarded()]
 
@@ -518,58 +524,58 @@
 
 
 def test_a_decision_not_written_in_time_is_made_anew_and_nothing_ran() -> None:
-    world = World()
-    peer = Peer(world, slow=True).submit(DecisionRequest("c1", "pay", 500.0))
+    testbed = ServiceTestbed()
+    peer = CallerStream(testbed, slow=True).submit(DecisionRequest("c1", "pay", 500.0))
     first = peer.held
     assert first is not None and abs(first.valid_for_ms - 100.0) < 1e-6
-    world.move(int(first.address.rpartition(":")[2]), "draining")
-    world.clock.pass_time(0.102)
+    testbed.move(int(first.address.rpartition(":")[2]), "draining")
+    testbed.clock.pass_time(0.102)
     (decision,) = peer.received
     assert (
         isinstance(decision, Decision)
         and decision.address != first.address
-        and decision.valid_until > world.clock.at
+        and decision.valid_until > testbed.clock.at
     )
     assert (
         abs(decision.valid_for_ms - 201.0) < 1.0
     )  # counted from the ask: the caller's clock knows no other instant
-    counts = world.engine.counts
+    counts = testbed.engine.counts
     assert counts["moot"] == counts["written too late"] == 1
     peer.report("ok")
-    assert peer.received[1:] == [ResponseForwarded()] and not world.service.requests
+    assert peer.received[1:] == [ResponseForwarded()] and not testbed.service.requests
 
 
 def test_a_stream_that_ends_before_its_decision_is_written_ran_nothing() -> None:
-    world = World()
-    peer = Peer(world, slow=True).submit(DecisionRequest("c1", "pay", 500.0))
+    testbed = ServiceTestbed()
+    peer = CallerStream(testbed, slow=True).submit(DecisionRequest("c1", "pay", 500.0))
     assert peer.held is not None
     peer.drop()
-    assert not world.service.requests and world.engine.counts["client gone"] == 1
-    again = Peer(world).submit(DecisionRequest("c1", "pay", 500.0))
+    assert not testbed.service.requests and testbed.engine.counts["client gone"] == 1
+    again = CallerStream(testbed).submit(DecisionRequest("c1", "pay", 500.0))
     assert isinstance(again.received[0], Decision)
     again.drop()  # this one was written: it may run
-    assert Peer(world).submit(DecisionRequest("c1", "pay", 500.0)).received == [Failed(409)]
+    assert CallerStream(testbed).submit(DecisionRequest("c1", "pay", 500.0)).received == [Failed(409)]
 
 
 def test_an_expired_decision_after_the_clients_deadline_changes_nothing() -> None:
-    world = World()
-    peer = Peer(world, slow=True).submit(DecisionRequest("c1", "pay", 80.0))
-    world.clock.pass_time(0.5)
-    assert peer.received == [DeadlineExceeded()] and not world.service.requests
-    assert world.engine.counts["written too late"] == 0 and world.engine.counts["timeout"] == 1
+    testbed = ServiceTestbed()
+    peer = CallerStream(testbed, slow=True).submit(DecisionRequest("c1", "pay", 80.0))
+    testbed.clock.pass_time(0.5)
+    assert peer.received == [DeadlineExceeded()] and not testbed.service.requests
+    assert testbed.engine.counts["written too late"] == 0 and testbed.engine.counts["timeout"] == 1
 
 
 def test_after_a_proven_failure_an_expired_decision_is_still_safe_to_retry() -> None:
     """What was known before the decision is known again once it is taken back: here, that nothing ran."""
-    world = World()
-    first = Peer(world).submit(DecisionRequest("c1", "pay", 500.0))
+    testbed = ServiceTestbed()
+    first = CallerStream(testbed).submit(DecisionRequest("c1", "pay", 500.0))
     decision = first.decision()
     assert decision is not None
     first.report("full")
     assert first.received[-1] == RetryOffered(True)
-    second = Peer(world, slow=True).submit(DecisionRequest("c1", "pay", token=decision.token))
+    second = CallerStream(testbed, slow=True).submit(DecisionRequest("c1", "pay", token=decision.token))
     assert second.held is not None
-    world.clock.pass_time(0.102)
+    testbed.clock.pass_time(0.102)
     assert second.decision() is not None
     second.report("full")
     assert second.received[-1] == RetryOffered(True) or isinstance(second.received[-1], Rejected)
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -165,7 +165,7 @@
         raw.headers = Headers(request_headers("c1"))
         await raw.call.write(proto.ProcessingRequest(request_headers=raw.headers.message(True, True)))
         await wait_until(
-            lambda: any(w.decided for c in processor.callers for w in c.extproc_streams.values())
+            lambda: any(w.decision_sent for c in processor.callers for w in c.extproc_streams.values())
         )
         raw.drop()
         await wait_until(lambda: site.node.engine.counts["client gone"] == 1)
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -17,8 +17,7 @@
 from helpers import KEYED_IN_ZONE, settings
 from hold_ups import HoldUps
 from peers import SETTINGS, BalancerTestbed, Message, never_responds, reply, request, wait_until
-from test_extproc_decisions import Peer
-from test_extproc_decisions import World as ServiceWorld
+from test_extproc_decisions import CallerStream, ServiceTestbed
 
 from quartzford.backends.connection_pool import MIN_IDLE_S
 from quartzford.backends.upstream_connection import Connection
@@ -120,15 +119,17 @@
 
 def test_decision_validity_ends_before_keyed_window() -> None:
     """A decision valid for longer than its request's window is limited to the window, less a hold-up."""
-    testbed = ServiceWorld()
+    testbed = ServiceTestbed()
     testbed.engine.reconfigure(settings(stall_ms=1000.0 * HOLD_UP_S))
-    first = Peer(testbed).submit(DecisionRequest("c1", "hold", 700.0, keyed=True))
+    first = CallerStream(testbed).submit(DecisionRequest("c1", "hold", 700.0, keyed=True))
     begun = testbed.clock.at
     notified = first.decision()
     assert notified is not None and notified.valid_until == pytest.approx(begun + 0.1)
     testbed.clock.pass_time(0.12)
     first.report("reset")
-    second = Peer(testbed).submit(DecisionRequest("c1", "hold", 700.0, keyed=True, token=notified.token))
+    second = CallerStream(testbed).submit(
+        DecisionRequest("c1", "hold", 700.0, keyed=True, token=notified.token)
+    )
     second_decision = second.decision()
     assert (
         second_decision is not None
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 from peers import SETTINGS, BalancerTestbed, Message, async_test, reserved_port, wait_until
-from test_extproc_decisions import FakeClock, Quiet
+from test_extproc_decisions import FakeClock, MemoryLog
 
 from quartzford.control import ControlSide, InheritedStarts, assemble
 from quartzford.decision import interface as io
@@ -83,7 +83,7 @@
                 }
             )
         )
-        self.side: ControlSide = assemble(config, asyncio.AbstractEventLoop(), clock, Quiet(), subset)
+        self.side: ControlSide = assemble(config, asyncio.AbstractEventLoop(), clock, MemoryLog(), subset)
         self.side.watch.start = lambda: None  # type: ignore[method-assign]
         self.balancer = self.side.engine.balancer
 
@@ -397,7 +397,7 @@
     async def test() -> None:
         clock = LoopClock(asyncio.get_running_loop())
         tokens = Tokens(b"k" * 16, b"life-one")
-        recorder = Recorder(str(tmp_path / "trace"), "none", 10_000, clock, Quiet())
+        recorder = Recorder(str(tmp_path / "trace"), "none", 10_000, clock, MemoryLog())
         begun, text = clock.unix_ms(), tokens.make(7, "c1", clock.unix_ms() + 60_000.0)
         for by_ms in (-HOUR_MS, HOUR_MS):
             step_machine_clock(monkeypatch, by_ms)
