--- a/quartzford/fronts/client_timeouts.py
+++ b/quartzford/fronts/client_timeouts.py
@@ -6,12 +6,12 @@
 from quartzford.fronts.client_connection import Client
 from quartzford.fronts.responses import REQUEST_TIMEOUT, UNAVAILABLE
 
-IDLE_TIMEOUT_S = 2.25  # without a request; also applies to a client that has never sent any byte
+IDLE_TIMEOUT_S = 2.25  # then an idle client, even one that has never sent, is closed to free its descriptor
 HEAD_TIMEOUT_S = 2.0  # for a complete head; a client that stops within a request gets its error within 3 s
-BODY_STALL_S = 2.0  # without receiving a byte of a body
+BODY_STALL_S = 2.0  # between received bytes of a body
 REQUEST_TIMEOUT_S = 5.0  # for a complete request, even if its bytes keep arriving slowly
-WRITE_STALL_S = 20.0  # without the client reading a byte of its response
-MAX_BODY_PAUSE_S = 1.0  # of reading a body, for lack of memory
+WRITE_STALL_S = 20.0  # while a client reads no byte of its response
+MAX_BODY_PAUSE_S = 1.0  # while reading a body is paused for lack of memory
 
 
 def check_timeouts(client: Client, budget: BufferBudget, now: float) -> None:
--- a/quartzford/fronts/listener.py
+++ b/quartzford/fronts/listener.py
@@ -20,7 +20,7 @@
 Listening = TypeVar("Listening")
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 
-LISTEN_RETRY_TIMEOUT_S = 5.0  # to open listening sockets while descriptors or memory are exhausted
+LISTEN_RETRY_TIMEOUT_S = 5.0  # limit of retries to open listening sockets without free descriptors or memory
 EXHAUSTED_RETRY_S = 0.02  # delay after a call that failed for lack of descriptors or memory
 # accept(2) returns errors that were pending on the connection it dequeued; the next connection may be sound.
 PER_CONNECTION_ERRNOS = frozenset(
--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -9,7 +9,7 @@
 import uvloop
 from peers import SETTINGS, BalancerTestbed, async_test, read_message, reply, request, wait_until
 from test_endings import read_all, respond_after
-from test_operations import Watched, port_of
+from test_operations import OperationsTestbed, operations_port
 from test_relay_server import PATH, Site, site
 
 from quartzford.fronts import operations
@@ -150,10 +150,10 @@
 @async_test
 async def test_operator_receives_error_while_still_sending_body() -> None:
     """The connection was closed with unread bytes: the reset discarded the answer."""
-    async with Watched(1) as testbed:
+    async with OperationsTestbed(1) as testbed:
         loop = asyncio.get_running_loop()
         head = b"PUT /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n"
-        sock = await connect_and_send(port_of(testbed), head)
+        sock = await connect_and_send(operations_port(testbed), head)
         await wait_until(lambda: testbed.node.operations.calls)
         (caller,) = testbed.node.operations.calls
         await wait_until(lambda: caller.answered)
@@ -166,20 +166,21 @@
 @pytest.mark.parametrize("partial", [STATUS[:8], STATUS[:-2] + b"Content-Length: 9\r\n\r\nab"])
 def test_stalled_operator_call_is_answered_408(partial: bytes) -> None:
     async def test() -> None:
-        async with Watched(1) as testbed:
-            assert await read_status(await connect_and_send(port_of(testbed), partial)) == 408
+        async with OperationsTestbed(1) as testbed:
+            assert await read_status(await connect_and_send(operations_port(testbed), partial)) == 408
 
     uvloop.run(test())
 
 
 @async_test
 async def test_evicted_partial_operator_call_is_answered() -> None:
-    async with Watched(1) as testbed:
+    async with OperationsTestbed(1) as testbed:
         partial = [
-            await connect_and_send(port_of(testbed), STATUS[:20]) for _ in range(operations.MAX_OPEN_CALLS)
+            await connect_and_send(operations_port(testbed), STATUS[:20])
+            for _ in range(operations.MAX_OPEN_CALLS)
         ]
         await wait_until(lambda: sum(c.reader.begun for c in testbed.node.operations.calls) == len(partial))
-        sock = await connect_and_send(port_of(testbed), STATUS)
+        sock = await connect_and_send(operations_port(testbed), STATUS)
         assert await read_status(partial.pop(0)) == 503
         assert await read_status(sock) == 200
         for sock in partial:
@@ -189,10 +190,10 @@
 
 @async_test
 async def test_partial_operator_call_is_answered_at_shutdown() -> None:
-    async with Watched(1) as testbed:
+    async with OperationsTestbed(1) as testbed:
         half, silent = (
-            await connect_and_send(port_of(testbed), STATUS[:20]),
-            await connect_and_send(port_of(testbed)),
+            await connect_and_send(operations_port(testbed), STATUS[:20]),
+            await connect_and_send(operations_port(testbed)),
         )
         await wait_until(lambda: [c.reader.begun for c in testbed.node.operations.calls] == [True, False])
         testbed.node.operations.stop()
--- a/tests/test_sockets_requests.py
+++ b/tests/test_sockets_requests.py
@@ -1,4 +1,4 @@
-"""Requests and answers over loopback: framing, connections, what passes on unchanged, bad input."""
+"""Requests and answers over loopback: framing, connections, forwarded content, invalid input."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @async_test
-async def test_each_effect_with_each_framing_arrives_unchanged() -> None:
+async def test_request_of_each_effect_and_framing_is_forwarded_unchanged() -> None:
     async with BalancerTestbed() as testbed:
         for name, body in itertools.product(("read", "book", "pay"), (b"", b"x" * 5000)):
             answer = await testbed.submit(
@@ -41,15 +41,15 @@
                 "7",
                 name == "book",
             )
-        chunked = b"4\r\nwiki\r\n6;x=y\r\npedia.\r\n0\r\n\r\n"
-        answer = await testbed.submit(request("pay", fields="Transfer-Encoding: chunked\r\n") + chunked)
+        chunked_body = b"4\r\nwiki\r\n6;x=y\r\npedia.\r\n0\r\n\r\n"
+        answer = await testbed.submit(request("pay", fields="Transfer-Encoding: chunked\r\n") + chunked_body)
         assert answer.status == 200 and testbed.upstreams[0].received[-1].body == b"wikipedia."
         answer = await testbed.submit(request("read"))
         assert answer.status == 200 and "content-length" not in testbed.upstreams[0].received[-1].fields
 
 
 @async_test
-async def test_a_request_in_pieces_of_one_byte() -> None:
+async def test_request_sent_byte_by_byte_is_forwarded_complete() -> None:
     async with BalancerTestbed() as testbed:
         reader, writer = await testbed.connect()
         for byte in request("pay", b"body"):
@@ -60,21 +60,21 @@
 
 
 @async_test
-async def test_an_answer_in_pieces_and_after_an_interim_one() -> None:
+async def test_answer_sent_byte_by_byte_after_interim_response_is_forwarded() -> None:
     async with BalancerTestbed() as testbed:
 
-        async def slowly(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def respond_bytewise(message: Message, writer: asyncio.StreamWriter) -> None:
             for byte in b"HTTP/1.1 103 Early Hints\r\n\r\n" + reply(b"piecemeal", fields="X-Kind: a\r\n"):
                 writer.write(bytes((byte,)))
                 await asyncio.sleep(0)
 
-        testbed.upstreams[0].script = slowly
+        testbed.upstreams[0].script = respond_bytewise
         answer = await testbed.submit(request())
         assert (answer.status, answer.body, answer.fields["x-kind"]) == (200, b"piecemeal", "a")
 
 
 @async_test
-async def test_close_and_http_1_0_on_the_client_side() -> None:
+async def test_client_connection_close_and_http_1_0_keep_alive_are_respected() -> None:
     async with BalancerTestbed() as testbed:
         reader, writer = await testbed.connect()
         writer.write(request(fields="Connection: close\r\n"))
@@ -99,7 +99,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone" + reply(b"evil"),
     ],
 )
-def test_an_upstream_connection_that_may_not_be_kept_is_not(answer: bytes) -> None:
+def test_upstream_connection_that_must_not_persist_is_not_reused(answer: bytes) -> None:
     async def test() -> None:
         async with BalancerTestbed() as testbed:
             testbed.upstreams[0].script = responds_with(answer)
@@ -111,7 +111,7 @@
 
 
 @async_test
-async def test_an_answer_without_length_ends_with_its_connection() -> None:
+async def test_answer_without_length_ends_at_connection_close() -> None:
     async with BalancerTestbed() as testbed:
         testbed.upstreams[0].script = responds_with(b"HTTP/1.1 200 OK\r\n\r\nto the end", close=True)
         assert (await testbed.submit(request())).body == b"to the end"
@@ -122,7 +122,7 @@
 
 
 @async_test
-async def test_bytes_on_an_idle_upstream_connection_end_it() -> None:
+async def test_idle_upstream_connection_with_unexpected_bytes_is_closed() -> None:
     async with BalancerTestbed() as testbed:
         await testbed.submit(request())
         testbed.upstreams[0].writers[0].write(reply(b"stray"))
@@ -132,7 +132,7 @@
 
 
 @async_test
-async def test_expect_100_continue() -> None:
+async def test_expect_100_continue_is_answered_and_not_forwarded() -> None:
     async with BalancerTestbed() as testbed:
         reader, writer = await testbed.connect()
         complete = request("pay", b"body", "Expect: 100-continue\r\n")
@@ -144,7 +144,7 @@
 
 
 @async_test
-async def test_pipelined_requests_are_answered_in_order() -> None:
+async def test_pipelined_requests_are_answered_in_request_order() -> None:
     async with BalancerTestbed() as testbed:
 
         async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -158,12 +158,17 @@
 
 
 @async_test
-async def test_time_left_in_both_units_and_as_what_is_left() -> None:
+async def test_time_left_in_both_units_limits_budget_and_is_forwarded() -> None:
     async with BalancerTestbed() as testbed:
-        for text, most in (("900m", 900_000), ("800000u", 800_000), ("soon", 3_000_000), ("-1m", 3_000_000)):
+        for text, max_left_us in (
+            ("900m", 900_000),
+            ("800000u", 800_000),
+            ("soon", 3_000_000),
+            ("-1m", 3_000_000),
+        ):
             assert (await testbed.submit(request("pay", b"", time_left=text))).status == 200
             left = testbed.upstreams[0].received[-1].fields["x-time-left"]
-            assert left.endswith("u") and 0.25 * most < int(left[:-1]) <= most
+            assert left.endswith("u") and 0.25 * max_left_us < int(left[:-1]) <= max_left_us
         answer = await testbed.submit(request("pay", b"").replace(b"X-Time-Left: 2500m\r\n", b""))
         assert answer.status == 200
         budgets = [e.budget_ms for e in testbed.events if isinstance(e, io.Request)]
@@ -171,7 +176,7 @@
 
 
 @async_test
-async def test_a_request_without_an_answer_ends_by_its_time() -> None:
+async def test_unanswered_request_fails_at_its_deadline() -> None:
     async with BalancerTestbed() as testbed:
         testbed.upstreams[0].script = never_responds
         answer = await testbed.submit(request("pay", b"", time_left="200m"))
@@ -180,20 +185,20 @@
 
 
 @async_test
-async def test_an_unknown_class_is_unsafe_and_a_keyless_one_is_not_repeated() -> None:
+async def test_request_of_unknown_class_or_without_key_is_not_retried() -> None:
     async with BalancerTestbed(2) as testbed:
         for up in testbed.upstreams:
             up.script = responds_with(b"", close=True)
         assert (await testbed.submit(request("book", b""))).status == 502
-        before = sum(len(up.received) for up in testbed.upstreams)
-        assert before >= 2
+        attempts_before = sum(len(up.received) for up in testbed.upstreams)
+        assert attempts_before >= 2
         keyless = request("book", b"").replace(b"Idempotency-Key: k1\r\n", b"")
         for number, data in enumerate((keyless, request("what", b""), request("pay", b"")), 1):
             assert (await testbed.submit(data)).status == 502
-            assert sum(len(up.received) for up in testbed.upstreams) == before + number
+            assert sum(len(up.received) for up in testbed.upstreams) == attempts_before + number
 
 
-LONG = b"X-Filler: " + b"f" * 40_000 + b"\r\n"
+LONG_FIELD = b"X-Filler: " + b"f" * 40_000 + b"\r\n"
 
 
 @pytest.mark.parametrize(
@@ -211,16 +216,16 @@
         (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
         (b"GET / HTTP/1.1\r\nA: b\r\n folded\r\nX: y\nZ: z\r\n\r\n", 400),
         (b"CONNECT app.svc:443 HTTP/1.1\r\n\r\n", 400),
-        (b"GET / HTTP/1.1\r\n" + LONG + b"\r\n", 431),
-        (b"GET / HTTP/1.1\r\n" + LONG * 20, 431),
+        (b"GET / HTTP/1.1\r\n" + LONG_FIELD + b"\r\n", 431),
+        (b"GET / HTTP/1.1\r\n" + LONG_FIELD * 20, 431),
         (b"GET /" + b"a" * 40_000 + b" HTTP/1.1\r\n\r\n", 431),
         (b"POST / HTTP/1.1\r\nContent-Length: 33554433\r\n\r\nabc", 413),
-        # What tells a request from others is missing: upstreams can only turn it away, at the cost of a try.
+        # Without a correlation ID: the upstreams would reject the request, which would cost an attempt.
         (request("pay", b"").replace(b"X-Correlation-Id: c1\r\n", b""), 400),
         (request().replace(b"X-Correlation-Id: c1\r\n", b"X-Correlation-Id: \r\n"), 400),
     ],
 )
-def test_what_is_no_request_is_answered_and_closed(data: bytes, status: int) -> None:
+def test_invalid_request_is_rejected_and_connection_closed(data: bytes, status: int) -> None:
     async def test() -> None:
         async with BalancerTestbed() as testbed:
             reader, writer = await testbed.connect()
@@ -235,20 +240,20 @@
 
 
 @async_test
-async def test_an_oversized_chunked_body_is_answered_while_it_comes() -> None:
+async def test_oversized_chunked_body_is_rejected_before_its_end() -> None:
     async with BalancerTestbed() as testbed:
         reader, writer = await testbed.connect()
         writer.write(request("pay", fields="Transfer-Encoding: chunked\r\n"))
-        piece = b"100000\r\n" + b"p" * 0x100000 + b"\r\n"
+        chunk = b"100000\r\n" + b"p" * 0x100000 + b"\r\n"
         for _ in range(33):
-            writer.write(piece)
+            writer.write(chunk)
         assert (await read_message(reader)).status == 413
         await wait_until(lambda: testbed.node.budget.used == 0)
         assert testbed.upstreams[0].received == []
 
 
 @async_test
-async def test_health_answers_once_requests_can_be_served() -> None:
+async def test_health_check_succeeds_once_requests_can_be_served() -> None:
     testbed = BalancerTestbed()
     testbed.initial_list = {"seq": 0, "whole": True, "hosts": []}
     testbed.served_list = {"seq": 1, "whole": True, "hosts": []}
@@ -263,25 +268,29 @@
 
 
 @pytest.mark.parametrize(
-    "twice", ["Host: other.svc\r\n", "X-Correlation-Id: c2\r\n", "x-correlation-id: c1\r\n"]
+    "repeated_field", ["Host: other.svc\r\n", "X-Correlation-Id: c2\r\n", "x-correlation-id: c1\r\n"]
 )
-def test_a_field_that_must_stand_once_and_stands_twice_is_answered_400(twice: str) -> None:
-    """Both went upstream, and each reader could take another one."""
+def test_repeated_single_value_field_is_rejected_with_400(repeated_field: str) -> None:
+    """Both fields were forwarded, and the balancer and the upstream could each use a different one."""
 
     async def test() -> None:
         async with BalancerTestbed() as testbed:
-            assert (await testbed.submit(request("pay", b"", fields=twice))).status == 400
+            assert (await testbed.submit(request("pay", b"", fields=repeated_field))).status == 400
             assert testbed.upstreams[0].received == []
 
     uvloop.run(test())
 
 
 @async_test
-async def test_connection_can_not_take_the_id_or_the_key_away() -> None:
-    """A client could name them hop by hop, and its repeats were no longer dropped."""
+async def test_connection_field_cannot_remove_correlation_id_or_idempotency_key() -> None:
+    """A client could name these fields in Connection as hop-by-hop; they were then removed from the forwarded
+    request, and the upstream no longer dropped the client's repeated requests as duplicates.
+    """
     async with BalancerTestbed() as testbed:
-        named = "X-Mine: 1\r\nConnection: keep-alive, X-Correlation-Id, idempotency-key, X-Mine\r\n"
-        assert (await testbed.submit(request("book", b"", fields=named))).status == 200
+        connection_fields = (
+            "X-Mine: 1\r\nConnection: keep-alive, X-Correlation-Id, idempotency-key, X-Mine\r\n"
+        )
+        assert (await testbed.submit(request("book", b"", fields=connection_fields))).status == 200
         fields = testbed.upstreams[0].received[0].fields
         assert fields["x-correlation-id"] == "c1" and fields["idempotency-key"] == "k1"
         assert "x-mine" not in fields
--- a/tests/test_sockets_resources.py
+++ b/tests/test_sockets_resources.py
@@ -1,4 +1,4 @@
-"""Who takes a connection, a descriptor or a table entry, and who gives it back, on real sockets."""
+"""Use and release of connections, descriptors and table entries, on real sockets."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @async_test
-async def test_a_connection_that_served_is_used_again() -> None:
-    """A connection that never reached the idle pool was neither used nor closed."""
+async def test_upstream_connection_is_reused_after_answer() -> None:
+    """Connections that were not returned to the idle pool were neither reused nor closed."""
     async with BalancerTestbed() as testbed:
         for _ in range(6):
             assert (await testbed.submit(request())).status == 200
@@ -29,8 +29,8 @@
 
 
 @async_test
-async def test_housekeeping_runs_from_the_start() -> None:
-    """With no sweep nothing ended idle connections or slow heads, or forgot upstreams that went."""
+async def test_housekeeping_sweeps_start_with_the_node() -> None:
+    """Without the periodic sweep, idle connections, slow heads and removed upstreams stayed for good."""
     limits = {**SETTINGS["limits"], "connIdleMs": 600.0}
     async with BalancerTestbed(2, limits=limits) as testbed:
         assert (await testbed.submit(request())).status == 200
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 1024])
-def test_every_client_that_may_send_finds_an_upstream_connection(sockets: int) -> None:
-    """Clients may hold a third of the descriptors for requests; each of these needs a second one upstream."""
+def test_descriptors_suffice_for_upstream_connection_per_client(sockets: int) -> None:
+    """Client connections may use a third of the descriptors; each request needs another one upstream."""
 
     async def test() -> None:
         async with BalancerTestbed(2, sockets=sockets) as testbed:
@@ -75,25 +75,28 @@
 
 
 @async_test
-async def test_clients_that_say_nothing_or_half_a_request_are_ended_in_time() -> None:
-    """Each was held for 6 s, 10 s or for good; descriptors are few, and 3 s is what they are owed."""
+async def test_silent_clients_and_partial_requests_time_out() -> None:
+    """Such connections were kept for 6 s, 10 s or for good, and each used one of the few descriptors.
+
+    A client that stops within a request must get its error within 3 s.
+    """
     async with BalancerTestbed() as testbed:
-        silent_one, kept, head, body, drip = [await testbed.connect() for _ in range(5)]
-        kept[1].write(request())
-        assert (await read_message(kept[0])).status == 200
+        silent, keep_alive, head, body, slow_body = [await testbed.connect() for _ in range(5)]
+        keep_alive[1].write(request())
+        assert (await read_message(keep_alive[0])).status == 200
         head[1].write(request("pay", b"body")[:50])
         body[1].write(request("pay", b"body")[:-2])
-        drip[1].write(request("pay", b"d" * 4000)[:-4000])
+        slow_body[1].write(request("pay", b"d" * 4000)[:-4000])
 
-        async def dripping() -> None:
+        async def send_slowly() -> None:
             for _ in range(100):
-                drip[1].write(b"d")
+                slow_body[1].write(b"d")
                 await asyncio.sleep(0.2)
 
-        task, answer = asyncio.ensure_future(dripping()), asyncio.ensure_future(read_message(drip[0]))
-        assert await silent_one[0].read() == b"" and await kept[0].read() == b""
+        task, answer = asyncio.ensure_future(send_slowly()), asyncio.ensure_future(read_message(slow_body[0]))
+        assert await silent[0].read() == b"" and await keep_alive[0].read() == b""
         assert (await read_message(head[0])).status == (await read_message(body[0])).status == 408
-        assert not answer.done()  # it may take longer than those, but not for ever
+        assert not answer.done()  # a slow body has a longer, but limited time
         assert (await answer).status == 408
         task.cancel()
         await wait_until(lambda: not testbed.node.front.clients)
@@ -101,8 +104,11 @@
 
 
 @async_test
-async def test_a_sweep_looks_at_those_upstreams_alone_that_rest_or_have_gone() -> None:
-    """Thousands are not gone through four times a second; what has gone is forgotten all the same."""
+async def test_sweep_checks_only_upstreams_with_idle_connections_or_removed() -> None:
+    """A sweep runs four times a second and must not check thousands of upstreams.
+
+    It must still remove the upstreams that have left the list.
+    """
     async with BalancerTestbed(2) as testbed:
         rows = [
             testbed.list_row(0),
@@ -114,18 +120,18 @@
         testbed.update(*(row | {"health": "draining"} for row in rows[2:1_000]))
         testbed.update(*(row | {"health": "gone"} for row in rows[2:900]))
         await wait_until(lambda: len(testbed.node.pool.upstreams) == 3_002 - 898)
-        looked: list[str] = []
+        checked: list[str] = []
         expire = Upstream.expire
 
-        def counted(upstream: Upstream, before: float) -> None:
-            looked.append(upstream.name)
+        def record_expire(upstream: Upstream, before: float) -> None:
+            checked.append(upstream.name)
             expire(upstream, before)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Upstream, "expire", counted)
+            patch.setattr(Upstream, "expire", record_expire)
             for _ in range(8):
                 assert (await testbed.submit(request())).status == 200
-            looked.clear()
+            checked.clear()
             testbed.node.pool.sweep()
-        assert 1 <= len(looked) <= 8
+        assert 1 <= len(checked) <= 8
         assert all(not up.ready for up in testbed.node.pool.retired) and len(testbed.node.pool.retired) == 100
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail in the ways that Linux documents: real processes, faults at the socket layer."""
+"""System calls that fail as Linux documents it: real processes with injected faults at the socket layer."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 from standins.upstream import StandInUpstream, start_upstreams
 
 CLASSES = ("read", "book", "pay")
-HEALTH = b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-STATUS = b"GET /status HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-LIST = b"GET /catalog/members HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+STATUS_REQUEST = b"GET /status HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+LIST_REQUEST = b"GET /catalog/members HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 SETTINGS_FRAME = b"\x04"
 HTTP2_PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-REQUESTS = 240
-AT_ONCE = 12
+REQUEST_COUNT = 240
+CONCURRENT_REQUESTS = 12
 
 
 class Site:
-    """Stand-in upstreams and their list service, and a balancer's process that knows of the service alone."""
+    """Stand-in upstreams with a list service, and a balancer configured with the list service only."""
 
     def __init__(self) -> None:
         self.number = 0
@@ -69,19 +69,19 @@
             await upstream.stop()
 
     def ports(self) -> list[int]:
-        """Of all that the balancer calls."""
+        """Return the ports of all peers that the balancer connects to."""
         return [self.registry.port, *(upstream.port for upstream in self.upstreams)]
 
     async def ready(self) -> None:
-        """Wait until the list has come and the balancer serves."""
+        """Wait until the balancer has the endpoint list and serves requests."""
         for _ in range(1000):
-            if status_code(await send_and_read(self.port, HEALTH)) == 200:
+            if status_code(await send_and_read(self.port, HEALTH_REQUEST)) == 200:
                 return
             await asyncio.sleep(0.02)
-        raise AssertionError("it was never ready")
+        raise AssertionError("the balancer did not become ready in time")
 
     async def submit(self) -> int:
-        """One request of the next class, on a connection of its own; its status, 0 for none."""
+        """Send a request of the next class on a new connection; return its status code, 0 for no response."""
         self.number += 1
         name = CLASSES[self.number % len(CLASSES)]
         data = request(name, b"b" * 200, "Connection: close\r\n")
@@ -91,7 +91,7 @@
         return status_code(await send_and_read(self.port, data))
 
     async def load(self, count: int) -> list[int]:
-        """So many requests, some of them at once; their statuses."""
+        """Send `count` requests, CONCURRENT_REQUESTS at a time; return their status codes."""
         statuses: list[int] = []
 
         async def client() -> None:
@@ -99,11 +99,11 @@
                 statuses.append(await self.submit())
 
         last = self.number + count
-        await asyncio.gather(*(client() for _ in range(AT_ONCE)))
+        await asyncio.gather(*(client() for _ in range(CONCURRENT_REQUESTS)))
         return statuses
 
     async def drain(self) -> None:
-        """An upstream drains, and the balancer has to hear of it: requests no longer reach it."""
+        """Drain an upstream, and wait until the balancer has been notified and sends it no more requests."""
         leaving = self.upstreams[0]
         leaving.health = "draining"
         self.registry.notify(leaving)
@@ -113,13 +113,13 @@
 
         for _ in range(100):
             before = received()
-            await self.load(AT_ONCE)
+            await self.load(CONCURRENT_REQUESTS)
             if received() == before:
                 return
-        raise AssertionError("the balancer never heard of the drain")
+        raise AssertionError("the balancer did not receive the drain in time")
 
     def check_effects(self) -> None:
-        """No unsafe request ran twice, no keyed one had two effects, no two attempts were out at once."""
+        """Check that no unsafe request ran twice, no keyed one had two effects, no attempts overlapped."""
         assert not self.journal.duplicate_executions("pay")
         assert not self.journal.duplicate_effects("book", self.journal.window_s)
         assert self.journal.overlapping == 0
@@ -127,55 +127,57 @@
 
 @asynccontextmanager
 async def site(folder: Path, faults: Faults) -> AsyncIterator[Site]:
-    """A site whose balancer's system calls fail."""
-    it = Site()
-    await it.start(folder)
+    """Run a site whose balancer process has failing system calls."""
+    running_site = Site()
+    await running_site.start(folder)
     try:
-        environment = faults.environment(it.ports()) | {"EDGE_CONFIG": str(it.path)}
+        environment = faults.environment(running_site.ports()) | {"EDGE_CONFIG": str(running_site.path)}
         async with quartzford_process(environment=environment):
-            await it.ready()
-            yield it
+            await running_site.ready()
+            yield running_site
     finally:
-        await it.stop()
+        await running_site.stop()
 
 
-ACCEPT = Faults({"accept": ("ENFILE", "EMFILE", "ENOBUFS", "ENOMEM")}, one_in=20)
-KINDS = {
-    "accept finds no descriptor or memory": ACCEPT,
+ACCEPT_EXHAUSTED = Faults({"accept": ("ENFILE", "EMFILE", "ENOBUFS", "ENOMEM")}, one_in=20)
+FAULTS_BY_NAME = {
+    "accept finds no descriptor or memory": ACCEPT_EXHAUSTED,
     "accept finds a connection broken": Faults(
         {"accept": ("ECONNABORTED", "EPROTO", "ENETUNREACH", "EINTR")}
     ),
     "socket": Faults({"socket": ("ENFILE", "ENOBUFS")}, one_in=3),
     "connect": Faults({"connect": ("ENFILE", "ENOBUFS", "EADDRNOTAVAIL", "ENETUNREACH")}, one_in=3),
     "waits are interrupted": Faults({"wait": ("EINTR",)}, one_in=3),
-    "halves of writes": Faults(short_transfers="write"),
-    "seven bytes a read": Faults(short_transfers="read"),
+    "writes transfer half": Faults(short_transfers="write"),
+    "reads transfer seven bytes": Faults(short_transfers="read"),
     "reads find the connection broken": Faults({"read": ("ETIMEDOUT", "EHOSTUNREACH")}, one_in=12),
 }
-# Attempts of these may have run, and what is unsafe then fails; of the others all are served.
+# With these faults, attempts may have run, and unsafe requests then fail. With the others all are served.
 MAY_FAIL = "reads find the connection broken"
 
 
-@pytest.mark.parametrize("kind", KINDS)
-def test_every_request_is_answered_and_none_has_its_effect_twice(tmp_path: Path, kind: str) -> None:
-    """Also the calls to the list service: the list is known by them alone, and so is a drain."""
+@pytest.mark.parametrize("faults_name", FAULTS_BY_NAME)
+def test_with_failing_system_calls_requests_are_answered_without_double_effect(
+    tmp_path: Path, faults_name: str
+) -> None:
+    """The faults also affect the calls to the list service, the only source of the list and of the drain."""
 
     async def test() -> None:
-        async with site(tmp_path, KINDS[kind]) as it:
-            statuses = await it.load(REQUESTS)
-            await it.drain()
-            statuses += await it.load(REQUESTS // 4)
-            assert 0 not in statuses, f"{statuses.count(0)} of {len(statuses)} were closed with no answer"
+        async with site(tmp_path, FAULTS_BY_NAME[faults_name]) as running_site:
+            statuses = await running_site.load(REQUEST_COUNT)
+            await running_site.drain()
+            statuses += await running_site.load(REQUEST_COUNT // 4)
+            assert 0 not in statuses, f"{statuses.count(0)} of {len(statuses)} got no answer"
             assert set(statuses) <= {200, 502, 503}
             served = statuses.count(200) / len(statuses)
-            assert served > (0.8 if kind == MAY_FAIL else 0.97), served
-            it.check_effects()
+            assert served > (0.8 if faults_name == MAY_FAIL else 0.97), served
+            running_site.check_effects()
 
     uvloop.run(test())
 
 
 async def settings_frame(port: int) -> bytes:
-    """The type of the first frame that an HTTP/2 server sends on a new connection; b"" for none."""
+    """Return the type of the first frame that an HTTP/2 server sends on a new connection, b"" for none."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(HTTP2_PREFACE)
     try:
@@ -186,17 +188,17 @@
         writer.close()
 
 
-async def said(one: asyncio.subprocess.Process, text: bytes) -> None:
-    """Wait for a line of its log."""
-    assert one.stderr is not None
-    while text not in (line := await one.stderr.readline()):
-        assert line, "it ended"
+async def wait_for_log(process: asyncio.subprocess.Process, text: bytes) -> None:
+    """Wait until the process logs a line that contains the text."""
+    assert process.stderr is not None
+    while text not in (line := await process.stderr.readline()):
+        assert line, "the process ended"
 
 
-FAILING = pytest.mark.parametrize(
+with_start_faults = pytest.mark.parametrize(
     "faults",
     [
-        pytest.param(ACCEPT, id="accept"),
+        pytest.param(ACCEPT_EXHAUSTED, id="accept"),
         pytest.param(
             Faults({"socket": ("ENFILE", "ENOBUFS")}, one_in=10**6, first_calls=4), id="socket at the start"
         ),
@@ -204,36 +206,42 @@
 )
 
 
-@FAILING
-def test_the_second_address_and_the_external_processor_answer_all(tmp_path: Path, faults: Faults) -> None:
-    """`serve` with both: each connection of 150 is answered."""
+@with_start_faults
+def test_second_address_and_external_processor_answer_with_failing_calls(
+    tmp_path: Path, faults: Faults
+) -> None:
+    """`serve` with both listeners: each of 150 connections is answered."""
 
     async def test() -> None:
-        it = Site()
-        await it.start(tmp_path)
+        running_site = Site()
+        await running_site.start(tmp_path)
         extproc = reserved_port()
         operator = tmp_path / "operator.toml"
-        operator.write_text(f'config = "{it.path}"\n[extproc]\nlisten = "127.0.0.1:{extproc}"\nworkers = 0\n')
+        operator.write_text(
+            f'config = "{running_site.path}"\n[extproc]\nlisten = "127.0.0.1:{extproc}"\nworkers = 0\n'
+        )
         try:
             async with quartzford_process(
                 "serve", "--operator", str(operator), environment=faults.environment()
-            ) as one:
-                await said(one, b"listening on port")
-                await it.ready()
+            ) as process:
+                await wait_for_log(process, b"listening on port")
+                await running_site.ready()
                 for _ in range(15):
-                    answers = await asyncio.gather(*(send_and_read(it.admin, STATUS) for _ in range(10)))
+                    answers = await asyncio.gather(
+                        *(send_and_read(running_site.admin, STATUS_REQUEST) for _ in range(10))
+                    )
                     assert {status_code(answer) for answer in answers} == {200}
                     frames = await asyncio.gather(*(settings_frame(extproc) for _ in range(10)))
                     assert set(frames) == {SETTINGS_FRAME}
         finally:
-            await it.stop()
+            await running_site.stop()
 
     uvloop.run(test())
 
 
-@FAILING
-def test_a_relay_answers_all(tmp_path: Path, faults: Faults) -> None:
-    """Each of 150 calls for the list is answered."""
+@with_start_faults
+def test_relay_answers_with_failing_calls(tmp_path: Path, faults: Faults) -> None:
+    """Each of 150 calls for the endpoint list is answered."""
 
     async def test() -> None:
         service = Service(Plan(per_s=1000.0))
@@ -248,10 +256,10 @@
         try:
             async with quartzford_process(
                 "relay", "--operator", str(operator), environment=faults.environment()
-            ) as one:
-                await said(one, b" upstreams")
+            ) as process:
+                await wait_for_log(process, b" upstreams")
                 for _ in range(15):
-                    answers = await asyncio.gather(*(send_and_read(port, LIST) for _ in range(10)))
+                    answers = await asyncio.gather(*(send_and_read(port, LIST_REQUEST) for _ in range(10)))
                     assert {status_code(answer) for answer in answers} == {200}
         finally:
             service.stop()
@@ -263,16 +271,16 @@
 
 
 class FailingSocket(socket.socket):
-    """Its connects to one port fail with an error, so many times."""
+    """A socket whose connects to one port fail with an error. failures_left: how many still fail."""
 
     error = 0
     port = 0
-    left = 0
+    failures_left = 0
 
     def connect(self, address: Any) -> None:
-        """Fail, or connect."""
-        if address[1] == FailingSocket.port and FailingSocket.left:
-            FailingSocket.left -= 1
+        """Raise the error while failures are left, else connect."""
+        if address[1] == FailingSocket.port and FailingSocket.failures_left:
+            FailingSocket.failures_left -= 1
             raise OSError(FailingSocket.error, "injected")
         super().connect(address)
 
@@ -289,13 +297,22 @@
         (errno.ETIMEDOUT, "connect_failed"),
     ],
 )
-def test_whom_an_error_of_connect_blames(error: int, code: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What this machine has run out of ejects nobody, however often; a way that does not lead there does."""
+def test_connect_error_ejects_upstream_only_if_not_local(
+    error: int, code: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """An error about exhausted local resources must not eject an upstream, however often it occurs.
+
+    An error about the path to the upstream must.
+    """
 
     @async_test
     async def test() -> None:
         async with BalancerTestbed(2) as testbed:
-            FailingSocket.error, FailingSocket.port, FailingSocket.left = error, testbed.upstreams[0].port, 30
+            FailingSocket.error, FailingSocket.port, FailingSocket.failures_left = (
+                error,
+                testbed.upstreams[0].port,
+                30,
+            )
             with monkeypatch.context() as patch:
                 patch.setattr(socket, "socket", FailingSocket)
                 for _ in range(30):
@@ -309,49 +326,49 @@
 
 
 class FailingLoop:
-    """An event loop whose first three connects fail."""
+    """An event loop whose first three connects fail. failures_left: how many still fail."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, error: int) -> None:
-        self.loop, self.error, self.left = loop, error, 3
+        self.loop, self.error, self.failures_left = loop, error, 3
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
     async def create_connection(self, *arguments: Any) -> Any:
-        """Fail, or connect."""
-        if self.left:
-            self.left -= 1
+        """Raise the error while failures are left, else connect."""
+        if self.failures_left:
+            self.failures_left -= 1
             raise OSError(self.error, "injected")
         return await self.loop.create_connection(*arguments)
 
 
-class Lists:
-    """Keeps the lists that come."""
+class ListingRecorder:
+    """Records the endpoint lists that it is notified of."""
 
     def __init__(self) -> None:
-        self.heard: list[Listing] = []
+        self.received: list[Listing] = []
 
     def listed(self, listing: Listing) -> None:
-        self.heard.append(listing)
+        self.received.append(listing)
 
 
 @pytest.mark.parametrize(("error", "failures"), [(errno.EADDRNOTAVAIL, 0), (errno.ENETUNREACH, 3)])
-def test_an_error_of_this_machine_is_no_failure_of_the_list_service(error: int, failures: int) -> None:
-    """Three connects in a row fail: the call goes on, or three have failed."""
+def test_local_connect_error_is_not_counted_as_list_service_failure(error: int, failures: int) -> None:
+    """Three connects in a row fail. With a local error, the call continues; else, three calls have failed."""
 
     @async_test
     async def test() -> None:
-        testbed, lists = BalancerTestbed(1), Lists()
+        testbed, recorder = BalancerTestbed(1), ListingRecorder()
         for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
         loop: Any = FailingLoop(asyncio.get_running_loop(), error)
         clock = LoopClock(loop)
         addresses = SingleAddress(lambda: ("127.0.0.1", testbed.discovery.port))
         policy = AgentCallPolicy(Random(1), 0.25)
-        watch = ListWatch(lists, addresses, policy, clock, StderrLog(clock.now), loop)
+        watch = ListWatch(recorder, addresses, policy, clock, StderrLog(clock.now), loop)
         watch.start()
-        await wait_until(lambda: lists.heard)
-        assert not loop.left and watch.counts["ended unreached"] == failures
+        await wait_until(lambda: recorder.received)
+        assert not loop.failures_left and watch.counts["ended unreached"] == failures
         watch.stop()
         for peer in (*testbed.upstreams, testbed.discovery):
             await peer.stop()
@@ -360,8 +377,8 @@
 
 
 @async_test
-async def test_connections_accepted_when_accepting_stops_are_opened_and_the_others_wait() -> None:
-    """Whoever accepts there next gets the rest: nobody is reset."""
+async def test_stopped_listener_opens_accepted_connections_and_leaves_others_queued() -> None:
+    """The connections that were not accepted stay in the queue for the next listener; none is reset."""
     loop = asyncio.get_running_loop()
     listening = bind(("127.0.0.1", 0), 16)
     clients = [socket.create_connection(listening.getsockname()) for _ in range(3)]
