--- a/quartzford/replacement/channel.py
+++ b/quartzford/replacement/channel.py
@@ -1,4 +1,7 @@
-"""A SOCK_SEQPACKET connection on the loop: messages with descriptors, complete or not at all."""
+"""A SOCK_SEQPACKET connection on the event loop.
+
+A message arrives together with its descriptors, complete or not at all.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,15 @@
 from quartzford.replacement.errors import MessageFormatError
 from quartzford.replacement.messages import MAX_MESSAGE_BYTES, Message, decode_message, encode_message
 
-MAX_QUEUED_MESSAGES = 2_000  # a peer that reads none of them is lost
-MAX_MESSAGES_PER_TURN = 64  # messages that are read in one turn of the loop
-MAX_DESCRIPTORS = 8  # of one message
+MAX_QUEUED_MESSAGES = 2_000  # with a longer queue, the peer counts as lost: it reads no messages
+MAX_MESSAGES_PER_TURN = 64  # messages read in one iteration of the event loop
+MAX_DESCRIPTORS = 8  # received with one message
 
-CUT_OFF = socket.MSG_TRUNC | socket.MSG_CTRUNC
+TRUNCATION_FLAGS = socket.MSG_TRUNC | socket.MSG_CTRUNC
 
 
 class QueuedMessage(NamedTuple):
-    """An encoded message that waits until the socket is writable, with descriptors that it owns."""
+    """An encoded message that is queued until the socket is writable, with duplicates of its descriptors."""
 
     data: bytes
     descriptors: list[int]
@@ -37,10 +40,10 @@
         on_message: Callable[[Channel, Message, list[int]], None],
         on_close: Callable[[Channel, str], None],
     ) -> None:
-        """Take over the socket.
+        """Take ownership of the socket.
 
-        on_message: gets this channel and each message with its descriptors, which the receiver owns.
-        on_close: gets this channel and the reason, once, also where `close` is called.
+        on_message: called with this channel and each message with its descriptors, which the callback owns.
+        on_close: called once, with this channel and the reason, also after a call of `close`.
         """
         self.open = True
         self._sock = sock
@@ -49,12 +52,12 @@
         self._on_close = on_close
         self._queue: deque[QueuedMessage] = deque()
         sock.setblocking(False)
-        loop.add_reader(sock, self._readable)
+        loop.add_reader(sock, self._on_readable)
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
-        """Send in order, at once or later.
+        """Send a message, at once if possible, else after the messages queued before it.
 
-        descriptors: stay the caller's, which may close them as soon as this returns.
+        descriptors: the caller keeps them and may close them as soon as this method returns.
         """
         if not self.open:
             return
@@ -67,12 +70,12 @@
     def _enqueue(self, data: bytes, descriptors: Sequence[int]) -> None:
         self._queue.append(QueuedMessage(data, [os.dup(descriptor) for descriptor in descriptors]))
         if len(self._queue) > MAX_QUEUED_MESSAGES:
-            self.close("it reads nothing")
+            self.close("the other process reads no messages")
         else:
-            self._loop.add_writer(self._sock, self._writable)
+            self._loop.add_writer(self._sock, self._on_writable)
 
     def send_now(self, message: Message, descriptor: int) -> bool:
-        """Send at once or not at all; whether the kernel has taken it."""
+        """Send at once or not at all. Return whether the kernel accepted the message."""
         if not self.open or self._queue:
             return False
         return self._try_to_send(encode_message(message), [descriptor])
@@ -90,7 +93,7 @@
             return False
         return True
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         while self._queue and self.open:
             message = self._queue[0]
             if not self._try_to_send(message.data, message.descriptors):
@@ -100,13 +103,13 @@
         if self.open:
             self._loop.remove_writer(self._sock)
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         for _ in range(MAX_MESSAGES_PER_TURN):
             if not self.open or not self._receive():
                 return
 
     def _receive(self) -> bool:
-        """Read one message; False where there is none."""
+        """Read one message and report it. Return False if there is no message or the channel was closed."""
         try:
             data, descriptors, flags, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES + 1, MAX_DESCRIPTORS)
         except (BlockingIOError, InterruptedError):
@@ -115,7 +118,7 @@
             self.close(str(error))
             return False
         if not data:
-            self.close("it has ended")
+            self.close("the other process closed the connection")
             return False
         try:
             message = read_message(data, flags)
@@ -127,7 +130,7 @@
         return True
 
     def close(self, reason: str) -> None:
-        """Close the connection, with what is still queued, and report the reason to `on_close`."""
+        """Close the connection, drop the queued messages and report the reason to `on_close`."""
         if not self.open:
             return
         self.open = False
@@ -141,24 +144,24 @@
         self._on_close(self, reason)
 
     def discard(self) -> None:
-        """Close the connection without a report: the process ends."""
+        """Close the connection without calling `on_close`, because this process exits."""
         self._on_close = _ignore_close
-        self.close("the process ends")
+        self.close("this process exits")
 
 
 def _ignore_close(_channel: Channel, _reason: str) -> None:
-    """In place of `on_close` once the owner needs no notice."""
+    """Replace `on_close` when the owner of the channel needs no notification."""
 
 
 def read_message(data: bytes, flags: int) -> Message:
-    """The message that was received with these flags; MessageFormatError where it is cut off or none."""
+    """Return the message received with these flags; raise MessageFormatError if it is cut off or invalid."""
     message = decode_message(data)
-    if flags & CUT_OFF:
-        raise MessageFormatError("a message that is cut off")
+    if flags & TRUNCATION_FLAGS:
+        raise MessageFormatError("the message is truncated")
     return message
 
 
 def close_descriptors(descriptors: Iterable[int]) -> None:
-    """Close descriptors that came with a message, or wait to go with one."""
+    """Close the descriptors of a received or queued message."""
     for descriptor in descriptors:
         os.close(descriptor)
--- a/quartzford/replacement/encoded_learned_state.py
+++ b/quartzford/replacement/encoded_learned_state.py
@@ -1,8 +1,8 @@
-"""The learned state as it is encoded for a successor.
+"""Encoding of the learned state for a successor.
 
-Each record here stands for one of the decision module, with the same fields in the same order. Names and
-order are those of the bytes, which other versions of the program read: `rename` holds the names that are
-encoded under another one than the attribute's, and new fields come last, with a default.
+Each record in this module corresponds to a record of the decision module, with the same fields in the same
+order. Other versions of the program read the encoded bytes, so encoded names and field order must not change.
+`rename` maps an attribute to its encoded name if the two differ. New fields come last and have a default.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class EncodedRate(msgspec.Struct, frozen=True):
-    """A LearnedRate."""
+    """The encoded form of a LearnedRate."""
 
     start: float = 0.0
     last: float = 0.0
@@ -21,18 +21,18 @@
 
     @classmethod
     def encode(cls, rate: io.LearnedRate) -> EncodedRate:
-        """The record of a rate."""
+        """Return the encoded form of a rate."""
         return cls(rate.start, rate.last, rate.value)
 
     def decode(self) -> io.LearnedRate:
-        """The rate; ValueError where a value is out of its bounds."""
+        """Return the rate; raise ValueError if a value is out of bounds."""
         return io.LearnedRate(self.start, self.last, self.value)
 
 
 class EncodedEndpoint(
     msgspec.Struct, frozen=True, rename={"failure_rate": "failing", "slow_start_from_ms": "cold_from"}
 ):
-    """A LearnedEndpoint."""
+    """The encoded form of a LearnedEndpoint."""
 
     name: str
     started_ms: float
@@ -50,11 +50,11 @@
 
     @classmethod
     def encode(cls, endpoint: io.LearnedEndpoint) -> EncodedEndpoint:
-        """The record of an endpoint."""
+        """Return the encoded form of an endpoint."""
         return cls(*(getattr(endpoint, name) for name in cls.__struct_fields__))
 
     def decode(self) -> io.LearnedEndpoint:
-        """The endpoint; ValueError where a value is out of its bounds."""
+        """Return the endpoint; raise ValueError if a value is out of bounds."""
         return io.LearnedEndpoint(**msgspec.structs.asdict(self))
 
 
@@ -73,7 +73,7 @@
         "marginal_weight": "marginal",
     },
 ):
-    """A LearnedState."""
+    """The encoded form of a LearnedState."""
 
     servers: tuple[EncodedEndpoint, ...] = ()
     in_maintenance: tuple[str, ...] = ()
@@ -94,7 +94,7 @@
 
     @classmethod
     def encode(cls, state: io.LearnedState) -> EncodedLearnedState:
-        """The record of a state."""
+        """Return the encoded form of a state."""
         values = {name: getattr(state, name) for name in cls.__struct_fields__}
         values["servers"] = tuple(EncodedEndpoint.encode(server) for server in state.servers)
         values["arrivals"] = EncodedRate.encode(state.arrivals)
@@ -103,7 +103,7 @@
         return cls(**values)
 
     def decode(self) -> io.LearnedState:
-        """The state; ValueError where a value in it is out of its bounds."""
+        """Return the state; raise ValueError if a value is out of bounds."""
         values = msgspec.structs.asdict(self)
         values["servers"] = tuple(server.decode() for server in self.servers)
         values["arrivals"] = self.arrivals.decode()
--- a/quartzford/replacement/errors.py
+++ b/quartzford/replacement/errors.py
@@ -4,7 +4,7 @@
 
 
 class HandoverError(Exception):
-    """Something that the other process gave, or left behind, can't be used; the text says what."""
+    """Data that the other process sent, or left in a file, cannot be used. The message gives the reason."""
 
 
 class PeerUserError(HandoverError):
@@ -12,12 +12,12 @@
 
 
 class MessageFormatError(HandoverError):
-    """A message of the other process can't be read."""
+    """A message from the other process cannot be decoded."""
 
 
 class StateFormatError(HandoverError):
-    """The state that a predecessor handed over can't be read, or is of another format."""
+    """The state that a predecessor handed over cannot be decoded or has another format."""
 
 
 class MaintenanceFileError(HandoverError):
-    """The content of a maintenance file can't be read, or is of another format."""
+    """The content of a maintenance file cannot be decoded or has another format."""
--- a/quartzford/replacement/handover.py
+++ b/quartzford/replacement/handover.py
@@ -1,8 +1,8 @@
-"""A process's part in handovers: first as the successor of another process, later as a predecessor.
+"""The role of a process in handovers: first as the successor of another process, later as a predecessor.
 
-A successor connects to its predecessor's Unix socket, under the $TMPDIR that both have in common, when
-nothing is missing but what it is about to be given. The predecessor answers with its listening socket and its
-state, and gives the clients' connections once the successor says that it serves. docs/replacement.md
+A successor connects to its predecessor's Unix socket, in the $TMPDIR that both processes share, as soon as it
+needs only the listening socket and the state to serve. The predecessor sends both. It transfers its client
+connections after the successor has reported that it accepts connections. Design: docs/replacement.md
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Handover:
-    """Joins both sides of a process, and the file of endpoints in maintenance."""
+    """Combines the successor's side and the predecessor's side of a process, and the maintenance file."""
 
     def __init__(
         self,
@@ -32,34 +32,38 @@
         log: Log,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """path: of this balancer's files, without suffix, the same at predecessor and successor."""
+        """path: of this balancer's files, without suffix; predecessor and successor use the same path."""
         socket_path = path + SOCKET_SUFFIX
         self.maintenance_file = MaintenanceFile(path + MAINTENANCE_SUFFIX, clock, log)
         self.successor_side = SuccessorSide(balancer, socket_path, clock, log, loop)
         self.predecessor_side = PredecessorSide(balancer, socket_path, clock, log, loop)
 
     async def request_handover(self) -> HandoverResult | None:
-        """What the predecessor gives; None where there is none, or it does not answer in time."""
+        """Return the predecessor's listener and state, or None without a timely answer from a predecessor."""
         return await self.successor_side.request_handover()
 
     def announce_serving(self) -> None:
-        """This process accepts connections: its predecessor gives its clients, a successor may come."""
+        """Notify the predecessor that this process accepts connections, and listen for a successor.
+
+        The predecessor then starts to transfer its client connections.
+        """
         self.successor_side.announce_serving()
         self.predecessor_side.listen()
 
     def maintenance_on_file(self) -> list[str]:
-        """The endpoints that were in maintenance, by the file."""
+        """Return the endpoints in maintenance according to the maintenance file."""
         return self.maintenance_file.read()
 
     @property
     def paired(self) -> bool:
-        """Whether two processes are this balancer at present."""
+        """Whether a predecessor or a successor of this process is connected at present."""
         return self.successor_side.channel is not None or self.predecessor_side.channel is not None
 
     def publish_maintenance(self, endpoint: str, in_maintenance: bool, all_endpoints: Set[str]) -> None:
-        """An operator took an endpoint out here, or put it back: notify the other process, write it to file.
+        """Pass an operator's maintenance change on to the other process and write it to the maintenance file.
 
-        all_endpoints: all that are in maintenance now.
+        in_maintenance: whether the endpoint is put in maintenance or returned to service.
+        all_endpoints: all endpoints that are in maintenance after the change.
         """
         update = MaintenanceUpdate(endpoint, in_maintenance)
         for channel in (self.successor_side.channel, self.predecessor_side.channel):
@@ -68,11 +72,11 @@
         self.maintenance_file.save(all_endpoints)
 
     def terminate(self) -> None:
-        """SIGTERM has come."""
+        """Start the shutdown of this process after SIGTERM."""
         self.predecessor_side.shut_down()
 
     def stop(self) -> None:
-        """The end of this process."""
+        """Release files and sockets because this process exits."""
         self.maintenance_file.stop()
         self.predecessor_side.stop()
         self.successor_side.stop()
--- a/quartzford/replacement/maintenance_file.py
+++ b/quartzford/replacement/maintenance_file.py
@@ -1,8 +1,8 @@
-"""The endpoints that operators took out for maintenance, on file for a successor without a predecessor.
+"""File of the endpoints in maintenance, for a successor that gets no state from a predecessor.
 
-An endpoint stays out until an operator puts it back, over an upgrade too, also where the predecessor hangs or
-is killed while its successor starts. The file lies under $TMPDIR, which the platform empties at each start
-but a replacement.
+An endpoint stays in maintenance until an operator returns it to service. This includes upgrades in which the
+predecessor hangs or is killed while its successor starts. The file is in $TMPDIR, which the platform empties
+at each start except a replacement.
 """
 
 from __future__ import annotations
@@ -23,38 +23,38 @@
 
 
 class MaintenanceRecord(msgspec.Struct):
-    """The file's content, in JSON. endpoints: names of those that are out."""
+    """The file's content, in JSON. endpoints: names of the endpoints in maintenance."""
 
     format: int
     endpoints: list[str] = msgspec.field(name="out")
 
 
 class MaintenanceFile:
-    """Keeps the file up to date for the time of one process."""
+    """Reads the maintenance file and keeps it up to date while the process runs."""
 
     def __init__(self, path: str, clock: Clock, log: Log) -> None:
         self.path = path
         self.clock = clock
         self.log = log
         self._endpoints: Set[str] = frozenset()
-        self._failed_writes = 0  # in a row
+        self._failed_writes = 0  # consecutive failures
         self._retry: Handle | None = None
         self._stopped = False
 
     def read(self) -> list[str]:
-        """The endpoints on file; none where there is no file, or one that can't be used, which is logged."""
+        """Return the endpoints in the file; none if it is missing or cannot be used. The latter is logged."""
         try:
             return read_maintenance_file(self.path)
         except FileNotFoundError:
             return []
         except (OSError, MaintenanceFileError) as error:
             self.log.line(
-                "replacement", f"{self.path} is not used, endpoints in maintenance are unknown: {error}"
+                "replacement", f"{self.path} is not used, the endpoints in maintenance are unknown: {error}"
             )
             return []
 
     def save(self, endpoints: Set[str]) -> None:
-        """Write the endpoints now and, where that fails, every WRITE_RETRY_S what the set holds by then."""
+        """Write the endpoints. On failure, retry every WRITE_RETRY_S with the set's content at that time."""
         self._endpoints = endpoints
         self._write()
 
@@ -67,14 +67,15 @@
             return
         if self._failed_writes:
             self.log.line(
-                "replacement", f"endpoints in maintenance are on file, after {self._failed_writes} failures"
+                "replacement",
+                f"the endpoints in maintenance are written to file after {self._failed_writes} failures",
             )
         self._failed_writes = 0
 
     def _write_failed(self, error: OSError) -> None:
         self._failed_writes += 1
         if self._failed_writes == 1:
-            self.log.line("replacement", f"endpoints in maintenance could not be written to file: {error}")
+            self.log.line("replacement", f"the endpoints in maintenance cannot be written to file: {error}")
         if not self._stopped:
             self._retry = self.clock.call_later(WRITE_RETRY_S, self._write)
 
@@ -84,14 +85,17 @@
             self._retry = None
 
     def stop(self) -> None:
-        """End with the process: a write that failed is retried once more."""
+        """Stop because the process exits. A failed write is retried one last time."""
         self._stopped = True
         if self._retry is not None:
             self._write()
 
 
 def read_maintenance_file(path: str) -> list[str]:
-    """The endpoints on file. OSError where it can't be read, MaintenanceFileError where its content can't."""
+    """Return the endpoints in the file.
+
+    Raise OSError if the file cannot be read, MaintenanceFileError if its content cannot be decoded.
+    """
     with Path(path).open("rb") as file:
         data = file.read(MAX_FILE_BYTES)
     try:
@@ -104,9 +108,9 @@
 
 
 def write_maintenance_file(path: str, endpoints: Iterable[str]) -> None:
-    """Replace the file as a whole: a reader sees the old content or the new. OSError where that fails.
+    """Replace the file atomically: a reader sees the old or the new content. Raise OSError on failure.
 
-    It is not synced to the disk: the file has to outlive the process, not the machine.
+    The file is not synced to the disk, because it has to survive the process but not the machine.
     """
     with suppress(OSError):
         remove_stale_temporary_files(path)
--- a/quartzford/replacement/predecessor_side.py
+++ b/quartzford/replacement/predecessor_side.py
@@ -1,4 +1,4 @@
-"""The predecessor's side of a handover: it waits for a successor, and gives all it has to it."""
+"""The predecessor's side of a handover: waits for a successor and transfers sockets and state to it."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 )
 from quartzford.replacement.unix_socket import check_peer_user, listen_at
 
-START_TIMEOUT_S = 1.5  # a successor that does not serve by then is lost
-HEARTBEAT_TIMEOUT_S = 3.0  # so is one that serves and has been silent for so long
+START_TIMEOUT_S = 1.5  # a connected successor that does not serve within this time counts as lost
+HEARTBEAT_TIMEOUT_S = 3.0  # a serving successor that sends no message for this time counts as lost
 LIVENESS_CHECK_S = 0.25
 LISTEN_RETRY_S = 1.0
 STARTING_STATES = (HandoverState.SUCCESSOR_STARTING, HandoverState.DRAINING_SUCCESSOR_STARTING)
 
 
 class PredecessorSide:
-    """Listens for a successor, and carries out what the state machine says while there is one."""
+    """Listens for a successor and performs the actions of the handover state machine."""
 
     def __init__(
         self,
@@ -47,8 +47,8 @@
         log: Log,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """socket_path: where a successor looks for this process."""
-        self.channel: Channel | None = None  # to the successor, while it is alive
+        """socket_path: the Unix socket to which a successor connects."""
+        self.channel: Channel | None = None  # to the successor, while one is connected
         self.listener: socket.socket | None = None
         self._balancer = balancer
         self._socket_path = socket_path
@@ -56,12 +56,12 @@
         self._log = log
         self._loop = loop
         self._state_machine = HandoverStateMachine(self._perform)
-        self._last_message_at = 0.0  # of a successor, in seconds of the clock
+        self._last_message_at = 0.0  # time of the last message from a successor, in seconds of the clock
         self._listen_failed = False
         self._stopped = False
 
     def listen(self) -> None:
-        """Listen for a successor; where that fails, retry until it works or the process ends."""
+        """Listen for a successor. On failure, retry until it succeeds or the process exits."""
         if self._stopped:
             return
         with contextlib.suppress(OSError):
@@ -70,20 +70,20 @@
             self.listener = listen_at(self._socket_path)
         except OSError as error:
             if not self._listen_failed:
-                self._log.line("replacement", f"no successor can take over: {error}")
+                self._log.line("replacement", f"cannot listen for a successor: {error}")
             self._listen_failed = True
             self._clock.call_later(LISTEN_RETRY_S, self.listen)
             return
         if self._listen_failed:
-            self._log.line("replacement", "a successor can take over again")
+            self._log.line("replacement", "listening for a successor again")
         self._loop.add_reader(self.listener, self._accept)
 
     def shut_down(self) -> None:
-        """SIGTERM has come: drain, with or without a successor."""
+        """Start to drain after SIGTERM, with or without a successor."""
         self._state_machine.handle(HandoverEvent.SHUTDOWN_REQUESTED)
 
     def stop(self) -> None:
-        """Close listener and connection: this process ends."""
+        """Close the listener and the connection because this process exits."""
         self._stopped = True
         if self.listener is not None:
             self._loop.remove_reader(self.listener)
@@ -92,7 +92,7 @@
         if self.channel is not None:
             self.channel.discard()
 
-    # ---- the connection of a successor
+    # ---- connection from a successor
 
     def _accept(self) -> None:
         assert self.listener is not None
@@ -121,14 +121,14 @@
 
     def _begin_handover(self, channel: Channel, process_id: int) -> None:
         if self.channel is not None and self._state_machine.state in STARTING_STATES:
-            self.channel.close("a newer one has come")  # which had not served yet
+            self.channel.close("a newer successor connected")  # the earlier one does not serve yet
         if self.channel is not None:
-            channel.close("there is a successor")
+            channel.close("another successor is already connected")
             return
         self.channel = channel
-        self._log.line("replacement", f"process {process_id} takes over")
+        self._log.line("replacement", f"handover to process {process_id} begins")
         if not self._state_machine.handle(HandoverEvent.SUCCESSOR_CONNECTED):
-            channel.close("not now")
+            channel.close("no handover is possible in the present state")
         self._check_liveness()
 
     def _channel_closed(self, channel: Channel, reason: str) -> None:
@@ -140,17 +140,17 @@
             self._log.line("replacement", f"the successor is lost: {reason}")
 
     def _check_liveness(self) -> None:
-        """A successor that hangs is as good as lost."""
+        """Close the connection to a successor that hangs; it then counts as lost."""
         if self.channel is None:
             return
         starting = self._state_machine.state in STARTING_STATES
         timeout_s = START_TIMEOUT_S if starting else HEARTBEAT_TIMEOUT_S
         if self._clock.now() - self._last_message_at > timeout_s:
-            self.channel.close("it is silent")
+            self.channel.close("no message within the timeout")
             return
         self._clock.call_later(LIVENESS_CHECK_S, self._check_liveness)
 
-    # ---- actions of the state machine
+    # ---- actions of the handover state machine
 
     def _perform(self, action: HandoverAction) -> None:
         match action:
@@ -166,11 +166,11 @@
                 self._balancer.drain_to_successor()
 
     def _transfer_listener(self) -> None:
-        """Give the listening socket and the state to the successor."""
+        """Send the listening socket and the state to the successor."""
         assert self.channel is not None
         offer = self._balancer.release_listener()
         if offer is None:
-            self.channel.close("there is nothing left to take over")
+            self.channel.close("the listener is already closed")
             return
         channel = self.channel
         parts = split_state(offer.state)
@@ -179,5 +179,5 @@
             channel.send(StatePart(number, data))
 
     def _transfer_client(self, descriptor: int) -> bool:
-        """Whether the successor has got the client connection."""
+        """Send a client connection to the successor. Return whether the kernel accepted it for sending."""
         return self.channel is not None and self.channel.send_now(ClientTransfer(), descriptor)
--- a/quartzford/replacement/replaceable.py
+++ b/quartzford/replacement/replaceable.py
@@ -1,4 +1,4 @@
-"""What a handover needs of the balancer that is replaced, or that replaces one."""
+"""The interface that a handover needs from the balancer of the predecessor and of the successor."""
 
 from __future__ import annotations
 
@@ -10,45 +10,45 @@
 
 
 class HandoverOffer(NamedTuple):
-    """What a predecessor gives: its listening socket, and the state at that instant."""
+    """What a predecessor hands over: its listening socket and its state at that time."""
 
     listener: socket.socket
     state: BalancerState
 
 
 class HandoverResult(NamedTuple):
-    """What a successor got: the listening socket, and the state unless that could not be read."""
+    """What a successor received: the listening socket, and the state or None if it could not be decoded."""
 
     listener: socket.socket
     state: BalancerState | None
 
 
 class ReplaceableBalancer(Protocol):
-    """A balancer that can take over from its predecessor, and give all it has to a successor."""
+    """A balancer that can take over from a predecessor and hand over to a successor."""
 
     def release_listener(self) -> HandoverOffer | None:
-        """Accept no connection from now on; None where the listener is closed already."""
+        """Stop accepting connections. Return listener and state; None if the listener is already closed."""
 
     def resume_serving(self) -> None:
-        """Accept connections again: the successor is lost."""
+        """Accept connections again because the successor is lost."""
 
     def transfer_clients(self, transfer: Callable[[int], bool] | None) -> None:
-        """Give each idle client connection to the successor, now and from now on; None: no longer.
+        """Transfer each client connection to the successor as soon as it is idle; None ends the transfers.
 
-        transfer: takes a connection's descriptor; whether the successor has got it.
+        transfer: takes a connection's descriptor and returns whether it was sent to the successor.
         """
 
     def drain(self) -> None:
-        """Shut down without a successor: accept for a moment, answer what is open, exit."""
+        """Shut down without a successor: accept connections for a short time, answer open requests, exit."""
 
     def drain_to_successor(self) -> None:
-        """Shut down with a successor: answer what is open, exit once no client is left."""
+        """Shut down with a successor: answer open requests, exit when no client connection is left."""
 
     def adopt_client(self, sock: socket.socket) -> None:
-        """Serve an idle client connection of the predecessor."""
+        """Serve an idle client connection that the predecessor transferred."""
 
     def apply_maintenance(self, endpoint: str, in_maintenance: bool) -> None:
-        """An endpoint was taken out at the other process, or put back."""
+        """Apply a maintenance change that an operator made at the other process."""
 
     def use_full_limits(self) -> None:
-        """Use memory and descriptors in full: the predecessor is gone."""
+        """Use the full limits of memory and descriptors because the predecessor has exited."""
--- a/quartzford/replacement/state.py
+++ b/quartzford/replacement/state.py
@@ -1,7 +1,7 @@
-"""The state that a predecessor hands over, in msgpack, with bounds on what is read.
+"""The state that a predecessor hands over, encoded in msgpack, with bounds on the values that are decoded.
 
-It may be longer than a message and goes in parts. A state that can't be read costs a cold start, never the
-service.
+The encoded state may be longer than a message, so it is sent in parts. If the successor cannot decode it, the
+successor starts without learned state, but it serves in any case.
 """
 
 from __future__ import annotations
@@ -24,22 +24,23 @@
 
 @dataclass(slots=True)
 class BalancerState:
-    """All that a successor is given besides sockets.
+    """All data that a successor receives, apart from sockets.
 
-    Moments in it are milliseconds on the sender's scale; ValueError where one is not finite. A sender of an
-    earlier version leaves the last three fields out, a receiver of one passes over them.
+    Points in time are milliseconds on the sender's time scale; ValueError is raised if one is not finite. A
+    sender of an earlier version omits the last three fields, and a receiver of an earlier version ignores
+    them.
 
     format: STATE_FORMAT of the sender.
-    listing: the endpoint list, in the form that discovery sends.
-    version: of the list, from which changes may follow; None where none may.
-    discovery: host and port of the service whose version that is.
-    discovery_answered: whether that service has answered the sender yet.
-    busy_clients: client connections with a request open.
-    memory: what the decision module has learned.
-    anchor_ms: the sender's scale less the monotonic clock, which both processes share: the receiver moves
-        moments to its own scale by it.
-    list_known_ms: when the list was last known to be discovery's; None for never.
-    start_times_ms: when young incarnations started, by endpoint.
+    listing: the endpoint list, in the format of discovery.
+    version: version of the list, to which later changes can be applied; None if they cannot.
+    discovery: host and port of the list service to which the version belongs.
+    discovery_answered: whether that list service has already answered the sender.
+    busy_clients: number of client connections with an open request.
+    memory: the learned state of the decision module.
+    anchor_ms: the sender's time scale minus the monotonic clock, which both processes share. The receiver
+        uses it to convert times to its own scale.
+    list_known_ms: last time at which the list was known to match discovery's; None for never.
+    start_times_ms: start times of recently started incarnations, by endpoint.
     """
 
     format: int
@@ -54,8 +55,8 @@
     start_times_ms: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        moments = [self.anchor_ms, self.list_known_ms, *self.start_times_ms.values()]
-        if not all(moment is None or math.isfinite(moment) for moment in moments):
+        times = [self.anchor_ms, self.list_known_ms, *self.start_times_ms.values()]
+        if not all(time is None or math.isfinite(time) for time in times):
             raise ValueError("anchor_ms, list_known_ms or start_times_ms is not finite")
 
 
@@ -68,9 +69,10 @@
         "start_times_ms": "starts",
     },
 ):
-    """A BalancerState as it is encoded, with the same fields in the same order.
+    """The encoded form of a BalancerState, with the same fields in the same order.
 
-    Other versions of the program read it: encoded names and order stay, new fields come last with a default.
+    Other versions of the program read it: encoded names and field order must not change, and new fields come
+    last, with a default.
     """
 
     format: int
@@ -86,13 +88,13 @@
 
     @classmethod
     def encode(cls, state: BalancerState) -> EncodedBalancerState:
-        """The record of a state."""
+        """Return the encoded form of a state."""
         values = {name: getattr(state, name) for name in cls.__struct_fields__}
         values["memory"] = EncodedLearnedState.encode(state.memory)
         return cls(**values)
 
     def decode(self) -> BalancerState:
-        """The state; ValueError where a value in it is out of its bounds."""
+        """Return the state; raise ValueError if a value is out of bounds."""
         values = msgspec.structs.asdict(self)
         values["memory"] = self.memory.decode()
         return BalancerState(**values)
@@ -104,22 +106,24 @@
 
 
 def split_state(state: BalancerState) -> list[bytes]:
-    """The encoded state in parts that fit into a message each."""
+    """Return the encoded state in parts, each of which fits into a message."""
     data = _encoder.encode(EncodedBalancerState.encode(state))
     return [data[start : start + PART_BYTES] for start in range(0, len(data), PART_BYTES)]
 
 
 def decode_state(data: bytes) -> BalancerState:
-    """The state out of its joined parts.
+    """Return the state decoded from its joined parts.
 
-    StateFormatError where it is too long, cut off, of another format, or has values that can't be.
+    Raise StateFormatError if the data is too long, truncated or of another format, or if a value is invalid.
     """
     if len(data) > MAX_STATE_BYTES:
-        raise StateFormatError(f"a state of {len(data)} bytes; {MAX_STATE_BYTES} are read at most")
+        raise StateFormatError(f"the state has {len(data)} bytes; {MAX_STATE_BYTES} is the maximum")
     try:
         sent_format = _any_format_decoder.decode(data).get("format")
         if sent_format != STATE_FORMAT:
-            raise StateFormatError(f"a state of format {sent_format!r}; this process reads {STATE_FORMAT}")
+            raise StateFormatError(
+                f"the state has format {sent_format!r}; this process reads format {STATE_FORMAT}"
+            )
         return _decoder.decode(data).decode()
     except (msgspec.MsgspecError, ValueError, RecursionError, OverflowError) as error:
-        raise StateFormatError(f"a state that can't be read: {error}") from None
+        raise StateFormatError(f"the state cannot be decoded: {error}") from None
--- a/quartzford/replacement/state_machine.py
+++ b/quartzford/replacement/state_machine.py
@@ -1,4 +1,4 @@
-"""The states of a process that may have a successor, as a table of transitions without I/O."""
+"""The handover states of a process that may have a successor: a transition table without I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class HandoverState(Enum):
-    """How far the handover to a successor has come, and whether this process shuts down.
-
-    SERVING: there is no successor, this process accepts connections.
-    SUCCESSOR_STARTING: a successor has the listener and the state, and does not serve yet.
-    SUCCESSOR_SERVING: the successor serves; this process ends what it has, and could serve again.
-    DRAINING: shutdown without a successor.
-    DRAINING_SUCCESSOR_STARTING: shutdown; the successor does not serve yet.
-    DRAINING_SUCCESSOR_SERVING: shutdown; the successor serves.
+    """The progress of the handover to a successor, and whether this process is shutting down.
+
+    SERVING: no successor is connected, this process accepts connections.
+    SUCCESSOR_STARTING: a successor has the listener and the state but does not serve yet.
+    SUCCESSOR_SERVING: the successor serves. This process completes its open requests; it can resume serving.
+    DRAINING: this process shuts down without a successor.
+    DRAINING_SUCCESSOR_STARTING: this process shuts down; the successor does not serve yet.
+    DRAINING_SUCCESSOR_SERVING: this process shuts down; the successor serves.
     """
 
     SERVING = "serving"
@@ -27,12 +27,12 @@
 
 
 class HandoverEvent(Enum):
-    """What may happen to a process.
+    """An event that may change the handover state of a process.
 
     SUCCESSOR_CONNECTED: a successor requests the handover.
-    SUCCESSOR_SERVES: it accepts connections.
-    SUCCESSOR_LOST: its connection has ended, or it has been silent for too long.
-    SHUTDOWN_REQUESTED: this process got SIGTERM.
+    SUCCESSOR_SERVES: the successor accepts connections.
+    SUCCESSOR_LOST: the connection to the successor is closed, or no message arrived within the timeout.
+    SHUTDOWN_REQUESTED: this process received SIGTERM.
     """
 
     SUCCESSOR_CONNECTED = "successor connected"
@@ -42,13 +42,13 @@
 
 
 class HandoverAction(Enum):
-    """What the process has to do at a transition.
+    """An action that the process performs at a transition.
 
-    RELEASE_LISTENER: accept no more connections, give the listener and the state to the successor.
-    TRANSFER_CLIENTS: give each idle client connection to the successor, now and later.
+    RELEASE_LISTENER: stop accepting connections, send the listener and the state to the successor.
+    TRANSFER_CLIENTS: send each client connection to the successor as soon as it is idle.
     RESUME_SERVING: accept connections again, with new slow-start budgets.
-    DRAIN: answer what is open, then close and exit.
-    DRAIN_TO_SUCCESSOR: answer what is open, give the rest to the successor, exit.
+    DRAIN: answer open requests, then close all connections and exit.
+    DRAIN_TO_SUCCESSOR: answer open requests, transfer idle connections to the successor, exit.
     """
 
     RELEASE_LISTENER = "release listener"
@@ -59,7 +59,7 @@
 
 
 class Transition(NamedTuple):
-    """The state that follows, and what is done on the way, in this order."""
+    """The next state, and the actions to perform, in order."""
 
     next_state: HandoverState
     actions: tuple[HandoverAction, ...]
@@ -96,7 +96,7 @@
     (HandoverState.DRAINING_SUCCESSOR_SERVING, HandoverEvent.SUCCESSOR_LOST): Transition(
         HandoverState.DRAINING, (HandoverAction.RESUME_SERVING, HandoverAction.DRAIN)
     ),
-    # A successor that comes late: it still gets what is left.
+    # A successor that connects during the shutdown still receives the listener and the remaining clients.
     (HandoverState.DRAINING, HandoverEvent.SUCCESSOR_CONNECTED): Transition(
         HandoverState.DRAINING_SUCCESSOR_STARTING,
         (HandoverAction.RELEASE_LISTENER, HandoverAction.DRAIN_TO_SUCCESSOR),
@@ -105,15 +105,15 @@
 
 
 class HandoverStateMachine:
-    """Applies the table; an event that it has no transition for changes nothing."""
+    """Applies the transition table. An event without a transition from the present state has no effect."""
 
     def __init__(self, perform: Callable[[HandoverAction], None]) -> None:
-        """perform: carries out an action; it may bring about further events."""
+        """perform: callback that performs an action; it may cause further events."""
         self.state = HandoverState.SERVING
         self._perform = perform
 
     def handle(self, event: HandoverEvent) -> bool:
-        """Take the event's transition; False where there is none from the present state."""
+        """Perform the event's transition. Return False if the present state has no transition for it."""
         transition = TRANSITIONS.get((self.state, event))
         if transition is None:
             return False
--- a/quartzford/replacement/successor_side.py
+++ b/quartzford/replacement/successor_side.py
@@ -1,4 +1,4 @@
-"""The successor's side of a handover: it takes over from the process that served before."""
+"""The successor's side of a handover: takes over sockets and state from the predecessor."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from quartzford.replacement.state import MAX_STATE_BYTES, STATE_FORMAT, decode_state
 from quartzford.replacement.unix_socket import connect_to
 
-HANDOVER_TIMEOUT_S = 1.0  # for how long the successor waits for listener and state
+HANDOVER_TIMEOUT_S = 1.0  # maximum time to wait for the listener and the state
 HEARTBEAT_INTERVAL_S = 0.5
 
 
 class IncomingTransfer:
-    """Collects the listening socket and the parts of the state."""
+    """Collects the listening socket and the parts of the state as they arrive."""
 
     def __init__(self) -> None:
         self.started = False
@@ -37,13 +37,16 @@
         self._missing_parts = 0
 
     def start(self, descriptor: int, part_count: int) -> None:
-        """Own the listening socket's descriptor, and expect so many parts."""
+        """Take ownership of the listening socket's descriptor, and expect `part_count` parts of the state."""
         self.started = True
         self._descriptor = descriptor
         self._missing_parts = part_count
 
     def add_part(self, data: bytes) -> None:
-        """Add the next part. One that is not expected is left out; too many bytes end it with no state."""
+        """Add the next part of the state.
+
+        A part that is not expected is ignored. Beyond MAX_STATE_BYTES, the transfer completes with no state.
+        """
         if self._missing_parts <= 0:
             return
         self._parts.append(data)
@@ -54,31 +57,31 @@
 
     @property
     def complete(self) -> bool:
-        """The socket and all parts have come, and were not taken yet."""
+        """Whether the socket and all parts have arrived, and the socket has not been taken yet."""
         return self._descriptor is not None and not self._missing_parts
 
     def take_listener(self) -> socket.socket:
-        """The listening socket, which is the caller's from now on."""
+        """Return the listening socket; the caller owns it from then on."""
         assert self._descriptor is not None
         listener = socket.socket(fileno=self._descriptor)
         self._descriptor = None
         return listener
 
     def take_state(self) -> bytes:
-        """The joined parts."""
+        """Return the joined parts of the state, and forget them."""
         data = b"".join(self._parts)
         self._parts = []
         return data
 
     def discard(self) -> None:
-        """Close a socket that was not taken."""
+        """Close the listening socket if it has not been taken."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
 
 
 class SuccessorSide:
-    """Connects to the predecessor, takes over what it gives, and sends heartbeats."""
+    """Connects to the predecessor, takes over its sockets and state, and sends heartbeats."""
 
     def __init__(
         self,
@@ -88,8 +91,8 @@
         log: Log,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """socket_path: where a predecessor listens."""
-        self.channel: Channel | None = None  # to the predecessor, while it is alive
+        """socket_path: the Unix socket on which a predecessor listens."""
+        self.channel: Channel | None = None  # to the predecessor, while it is connected
         self._balancer = balancer
         self._socket_path = socket_path
         self._clock = clock
@@ -99,7 +102,7 @@
         self._result: asyncio.Future[HandoverResult | None] | None = None
 
     async def request_handover(self) -> HandoverResult | None:
-        """What the predecessor gives; None where there is none, or it does not answer in time."""
+        """Return the predecessor's listener and state, or None without a timely answer from a predecessor."""
         sock = self._connect()
         if sock is None:
             return None
@@ -110,21 +113,21 @@
         try:
             return await asyncio.wait_for(self._result, HANDOVER_TIMEOUT_S)
         except TimeoutError:
-            self._log.line("replacement", "the predecessor does not answer; nothing is taken over")
-            channel.close("late")
+            self._log.line("replacement", "the predecessor did not answer in time; nothing is taken over")
+            channel.close("no answer in time")
             return None
 
     def _connect(self) -> socket.socket | None:
         try:
             return connect_to(self._socket_path)
         except (FileNotFoundError, ConnectionRefusedError):
-            return None  # the usual start, without a predecessor
+            return None  # a normal start without a predecessor
         except (OSError, PeerUserError) as error:
-            self._log.line("replacement", f"nothing is taken over: {error}")
+            self._log.line("replacement", f"nothing is taken over from a predecessor: {error}")
             return None
 
     def announce_serving(self) -> None:
-        """Notify the predecessor that this process accepts connections: it hands over clients from now on."""
+        """Notify the predecessor that this process accepts connections, so that it transfers its clients."""
         if self.channel is not None:
             self.channel.send(Serving())
             self._send_heartbeat()
@@ -153,18 +156,21 @@
         try:
             return HandoverResult(listener, decode_state(self._transfer.take_state()))
         except StateFormatError as error:
-            self._log.line("replacement", f"{error}; a cold start, with the connections")
+            self._log.line(
+                "replacement",
+                f"{error}; cold start with the predecessor's connections",
+            )
             return HandoverResult(listener, None)
 
     def _channel_closed(self, _channel: Channel, reason: str) -> None:
         self._transfer.discard()
         if self._result is not None and not self._result.done():
-            self._log.line("replacement", f"the predecessor gave nothing complete: {reason}")
+            self._log.line("replacement", f"the handover from the predecessor is incomplete: {reason}")
             self._result.set_result(None)
         self.channel = None
         self._balancer.use_full_limits()
 
     def stop(self) -> None:
-        """Close the connection: this process ends."""
+        """Close the connection because this process exits."""
         if self.channel is not None:
             self.channel.discard()
--- a/quartzford/replacement/unix_socket.py
+++ b/quartzford/replacement/unix_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket by which a successor finds its predecessor: its path, both ends, and who may connect."""
+"""The Unix socket between predecessor and successor: its path, listening, connecting, and the user check."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from quartzford.replacement.errors import PeerUserError
 
 BACKLOG = 4
-OWNER_ONLY = 0o600
+OWNER_ONLY_MODE = 0o600
 PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group id, as in Linux's struct ucred
 
 
 def balancer_path(folder: str, name: str, listen: tuple[str, int]) -> str:
-    """The path of a balancer's files in a folder, without suffix.
+    """Return the common path of a balancer's files in a folder, without suffix.
 
-    name and listen: those of its configuration, the same at predecessor and successor.
+    name and listen: as in the configuration; predecessor and successor have the same values.
     """
     identity = hashlib.sha256(f"{name} {listen[0]} {listen[1]}".encode()).hexdigest()[:12]
     return str(Path(folder) / f"quartzford-{identity}")
@@ -29,9 +29,9 @@
 
 @contextlib.contextmanager
 def short_path(path: str) -> Iterator[str]:
-    """The path in a form that fits into a socket's address, however deep its folder lies.
+    """Yield a form of the path that fits into a Unix socket address, however long the folder's path is.
 
-    OSError where the folder can't be opened.
+    Raise OSError if the folder cannot be opened.
     """
     target = Path(path)
     folder = os.open(target.parent, os.O_PATH | os.O_DIRECTORY)
@@ -42,9 +42,9 @@
 
 
 def listen_at(path: str) -> socket.socket:
-    """A listening, non-blocking socket at the path, in place of what lies there.
+    """Return a listening, non-blocking socket at the path, which replaces an existing file there.
 
-    OSError where it can't be made; it leaves no descriptor and no file behind.
+    Raise OSError on failure; no descriptor and no file is left behind.
     """
     temporary = temporary_path(path)
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -54,7 +54,7 @@
             os.unlink(temporary)
         with short_path(temporary) as address:
             sock.bind(address)
-        os.chmod(temporary, OWNER_ONLY)
+        os.chmod(temporary, OWNER_ONLY_MODE)
         sock.listen(BACKLOG)
         os.replace(temporary, path)
     except OSError:
@@ -66,10 +66,10 @@
 
 
 def connect_to(path: str) -> socket.socket:
-    """A non-blocking connection to the process that listens at the path.
+    """Return a non-blocking connection to the process that listens at the path.
 
-    FileNotFoundError or ConnectionRefusedError where none does, PeerUserError where it is another user's, and
-    OSError otherwise.
+    Raise FileNotFoundError or ConnectionRefusedError if no process listens, PeerUserError if the process
+    belongs to another user, and OSError for other failures.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
@@ -84,8 +84,11 @@
 
 
 def check_peer_user(sock: socket.socket) -> None:
-    """PeerUserError unless the peer runs as this process's user: only that one may take over our clients."""
+    """Raise PeerUserError unless the peer runs as this process's user.
+
+    A process of another user must not take over client connections.
+    """
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     _, user, _ = PEER_CREDENTIALS.unpack(credentials)
     if user != os.getuid():
-        raise PeerUserError("it belongs to another user")
+        raise PeerUserError("the process at the other end belongs to another user")
--- a/quartzford/settings/__init__.py
+++ b/quartzford/settings/__init__.py
@@ -1,1 +1,1 @@
-"""What a balancer is configured with: the configuration file, the operator's file, header values."""
+"""Settings of a balancer: the configuration file, the operator's file, and the parsing of header values."""
--- a/quartzford/settings/configuration.py
+++ b/quartzford/settings/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file of one real balancer (JSON), checked as it is read."""
+"""Reads and checks the configuration file (JSON) of a balancer that serves real traffic."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from quartzford.decision import interface as io
 from quartzford.settings.decision_settings import read_settings
 
-STALL_MS = 150.0  # a real balancer may be held up for so long between reading its clock and writing
+STALL_MS = 150.0  # longest expected hold-up of a real balancer between a clock reading and the next write
 BYTES_PER_MB = 1024 * 1024
 MAX_PORT = 65_535
-CONFIG_VARIABLE = "EDGE_CONFIG"  # names the file
-ADMIN_VARIABLE = "EDGE_ADMIN_ADDR"  # the operators' address of this process
+CONFIG_VARIABLE = "EDGE_CONFIG"  # environment variable: path of the configuration file
+ADMIN_VARIABLE = "EDGE_ADMIN_ADDR"  # environment variable: this process's address for operators
 SETTINGS_SECTIONS = ("guarantees", "limits", "prices", "blend", "report")
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used. The text is the key, a colon and the reason."""
+    """The configuration cannot be used. The message consists of the key, a colon and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of one real balancer. Times in milliseconds."""
+    """The configuration of one balancer that serves real traffic. Times are in milliseconds."""
 
     name: str
     listen: tuple[str, int]  # host and port
@@ -34,42 +34,48 @@
     seed: int
     memory_bytes: int
     descriptors: int
-    known: dict[str, Any]  # the endpoint list to start from
-    admin: tuple[str, int] | None  # where operators call, if anywhere
+    known: dict[str, Any]  # endpoint list to use until the list service has answered
+    admin: tuple[str, int] | None  # address for operators, if configured
     settings: io.Settings
     idle_timeout_ms: float
     connect_timeout_ms: float
-    report_names: tuple[str, ...]  # the load report's fields as the settings name them
+    report_names: tuple[str, ...]  # names of the load report's fields, as in the settings
 
 
 def load_config(path: str) -> Config:
-    """The configuration in a file; "" stands for a path that is not set. ConfigError if it can't be used."""
+    """Return the configuration in a file; raise ConfigError if it cannot be used or the path is ""."""
     if not path:
         raise ConfigError(f"{CONFIG_VARIABLE}: not set")
     try:
         config = read_config(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"{CONFIG_VARIABLE}: {path}: {error}") from None
-    admin = os.environ.get(ADMIN_VARIABLE)  # of this process; the file may already name its successor's
+    admin = os.environ.get(
+        ADMIN_VARIABLE
+    )  # overrides the file, which may already have the successor's address
     if not admin:
         return config
     return replace(config, admin=_read_address({ADMIN_VARIABLE: admin}, ADMIN_VARIABLE))
 
 
 def read_config(text: str) -> Config:
-    """The configuration in a file's text; ConfigError, and nothing else, where it can't be used."""
+    """Return the configuration in a file's text; raise only ConfigError, if it cannot be used."""
     try:
         table = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"not JSON: {error}") from None
     try:
         return _read_table(table)
-    except (TypeError, ValueError, OverflowError) as error:  # figures past a float's range, say
+    except (
+        TypeError,
+        ValueError,
+        OverflowError,
+    ) as error:  # for example, a number beyond a float's range
         raise ConfigError(f"{type(error).__name__}: {error}") from None
 
 
 def _read_table(table: Any) -> Config:
-    # Only here: actions of the simulator take no time.
+    # Set for real balancers only: in the simulator, actions take no time.
     settings = replace(_read_settings(table), stall_ms=STALL_MS)
     raw_settings = table["settings"]
     return Config(
@@ -104,24 +110,24 @@
 
 
 def _check_names(settings: io.Settings) -> None:
-    """ConfigError where a class, a tenant or a field of the load report has something else for a name."""
+    """Raise ConfigError if the name of a service class, a tenant or a load report field is not a string."""
     for service_class in settings.classes:
         _require({"name": service_class.name}, "name", str)
     for tenant in settings.tenants:
         _require({"name": tenant.name}, "name", str)
     for name in settings.report_fields:
         if not isinstance(name, str):
-            raise ConfigError(f"settings: report.fields: {name!r} is not a name")
+            raise ConfigError(f"settings: report.fields: {name!r} is not a string")
 
 
-def _require(table: Any, path: str, kind: type | tuple[type, ...]) -> Any:
-    """The value at a dotted path; ConfigError where there is none or it is not of the kind."""
+def _require(table: Any, path: str, expected_type: type | tuple[type, ...]) -> Any:
+    """Return the value at a dotted path; raise ConfigError if it is missing or not of the expected type."""
     for key in path.split("."):
         if not isinstance(table, dict) or key not in table:
             raise ConfigError(f"{path}: missing")
         table = table[key]
-    if not isinstance(table, kind) or isinstance(table, bool):
-        raise ConfigError(f"{path}: {table!r} is not what was expected")
+    if not isinstance(table, expected_type) or isinstance(table, bool):
+        raise ConfigError(f"{path}: {table!r} is not of the expected type")
     if isinstance(table, float) and not math.isfinite(table):
         raise ConfigError(f"{path}: {table!r} is not a finite number")
     return table
--- a/quartzford/settings/decision_settings.py
+++ b/quartzford/settings/decision_settings.py
@@ -1,7 +1,8 @@
-"""The decision module's settings, read from the `settings` object that both hosts are given.
+"""Reads the decision module's settings from the `settings` object, which has one format for both hosts.
 
-Keys that are not known are ignored. A required key that is missing raises KeyError; a value out of its bounds
-raises ValueError, from the settings' own types. All times are in milliseconds.
+The hosts are the real balancer and the simulator. Unknown keys are ignored. A missing required key raises
+KeyError. A value out of bounds raises ValueError, from the types of the settings. All times are in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -10,11 +11,15 @@
 
 from quartzford.decision import interface as io
 
-EFFECTS = {"free": "free", "guarded": "keyed", "single_shot": "unsafe"}  # the configuration's: the module's
+EFFECT_NAMES = {
+    "free": "free",
+    "guarded": "keyed",
+    "single_shot": "unsafe",
+}  # configured: internal name
 
 
 def read_settings(config: dict[str, Any]) -> io.Settings:
-    """The settings in a `settings` object; KeyError, TypeError or ValueError where it is malformed."""
+    """Return the settings; raise KeyError, TypeError or ValueError if the `settings` object is malformed."""
     rules = config["guarantees"]
     limits = config["limits"]
     prices = config["prices"]
@@ -49,7 +54,7 @@
         deadline_ms=entry["deadlineMs"],
         priority_weight=entry["value"],
         late_weight=entry.get("lateWorth", 0.0),
-        effect=EFFECTS.get(entry["effect"], entry["effect"]),
+        effect=EFFECT_NAMES.get(entry["effect"], entry["effect"]),
         group=entry.get("group", "all"),
         window_ms=entry.get("memorySpanMs", 0.0),
         streaming=entry.get("streaming", False),
--- a/quartzford/settings/header_values.py
+++ b/quartzford/settings/header_values.py
@@ -1,15 +1,15 @@
-"""Header values, read the same by every front and backend."""
+"""Parsers of header values, shared by all fronts and backends."""
 
 from __future__ import annotations
 
 import json
 import math
 
-TIME_UNITS_MS = {"m": 1.0, "u": 0.001}  # by the last letter of the value, as in gRPC
+TIME_UNITS_MS = {"m": 1.0, "u": 0.001}  # milliseconds per unit, by the last letter of the value, as in gRPC
 MAX_TIME_LEFT_MS = 1e9
 MAX_NUMBER = 1e12
 
-# Some upstreams write a report's fields by the settings' names, some by the simulator's.
+# Some upstreams name the fields of a load report as the settings do, others as the simulator does.
 REPORT_ALIASES = {
     "concurrent": "inflight",
     "depth": "queue",
@@ -21,7 +21,7 @@
 
 
 def read_time_left(text: str) -> float | None:
-    """X-Time-Left ("480m", "250000u") in milliseconds; None when it can't be read."""
+    """Return an X-Time-Left value ("480m", "250000u") in milliseconds; None if it is invalid."""
     try:
         value = float(text[:-1]) * TIME_UNITS_MS[text[-1:]]
     except (ValueError, KeyError):
@@ -30,7 +30,7 @@
 
 
 def read_cookie(text: str, name: str) -> str:
-    """The value of a cookie in a Cookie header; "" where it has none of the name."""
+    """Return the value of the named cookie in a Cookie header; "" if the header does not contain it."""
     for part in text.split(";"):
         key, _, value = part.strip().partition("=")
         if key == name:
@@ -39,7 +39,7 @@
 
 
 def read_number(text: str) -> float:
-    """A number from 0 up; 0 when it can't be read or is out of bounds."""
+    """Return a non-negative number; 0 if the text is not a number or is out of bounds."""
     try:
         value = float(text)
     except ValueError:
@@ -48,12 +48,15 @@
 
 
 def read_report(text: bytes, names: tuple[str, ...]) -> tuple[float, ...]:
-    """The load report's values in the settings' order, by either name; empty when it is malformed."""
+    """Return the load report's values in the order of `names`, or an empty tuple if the report is malformed.
+
+    A field may have the settings' name or its alias.
+    """
     try:
         table = json.loads(text)
         values = tuple(
             float(table[name] if name in table else table[REPORT_ALIASES.get(name, name)]) for name in names
         )
     except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
-        return ()  # whatever its bytes, a report must never spoil the answer that carries it
+        return ()  # a malformed load report must not invalidate the response that carries it
     return values if all(0 <= value < math.inf for value in values) else ()
--- a/quartzford/settings/operator_checks.py
+++ b/quartzford/settings/operator_checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values of the operator's file. Each names the key and the reason in an OperatorError."""
+"""Checks of values in the operator's file. A check raises OperatorError with the key and the reason."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 HEADER_NAME = re.compile(r"[a-z0-9][a-z0-9!#$%&'*+.^_`|~-]*\Z")
-DEFAULT_HEADERS = {  # header names by purpose, unless the file sets others
+DEFAULT_HEADERS = {  # header names by purpose; the operator's file may set others
     "identity": "x-correlation-id",
     "service_class": "x-service-class",
     "tenant": "x-account",
@@ -22,53 +22,53 @@
     "within": "x-quartzford-within",
 }
 WRITTEN_HEADERS = ("destination", "token", "retry", "within")  # set by the external processor
-# Envoy protects these from mutation, or gives them a meaning of its own.
+# Envoy rejects changes of these headers or handles them specially.
 RESERVED_HEADERS = ("host", "connection", "content-length", "transfer-encoding", "cookie", "te", "upgrade")
 ENVOY_PREFIX = "x-envoy-"
 MAX_RELAYS = 1_000
 MAX_PORT = 65_535
 
 Check = Callable[[str, Any], Any]
-"""Takes a key and its value as read from TOML; gives the value as the settings hold it, or OperatorError."""
+"""Takes a key and its value from TOML; returns the value for the settings, or raises OperatorError."""
 
 
 class OperatorError(Exception):
-    """An operator's file that can't be used. The text is the key, a colon and the reason."""
+    """The operator's file cannot be used. The message consists of the key, a colon and the reason."""
 
 
-def number_between(least: float, most: float) -> Check:
-    """A check for a finite number within the bounds, both included."""
+def number_between(minimum: float, maximum: float) -> Check:
+    """Return a check for a finite number within inclusive bounds."""
 
     def check(key: str, value: Any) -> float:
-        """The number; OperatorError where the value is none, or out of bounds."""
+        """Return the number; raise OperatorError if the value is not a number or out of bounds."""
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
             raise OperatorError(f"{key}: {value!r} is not a number")
-        if not least <= value <= most:
-            raise OperatorError(f"{key}: {value!r} is not from {least:g} to {most:g}")
+        if not minimum <= value <= maximum:
+            raise OperatorError(f"{key}: {value!r} is not from {minimum:g} to {maximum:g}")
         return float(value)
 
     return check
 
 
-def count_between(least: int, most: int) -> Check:
-    """A check for an integer within the bounds, both included."""
+def count_between(minimum: int, maximum: int) -> Check:
+    """Return a check for an integer within inclusive bounds."""
 
     def check(key: str, value: Any) -> int:
-        """The integer; OperatorError where the value is none, or out of bounds."""
+        """Return the integer; raise OperatorError if the value is not an integer or out of bounds."""
         if type(value) is not int:
             raise OperatorError(f"{key}: {value!r} is not a whole number")
-        if not least <= value <= most:
-            raise OperatorError(f"{key}: {value} is not from {least} to {most}")
+        if not minimum <= value <= maximum:
+            raise OperatorError(f"{key}: {value} is not from {minimum} to {maximum}")
         return int(value)
 
     return check
 
 
 def one_of(*names: str) -> Check:
-    """A check for one of the names."""
+    """Return a check that the value is one of the names."""
 
     def check(key: str, value: Any) -> str:
-        """The name; OperatorError where the value is none of them."""
+        """Return the name; raise OperatorError if the value is none of the names."""
         if value not in names:
             raise OperatorError(f"{key}: {value!r} is not one of {', '.join(names)}")
         return str(value)
@@ -77,14 +77,14 @@
 
 
 def check_text(key: str, value: Any) -> str:
-    """One line of text."""
+    """Return the text; raise OperatorError if the value is not a single line of text."""
     if not isinstance(value, str) or "\0" in value or "\n" in value:
         raise OperatorError(f"{key}: {value!r} is not a line of text")
     return value
 
 
 def check_address(key: str, value: Any) -> str:
-    """An address to listen at, host:port; port 0 is the kernel's choice."""
+    """Return an address to listen on, host:port; with port 0, the kernel chooses the port."""
     text = check_text(key, value)
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
@@ -93,26 +93,26 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Host and port of a checked host:port."""
+    """Return host and port of an address that `check_address` has accepted."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def check_peer(key: str, value: Any) -> str:
-    """An address to connect to: it needs a port of its own."""
+    """Return an address to connect to; unlike an address to listen on, its port must not be 0."""
     text = check_address(key, value)
     host, port = split_address(text)
     if not host or not port:
-        raise OperatorError(f"{key}: {text!r} can't be called: it takes a host and a port over 0")
+        raise OperatorError(f"{key}: {text!r} can't be called: it needs a host and a port above 0")
     return text
 
 
 def check_peers(key: str, value: Any) -> tuple[str, ...]:
-    """A list of addresses to connect to, each named once."""
+    """Return the addresses to connect to; raise OperatorError if an address occurs twice."""
     if not isinstance(value, list):
         raise OperatorError(f"{key}: {value!r} is not a list of host:port")
     if len(value) > MAX_RELAYS:
-        raise OperatorError(f"{key}: {len(value)} addresses are over {MAX_RELAYS}")
+        raise OperatorError(f"{key}: {len(value)} addresses; the maximum is {MAX_RELAYS}")
     peers = tuple(check_peer(f"{key}[{index}]", text) for index, text in enumerate(value))
     seen: set[tuple[str, int]] = set()
     for text in peers:
@@ -124,15 +124,15 @@
 
 
 def check_headers(key: str, value: Any) -> tuple[tuple[str, str], ...]:
-    """Header names by purpose, sorted by it; no name may serve two purposes."""
+    """Return pairs of purpose and header name, sorted; a header must not be used for two purposes."""
     if not isinstance(value, dict):
         raise OperatorError(f"{key}: {value!r} is not a table")
     for purpose, header in value.items():
         _check_header(f"{key}.{purpose}", purpose, header)
-    used = list((DEFAULT_HEADERS | value).values())
+    header_names = list((DEFAULT_HEADERS | value).values())
     for purpose, header in value.items():
-        if used.count(header) > 1:
-            raise OperatorError(f"{key}.{purpose}: {header!r} stands for two things")
+        if header_names.count(header) > 1:
+            raise OperatorError(f"{key}.{purpose}: {header!r} is used for two purposes")
     return tuple(sorted(value.items()))
 
 
@@ -140,15 +140,18 @@
     if purpose not in DEFAULT_HEADERS:
         raise OperatorError(f"{key}: no such header; there are {', '.join(DEFAULT_HEADERS)}")
     if not isinstance(header, str) or not HEADER_NAME.match(header):
-        raise OperatorError(f"{key}: {header!r} is not a header's name in lower case")
+        raise OperatorError(f"{key}: {header!r} is not a header name in lower case")
     if header in RESERVED_HEADERS:
-        raise OperatorError(f"{key}: {header!r} can't be set or read for this")
+        raise OperatorError(f"{key}: {header!r} can't be used: Envoy reserves it")
     if header.startswith(ENVOY_PREFIX) and purpose in WRITTEN_HEADERS:
-        raise OperatorError(f"{key}: {header!r}: callers keep x-envoy- headers from being set")
+        raise OperatorError(f"{key}: {header!r}: Envoy does not let a processor set x-envoy- headers")
 
 
 def check_table(key: str, value: Any, checks: dict[str, Check]) -> dict[str, Any]:
-    """A table's checked values, in the order of the checks. key: "" for the file itself."""
+    """Return the checked values of a table, in the order of `checks`.
+
+    key: key of the table; "" for the top level of the file.
+    """
     if not isinstance(value, dict):
         raise OperatorError(f"{key}: {value!r} is not a table")
     prefix = f"{key}." if key else ""
@@ -158,8 +161,11 @@
     return {name: check(f"{prefix}{name}", value[name]) for name, check in checks.items() if name in value}
 
 
-def require(key: str, table: dict[str, Any], *names: str) -> None:
-    """OperatorError for the first of the names that the table at the key lacks."""
+def require_keys(key: str, table: dict[str, Any], *names: str) -> None:
+    """Raise OperatorError for the first of the names that is missing in the table.
+
+    key: key of the table.
+    """
     for name in names:
         if name not in table:
             raise OperatorError(f"{key}.{name}: missing")
--- a/quartzford/settings/operator_file.py
+++ b/quartzford/settings/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator's file (TOML): what this installation switches on beyond the balancer's configuration.
+"""Reads the operator's file (TOML), which enables optional functions beyond the balancer's configuration.
 
-Every key is checked when the file is loaded: OperatorError names the key and the reason.
+Every key is checked when the file is loaded. An OperatorError gives the key and the reason.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     count_between,
     number_between,
     one_of,
-    require,
+    require_keys,
     split_address,
 )
 from quartzford.settings.operator_settings import (
@@ -78,11 +78,11 @@
     "most_watchers": count_between(0, 10_000_000),
     "source_calls_per_s": number_between(0.01, 1_000_000),
 }
-RELAY_FIELDS = {"whole_bytes_per_s": "list_bytes_per_s"}  # keys whose field has another name
+RELAY_FIELD_NAMES = {"whole_bytes_per_s": "list_bytes_per_s"}  # for keys that differ from the field's name
 
 
 def load_operator_settings(path: str) -> OperatorSettings:
-    """The settings in a file; OperatorError where it can't be read or used."""
+    """Return the settings in a file; raise OperatorError if it cannot be read or used."""
     try:
         return read_operator_settings(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -90,7 +90,7 @@
 
 
 def read_operator_settings(text: str) -> OperatorSettings:
-    """The settings in a file's text; OperatorError where it can't be used."""
+    """Return the settings in a file's text; raise OperatorError if it cannot be used."""
     try:
         table = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
@@ -109,17 +109,17 @@
 
 
 def _check_relay_source(settings: OperatorSettings) -> None:
-    """A relay's source is the list service, not another relay."""
+    """Raise OperatorError if the relay's source is one of the relays instead of the list service."""
     if settings.relay is None or settings.lists is None:
         return
     source = split_address(settings.relay.source)
     if any(split_address(text) == source for text in settings.lists.relays):
-        raise OperatorError(f"relay.source: {settings.relay.source!r} is a relay itself, of lists.relays")
+        raise OperatorError(f"relay.source: {settings.relay.source!r} is a relay itself, in lists.relays")
 
 
 def _read_extproc(key: str, value: Any) -> ExtprocSettings:
     table = check_table(key, value, EXTPROC_CHECKS)
-    require(key, table, "listen")
+    require_keys(key, table, "listen")
     return ExtprocSettings(**table)
 
 
@@ -132,7 +132,7 @@
 
 def _read_subset(key: str, value: Any) -> SubsetSettings:
     table = check_table(key, value, SUBSET_CHECKS)
-    require(key, table, "size")
+    require_keys(key, table, "size")
     return SubsetSettings(**table)
 
 
@@ -148,14 +148,14 @@
 
 def _read_relay(key: str, value: Any) -> RelaySettings:
     table = check_table(key, value, RELAY_CHECKS)
-    require(key, table, "listen", "source", "balancers")
-    settings = RelaySettings(**{RELAY_FIELDS.get(name, name): value for name, value in table.items()})
+    require_keys(key, table, "listen", "source", "balancers")
+    settings = RelaySettings(**{RELAY_FIELD_NAMES.get(name, name): value for name, value in table.items()})
     if split_address(settings.listen) == split_address(settings.source):
         raise OperatorError(f"{key}.source: {settings.source!r} is the relay's own address, {key}.listen")
-    share = math.ceil(settings.balancers / settings.relays)
-    if 0 < settings.most_watchers < share:
+    fleet_share = math.ceil(settings.balancers / settings.relays)
+    if 0 < settings.most_watchers < fleet_share:
         raise OperatorError(
             f"{key}.most_watchers: {settings.most_watchers} is under this relay's share of the fleet, "
-            f"{settings.balancers} balancers over {settings.relays} relays: {share}"
+            f"{settings.balancers} balancers over {settings.relays} relays: {fleet_share}"
         )
     return settings
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -639,7 +639,7 @@
     data = b"".join(wire.split_state(one))
     assert wire.decode_state(data).listing == listing
     for kept in range(len(data)):
-        with pytest.raises(StateFormatError, match="a state"):
+        with pytest.raises(StateFormatError, match="the state"):
             wire.decode_state(data[:kept])
 
 
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -300,8 +300,8 @@
     (GOOD + '[extproc.headers]\nidentiy = "x-id"', "extproc.headers.identiy: no such header"),
     (GOOD + '[extproc.headers]\ntoken = "x-envoy-token"', "extproc.headers.token"),
     (GOOD + '[extproc.headers]\nidentity = "host"', "extproc.headers.identity"),
-    (GOOD + '[extproc.headers]\nidentity = "x-a"\ntoken = "x-a"', "stands for two things"),
-    (GOOD + '[extproc.headers]\nidentity = "x-account"', "stands for two things"),
+    (GOOD + '[extproc.headers]\nidentity = "x-a"\ntoken = "x-a"', "is used for two purposes"),
+    (GOOD + '[extproc.headers]\nidentity = "x-account"', "is used for two purposes"),
 ]
 
 
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("section", SECTIONS)
 def test_each_field_of_a_section_has_a_checked_key(section: str) -> None:
     kind, checks = SECTIONS[section]
-    names = {file.RELAY_FIELDS.get(key, key) for key in checks}
+    names = {file.RELAY_FIELD_NAMES.get(key, key) for key in checks}
     assert names == {field.name for field in fields(kind)}
 
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -196,7 +196,7 @@
         (lambda: _memory(servers=[_memory()["memory"]["servers"][0] | {"p": -1.0}]), "p:"),
         (lambda: _memory(servers=[_memory()["memory"]["servers"][0] | {"tokens": 50.0}]), "tokens"),
         (lambda: [1], "object"),
-        (lambda: b"\xc1", "state that can't"),
+        (lambda: b"\xc1", "the state cannot be decoded"),
     ],
 )
 def test_an_invalid_state_is_rejected_with_its_reason(table: Any, reason: str) -> None:
