--- a/quartzford/relay/__init__.py
+++ b/quartzford/relay/__init__.py
@@ -1,1 +1,1 @@
-"""A relay: follows one list service and serves its list to the balancers that watch here. docs/relay.md"""
+"""A relay watches one list service and serves the list to balancers that watch the relay. docs/relay.md"""
--- a/quartzford/relay/catalog.py
+++ b/quartzford/relay/catalog.py
@@ -1,13 +1,13 @@
-"""The list that a relay holds, and the update for a watcher at some version of it. No I/O.
+"""The list that a relay holds, and the update that a watcher at a given version needs. No I/O.
 
-Rows are kept by name, in the order of the version in which each last changed; so the changes after a version
-are the rows behind it, each once, however often it changed. Removed rows are kept as tombstones, bounded in
-number.
+Rows are stored by name, ordered by the version in which each row last changed. The changes after a version
+are therefore the rows that follow it in this order; a row that changed several times is sent once. Removed
+rows are kept as tombstones, up to a maximum number.
 
-A version names the same rows only within one incarnation of the source. Where a version falls, or is repeated
-with other rows, the source has restarted: a new incarnation, and a client that holds a list of an earlier one
-gets the complete list. Within an incarnation an index is trusted if this relay held that version itself: then
-it is known which rows its holder has.
+A version identifies the same rows only within one incarnation of the source. If a version decreases, or
+repeats with different rows, the source has restarted. This begins a new incarnation, and a client that holds
+a list of an earlier incarnation gets the complete list. Within an incarnation the relay trusts an index only
+if the relay itself held that version: only then does it know which rows the client has.
 """
 
 from __future__ import annotations
@@ -22,45 +22,51 @@
 from quartzford.relay.list_encoding import Address, encode_line, encode_row
 
 MAX_TOMBSTONES = 20_000
-MAX_VERSIONS = 65_536  # versions that are remembered as held
-MAX_ENCODINGS = 8  # encodings of the complete list that are in use at a time
-REUSE_FRACTION = 0.125  # an encoding is sent again while the changes behind it are no longer than this of it
-FEW_ROWS = 1_000  # up to so many changed rows are always sent as changes
-GONE = "gone"  # the state of a removed row
+MAX_VERSIONS = 65_536  # versions that the relay remembers having held
+MAX_ENCODINGS = 8  # encodings of the complete list in use at the same time
+# An encoding is reused while the changes since its version are at most this fraction of its length.
+MAX_CHANGES_FRACTION_FOR_REUSE = 0.125
+MAX_ROWS_ALWAYS_AS_CHANGES = 1_000  # up to this number, changed rows are never replaced by the complete list
+REMOVED_STATE = "gone"  # the state of a removed row
 
 
 class Position(NamedTuple):
-    """What a watcher holds: a version, and the incarnation of the source that it belongs to."""
+    """The version of the list that a watcher holds, and the incarnation of the source that it belongs to."""
 
     incarnation: int
     version: int
 
 
 class UpdateKind(Enum):
-    """What has to be sent to a watcher."""
+    """The kind of update that a watcher needs."""
 
     NOTHING = "nothing"
     CHANGES = "changes"
-    COMPLETE_LIST = "complete list"  # its version is too old, of another incarnation, or never held here
-    AHEAD = "ahead"  # its version is above the one held: this relay is behind, or the source has restarted
+    COMPLETE_LIST = "complete list"  # its version is too old, of another incarnation, or was never held here
+    AHEAD = (
+        "ahead"  # its version is above the version held: this relay is behind, or the source has restarted
+    )
 
 
 class WatcherUpdate(NamedTuple):
-    """The update for a watcher. line: the changes as one line of discovery, of CHANGES alone."""
+    """The update for a watcher.
+
+    line: the changes as one line of the list service's format, set for CHANGES only.
+    """
 
     kind: UpdateKind
     line: bytes = b""
 
 
 class ListedRow(NamedTuple):
-    """A row as the source lists it."""
+    """A row as received from the source."""
 
     endpoint: io.Endpoint
     address: Address
 
 
 class Row(NamedTuple):
-    """A row that is held. version: in which it last changed; text: its JSON."""
+    """A stored row. version: the version in which it last changed; text: the row as JSON."""
 
     version: int
     endpoint: io.Endpoint
@@ -69,7 +75,7 @@
 
 
 class CompleteList:
-    """The complete list at one position as a line of discovery, shared by all transfers of it."""
+    """The complete list at one position as a line in the list service's format. All its transfers share it."""
 
     __slots__ = ("__weakref__", "line", "position")
 
@@ -79,10 +85,11 @@
 
 
 class Catalog:
-    """The rows by name, the versions that were held, and the encodings that are shared.
+    """The rows by name, the versions held so far, and the shared encodings.
 
-    Beyond max_tombstones and max_versions older versions get the complete list; beyond max_encodings a
-    complete list is sent that is a few versions old, and the changes behind it.
+    If max_tombstones or max_versions is exceeded, watchers at the oldest versions get the complete list. If
+    max_encodings is reached, a watcher gets a complete list that is a few versions old, then the later
+    changes.
     """
 
     def __init__(
@@ -96,29 +103,29 @@
         self.max_encodings = max_encodings
         self.version: int | None = None
         self.incarnation = 0
-        self.oldest_version = 0  # changes are known after this version
-        self.untrusted_up_to = -1  # an index up to this may be of an earlier incarnation
+        self.oldest_version = 0  # changes after this version are known
+        self.untrusted_up_to = -1  # an index up to this version may be of an earlier incarnation
         self.rows: OrderedDict[str, Row] = OrderedDict()
         self.tombstones: OrderedDict[str, Row] = OrderedDict()
-        self.row_bytes = 0  # of the rows' texts
-        self._held_versions: set[int] = set()  # of this incarnation
+        self.row_bytes = 0  # total length of the texts of all rows
+        self._held_versions: set[int] = set()  # versions of this incarnation
         self._held_order: deque[int] = deque()
-        self._updates: dict[int, WatcherUpdate] = {}  # to the version held, by the version that they follow
+        self._updates: dict[int, WatcherUpdate] = {}  # updates to the version held, by the watcher's version
         self._latest_encoding: CompleteList | None = None
         self._encodings: WeakSet[CompleteList] = WeakSet()
 
     def position(self) -> Position:
-        """The position of the list held; ValueError while there is none."""
+        """Return the position of the list held; raise ValueError if no list is held."""
         if self.version is None:
             raise ValueError("no list is held")
         return Position(self.incarnation, self.version)
 
-    # ---- the source's lines
+    # ---- lines from the source
 
     def apply(self, listing: Listing) -> bool:
-        """Take a line of the source; whether watchers get an update because of it.
+        """Apply a line from the source and return whether watchers need an update.
 
-        Changes that belong to no list held here are ignored.
+        Changes are ignored if the list that they apply to is not held here.
         """
         changed_rows = self._changed_rows(listing)
         if self.version is None or listing.version < self.version:
@@ -132,37 +139,37 @@
         self.version = listing.version
         self._remember_version(listing.version)
         for row in changed_rows:
-            self._put(row, listing.version)
+            self._store_row(row, listing.version)
         self._drop_tombstones()
         self._updates.clear()
         return True
 
     def _changed_rows(self, listing: Listing) -> list[ListedRow]:
-        """The rows of a line that differ from those held, a removed row with the address that it had."""
+        """Return the rows of a line that differ from the rows held; a removed row keeps its last address."""
         changed = []
         for name, row in self._incoming_rows(listing).items():
             held = self.rows.get(name)
-            if row.endpoint.state == GONE:
-                if held is not None:  # a client has no other row to lose than one that was held here
+            if row.endpoint.state == REMOVED_STATE:
+                if held is not None:  # clients can only hold rows that were held here
                     changed.append(row if row.address[0] else row._replace(address=held.address))
             elif held is None or held.endpoint != row.endpoint or held.address != row.address:
                 changed.append(row)
         return changed
 
     def _incoming_rows(self, listing: Listing) -> dict[str, ListedRow]:
-        """The rows of a line by name; of a complete list also held rows that it leaves out, as removed."""
+        """Return the rows of a line by name. Held rows that a complete list omits are added as removed."""
         listed = (ListedRow(*row) for row in zip(listing.entries, listing.addresses, strict=True))
         incoming = {row.endpoint.server: row for row in listed}
         if not listing.complete:
             return incoming
-        incoming = {name: row for name, row in incoming.items() if row.endpoint.state != GONE}
+        incoming = {name: row for name, row in incoming.items() if row.endpoint.state != REMOVED_STATE}
         for name, held in self.rows.items():
             if name not in incoming:
-                incoming[name] = ListedRow(held.endpoint._replace(state=GONE), held.address)
+                incoming[name] = ListedRow(held.endpoint._replace(state=REMOVED_STATE), held.address)
         return incoming
 
     def _begin_incarnation(self, version: int) -> None:
-        """The source has restarted, or has answered for the first time."""
+        """Begin a new incarnation: the source has restarted or has sent its first list."""
         if self.version is not None:
             self.untrusted_up_to = max(self.untrusted_up_to, self.version)
         self.incarnation += 1
@@ -181,13 +188,13 @@
             self._held_versions.discard(self._held_order.popleft())
             self.oldest_version = max(self.oldest_version, self._held_order[0])
 
-    def _put(self, listed: ListedRow, version: int) -> None:
+    def _store_row(self, listed: ListedRow, version: int) -> None:
         name = listed.endpoint.server
         row = Row(version, listed.endpoint, listed.address, encode_row(*listed))
         replaced = self.rows.get(name)
         if replaced is not None:
             self.row_bytes -= len(replaced.text)
-        if listed.endpoint.state == GONE:
+        if listed.endpoint.state == REMOVED_STATE:
             self.rows.pop(name, None)
             self.tombstones[name] = row
             self.tombstones.move_to_end(name)
@@ -205,9 +212,11 @@
     # ---- updates
 
     def update_for(self, position: Position | None, index: int = 0) -> WatcherUpdate:
-        """The update for a watcher by its position, or for one that comes from elsewhere by its index.
+        """Return the update for a watcher.
 
-        While no list is held all are ahead.
+        position: what this relay last sent to the watcher. If it is None, the watcher got its list from
+        another server, and index is the version of that list. While no list is held, every watcher counts as
+        AHEAD.
         """
         if self.version is None:
             return WatcherUpdate(UpdateKind.AHEAD)
@@ -216,8 +225,8 @@
                 return WatcherUpdate(UpdateKind.COMPLETE_LIST)
             if index > self.version:
                 return WatcherUpdate(UpdateKind.AHEAD)
-            # Between two versions held here a row may have come and gone: only the source, or a relay that
-            # held the version, can name it.
+            # A row may have been added and removed between two versions held here: only the source, or a
+            # relay that held the intermediate version, knows of it.
             if index not in self._held_versions:
                 return WatcherUpdate(UpdateKind.COMPLETE_LIST)
             position = Position(self.incarnation, index)
@@ -236,27 +245,28 @@
 
     def _encode_update_after(self, version: int) -> WatcherUpdate:
         rows = _texts_after(self.rows, version) + _texts_after(self.tombstones, version)
-        if len(rows) > FEW_ROWS and 2 * len(rows) > len(self.rows):
-            # About as long as the complete list, which the transfer schedule bounds and changes are not.
+        if len(rows) > MAX_ROWS_ALWAYS_AS_CHANGES and 2 * len(rows) > len(self.rows):
+            # Such changes are about as long as the complete list, but the transfer schedule doesn't limit
+            # them.
             return WatcherUpdate(UpdateKind.COMPLETE_LIST)
         line = encode_line(self.position().version, complete=False, rows=rows)
         return WatcherUpdate(UpdateKind.CHANGES, line)
 
     def no_changes_line(self) -> bytes:
-        """The line that says that there are no changes; a watch by the version held begins with it."""
+        """Return a line without changes. It is the first line of a watch whose index is the version held."""
         return encode_line(self.position().version, complete=False, rows=[])
 
     # ---- complete lists
 
     def complete_list_bytes(self) -> int:
-        """The approximate length of the complete list's line."""
+        """Return the approximate length of the complete list's line in bytes."""
         return self.row_bytes + len(self.rows) + len(self.no_changes_line())
 
     def complete_list(self, exact: bool = False, since: int = 0) -> CompleteList:
-        """The complete list, at most a few versions old: a watcher gets the changes behind it.
+        """Return the complete list, which may be a few versions old; a watcher then gets the later changes.
 
-        exact: of the version held; since: of that version or a later one. Both unless too many older
-        encodings are in use.
+        exact: require the version held. since: require this version or a later one. Neither is guaranteed
+        while max_encodings encodings are in use.
         """
         latest = self._latest_encoding
         if latest is not None and self._is_reusable(latest, exact, since):
@@ -278,15 +288,17 @@
             return False
         if len(self._encodings) >= self.max_encodings:
             return True
-        return not exact and encoding.position.version >= since and self._few_changes_behind(encoding)
+        return not exact and encoding.position.version >= since and self._has_few_changes_since(encoding)
 
-    def _few_changes_behind(self, encoding: CompleteList) -> bool:
+    def _has_few_changes_since(self, encoding: CompleteList) -> bool:
         update = self.update_for(encoding.position)
-        return update.kind is UpdateKind.CHANGES and len(update.line) <= REUSE_FRACTION * len(encoding.line)
+        return update.kind is UpdateKind.CHANGES and len(update.line) <= MAX_CHANGES_FRACTION_FOR_REUSE * len(
+            encoding.line
+        )
 
 
 def _texts_after(rows: OrderedDict[str, Row], version: int) -> list[bytes]:
-    """The texts of the rows that changed after a version, in the order of their changes."""
+    """Return the texts of the rows that changed after a version, in the order of their changes."""
     texts = []
     for row in reversed(rows.values()):
         if row.version <= version:
--- a/quartzford/relay/connection.py
+++ b/quartzford/relay/connection.py
@@ -1,4 +1,4 @@
-"""One client's call to a relay: for the complete list, or a watch. Times are in seconds."""
+"""A client's call to a relay: a request for the complete list, or a watch. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -26,15 +26,16 @@
 from quartzford.relay.transfer_schedule import TransferSchedule
 from quartzford.relay.watch_limit import WatchLimit
 
-LIST_SEND_TIMEOUT_S = 60.0  # a client that has not taken the list by then has given up as well
-HEARTBEAT_TICKS = 20  # of the server's clock: a heartbeat to each watcher every two seconds
-AHEAD_SETTLE_S = 2.0  # an index still ahead so long after the source's next line is of another incarnation
-REJECTED_RETRY_S = 1.0  # Retry-After of a call rejected because of the source
-FULL_RETRY_S = 2.0  # Retry-After of a call rejected for lack of capacity
+LIST_SEND_TIMEOUT_S = 60.0  # the client itself has given up on the list by then
+HEARTBEAT_TICKS = 20  # server ticks between heartbeats to a watcher: two seconds
+# An index that is still ahead this long after the source's next line is of another incarnation.
+AHEAD_SETTLE_S = 2.0
+REJECTED_RETRY_S = 1.0  # Retry-After of a call that is rejected because of the state of the source
+AT_CAPACITY_RETRY_S = 2.0  # Retry-After of a call that is rejected for lack of capacity
 
 
 class ConnectionServer(Protocol):
-    """What a connection uses of the server that accepted it."""
+    """The parts of the accepting server that a connection uses."""
 
     clock: Clock
     catalog: Catalog
@@ -49,65 +50,65 @@
     stopping: bool
 
     def too_many_connections(self) -> bool:
-        """Whether too many connections are open that are no watches."""
+        """Return whether too many connections other than watches are open."""
 
     def shared_chunk(self, line: bytes) -> bytes:
-        """A line as a chunk, encoded once for all watchers that get it."""
+        """Return a line as a chunk, encoded once for all watchers that receive it."""
 
 
 class CallState(Enum):
-    """How far a call has come."""
+    """The state of a call."""
 
     READING_REQUEST = "reading request"
     WAITING_FOR_SOURCE = "waiting for source"
-    SCHEDULED = "scheduled"  # for the sending of a complete list
+    SCHEDULED = "scheduled"  # waits for its slot to send a complete list
     SENDING_LIST = "sending list"
     WATCHING = "watching"
     ENDED = "ended"
 
 
 class ClientConnection(SingleRequestConnection):
-    """A client's connection, from its request to its end. Clients are balancers."""
+    """A connection of a client (a balancer), from its request until it is closed."""
 
     def __init__(self, server: ConnectionServer) -> None:
         super().__init__(server.clock)
         self.server = server
         self.state = CallState.READING_REQUEST
-        self.index: int | None = None  # that a watch was called with; None for a call that is no watch
-        self.position: Position | None = None  # what a watcher has been sent
-        self.heartbeat_slot = 0  # the tick at which heartbeats are sent, modulo HEARTBEAT_TICKS
+        self.index: int | None = None  # the index in the request of a watch; None if the call is not a watch
+        self.position: Position | None = None  # the list position last sent to the watcher
+        self.heartbeat_slot = 0  # tick number, modulo HEARTBEAT_TICKS, at which heartbeats are sent
         self._requested_at = 0.0
-        self._first_ahead_at = 0.0  # when the index was found ahead of a line younger than the request
-        self._response_begun = False
+        self._first_ahead_at = 0.0  # when the index was first ahead of a line received after the request
+        self._response_started = False
         self._transfer: ListTransfer | None = None
-        self._reserved_bytes = 0  # of the transfer schedule
+        self._reserved_bytes = 0  # reserved in the transfer schedule
 
     # ---- the connection
 
     def accepted(self) -> None:
-        """Wait for a request, unless the relay stops or has too many connections."""
+        """Wait for a request, unless the relay is stopping or has too many connections."""
         self.server.connections.add(self)
         if self.server.stopping:
             return self.abort()
         if self.server.too_many_connections():
-            self._reject(FULL_RETRY_S, Metric.FULL)
-            return self.transport.close()  # nothing was read, and descriptors are short
+            self._reject(AT_CAPACITY_RETRY_S, Metric.AT_CAPACITY)
+            return self.transport.close()  # no lingering close: nothing was read, and descriptors are scarce
         self.expect_request()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Release all that the connection held."""
+        """Release all resources of the connection."""
         super().connection_lost(error)
         self.server.connections.discard(self)
 
     def writable(self) -> None:
-        """Write what has become due while the socket took no bytes."""
+        """Write the data that became due while writing was paused."""
         if self.state is CallState.SENDING_LIST:
             self.server.transfer_queue.add(self)
         else:
             self.send_updates()
 
     def release(self) -> None:
-        """Leave the server's tables and give back the reserved slot."""
+        """Remove the call from the server's tables and release its reserved slot."""
         self.state = CallState.ENDED
         self._transfer = None
         self.server.waiting.pop(self, None)
@@ -117,15 +118,15 @@
             self._reserved_bytes = 0
 
     def end(self) -> None:
-        """End the call gracefully: a watch's response ends, a call without a response is rejected."""
+        """End the call gracefully: complete the response of a watch, or reject a call without a response."""
         if self.state is CallState.ENDED:
             return
         if self.state is CallState.READING_REQUEST and not self.bytes_read:
             return self.abort()
-        if not self._response_begun:
+        if not self._response_started:
             return self._reject(REJECTED_RETRY_S, Metric.REJECTED)
         if self.state is CallState.SENDING_LIST and not self.server.stopping:
-            return  # the list is sent to its end, and the call ends behind it
+            return  # the list is sent completely before the call ends
         if self.writing_paused or self._transfer is not None:
             return self.abort()
         self.send_last(LAST_CHUNK if self.index is not None else b"")
@@ -137,16 +138,19 @@
     # ---- the call
 
     def request_received(self, request: ListRequest) -> None:
-        """Begin the call: a watch is admitted or rejected, and answered once the source's state allows it."""
+        """Begin the call.
+
+        A watch is admitted or rejected, and answered once the state of the source allows it.
+        """
         self.index = request.index
         if self.index is None:
             self.server.counts[Metric.LIST_CALLS] += 1
         elif not self._admit_watch():
-            return self._reject(FULL_RETRY_S, Metric.FULL)
+            return self._reject(AT_CAPACITY_RETRY_S, Metric.AT_CAPACITY)
         self._requested_at = self.server.clock.now()
         self.state = CallState.WAITING_FOR_SOURCE
         self.server.waiting[self] = None
-        self.proceed()
+        self.answer_if_ready()
 
     def _admit_watch(self) -> bool:
         server = self.server
@@ -158,8 +162,8 @@
         server.watchers[self] = None
         return True
 
-    def proceed(self) -> None:
-        """Answer a call that waits for the source, if the source's state allows it by now."""
+    def answer_if_ready(self) -> None:
+        """Answer a call that waits for the source, if the state of the source now allows it."""
         if self.state is not CallState.WAITING_FOR_SOURCE:
             return
         catalog = self.server.catalog
@@ -184,7 +188,7 @@
             self._send_changes(update.line or self.server.catalog.no_changes_line())
 
     def _is_of_another_incarnation(self) -> bool:
-        """Whether the index is still ahead AHEAD_SETTLE_S after a line of the source came."""
+        """Return whether the index is still ahead AHEAD_SETTLE_S after a line from the source arrived."""
         now = self.server.clock.now()
         if not self._first_ahead_at and self.server.source.last_line_at() > self._requested_at:
             self._first_ahead_at = now
@@ -193,7 +197,7 @@
     # ---- updates of a watch
 
     def send_updates(self) -> None:
-        """Send a watcher all changes since its position, if its socket takes bytes."""
+        """Send a watcher all changes since its position, unless writing is paused."""
         if self.state is not CallState.WATCHING or self.writing_paused:
             return
         update = self.server.catalog.update_for(self.position)
@@ -203,7 +207,7 @@
             self._schedule_list()
 
     def send_heartbeat(self) -> None:
-        """Send a watcher an empty line, which says that nothing has changed."""
+        """Send a watcher an empty line, which means that nothing has changed."""
         if self.state is CallState.WATCHING and not self.writing_paused:
             self.transport.write(HEARTBEAT)
 
@@ -211,27 +215,27 @@
         self.server.counts[Metric.UPDATES] += 1
         self.position = self.server.catalog.position()
         data = self.server.shared_chunk(line)
-        if not self._response_begun:
-            self._response_begun = True
+        if not self._response_started:
+            self._response_started = True
             data = WATCH_HEAD + data
         self.transport.write(data)
 
     # ---- complete lists
 
     def _schedule_list(self) -> None:
-        """Reserve a slot for the complete list; without one a new call is rejected, and a watch ended."""
+        """Reserve a slot for the complete list. If none is free, reject a new call or end a watch."""
         self.server.waiting.pop(self, None)
         if self.server.stopping:
             return self.end()
         size = self.server.catalog.complete_list_bytes()
         slot = self.server.transfer_schedule.reserve(self.server.clock.now(), size)
         if not slot.granted:
-            if self._response_begun:
+            if self._response_started:
                 return self.end()
-            return self._reject(slot.wait, Metric.REJECTED)
+            return self._reject(slot.wait_s, Metric.REJECTED)
         self._reserved_bytes = size
         self.state = CallState.SCHEDULED
-        self.set_timer(slot.wait, self._begin_list)
+        self.set_timer(slot.wait_s, self._begin_list)
 
     def _begin_list(self) -> None:
         if self.state is not CallState.SCHEDULED:
@@ -246,7 +250,7 @@
         self.server.counts[Metric.COMPLETE_LISTS] += 1
         self._transfer = ListTransfer(complete_list)
         head = self._list_response_head(self._transfer.length)
-        self._response_begun = True
+        self._response_started = True
         self.state = CallState.SENDING_LIST
         self.set_timer(LIST_SEND_TIMEOUT_S, self.abort)
         self.transport.write(head)
@@ -256,26 +260,26 @@
     def _list_response_head(self, length: int) -> bytes:
         if self.index is None:
             return list_head(length)
-        if self._response_begun:
+        if self._response_started:
             return chunk_head(length)
         return WATCH_HEAD + chunk_head(length)
 
     def _required_version(self) -> int:
-        """The version that the list must have reached: that of a client that comes from another relay.
+        """Return the minimum version of the list: the index of a client that comes from another relay.
 
-        An index above the version held is of another incarnation, and requires nothing.
+        An index above the version held is of another incarnation and sets no minimum.
         """
         if self.position is not None or self.index is None:
             return 0
         return self.index if self.index <= self.server.catalog.position().version else 0
 
     def send_part(self) -> bool:
-        """Write the next part of the complete list; whether another one may follow at once."""
+        """Write the next part of the complete list; return whether another part may follow at once."""
         transfer = self._transfer
         if transfer is None or self.writing_paused:
             return False
         if transfer.position.incarnation != self.server.catalog.incarnation:
-            self.abort()  # the source has restarted: the list is of no use
+            self.abort()  # the source has restarted: the list is obsolete
             return False
         self.transport.write(transfer.next_part())
         if transfer.finished:
@@ -283,7 +287,7 @@
         return self.state is CallState.SENDING_LIST and not self.writing_paused
 
     def _finish_list(self, position: Position) -> None:
-        """All of the list is written: a watch goes on from its position."""
+        """Complete the transfer of the list. A watch continues with updates from the position of the list."""
         if self.index is None:
             return self.send_last(b"")
         self.cancel_timer()
--- a/quartzford/relay/list_encoding.py
+++ b/quartzford/relay/list_encoding.py
@@ -1,4 +1,4 @@
-"""The list's lines in the form of discovery: rows and lines as JSON. No I/O."""
+"""Encodes rows and lines of the endpoint list as JSON, in the list service's format. No I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 EXACT_INTEGER_LIMIT = 2**53  # integral floats below this are written as integers
 
-Address = tuple[str, int]  # host and port; an empty host where the row has no address
+Address = tuple[str, int]  # host and port; the host is empty if the row has no address
 
 
 def encode_row(endpoint: io.Endpoint, address: Address) -> bytes:
-    """A row's JSON."""
+    """Return a row as JSON."""
     return (
         f'{{"host":{quoted(endpoint.server)},"dial":{quoted(_dial(address))},"site":{quoted(endpoint.zone)},'
         f'"class":{quoted(endpoint.kind)},"block":{endpoint.cell},"health":"{endpoint.state}",'
@@ -21,11 +21,11 @@
 
 
 def encode_line(version: int, complete: bool, rows: list[bytes]) -> bytes:
-    """A line with these rows, which end with a newline. The first and last of the rows may be replaced."""
+    """Return a line with these rows, ending with a newline. Modifies the first and last item of `rows`."""
     head = b'{"seq":%d,"whole":%b,"hosts":[' % (version, b"true" if complete else b"false")
     if not rows:
         return head + b"]}\n"
-    rows[0] = head + rows[0]  # one copy of what may be millions of bytes, in the join
+    rows[0] = head + rows[0]  # the join below then makes the only copy of what may be millions of bytes
     rows[-1] += b"]}\n"
     return b",".join(rows)
 
--- a/quartzford/relay/list_transfer.py
+++ b/quartzford/relay/list_transfer.py
@@ -1,4 +1,4 @@
-"""A complete list that is being sent to one client, part by part. No I/O."""
+"""The transfer of a complete list to one client, part by part. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ListTransfer:
-    """What is left to send of a complete list."""
+    """The unsent remainder of a complete list."""
 
     def __init__(self, complete_list: CompleteList) -> None:
         self._list = complete_list
@@ -16,23 +16,24 @@
 
     @property
     def position(self) -> Position:
-        """The position of the list, which the client holds once all is sent."""
+        """Return the position of the list, which the client holds once the transfer is finished."""
         return self._list.position
 
     @property
     def length(self) -> int:
-        """The length of the complete line in bytes."""
+        """Return the length of the complete line in bytes."""
         return len(self._list.line)
 
     @property
     def finished(self) -> bool:
-        """Whether all parts have been taken."""
+        """Return whether `next_part` has returned all parts."""
         return not self._remaining
 
     def next_part(self) -> bytes:
-        """The next PART_BYTES or what is left.
+        """Return the next PART_BYTES, or the remainder if it is shorter.
 
-        A copy: what a slow socket still buffers of an old list must not keep all of it in memory.
+        The part is a copy: a part of an old list in the buffer of a slow socket must not keep the whole list
+        in memory.
         """
         part = bytes(self._remaining[:PART_BYTES])
         self._remaining = self._remaining[PART_BYTES:]
--- a/quartzford/relay/listening_socket.py
+++ b/quartzford/relay/listening_socket.py
@@ -1,16 +1,16 @@
-"""The listening socket of a relay, with the options of the connections that it accepts."""
+"""The listening socket of a relay; accepted connections inherit its options."""
 
 from __future__ import annotations
 
 import socket
 
-SEND_BUFFER_BYTES = 256 * 1024  # what the kernel keeps of a connection
-UNACKNOWLEDGED_TIMEOUT_MS = 20_000  # a peer that acknowledges nothing for so long is gone
-BACKLOG = 4096
+SEND_BUFFER_BYTES = 256 * 1024  # kernel's send buffer of a connection
+UNACKNOWLEDGED_TIMEOUT_MS = 20_000  # a connection without acknowledgements for this time is closed
+LISTEN_BACKLOG = 4096
 
 
 def open_listening_socket(host: str, port: int) -> socket.socket:
-    """A listening socket at an address; port 0 is the kernel's choice. OSError where it can't be had."""
+    """Return a socket that listens on an address; the kernel replaces port 0. Raise OSError if that fails."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -19,7 +19,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         sock.bind((host, port))
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
     except OSError:
         sock.close()
         raise
--- a/quartzford/relay/request.py
+++ b/quartzford/relay/request.py
@@ -1,4 +1,4 @@
-"""The request of a call to a relay: HTTP/1.1, for the complete list or for a watch. No I/O."""
+"""Parses the HTTP/1.1 request of a call to a relay, for the complete list or for a watch. No I/O."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 LIST_PATH = "/catalog/members"
 MAX_HEAD_BYTES = 8 * 1024
 MAX_INDEX_DIGITS = 18
-ABSOLUTE_FORM_PREFIX = "http://"  # of a request's target (RFC 9112, 3.2.2)
+ABSOLUTE_FORM_PREFIX = "http://"  # of a request target in absolute form (RFC 9112, section 3.2.2)
 
 
 @dataclass(frozen=True, slots=True)
 class ListRequest:
     """A valid request.
 
-    index: the version after which a watch begins, 0 for the complete list; None for a call that is no watch.
+    index: the version after which a watch begins, 0 for the complete list; None if the call is not a watch.
     """
 
     index: int | None
 
 
 class RequestError(Exception):
-    """A request that is answered with an error. status: the HTTP status code."""
+    """The request is invalid and is answered with an error. status: the HTTP status code."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"answered {status}")
+        super().__init__(f"invalid request, answered with status {status}")
         self.status = status
 
 
 class RequestParser:
-    """Reads one request's head from a connection's bytes; what follows the head is not interpreted."""
+    """Parses the head of one request; the bytes after the head are not interpreted."""
 
     def __init__(self) -> None:
         self.bytes_read = 0
@@ -42,7 +42,7 @@
         self._parser: Any = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> ListRequest | None:
-        """The request once its head is complete, None before; RequestError where it is not acceptable."""
+        """Return the request once its head is complete, None before. Raise RequestError if it is invalid."""
         self.bytes_read += len(data)
         malformed = False
         try:
@@ -59,16 +59,16 @@
         return None
 
     def close(self) -> None:
-        """Drop the parser, which refers to this object."""
+        """Drop the httptools parser, which holds a reference to this object."""
         self._parser = None
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request's target, called by httptools."""
+        """Append a part of the request target. Called by httptools."""
         if self._method is None:
             self._url += url
 
     def on_headers_complete(self) -> None:
-        """The head is complete, called by httptools; another request behind the first one is ignored."""
+        """Note that the head is complete. Called by httptools; requests after the first are ignored."""
         if self._method is None:
             self._method = self._parser.get_method()
 
@@ -85,7 +85,7 @@
 
 
 def _watch_index(query: str) -> int | None:
-    """The index of a watch, None of a call for the list alone; RequestError where it is not a version."""
+    """Return the index of a watch, None for other calls. Raise RequestError if the index is no version."""
     fields = dict(parse_qsl(query, keep_blank_values=True))
     if fields.get("stream") != "1":
         return None
--- a/quartzford/relay/responses.py
+++ b/quartzford/relay/responses.py
@@ -1,4 +1,4 @@
-"""The bytes of a relay's responses: heads, errors, and the chunks of a watch (HTTP/1.1). No I/O."""
+"""Encodes a relay's HTTP/1.1 responses: heads, errors, and the chunks of a watch. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def error_response(status: int, header_lines: str = "") -> bytes:
-    """A response without a body, after which the connection is closed. header_lines: each ends with CRLF."""
+    """Return a response with an empty body that closes the connection. header_lines: each ends with CRLF."""
     allow = "Allow: GET\r\n" if status == 405 else ""
     return (
         f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n{allow}{header_lines}Content-Length: 0\r\n"
@@ -26,12 +26,12 @@
 
 
 def rejection(retry_after_s: float) -> bytes:
-    """The response to a rejected call, which may be retried after so many seconds."""
+    """Return the response to a rejected call, which the client may retry after retry_after_s seconds."""
     return error_response(503, f"Retry-After: {retry_after_s:.2f}\r\n")
 
 
 def list_head(length: int) -> bytes:
-    """The head of the response to a call for the list alone. length: of the list's line, in bytes."""
+    """Return the response head of a call for the list without a watch. length: of the list in bytes."""
     return (
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
         b"Content-Length: %d\r\nConnection: close\r\n\r\n" % length
@@ -39,10 +39,13 @@
 
 
 def chunk_head(length: int) -> bytes:
-    """What precedes the data of a chunk; CHUNK_END follows it. length: of the data, in bytes."""
+    """Return the size line before the data of a chunk; CHUNK_END follows the data.
+
+    length: of the data, in bytes.
+    """
     return b"%x\r\n" % length
 
 
 def chunk(data: bytes) -> bytes:
-    """Data as one chunk."""
+    """Return the data as one chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/quartzford/relay/server.py
+++ b/quartzford/relay/server.py
@@ -1,12 +1,13 @@
-"""The server of a relay: its connections, and when updates, heartbeats and complete lists are sent.
+"""The server of a relay. It accepts connections and sends updates, heartbeats and complete lists.
 
-A watcher costs its socket and its position in the catalog. Its update is derived when its socket takes
-bytes: nothing is queued for one that reads slowly. Changes are written as soon as they are known; complete
-lists in parts behind them, each at the time that the transfer schedule gives it.
+The state of a watcher is its socket and its position in the catalog. Its update is computed when its socket
+can take bytes, so nothing is queued for a watcher that reads slowly. Changes are written as soon as they are
+known. Complete lists are written after them, in parts, each list at the time that the transfer schedule
+assigns.
 
-New watches are answered while the source is current. Once it is lost, all watches are ended and new ones
-rejected, so that balancers follow another relay; the last list is still sent to calls for the list alone.
-Times are in seconds.
+New watches are answered while the source is current. When the source is lost, the server ends all watches and
+rejects new ones, so that balancers move to another relay. It still sends the last list to calls for the list
+without a watch. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -31,18 +32,18 @@
 LOG_TOPIC = "relay"
 TICK_S = 0.1
 SUMMARY_TICKS = 100
-LOST_SPREAD_S = 0.5  # over which all watches are ended once the source is lost
-STOP_SPREAD_S = 0.3  # over which they are ended at a shutdown: balancers go on within a second
-STOP_TIMEOUT_S = 0.8  # after which a shutdown waits for no connection
+LOST_SPREAD_S = 0.5  # all watches are ended spread over this time when the source is lost
+STOP_SPREAD_S = 0.3  # the same at a shutdown: balancers continue at another relay within a second
+STOP_TIMEOUT_S = 0.8  # after this time a shutdown aborts the remaining connections
 STOP_POLL_S = 0.02
-MAX_OTHER_CONNECTIONS = 512  # that are no watches; fewer with few descriptors
-OTHER_CONNECTIONS_DIVISOR = 8  # of the descriptors
-RESERVED_DESCRIPTORS = 64  # for anything but clients' connections
-MAX_WATCHES = 100_000  # where descriptors set no bound
+MAX_OTHER_CONNECTIONS = 512  # connections other than watches; fewer if the descriptor limit is low
+OTHER_CONNECTIONS_DIVISOR = 8  # at most an eighth of the descriptors serve connections other than watches
+RESERVED_DESCRIPTORS = 64  # kept free for uses other than client connections
+MAX_WATCHES = 100_000  # the limit if the number of descriptors is unlimited
 
 
 class Server:
-    """Accepts connections, and notifies them of changes, of the source's state and of the time."""
+    """Accepts connections and notifies them of catalog changes, changes of the source's state, and ticks."""
 
     def __init__(
         self,
@@ -55,9 +56,11 @@
         log: Log,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """last_line_at: when the source's last line came, on the clock; connected: a watch on it stands.
+        """Create a server that is not listening yet.
 
-        max_watchers: the relay's share of the fleet; see watch_limit.py for what comes beyond it.
+        last_line_at: returns the clock time of the source's last line. connected: returns whether a watch on
+        the source is open. max_watchers: the relay's share of the fleet; watch_limit.py describes the watches
+        admitted beyond it.
         """
         self.catalog = catalog
         self.clock = clock
@@ -70,7 +73,7 @@
         self.max_other_connections = max_other_connections(descriptors)
         self.watch_limit = self._new_watch_limit(max_watchers, descriptors)
         self.connections: set[ClientConnection] = set()
-        self.watchers: dict[ClientConnection, None] = {}  # in the order of their calls
+        self.watchers: dict[ClientConnection, None] = {}  # in the order of admission
         self.waiting: dict[ClientConnection, None] = {}  # calls that wait for the source
         self.counts: Counter[Metric] = Counter()
         self.address = ("", 0)
@@ -78,7 +81,7 @@
         self._listener: Listener | None = None
         self._source_was_lost = False
         self._ticks = 0
-        self._summarized_counts: Counter[Metric] = Counter()  # as at the last summary
+        self._summarized_counts: Counter[Metric] = Counter()  # the counts at the last summary
         self._shared_line = b""
         self._shared_chunk = b""
 
@@ -87,17 +90,17 @@
             return WatchLimit(share, MAX_WATCHES)
         supported = max(1, descriptors - self.max_other_connections - RESERVED_DESCRIPTORS)
         if supported < share:
-            self.log.line(LOG_TOPIC, f"{descriptors} descriptors bear {supported} watchers of {share}")
+            self.log.line(LOG_TOPIC, f"{descriptors} descriptors allow only {supported} of {share} watchers")
         return WatchLimit(min(share, supported), supported)
 
     def too_many_connections(self) -> bool:
-        """Whether too many connections are open that are no watches."""
+        """Return whether too many connections other than watches are open."""
         return len(self.connections) - len(self.watchers) > self.max_other_connections
 
     # ---- start and shutdown
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept connections; port 0 is the kernel's choice. OSError where the address can't be had."""
+        """Accept connections; the kernel replaces port 0. Raise OSError if the address is not available."""
         listening = await listen_with_retries(lambda: open_listening_socket(host, port))
         self.address = listening.getsockname()[:2]
         self._listener = Listener([listening], lambda: ClientConnection(self), self.clock, self.loop)
@@ -107,7 +110,7 @@
         self.clock.call_later(TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Accept nothing more, end all calls gracefully, and abort what is left after STOP_TIMEOUT_S."""
+        """Stop accepting, end all calls gracefully, and abort remaining connections after STOP_TIMEOUT_S."""
         self.stopping = True
         if self._listener is not None:
             self._listener.close()
@@ -122,7 +125,7 @@
             connection.abort()
 
     def _end_watches(self, spread_s: float) -> None:
-        """End all watches, spread evenly, so that balancers do not all move in one moment."""
+        """End all watches, evenly spread over spread_s, so that balancers do not all reconnect at once."""
         count = len(self.watchers)
         for number, connection in enumerate(list(self.watchers)):
             self.clock.call_later(spread_s * number / count, connection.end)
@@ -130,34 +133,34 @@
     # ---- changes and the clock
 
     def catalog_changed(self) -> None:
-        """Send a change to all watchers whose sockets take bytes, and answer calls that wait."""
+        """Send a change to all watchers that are not paused, and answer calls that wait for the source."""
         for connection in list(self.watchers):
             connection.send_updates()
         self._answer_waiting()
 
     def _answer_waiting(self) -> None:
         for connection in list(self.waiting):
-            connection.proceed()
+            connection.answer_if_ready()
 
     def _tick(self) -> None:
         if self.stopping:
             return
         self.clock.call_later(TICK_S, self._tick)
         self._ticks += 1
-        self._follow_source_state()
+        self._check_source_state()
         self._answer_waiting()
         if not self._source_was_lost:
             self._send_heartbeats()
         if self._ticks % SUMMARY_TICKS == 0:
             self._log_summary()
 
-    def _follow_source_state(self) -> None:
+    def _check_source_state(self) -> None:
         is_lost = self.source.state() is SourceState.LOST
         if is_lost and not self._source_was_lost:
-            self.log.line(LOG_TOPIC, f"source lost; {len(self.watchers)} watches are ended")
+            self.log.line(LOG_TOPIC, f"source lost; ending {len(self.watchers)} watches")
             self._end_watches(LOST_SPREAD_S)
         elif self._source_was_lost and not is_lost:
-            self.log.line(LOG_TOPIC, f"source heard again, version {self.catalog.version}")
+            self.log.line(LOG_TOPIC, f"source available again, version {self.catalog.version}")
         self._source_was_lost = is_lost
 
     def _send_heartbeats(self) -> None:
@@ -173,11 +176,11 @@
         named_counts = sorted((metric.value, count) for metric, count in new_counts.items())
         summary = ", ".join(f"{name} {count}" for name, count in named_counts)
         version, watchers = self.catalog.version, len(self.watchers)
-        self.log.line(LOG_TOPIC, f"version {version}, {watchers} watchers; since then: {summary}")
+        self.log.line(LOG_TOPIC, f"version {version}, {watchers} watchers; since the last summary: {summary}")
         self._summarized_counts = self.counts.copy()
 
     def shared_chunk(self, line: bytes) -> bytes:
-        """A line as a chunk; the last one is kept, as it goes to many watchers."""
+        """Return a line as a chunk. The last chunk is cached, as many watchers receive the same line."""
         if line is not self._shared_line:
             self._shared_line = line
             self._shared_chunk = chunk(line)
@@ -185,7 +188,7 @@
 
 
 def max_other_connections(descriptors: int) -> int:
-    """How many connections may be open that are no watches. descriptors: the process's limit."""
+    """Return the maximum number of connections other than watches. descriptors: the limit of the process."""
     if descriptors == resource.RLIM_INFINITY:
         return MAX_OTHER_CONNECTIONS
     return min(MAX_OTHER_CONNECTIONS, descriptors // OTHER_CONNECTIONS_DIVISOR)
--- a/quartzford/relay/source.py
+++ b/quartzford/relay/source.py
@@ -1,7 +1,7 @@
-"""The relay as a client of the list service: one watch, made again whenever it ends.
+"""The relay as a client of the list service: one watch, which is reopened whenever it ends.
 
-Each call is for the complete list (a watch at index 0): while no watch stood the service may have restarted,
-with versions that say nothing of the ones before.
+Each call requests the complete list (a watch at index 0). The service may have restarted while no watch was
+open, and its versions are then unrelated to the earlier versions.
 """
 
 from __future__ import annotations
@@ -18,10 +18,13 @@
 from quartzford.settings.operator_settings import RelaySettings
 
 
-def follow(
+def create_source_watch(
     settings: RelaySettings, sink: Sink, clock: Clock, log: Log, loop: asyncio.AbstractEventLoop
 ) -> ListWatch:
-    """A watch on the source, not yet started; its calls are spread with those of the other relays."""
+    """Return a watch on the source that is not started yet.
+
+    Its calls share a rate with those of the other relays.
+    """
     rng = seeded_random("relay", settings.listen, secrets.randbits(32))
     calls = SharedServiceCallPolicy(
         settings.relays, settings.source_calls_per_s, NOTIFY_BOUND_S, rng, clock.now
--- a/quartzford/relay/transfer_queue.py
+++ b/quartzford/relay/transfer_queue.py
@@ -1,4 +1,4 @@
-"""Complete lists that are being sent at the same time, each a part in turn. No I/O."""
+"""Sends several complete lists at the same time, one part of each in turn. No I/O."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from quartzford.engine import Clock
 
-PARTS_PER_ITERATION = 4  # of the event loop: a change that is written next waits for no more than these
+PARTS_PER_ITERATION = 4  # per event loop iteration: a change waits for at most this number of parts
 
 
 class PartSender(Protocol):
     """A connection on which a complete list is being sent."""
 
     def send_part(self) -> bool:
-        """Write the next part; whether another one may follow at once."""
+        """Write the next part; return whether another part may follow at once."""
 
 
 class TransferQueue:
@@ -26,7 +26,7 @@
         self._scheduled = False
 
     def add(self, sender: PartSender) -> None:
-        """Let a connection send its next part, after those that were added before it."""
+        """Queue a connection to send its next part, after the connections that were added before it."""
         self._senders.append(sender)
         if not self._scheduled:
             self._scheduled = True
--- a/tests/test_relay_limits.py
+++ b/tests/test_relay_limits.py
@@ -11,14 +11,14 @@
 def test_complete_lists_are_sent_in_turn_within_the_bound_and_other_calls_get_a_retry_time() -> None:
     schedule = TransferSchedule(1_000.0)
     slots = [schedule.reserve(100.0, 500) for _ in range(8)]
-    assert [t.wait for t in slots if t.granted] == [0.0, 0.5, 1.0, 1.5]
-    assert [t.wait for t in slots if not t.granted] == [2.0, 2.5, 3.0, 2.0]
+    assert [t.wait_s for t in slots if t.granted] == [0.0, 0.5, 1.0, 1.5]
+    assert [t.wait_s for t in slots if not t.granted] == [2.0, 2.5, 3.0, 2.0]
     # A call that retries at the given time is granted a slot, within the bound.
-    assert [schedule.reserve(100.0 + t.wait, 500) for t in slots[4:7]] == [(True, 0.0)] * 3
+    assert [schedule.reserve(100.0 + t.wait_s, 500) for t in slots[4:7]] == [(True, 0.0)] * 3
     assert schedule.reserve(200.0, 500) == (True, 0.0)
     schedule.release(500)
     assert schedule.reserve(200.0, 500) == (True, 0.0)
-    assert all(schedule.reserve(200.0, 10**6).wait <= MAX_RETRY_S for _ in range(9))
+    assert all(schedule.reserve(200.0, 10**6).wait_s <= MAX_RETRY_S for _ in range(9))
 
 
 def test_many_calls_that_retry_at_the_given_time_use_the_bound_in_full() -> None:
@@ -29,7 +29,7 @@
     while (now := arrivals[0]) < 60.0:
         slot = schedule.reserve(now, 200)
         served += slot.granted
-        arrivals = sorted(arrivals[1:] + ([] if slot.granted else [now + slot.wait]))
+        arrivals = sorted(arrivals[1:] + ([] if slot.granted else [now + slot.wait_s]))
     assert 0.95 * 60.0 / 0.2 <= served <= 1.05 * 60.0 / 0.2
 
 
@@ -51,7 +51,7 @@
 
 
 def test_rejected_hosts_are_remembered_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quartzford.relay.watch_limit.MAX_REMEMBERED", 2)
+    monkeypatch.setattr("quartzford.relay.watch_limit.MAX_REMEMBERED_HOSTS", 2)
     limit = WatchLimit(share=0, maximum=10)
     for host in ("a", "b", "c"):
         assert not limit.admits(host, 1, 0.0)
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -175,7 +175,7 @@
 
 
 def test_what_is_no_call_for_the_list_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(single_request, "REQUEST_TIMEOUT_S", 1.0)
+    monkeypatch.setattr(single_request, "REQUEST_START_TIMEOUT_S", 1.0)
 
     async def main() -> None:
         async with site() as here:
