--- a/quartzford/relay/catalog.py
+++ b/quartzford/relay/catalog.py
@@ -25,7 +25,7 @@
 MAX_VERSIONS = 65_536  # versions that the relay remembers having held
 MAX_ENCODINGS = 8  # encodings of the complete list in use at the same time
 # An encoding is reused while the changes since its version are at most this fraction of its length.
-MAX_CHANGES_FRACTION_FOR_REUSE = 0.125
+REUSE_FRACTION = 0.125
 MAX_ROWS_ALWAYS_AS_CHANGES = 1_000  # up to this number, changed rows are never replaced by the complete list
 REMOVED_STATE = "gone"  # the state of a removed row
 
@@ -43,9 +43,7 @@
     NOTHING = "nothing"
     CHANGES = "changes"
     COMPLETE_LIST = "complete list"  # its version is too old, of another incarnation, or was never held here
-    AHEAD = (
-        "ahead"  # its version is above the version held: this relay is behind, or the source has restarted
-    )
+    AHEAD = "ahead"  # its version is above the held one: this relay is behind, or the source has restarted
 
 
 class WatcherUpdate(NamedTuple):
@@ -75,7 +73,7 @@
 
 
 class CompleteList:
-    """The complete list at one position as a line in the list service's format. All its transfers share it."""
+    """The complete list at one position, encoded as one line. All transfers of the list share it."""
 
     __slots__ = ("__weakref__", "line", "position")
 
@@ -246,8 +244,7 @@
     def _encode_update_after(self, version: int) -> WatcherUpdate:
         rows = _texts_after(self.rows, version) + _texts_after(self.tombstones, version)
         if len(rows) > MAX_ROWS_ALWAYS_AS_CHANGES and 2 * len(rows) > len(self.rows):
-            # Such changes are about as long as the complete list, but the transfer schedule doesn't limit
-            # them.
+            # About as long as the complete list, but the transfer schedule does not limit changes.
             return WatcherUpdate(UpdateKind.COMPLETE_LIST)
         line = encode_line(self.position().version, complete=False, rows=rows)
         return WatcherUpdate(UpdateKind.CHANGES, line)
@@ -292,9 +289,7 @@
 
     def _has_few_changes_since(self, encoding: CompleteList) -> bool:
         update = self.update_for(encoding.position)
-        return update.kind is UpdateKind.CHANGES and len(update.line) <= MAX_CHANGES_FRACTION_FOR_REUSE * len(
-            encoding.line
-        )
+        return update.kind is UpdateKind.CHANGES and len(update.line) <= REUSE_FRACTION * len(encoding.line)
 
 
 def _texts_after(rows: OrderedDict[str, Row], version: int) -> list[bytes]:
--- a/quartzford/relay/server.py
+++ b/quartzford/relay/server.py
@@ -90,7 +90,10 @@
             return WatchLimit(share, MAX_WATCHES)
         supported = max(1, descriptors - self.max_other_connections - RESERVED_DESCRIPTORS)
         if supported < share:
-            self.log.line(LOG_TOPIC, f"{descriptors} descriptors allow only {supported} of {share} watchers")
+            self.log.line(
+                LOG_TOPIC,
+                f"{descriptors} descriptors allow {supported} watchers, fewer than the configured {share}",
+            )
         return WatchLimit(min(share, supported), supported)
 
     def too_many_connections(self) -> bool:
