--- a/quartzford/backends/caller.py
+++ b/quartzford/backends/caller.py
@@ -128,7 +128,7 @@
         self._cancel_timer()
         # The caller enforces the attempt's own time-out. Here only the client's deadline ends the attempt,
         # and the request with it: the attempt may still be in flight at the caller, and a second attempt at
-        # the same time would break rule two.
+        # the same time could make the request take effect twice.
         time_left_s = self.pending.deadline - now
         self.timer = self.backend.clock.call_later(max(0.0, time_left_s), self._deadline_passed)
         return True
--- a/quartzford/fronts/extproc/__init__.py
+++ b/quartzford/fronts/extproc/__init__.py
@@ -1,6 +1,6 @@
-"""The external processor: other proxies request a decision for each attempt, and report its result.
+"""The external processor: other proxies request a decision for each attempt and report its result.
 
-decision_service, remote_request: requests over their streams, without I/O. messages: Envoy's messages.
-server: gRPC. service_channel, worker_channel: between processes, for more than one core. docs/extproc.md has
-the modules one by one.
+decision_service and remote_request track requests across their streams, without I/O. messages converts
+Envoy's messages. server speaks gRPC. service_channel and worker_channel connect the deciding process to
+gRPC workers, which use further cores. docs/extproc.md describes each module.
 """
--- a/quartzford/fronts/extproc/attempt_result.py
+++ b/quartzford/fronts/extproc/attempt_result.py
@@ -1,4 +1,4 @@
-"""What a caller's report on an attempt means to the module, in the platform's terms (docs/extproc.md)."""
+"""Translates a caller's report on an attempt into an outcome of the decision module (docs/extproc.md)."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 from quartzford.settings.header_values import read_report
 
-# What Envoy puts into response.code_details where it answered itself (its page "Response code details").
-# Only what surely wrote no byte of the request to an upstream proves that it did not run.
+# Prefixes of response.code_details when Envoy itself generated the response (Envoy's documentation, page
+# "Response code details"). NEVER_SENT_DETAILS lists only cases in which Envoy certainly wrote no byte of the
+# request to an upstream: only these prove that the request did not run.
 NEVER_SENT_DETAILS = (
     "cluster_not_found",
     "direct_response",
@@ -25,23 +26,23 @@
     "upstream_per_try_timeout",
     "request_overall_timeout",
 )
-# A caller that keeps to the end of a decision's validity says so in these words, having sent nothing.
+# A caller that respects a decision's validity reports this when the decision expired before it sent anything.
 EXPIRED_DETAILS = ("decision_expired",)
 RESET_DETAILS = ("upstream_reset", "upstream_response_header")
 
 
 class AttemptResult(NamedTuple):
-    """The outcome of an attempt."""
+    """The outcome of an attempt. report: the figures of the server's load report."""
 
     code: str
     report: tuple[float, ...] = ()
-    faulted: bool = False  # the server finds fault with the request itself
+    faulted: bool = False  # the server rejected the request itself as faulty (a 4xx status)
 
 
 def read_result(
     status: int, unprocessed: bool, details: str, load: bytes, names: tuple[str, ...]
 ) -> AttemptResult:
-    """From an answer's status, X-Unprocessed, code details ('' where there are none) and load report."""
+    """Return the result; details: Envoy's code details, '' if absent; names: the load report's figures."""
     outcomes = (
         ("connect_failed", NEVER_SENT_DETAILS),
         ("moot", EXPIRED_DETAILS),
--- a/quartzford/fronts/extproc/channel_messages.py
+++ b/quartzford/fronts/extproc/channel_messages.py
@@ -1,9 +1,11 @@
 """The channel between a gRPC worker and the deciding process: JSON arrays, one a line, over a Unix socket.
 
-Up: ["ask", stream, at, ...DecisionRequest] (at: monotonic seconds, one clock for all processes of a machine),
-["report", stream, ...AttemptResult], ["late", stream], ["drop", stream, unwritten], ["bound", port].
-Down: [reply tag, stream, ...fields], ["names", {...}, longest_s], ["stop"]. When a channel is lost all its
-streams are closed: the worker has died, and the attempts that its callers were given may run.
+Worker to deciding process: ["ask", stream, at, ...DecisionRequest] (at: arrival in seconds on the monotonic
+clock, which all processes of a machine share), ["report", stream, ...AttemptResult], ["late", stream],
+["drop", stream, unwritten], ["bound", port].
+Deciding process to worker: [reply tag, stream, ...fields], ["names", {...}, max_deadline_s], ["stop"].
+If a channel is lost, all its streams are closed: the worker has died. Attempts whose decisions its callers
+already received may still run.
 """
 
 from __future__ import annotations
@@ -20,10 +22,10 @@
     RetryOffered,
 )
 
-Message = list[Any]  # one line; its first field is one of the tags below
+Message = list[Any]  # one line of the channel; its first field is one of the tags below
 
-# A restarted worker may run newer code than the deciding process: the tags stay as they are, whatever the
-# types are called.
+# A restarted worker may run newer code than the deciding process. The tags therefore never change, even if
+# the types are renamed.
 DECISION_REQUEST = "ask"
 ATTEMPT_RESULT = "report"
 DECISION_EXPIRED = "late"
--- a/quartzford/fronts/extproc/completed_requests.py
+++ b/quartzford/fronts/extproc/completed_requests.py
@@ -1,6 +1,6 @@
-"""Requests that have ended, remembered until their clients' time is over. No I/O.
+"""Completed requests, kept until shortly after their clients' deadlines. No I/O.
 
-A copy of such a request that arrives late is recognized by its correlation id.
+They make a late copy of a completed request recognizable by its correlation id.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from quartzford.fronts.extproc.decision_messages import Reply
 
 MAX_COMPLETED = 65_536
-COMPLETED_RETENTION_S = 1.0  # a completed request is remembered for so much longer than its client's time
+COMPLETED_RETENTION_S = 1.0  # a completed request is kept for this long after its client's deadline
 
 
 class CompletedRequest(NamedTuple):
-    """What is remembered of a request. expires_at: seconds on the monotonic clock."""
+    """The stored facts of a completed request. expires_at: seconds on the monotonic clock."""
 
     number: int
     expires_at: float
@@ -24,7 +24,7 @@
 
 
 class CompletedRequests:
-    """Completed requests by correlation id, the oldest end first."""
+    """Completed requests by correlation id, ordered by completion, the earliest first."""
 
     def __init__(self) -> None:
         self._by_identity: OrderedDict[str, CompletedRequest] = OrderedDict()
@@ -36,11 +36,11 @@
         return self._by_identity[identity]
 
     def get(self, identity: str) -> CompletedRequest | None:
-        """The completed request with this correlation id, if it is remembered."""
+        """Return the completed request with this correlation id; None if none is stored."""
         return self._by_identity.get(identity)
 
     def add(self, identity: str, request: CompletedRequest, now: float) -> None:
-        """Remember a request; forget those whose time is over at `now` (seconds), and any above the bound."""
+        """Store a request; delete those expired by `now` (seconds), and the oldest above MAX_COMPLETED."""
         self._by_identity[identity] = request
         self._by_identity.move_to_end(identity)
         while self._by_identity:
--- a/quartzford/fronts/extproc/decision_link.py
+++ b/quartzford/fronts/extproc/decision_link.py
@@ -1,4 +1,4 @@
-"""The way from a gRPC stream to the decision service: in this process, or over a worker's channel."""
+"""Connects gRPC streams to the decision service: in the same process, or over a worker's channel."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class DecisionLink(Protocol):
-    """What a gRPC stream calls; replies come back through the stream. See `DecisionService`."""
+    """The calls that a gRPC stream makes. `Stream.send_reply` gets the replies. See `DecisionService`."""
 
     def open(self, stream: Stream) -> None:
-        """A new stream."""
+        """Register a new stream."""
         ...
 
     def request_decision(self, stream: Stream, decision_request: DecisionRequest) -> None:
-        """A request's headers came."""
+        """Request a decision: the request's headers have arrived."""
         ...
 
     def report_result(self, stream: Stream, result: AttemptResult) -> None:
-        """A response's headers came."""
+        """Report an attempt's result: the response's headers have arrived."""
         ...
 
     def decision_expired(self, stream: Stream) -> None:
-        """The stream's decision was not written in time."""
+        """Return the stream's decision: its validity ended before it was written to the caller."""
         ...
 
     def stream_closed(self, stream: Stream, unwritten: bool) -> None:
-        """The stream has ended; unwritten: the reply to its last request was not written."""
+        """Note that the stream has closed; unwritten: the reply to its last request was not written."""
         ...
 
 
 class LocalLink:
-    """The decision service in this very process."""
+    """The `DecisionLink` to a decision service in the same process."""
 
     def __init__(self, service: DecisionService) -> None:
         self.request_decision = service.request_decision
@@ -44,4 +44,4 @@
         self.stream_closed = service.stream_closed
 
     def open(self, stream: Stream) -> None:
-        """Nothing to do: the service needs no number for a stream."""
+        """Do nothing: only a worker's channel needs to number the streams."""
--- a/quartzford/fronts/extproc/decision_messages.py
+++ b/quartzford/fronts/extproc/decision_messages.py
@@ -1,6 +1,6 @@
 """Typed messages between a calling proxy's stream and the decision service.
 
-Their fields, in this order, are also what a worker's channel carries (`channel_messages.py`).
+A worker's channel carries their fields by position (`channel_messages.py`): the order must not change.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 
 
 class DecisionRequest(NamedTuple):
-    """A request for a decision: of a new request, or, with a token, for the next attempt of one.
+    """Asks for a decision: for a new request, or, with a token, for the next attempt of a known request.
 
-    identity: the correlation id. left_ms: the client's time, below 0 for the class's own deadline.
-    key: the request's affinity key. work_ms: the hint of its cost. repeat: the client declares a repeat.
-    keyed: it bears an idempotency key. opens: the request is registered and its token given; each attempt
-    has a stream of its own.
+    identity: the correlation id. left_ms: the client's remaining time; negative means the class's deadline.
+    key: the affinity key. work_ms: the hint of the request's cost. repeat: the client declares the request a
+    repeat. keyed: the request carries an idempotency key. opens: the stream only registers the request and
+    gets its token; each attempt then uses a stream of its own.
     """
 
     identity: str
@@ -30,12 +30,14 @@
 
 
 class Decision(NamedTuple):
-    """Forward the attempt to `address`, now.
-
-    due: when the caller gives the attempt up. server_deadline: the deadline that is passed on to the server.
-    valid_until: a decision not written by then is given back (`DecisionService.decision_expired`). These are
-    seconds on the machine's monotonic clock; who writes them as spans reads the clock at that moment.
-    valid_for_ms: the validity for a caller on any clock, counted from its request for the decision.
+    """Tells the caller to send the attempt to `address` now.
+
+    timeout_at: when the caller's attempt times out. server_deadline: the deadline passed on to the server.
+    valid_until: a decision that is not written to the caller by then is returned to the service
+    (`DecisionService.decision_expired`). These three are seconds on the machine's monotonic clock; the writer
+    converts them to durations when it writes the reply.
+    valid_for_ms: how long the decision is valid, counted from the caller's request for it. A caller measures
+    it on its own clock.
     """
 
     address: str
@@ -47,40 +49,40 @@
 
 
 class RequestOpened(NamedTuple):
-    """The request is registered; its attempts present the token."""
+    """The request is registered; each of its attempts has to present the token."""
 
     token: str
 
 
 class Rejected(NamedTuple):
-    """503, or 429 where the tenant is over its quota. It did not run, so a retry is safe."""
+    """Status 503, or 429 if the tenant is over its quota. The request did not run, so a retry is safe."""
 
     retry_after_ms: float
     over_quota: bool
 
 
 class Failed(NamedTuple):
-    """An HTTP status that does not say whether the request ran."""
+    """The request ends with this HTTP status, which does not say whether it ran."""
 
     status: int
 
 
 class ResponseForwarded(NamedTuple):
-    """The upstream's response goes on to the client."""
+    """The caller forwards the upstream's response to its client."""
 
 
 class RetryOffered(NamedTuple):
-    """The decision module would retry: the caller is to request a decision for a further attempt.
+    """The decision module allows a retry: the caller may request a decision for a further attempt.
 
-    never_ran: it surely has not run yet. A caller that can't retry leaves its client with 503 (never ran)
-    or 502.
+    never_ran: the request certainly has not run yet. A caller that cannot retry answers its client with 503
+    if the request never ran, otherwise with 502.
     """
 
     never_ran: bool
 
 
 class DeadlineExceeded(NamedTuple):
-    """The request's deadline passed while its attempt is in flight: the stream ends with an error."""
+    """The request's deadline passed while an attempt was in flight: its stream ends with an error."""
 
 
 Reply = Decision | RequestOpened | Rejected | Failed | ResponseForwarded | RetryOffered | DeadlineExceeded
--- a/quartzford/fronts/extproc/decision_service.py
+++ b/quartzford/fronts/extproc/decision_service.py
@@ -1,8 +1,8 @@
-"""The decision service: streams of calling proxies on one side, the engine on the other. No I/O, no gRPC.
+"""The decision service: connects the streams of calling proxies to the engine. No I/O, no gRPC.
 
-A stream requests a decision (for a new request, or with a token for the next attempt of one), gets a reply,
-reports the attempt's result, gets a reply, and closes. A request may take several streams, whichever worker
-they reach. The table of states is in docs/extproc.md.
+A stream requests a decision (for a new request, or, with a token, for the next attempt of a known request),
+gets a reply, reports the attempt's result, gets a reply, and closes. A request may use several streams, which
+may reach different workers. docs/extproc.md has the table of states.
 """
 
 from __future__ import annotations
@@ -31,9 +31,11 @@
 class DecisionService:
     """All requests of one deciding process.
 
-    return_s: for how long a request waits for the caller's next stream; overlap_s: for how long a stream
-    waits that requests a decision while an attempt of its request is in flight; max_requests: at once;
-    queue_s: for how long a new request may have waited before it reaches the service.
+    return_s: how long a request waits for the caller's next stream, seconds.
+    overlap_s: how long a stream that requests a decision waits while another attempt of its request is in
+    flight, seconds.
+    max_requests: the maximum number of requests at the same time.
+    queue_s: the longest time that a new request may have queued before it reaches the service, seconds.
     """
 
     def __init__(
@@ -59,46 +61,49 @@
         self.requests_by_identity: dict[str, RemoteRequest] = {}
         self.completed = CompletedRequests()
 
-    # ---- what streams say
+    # ---- calls from streams
 
     def request_decision(
         self, stream: Stream, decision_request: DecisionRequest, requested_at: float = math.inf
     ) -> None:
-        """A request's headers came at this moment (seconds), or now; one reply follows, unless it closes."""
+        """Handle a request's headers. One reply follows, unless the stream closes first.
+
+        requested_at: when the headers arrived, seconds; later times count as now.
+        """
         now = self.clock.now()
         stream.requested_at = min(requested_at, now)
         if decision_request.token and decision_request.opens:
-            # Only a client can have written it: whoever opens a request has no token yet.
+            # A caller that opens a request has no token yet, so a client must have sent this one.
             self.engine.counts["token forged"] += 1
             stream.send_reply(Failed(400))
         elif decision_request.token:
             self._next_attempt(stream, decision_request)
         elif self._may_run(decision_request.identity):
-            # The caller's own copy of a request that may run: neither beside it nor again.
+            # A copy of a request that is in flight or may have run: it must not run a second time.
             self.engine.counts["same id"] += 1
             stream.send_reply(Failed(409))
         else:
             self._new_request(stream, decision_request, self.clock.now() - stream.requested_at)
 
     def report_result(self, stream: Stream, result: AttemptResult) -> None:
-        """A response's headers have come; exactly one reply follows, at once."""
+        """Handle the result of an attempt; exactly one reply follows immediately."""
         if stream.request is None or stream.attempt is None:
-            # Of an attempt that no stream was given: nothing to learn from it.
+            # This stream has no attempt to report on: the decision module must not learn from the report.
             stream.send_reply(ResponseForwarded())
         else:
             stream.request.report_result(stream, result)
 
     def decision_expired(self, stream: Stream) -> None:
-        """A decision reached its writer after `valid_until` and was not written. Another reply follows."""
+        """Take back a decision that was unwritten when `valid_until` passed. Another reply follows."""
         request = stream.request
         if request is not None and not request.done and stream.attempt is not None:
             self.engine.counts["written too late"] += 1
             request.decision_expired(stream)
 
     def stream_closed(self, stream: Stream, unwritten: bool = False) -> None:
-        """The stream has ended, in whatever way; it gets no further reply.
+        """Handle the end of a stream, for whatever reason; the stream gets no further reply.
 
-        unwritten: no reply to its last request had been written, nor will be.
+        unwritten: the reply to its last request was not written to the caller and never will be.
         """
         stream.closed = True
         request = stream.request
@@ -106,10 +111,10 @@
         if request is not None and not request.done:
             request.stream_closed(stream, unwritten)
 
-    # ---- what requests say
+    # ---- calls from requests
 
     def request_ended(self, request: RemoteRequest, reply: Reply) -> None:
-        """Remember a request that has ended, to recognize its client's copies until their time is over."""
+        """Store a completed request, so that late copies of it are recognized (`CompletedRequests`)."""
         self.requests.pop(request.number, None)
         self.requests_by_identity.pop(request.identity, None)
         expires_at = request.deadline + COMPLETED_RETENTION_S
@@ -119,7 +124,7 @@
     # ---- new requests and further attempts
 
     def _may_run(self, identity: str) -> bool:
-        """A request with this correlation id is in flight, or has ended and may have run."""
+        """Return whether a request with this correlation id is in flight, or completed and may have run."""
         completed = self.completed.get(identity)
         return identity in self.requests_by_identity or (completed is not None and not completed.never_ran)
 
@@ -127,12 +132,12 @@
         waited_too_long = waited_s > self.queue_s
         if not waited_too_long and len(self.requests) < self.max_requests:
             return self._accept(stream, decision_request, waited_s)
-        # No capacity: neither the fleet nor the decision module is involved, and nothing has run.
+        # The external processor lacks capacity. The decision module is not asked, and nothing has run.
         self.engine.counts["waited too long" if waited_too_long else "no room"] += 1
         stream.send_reply(Rejected(self._retry_after_ms(decision_request), False))
 
     def _retry_after_ms(self, decision_request: DecisionRequest) -> float:
-        """When a request that was rejected here may come back, by the decision module's own measure."""
+        """Return the retry delay for a request rejected here; the decision module has the same formula."""
         limits = self.engine.settings.limits
         if not limits.retry_after:
             return 0.0
@@ -161,7 +166,7 @@
             request.send_token(stream)
 
     def _deadline_ms(self, decision_request: DecisionRequest) -> float:
-        """The client's time; the class's own deadline where the client named none."""
+        """Return the client's remaining time, or the class's deadline if the client sent none."""
         if decision_request.left_ms >= 0:
             return decision_request.left_ms
         service_class = self.engine.classes.get(decision_request.service_class)
@@ -170,7 +175,7 @@
     def _next_attempt(self, stream: Stream, decision_request: DecisionRequest) -> None:
         number = self.tokens.read(decision_request.token, decision_request.identity, self.clock.unix_ms())
         if isinstance(number, InvalidToken):
-            # Never taken for a new request: what the token stood for may have run.
+            # This must not be handled as a new request: the request that the token names may have run.
             self.engine.counts[f"token {number.value}"] += 1
             return stream.send_reply(Failed(400 if number is InvalidToken.FORGED else 502))
         request = self.requests.get(number)
@@ -192,7 +197,7 @@
 
 
 def module_request(number: int, decision_request: DecisionRequest, left_ms: float) -> io.Request:
-    """The request as the decision module sees it, with the client's remaining time in milliseconds."""
+    """Return the request in the decision module's form; left_ms: the client's remaining time."""
     return io.Request(
         number,
         decision_request.service_class,
--- a/quartzford/fronts/extproc/json_lines.py
+++ b/quartzford/fronts/extproc/json_lines.py
@@ -10,7 +10,7 @@
 
 
 class JsonLinesProtocol(asyncio.Protocol):
-    """Messages in and out; those sent in one iteration of the loop are written together."""
+    """Sends and receives messages; all messages sent in one iteration of the event loop share one write."""
 
     transport: asyncio.Transport
 
@@ -20,16 +20,16 @@
         self.outgoing: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Part of asyncio.Protocol."""
+        """Part of asyncio.Protocol: keep the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Part of asyncio.Protocol: an incomplete line waits for its end."""
+        """Part of asyncio.Protocol: handle complete lines; keep an incomplete one for the next call."""
         *complete, self.partial_line = (self.partial_line + data).split(b"\n")
         self.messages_received([json.loads(line) for line in complete])
 
     def send(self, *values: Any) -> None:
-        """Send one message of these fields."""
+        """Send one message that consists of these fields."""
         if not self.outgoing:
             self.loop.call_soon(self._flush)
         self.outgoing.append(json.dumps(values, separators=(",", ":")).encode())
@@ -43,5 +43,5 @@
             self.transport.write(data)
 
     def messages_received(self, messages: list[Message]) -> None:
-        """Handle complete messages, in their order."""
+        """Handle complete messages, in the order of arrival."""
         raise NotImplementedError
--- a/quartzford/fronts/extproc/message_queue.py
+++ b/quartzford/fronts/extproc/message_queue.py
@@ -1,10 +1,12 @@
 """The order in which the deciding process handles a worker's messages. No I/O.
 
-The bound is on this process's time alone, as others are on connections or bytes: a decision request that
-waited too long the decision service rejects without a decision; what is handled in time, the decision module
-judges. Ends (results, closed streams, expired decisions) go first, since each frees capacity; decision
-requests go by their class's priority weight, the oldest first. No decision request follows its stream's end:
-stream numbers are never used again on a channel.
+Results, closed streams and expired decisions come first, since each of them frees capacity. Decision requests
+follow, the highest priority weight of a class first, and the oldest first within a weight.
+
+The queue itself rejects nothing. The decision service rejects decision requests that waited too long, without
+asking the decision module: that bounds the time spent in this process, as other limits bound connections or
+bytes. The decision module decides on all others. Decision requests of a closed stream are dropped; that is
+safe because a channel never reuses a stream number.
 """
 
 from __future__ import annotations
@@ -16,21 +18,21 @@
 
 
 class MessageQueue:
-    """Messages that wait. priority_weight: of a class by its name."""
+    """Queued messages. priority_weight: returns the priority weight of the class with a given name."""
 
     def __init__(self, priority_weight: Callable[[str], float]) -> None:
         self.priority_weight = priority_weight
         self.end_messages: deque[Message] = deque()
         self.decision_requests: dict[float, deque[Message]] = {}  # by priority weight
-        self.request_counts: dict[int, int] = {}  # how many decision requests of a stream wait
+        self.request_counts: dict[int, int] = {}  # queued decision requests by stream
         self.request_count = 0
-        self.closed_streams: set[int] = set()  # streams that ended while their decision request waited
+        self.closed_streams: set[int] = set()  # closed while decision requests of theirs were queued
 
     def __len__(self) -> int:
         return len(self.end_messages) + self.request_count
 
     def add(self, message: Message) -> None:
-        """Queue a message as it came from the channel."""
+        """Queue a message that arrived from the channel."""
         if message[0] != DECISION_REQUEST:
             return self.end_messages.append(message)
         stream = message[1]
@@ -39,7 +41,7 @@
         self.decision_requests.setdefault(self.priority_weight(message[4]), deque()).append(message)
 
     def next_message(self) -> Message | None:
-        """The message to be handled now; None if nothing is left."""
+        """Remove and return the next message to handle; None if the queue is empty."""
         while len(self):
             message = self._pop()
             stream = message[1]
--- a/quartzford/fronts/extproc/messages.py
+++ b/quartzford/fronts/extproc/messages.py
@@ -1,8 +1,8 @@
-"""Envoy's ext_proc messages, from and to the decision service's types.
+"""Converts between Envoy's ext_proc messages and the types of the decision service.
 
-Message classes come from the package xds-protos. Source: envoy/service/ext_proc/v3/external_processor.proto
-and its documentation. Only the two headers phases matter here; every other message is answered with the
-protocol's neutral reply.
+The package xds-protos has the message classes. Source: envoy/service/ext_proc/v3/external_processor.proto and
+its documentation. Only the request headers and response headers phases carry decisions; every other message
+gets the protocol's neutral reply, which changes nothing.
 """
 
 from __future__ import annotations
@@ -31,14 +31,15 @@
 CODE_DETAILS_ATTRIBUTE = "response.code_details"
 LOAD_REPORT_HEADER = "x-backend-load"
 UNPROCESSED_HEADER = "x-unprocessed"
-# Envoy's router takes the attempt's time-out from here (its page "Router", HTTP headers), in whole ms.
+# Envoy's router reads the attempt's time-out from this header, in whole milliseconds (Envoy's documentation,
+# page "Router", section "HTTP headers").
 TIMEOUT_HEADER = "x-envoy-upstream-rq-timeout-ms"
 OVERWRITE_ACTION = core.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """What the operator's file calls the headers, and the bounds on them."""
+    """The header names of the operator's file, and the limits on headers."""
 
     identity: str = "x-correlation-id"
     service_class: str = "x-service-class"
@@ -47,19 +48,19 @@
     idempotency: str = "idempotency-key"
     repeat: str = "x-repeat"
     hint: str = "x-weight-hint"
-    cookie: str = "sid"  # the cookie that says what a request is about
+    cookie: str = "sid"  # the cookie that holds a request's affinity key
     destination: str = "x-quartzford-destination"
     token: str = "x-quartzford-token"
     retry: str = "x-quartzford-retry"
     within: str = "x-quartzford-within"
-    default_class: str = ""  # of a request that names none
+    default_class: str = ""  # the service class of a request that names none
     most_headers: int = 256
     most_bytes: int = 64 * 1024
     report_names: tuple[str, ...] = field(default=())
 
 
 class HeaderReader:
-    """Reads headers by the names in force."""
+    """Reads headers under the configured names."""
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
@@ -76,7 +77,7 @@
         }
 
     def read_request(self, headers: Any, opens: bool) -> DecisionRequest | Failed:
-        """The decision request in a request's headers, or the failure that answers them."""
+        """Return the decision request in a request's headers, or the failure to answer them with."""
         rows = headers.headers.headers
         if len(rows) > self.names.most_headers or headers.ByteSize() > self.names.most_bytes:
             return Failed(431)
@@ -86,7 +87,7 @@
             if name is None:
                 continue
             if name in ("identity", "token") and name in values:
-                return Failed(400)  # the next reader may take the other one
+                return Failed(400)  # ambiguous: the server may read the other of the two values
             values[name] = header_text(row)
         identity = values.get("identity", "").strip()
         if not identity:
@@ -106,7 +107,7 @@
         )
 
     def read_response(self, request: Any) -> AttemptResult:
-        """What a ProcessingRequest with response headers reports."""
+        """Return the attempt's result that a ProcessingRequest with response headers reports."""
         status, unprocessed, load = 0, False, b""
         for row in request.response_headers.headers.headers:
             if row.key == ":status":
@@ -124,7 +125,7 @@
 
 
 class ReplyWriter:
-    """Writes replies, serialized; those that never change are made once."""
+    """Serializes replies; those that never change are serialized once, in advance."""
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
@@ -132,7 +133,8 @@
         self.opener_mode = headers_only_mode(mode.ProcessingMode.SKIP)
         removed = [LOAD_REPORT_HEADER, names.token, names.retry, names.destination]
         self.response_forwarded = self._build_response_headers(proto.HeaderMutation(remove_headers=removed))
-        # If the caller can't go on, a server's own 503 must not pass for a rejection of what may have run.
+        # A caller that cannot retry forwards this status. A server's own 503 must not reach the client if the
+        # request may have run: clients read 503 as a rejection, which is safe to retry.
         self.retry_offered = {
             True: self._build_retry_offered(b"503"),
             False: self._build_retry_offered(b"502"),
@@ -147,8 +149,8 @@
         return self._build_response_headers(mutation)
 
     def _build_neutral_replies(self) -> dict[str, bytes]:
-        """The reply by the kind of message, where there is nothing to decide."""
-        # A request that no attempt may be made for keeps no destination that a client wrote.
+        """Return the replies to messages that need no decision, by message type."""
+        # Without a decision no attempt may be made, so a destination header written by the client is removed.
         mutation = proto.HeaderMutation(remove_headers=[self.names.destination])
         request_headers = proto.HeadersResponse(response=proto.CommonResponse(header_mutation=mutation))
         body = proto.BodyResponse()
@@ -168,7 +170,7 @@
         return serialized(proto.ProcessingResponse(response_headers=proto.HeadersResponse(response=common)))
 
     def write(self, reply: Reply, now: float) -> bytes:
-        """The reply as it leaves at this moment, in seconds on the machine's monotonic clock."""
+        """Return the serialized reply; now: the time of writing, seconds on the machine's monotonic clock."""
         match reply:
             case Decision(address, token, timeout_at, server_deadline, within, _):
                 rows = [
@@ -192,7 +194,7 @@
             case RetryOffered(never_ran):
                 return self.retry_offered[never_ran]
             case _:
-                raise ValueError(f"{reply!r} is no message")
+                raise ValueError(f"{reply!r} is not a known type of reply")
 
     def _build_request_headers(self, rows: list[Any], mode_override: Any) -> bytes:
         removed = [] if len(rows) > 1 else [self.names.destination]
@@ -206,7 +208,7 @@
 
 
 def headers_only_mode(response_headers: Any) -> Any:
-    """Of a request its headers alone are sent to us; of its response the headers too, or nothing."""
+    """Return the mode in which Envoy sends the request's headers, and the response's headers if so given."""
     return mode.ProcessingMode(
         request_header_mode=mode.ProcessingMode.SEND,
         response_header_mode=response_headers,
@@ -218,20 +220,20 @@
 
 
 def serialized(message: Any) -> bytes:
-    """A protobuf message's bytes, typed."""
+    """Return a protobuf message's bytes, with a static type that the generated classes lack."""
     data: bytes = message.SerializeToString()
     return data
 
 
 def overwrite_header(name: str, value: bytes) -> Any:
-    """Sets a header whatever the client sent: the protocol's default would append."""
+    """Return a mutation that overwrites a header the client may have sent: Envoy's default would append."""
     return core.HeaderValueOption(
         header=core.HeaderValue(key=name, raw_value=value), append_action=OVERWRITE_ACTION
     )
 
 
 def immediate_reply(status: int, retry_after_ms: float, retry: str) -> bytes:
-    """An answer to the client at once, from here."""
+    """Return a reply that makes the caller answer its client immediately, without an attempt."""
     rows = (
         [overwrite_header("retry-after", b"%.3f" % (retry_after_ms / 1000.0))] if retry_after_ms > 0 else []
     )
@@ -243,6 +245,9 @@
 
 
 def header_text(row: Any) -> str:
-    """Envoy fills raw_value or value, by a runtime flag; bytes that are no UTF-8 are kept apart."""
+    """Return a header's value. Envoy fills raw_value or value, depending on a runtime flag.
+
+    Bytes that are not UTF-8 become surrogates, so that different values stay different.
+    """
     raw: bytes = row.raw_value
     return raw.decode("utf-8", "surrogateescape") if raw else str(row.value)
--- a/quartzford/fronts/extproc/remote_request.py
+++ b/quartzford/fronts/extproc/remote_request.py
@@ -1,6 +1,7 @@
-"""One request over all its streams: it bridges the callers' streams and the engine. No I/O, no gRPC.
+"""One request over all its streams: it connects the callers' streams to the engine. No I/O, no gRPC.
 
-A request may take several streams, of whichever worker. The table of its states is in docs/extproc.md.
+A request may use several streams, which may reach different workers. docs/extproc.md has the table of its
+states.
 """
 
 from __future__ import annotations
@@ -22,44 +23,48 @@
     RetryOffered,
 )
 
-NEVER_RAN_CODES = ("full", "connect_failed", "moot")  # reports that prove that the attempt never ran
-TRANSIT_ALLOWANCE_S = 0.05  # of the client's time, set aside for the caller's way to the server
+NEVER_RAN_CODES = (
+    "full",
+    "connect_failed",
+    "moot",
+)  # outcomes that prove that the attempt never ran
+TRANSIT_ALLOWANCE_S = 0.05  # part of the client's time reserved for the path from the caller to the server
 
 
 class AttemptHandle(Protocol):
-    """An attempt that the caller makes (backends/caller.py)."""
+    """An attempt that a caller makes; backends/caller.py implements it."""
 
     number: int
     timeout_at: float
 
     @property
     def valid_until(self) -> float:
-        """The end of the decision's validity, seconds on the monotonic clock."""
+        """Return when the decision's validity ends, seconds on the monotonic clock."""
         ...
 
     @property
     def endpoint(self) -> NamedEndpoint | None:
-        """The endpoint, where it is still listed."""
+        """Return the endpoint; None if it was not in the endpoint list."""
         ...
 
     def claim(self) -> bool:
-        """Take the decision for a stream; False where it is no longer valid and a new one is due."""
+        """Claim the decision for a stream; False if it is no longer valid: the module then decides again."""
         ...
 
     def report_outcome(self, code: str, report: io.Report = (), faulted: bool = False) -> None:
-        """The caller reports how the attempt ended."""
+        """End the attempt with the outcome that the caller reports."""
         ...
 
     def mark_lost(self) -> None:
-        """The caller's stream ended with nothing reported."""
+        """Note that the caller's stream closed without a report."""
         ...
 
     def is_lost(self) -> bool:
-        """Whether the caller's stream ended with nothing reported."""
+        """Return whether the caller's stream closed without a report."""
         ...
 
     def undo_claim(self) -> None:
-        """Undo the claim: the decision never left this machine."""
+        """Undo the claim, because the decision never left this machine."""
         ...
 
     def fail(self, code: str) -> None:
@@ -68,16 +73,16 @@
 
 
 class NamedEndpoint(Protocol):
-    """An endpoint that may be named to callers."""
+    """An endpoint that a decision may name."""
 
     @property
     def address(self) -> str:
-        """host:port."""
+        """Return host:port."""
         ...
 
 
 class RequestOwner(Protocol):
-    """What a request needs of the service that it belongs to. return_s, overlap_s: seconds."""
+    """The part of the decision service that a request uses. return_s, overlap_s: see `DecisionService`."""
 
     engine: Engine
     backend: Backend
@@ -86,30 +91,33 @@
     overlap_s: float
 
     def request_ended(self, request: RemoteRequest, reply: Reply) -> None:
-        """The request is over, with this reply."""
+        """Remove a completed request; reply: its final reply."""
         ...
 
 
 class Stream:
-    """One stream of a caller. reply is called once a decision request, once a report, and at the deadline."""
+    """One stream of a caller.
+
+    reply is called once for each decision request, once for each report, and when the deadline passes.
+    """
 
     __slots__ = ("reply", "request", "attempt", "closed", "requested_at")
 
     def __init__(self, reply: Callable[[Reply], None]) -> None:
         self.reply = reply
         self.request: RemoteRequest | None = None
-        self.attempt: AttemptHandle | None = None  # the attempt whose decision this stream got
+        self.attempt: AttemptHandle | None = None  # the attempt whose decision this stream received
         self.closed = False
-        self.requested_at = 0.0  # when its last decision request came, seconds
+        self.requested_at = 0.0  # when its last decision request arrived, monotonic seconds
 
     def send_reply(self, reply: Reply) -> None:
-        """Hand a reply to the caller, unless the stream is over."""
+        """Pass a reply to the caller, unless the stream is closed."""
         if not self.closed:
             self.reply(reply)
 
 
 class RemoteRequest(PendingRequest):
-    """A request, over all its streams. At most one stream is in each of the roles below."""
+    """A request over all its streams. Each role below is held by at most one stream."""
 
     __slots__ = (
         "service",
@@ -130,40 +138,40 @@
         self.service = service
         self.identity = self.correlation_id = identity
         self.token = ""
-        self.awaiting_outcome: Stream | None = None  # has opened or reported; the next reply is its
-        self.awaiting_decision: Stream | None = None  # requests a decision for the next attempt
-        self.attempt_stream: Stream | None = None  # got the decision of the attempt in flight
-        self.next_stream: Stream | None = None  # requests a decision while that attempt is in flight
-        self.return_timer: Handle | None = None  # until the caller's next stream has to come
-        self.overlap_timer: Handle | None = None  # for as long as next_stream may wait
+        self.awaiting_outcome: Stream | None = None  # opened the request or reported a result
+        self.awaiting_decision: Stream | None = None  # waits for the decision on the next attempt
+        self.attempt_stream: Stream | None = None  # received the decision of the attempt in flight
+        self.next_stream: Stream | None = None  # requested a decision while that attempt is in flight
+        self.return_timer: Handle | None = None  # ends the wait for the caller's next stream
+        self.overlap_timer: Handle | None = None  # ends the wait of next_stream
         self.may_have_run = False
-        self.may_have_run_before = False  # the same, before the attempt in flight
+        self.may_have_run_before = False  # may_have_run before the attempt in flight
 
-    # ---- what the engine and the backend call
+    # ---- calls from the engine and the backend
 
     def decided(self, attempt: AttemptHandle) -> None:
-        """The module has chosen; a stream that waits for a decision gets it."""
+        """The decision module has chosen a server: send the decision to the stream that waits, if any."""
         if self.awaiting_decision is not None:
             self._send_decision(attempt)
 
     def served(self, answer: object) -> None:
-        """The upstream's response is the final one."""
+        """The upstream's response is final: the caller forwards it."""
         self._end(ResponseForwarded())
 
     def refused(self, retry_after_ms: float, over_quota: bool) -> None:
-        """Rejected: it did not run. retry_after_ms: 0 for none."""
+        """The request is rejected and did not run. retry_after_ms: 0 for no Retry-After."""
         self._end(Rejected(retry_after_ms, over_quota))
 
     def failed(self) -> None:
-        """Failed; it may have run."""
+        """The request failed; it may have run."""
         self._end(Failed(502))
 
     def aborted(self) -> None:
-        """Ended as a last resort; it may have run."""
+        """The engine gave the request up as a last resort; it may have run."""
         self._end(Failed(500))
 
     def client_disconnected(self) -> None:
-        """The caller is held to have left."""
+        """The client is considered disconnected."""
         self._end(Failed(502))
 
     def _end(self, reply: Reply) -> None:
@@ -184,29 +192,32 @@
         if next_stream is not None:
             next_stream.send_reply(reply_after_end(reply))
 
-    # ---- what streams say
+    # ---- calls from streams
 
     def resume(self, stream: Stream) -> None:
-        """A stream requests a decision for the next attempt, and none is in flight."""
+        """Handle a decision request for the next attempt while no attempt is in flight."""
         self._stop_timers()
         self.awaiting_decision = stream
         stream.request = self
         attempt = cast("AttemptHandle | None", self.attempt)
         if attempt is None:
-            return  # the module holds the request: its decision reaches this stream when it comes
+            return  # the module has not decided yet; this stream gets the decision
         if self.may_have_run and attempt.is_lost():
-            attempt.fail("cancelled")  # the caller goes on without it: now the module may, by its rules
+            attempt.fail("cancelled")  # the caller has abandoned it: the module may now decide on a retry
         else:
             self._send_decision(attempt)
 
     def wait_for_attempt(self, stream: Stream) -> None:
-        """A stream comes while an attempt is in flight, whose end may still be on its way: wait a little."""
+        """Let a stream wait for the end of the attempt in flight, for overlap_s at most.
+
+        The attempt's result, or the end of its stream, may arrive after the caller's next stream.
+        """
         self.next_stream = stream
         stream.request = self
         self.overlap_timer = self.service.clock.call_later(self.service.overlap_s, self._overlap_expired)
 
     def report_result(self, stream: Stream, result: AttemptResult) -> None:
-        """The caller reports the attempt's result; exactly one reply follows."""
+        """Handle the attempt's result from the caller; exactly one reply follows."""
         attempt = stream.attempt
         stream.attempt = None
         self.attempt_stream = None
@@ -221,13 +232,13 @@
             self._await_next_stream()
 
     def decision_expired(self, stream: Stream) -> None:
-        """The decision was not written to its caller in time: nothing ran, and the module decides afresh."""
+        """The decision was not written to the caller in time: nothing ran, and the module decides again."""
         attempt = self._withdraw_decision(stream)
         self.awaiting_decision = stream
         attempt.fail("moot")
 
     def _withdraw_decision(self, stream: Stream) -> AttemptHandle:
-        """The decision was never written to the caller: the attempt surely did not run."""
+        """Undo a decision that was never written to the caller: the attempt certainly did not run."""
         attempt = stream.attempt
         stream.attempt = None
         self.attempt_stream = None
@@ -237,11 +248,11 @@
         return attempt
 
     def stream_closed(self, stream: Stream, unwritten: bool) -> None:
-        """The stream has ended; unwritten: its decision was not written, nor will be."""
+        """Handle the end of a stream; unwritten: its decision was not written and never will be."""
         if unwritten and stream is self.attempt_stream and stream.attempt is not None:
             self._withdraw_decision(stream)
             self.awaiting_decision = stream
-        if stream is self.awaiting_decision:  # its caller has given up with nothing in flight
+        if stream is self.awaiting_decision:  # its caller gave up while no attempt is in flight
             self.awaiting_decision = None
             self.service.engine.client_disconnected(self)
         elif stream is self.next_stream:
@@ -254,13 +265,13 @@
             self._await_next_stream()
 
     def send_token(self, stream: Stream) -> None:
-        """The request is registered; its opening stream gets the token."""
+        """Send the token to the stream that opened the request, which is now registered."""
         self.awaiting_outcome = None
         stream.send_reply(RequestOpened(self.token))
         self._await_next_stream()
 
     def _await_next_stream(self) -> None:
-        """The caller's next stream has to come in time, or the client is held to have left."""
+        """Wait return_s for the caller's next stream; without one the client is considered disconnected."""
         next_stream = self.next_stream
         self.next_stream = None
         self._stop_timers()
@@ -274,7 +285,7 @@
         stream = self.awaiting_decision
         assert stream is not None
         if not attempt.claim():
-            return  # the module decides again: its next decision reaches this stream
+            return  # the module decides again; this stream gets its next decision
         assert attempt.endpoint is not None
         self.may_have_run_before = self.may_have_run
         self.may_have_run = True
@@ -318,5 +329,5 @@
 
 
 def reply_after_end(reply: Reply) -> Reply:
-    """The reply to a stream that requests a further attempt of a request that ended with this reply."""
+    """Return the reply to a request for a further attempt after the request completed with `reply`."""
     return reply if isinstance(reply, Rejected | Failed) else Failed(502)
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -1,8 +1,8 @@
-"""The gRPC side: streams of envoy.service.ext_proc.v3.ExternalProcessor/Process, and their connections.
+"""The gRPC server: connections, and streams of envoy.service.ext_proc.v3.ExternalProcessor/Process.
 
-gRPC over HTTP/2 as its protocol page (PROTOCOL-HTTP2.md of gRPC) has it, for this one method. Everything here
-is called back: a stream costs no task and no timer. A process that serves gRPC need not be the one that
-decides: `DecisionLink` is the service itself, or a channel to it.
+It implements gRPC over HTTP/2 (PROTOCOL-HTTP2.md of gRPC) for this one method. Streams are handled in
+callbacks, so that a stream needs neither a task nor a timer. The decisions may be made in another process:
+`DecisionLink` is either the decision service itself or a channel to it.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 OPENER_ROLE = b"open"
 LISTEN_BACKLOG = 1024
 MAX_MESSAGE_BYTES = 256 * 1024
-MAX_QUEUED_MESSAGES = 16  # messages of one stream that came ahead of a reply
-STREAM_GRACE_S = 2.0  # a stream is open for the longest deadline and so much more, whatever its caller does
+MAX_STREAM_QUEUED_MESSAGES = 16  # messages of one stream that wait for a reply to an earlier one
+STREAM_GRACE_S = 2.0  # streams are closed at the age of the longest deadline plus this time
 SWEEP_INTERVAL_S = 0.25
-MIN_ATTEMPT_TIMEOUT_S = 0.001  # time-outs are written in whole ms, and 0 of them would mean none
-MESSAGE_PREFIX_BYTES = 5  # of a gRPC message: whether it is compressed, and its length
+MIN_ATTEMPT_TIMEOUT_S = 0.001  # Envoy's time-out header has whole ms, and 0 means no time-out
+MESSAGE_PREFIX_BYTES = 5  # prefix of a gRPC message: compressed flag (1 byte) and length (4 bytes)
 DRAIN_POLL_INTERVAL_S = 0.02
 # gRPC status codes
 OK = 0
@@ -50,9 +50,9 @@
 
 
 class ExtprocStream(Stream):
-    """A stream with its gRPC side.
+    """One stream with its gRPC state.
 
-    opens: it registers a request and gets a token, and makes no attempt. now: seconds.
+    opens: the stream only registers a request and gets its token; it makes no attempt. now: seconds.
     """
 
     __slots__ = (
@@ -74,22 +74,22 @@
         self.number = number
         self.opens = opens
         self.opened_at = now
-        self.decision_sent = False  # got a destination or a token, and may report on it
-        self.reply_pending = False  # a reply is due
-        self.headers_sent = False  # our headers are out
-        self.half_closed = False  # the caller writes no more
+        self.decision_sent = False  # the caller has got a decision or a token; a result may follow
+        self.reply_pending = False  # the link owes a reply to the last message
+        self.headers_sent = False  # the response headers were sent
+        self.half_closed = False  # the caller has finished writing
         self.buffer = b""
         self.queue: deque[bytes] = deque()
 
     def feed(self, data: bytes, end: bool) -> None:
-        """Bytes of length-prefixed messages; end: the caller writes no more."""
+        """Handle bytes of length-prefixed messages; end: the caller has finished writing."""
         self.half_closed = self.half_closed or end
         self.buffer = self.buffer + data if self.buffer else data
         while len(self.buffer) >= MESSAGE_PREFIX_BYTES:
             size = int.from_bytes(self.buffer[1:5], "big")
             if self.buffer[0]:
                 return self.caller.finish(self, UNIMPLEMENTED, "no compression was offered")
-            if size > MAX_MESSAGE_BYTES or len(self.queue) >= MAX_QUEUED_MESSAGES:
+            if size > MAX_MESSAGE_BYTES or len(self.queue) >= MAX_STREAM_QUEUED_MESSAGES:
                 return self.caller.finish(self, RESOURCE_EXHAUSTED, "more than is read ahead")
             message_end = MESSAGE_PREFIX_BYTES + size
             if len(self.buffer) < message_end:
@@ -99,7 +99,7 @@
         self.advance()
 
     def advance(self) -> None:
-        """One message after the other; the next one waits for the reply to the one before."""
+        """Handle queued messages in order; each waits for the reply to the one before."""
         while self.queue and not self.reply_pending and not self.closed:
             try:
                 self._handle_message(proto.ProcessingRequest.FromString(self.queue.popleft()))
@@ -151,7 +151,10 @@
 
 
 def is_expired(decision: Decision, now: float) -> bool:
-    """Whether it is too late to write the decision: the server may drain by now, or the time is over."""
+    """Return whether it is too late to write the decision.
+
+    By then the server may be draining, or too little time is left for an attempt.
+    """
     return now > decision.valid_until or decision.server_deadline - now < MIN_ATTEMPT_TIMEOUT_S
 
 
@@ -171,13 +174,13 @@
     # ---- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Part of asyncio.Protocol."""
+        """Part of asyncio.Protocol: register the connection and send the HTTP/2 settings."""
         self.transport = cast(asyncio.Transport, transport)
         self.processor.callers.add(self)
         self.flush()
 
     def data_received(self, data: bytes) -> None:
-        """Part of asyncio.Protocol."""
+        """Part of asyncio.Protocol: handle HTTP/2 frames."""
         self.connection.receive(data)
         self._write()
         if self.connection.over:
@@ -185,7 +188,7 @@
             self._close_all_streams()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Part of asyncio.Protocol: all its streams are closed."""
+        """Part of asyncio.Protocol: close all streams of the connection."""
         self.processor.callers.discard(self)
         self._close_all_streams()
 
@@ -195,7 +198,7 @@
             self._close_stream(extproc_stream)
 
     def flush(self) -> None:
-        """Write, at the end of this iteration of the loop, all that was sent in it."""
+        """Schedule one write, at the end of this iteration of the event loop, of all output."""
         if not self.flush_scheduled:
             self.flush_scheduled = True
             self.processor.loop.call_soon(self._write)
@@ -206,12 +209,12 @@
             return
         self.transport.write(self.connection.take())
         if self.transport.get_write_buffer_size() > http2.MAX_UNSENT_BYTES:
-            self.transport.abort()  # it reads nothing
+            self.transport.abort()  # the caller does not read
 
     # ---- http2.Events
 
     def headers(self, stream_id: int, headers: http2.Headers, end_stream: bool) -> None:
-        """A new HTTP/2 stream; what is not this method of gRPC is rejected."""
+        """Open a new HTTP/2 stream, or reject it if it does not call the one gRPC method."""
         processor = self.processor
         read = dict(headers)
         if read.get(b":method") != b"POST" or read.get(b":path") != PROCESS_PATH:
@@ -227,18 +230,18 @@
             extproc_stream.feed(b"", True)
 
     def data(self, stream_id: int, data: bytes, end_stream: bool) -> None:
-        """Bytes of a stream's messages."""
+        """Pass on a stream's bytes."""
         extproc_stream = self.extproc_streams.get(stream_id)
         if extproc_stream is not None:
             extproc_stream.feed(data, end_stream)
 
     def reset(self, stream_id: int, code: int) -> None:
-        """The caller has cancelled a stream."""
+        """Close a stream that the caller has cancelled."""
         extproc_stream = self.extproc_streams.pop(stream_id, None)
         if extproc_stream is not None:
             self._close_stream(extproc_stream)
 
-    # ---- ends
+    # ---- ends of streams
 
     def _close_stream(self, extproc_stream: ExtprocStream) -> None:
         if not extproc_stream.closed:
@@ -247,16 +250,16 @@
             extproc_stream.closed = True
 
     def finish(self, extproc_stream: ExtprocStream, status: int, grpc_message: str) -> None:
-        """Trailers end the stream; where the caller still writes to it, it is reset."""
+        """End the stream with trailers, and reset it in case the caller is still writing to it."""
         if self.extproc_streams.pop(extproc_stream.number, None) is None:
             return
-        self._trailers(extproc_stream.number, extproc_stream.headers_sent, status, grpc_message)
+        self._send_trailers(extproc_stream.number, extproc_stream.headers_sent, status, grpc_message)
         self._close_stream(extproc_stream)
 
     def _reject(self, stream: int, status: int, grpc_message: str) -> None:
-        self._trailers(stream, False, status, grpc_message)
+        self._send_trailers(stream, False, status, grpc_message)
 
-    def _trailers(self, stream: int, headers_sent: bool, status: int, grpc_message: str) -> None:
+    def _send_trailers(self, stream: int, headers_sent: bool, status: int, grpc_message: str) -> None:
         trailers = OK_TRAILERS
         if status != OK:
             trailers = http2.encode_header_block(
@@ -265,12 +268,12 @@
         self.connection.send_headers(
             stream, trailers if headers_sent else RESPONSE_HEADERS + trailers, end_stream=True
         )
-        self.connection.reset(stream, http2.ErrorCode.NO_ERROR)  # if its caller has not ended it
+        self.connection.reset(stream, http2.ErrorCode.NO_ERROR)  # in case the caller has not finished writing
         self.flush()
 
 
 class Processor:
-    """The service: connections of callers, and what they all need. most_streams: of each connection."""
+    """The gRPC service: the callers' connections and their shared state. max_streams: of each connection."""
 
     def __init__(
         self,
@@ -294,13 +297,13 @@
         clock.call_later(SWEEP_INTERVAL_S, self._close_old_streams)
 
     def configure(self, names: HeaderNames, max_deadline_s: float) -> None:
-        """Header names in force, and the longest deadline in seconds."""
+        """Apply header names and the longest deadline, in seconds."""
         self.reader = HeaderReader(names)
         self.writer = ReplyWriter(names)
         self.max_stream_s = max_deadline_s + STREAM_GRACE_S
 
     async def listen(self, address: str) -> int:
-        """Serve on host:port (port 0: the kernel's choice), which other processes may share; the port."""
+        """Listen on host:port (port 0: the kernel chooses), shared with other processes; return the port."""
         host, _, port = address.rpartition(":")
         listen_address = host.strip("[]"), int(port)
         listening = await listen_with_retries(
@@ -312,10 +315,10 @@
         return bound
 
     def _close_old_streams(self) -> None:
-        """No stream outlives its time, whatever its caller does."""
+        """Close the streams that are older than max_stream_s, whatever their callers do."""
         opened_before = self.clock.now() - self.max_stream_s
         for caller in list(self.callers):
-            # In the order of their beginning: the first young one ends the search.
+            # Streams are in the order of their opening: all after the first young one are younger.
             for extproc_stream in list(caller.extproc_streams.values()):
                 if extproc_stream.opened_at > opened_before:
                     break
@@ -323,7 +326,7 @@
         self.clock.call_later(SWEEP_INTERVAL_S, self._close_old_streams)
 
     async def stop(self, grace_s: float) -> None:
-        """GOAWAY to all; streams that are open finish, in so many seconds at most."""
+        """Send GOAWAY to all callers and close; open streams may finish within grace_s seconds."""
         if self.listener is not None:
             self.listener.close()
             await self.listener.opened()
--- a/quartzford/fronts/extproc/service.py
+++ b/quartzford/fronts/extproc/service.py
@@ -1,4 +1,4 @@
-"""The external processor put together: the decision service, and the gRPC server here or in workers."""
+"""Assembles the external processor: the decision service, and gRPC servers in this process or in workers."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from quartzford.settings.operator_checks import OperatorError
 from quartzford.settings.operator_settings import ExtprocSettings
 
-MIN_RESTART_BACKOFF_S = 0.1  # from a worker's death to its successor, doubled while it dies at once
+MIN_RESTART_BACKOFF_S = 0.1  # delay of a worker's restart; doubles while workers die early
 MAX_RESTART_BACKOFF_S = 5.0
 POLL_INTERVAL_S = 0.02
 TOKEN_KEY_BYTES = 32
 MIN_TOKEN_KEY_BYTES = 16
 INCARNATION_BYTES = 8
-WORKER_START_TIMEOUT_S = 10.0  # for all workers to be up; after it those that are serve
+WORKER_START_TIMEOUT_S = 10.0  # wait for all workers; afterwards the node starts with those that listen
 
 
 def token_key(path: str) -> bytes:
-    """The key in a file; with no path, one drawn for this incarnation of the process.
+    """Return the key in a file; without a path, a random key for this incarnation of the process.
 
-    Raises OperatorError where the file can't be read or is too short.
+    Raises OperatorError if the file cannot be read or is too short.
     """
     if not path:
         return os.urandom(TOKEN_KEY_BYTES)
@@ -43,13 +43,13 @@
         raise OperatorError(f"extproc.token_key_file: {error}") from None
     if len(key) < MIN_TOKEN_KEY_BYTES:
         raise OperatorError(
-            f"extproc.token_key_file: {path}: {len(key)} bytes; {MIN_TOKEN_KEY_BYTES} or more are needed"
+            f"extproc.token_key_file: {path}: {len(key)} bytes, but a key needs {MIN_TOKEN_KEY_BYTES} or more"
         )
     return key
 
 
 def header_names(settings: ExtprocSettings, report_names: tuple[str, ...]) -> HeaderNames:
-    """The header names and bounds in force. report_names: the load report's figures, in their order."""
+    """Return the configured header names and limits. report_names: the load report's figures, in order."""
     return HeaderNames(
         **dict(settings.headers),
         cookie=settings.cookie,
@@ -61,7 +61,7 @@
 
 
 class ExtprocFront:
-    """One deciding process with its decision service; any number of workers that speak gRPC for it."""
+    """The deciding process with its decision service, and the workers that speak gRPC for it, if any."""
 
     def __init__(
         self,
@@ -99,11 +99,14 @@
 
     @property
     def max_deadline_s(self) -> float:
-        """The longest deadline of all classes, seconds."""
+        """Return the longest deadline of all classes, seconds."""
         return self.engine.max_deadline_ms / 1000.0
 
     async def start(self) -> None:
-        """Listen, here or in workers; returns when these are up, or after a time-out without some of them."""
+        """Listen, in this process or in workers.
+
+        Returns when all workers listen, or after WORKER_START_TIMEOUT_S with those that do.
+        """
         if self.settings.workers == 0:
             link, max_streams = LocalLink(self.service), self.settings.most_streams
             self.processor = Processor(
@@ -122,14 +125,14 @@
             self.supervisors.append(
                 loop.create_task(self._supervise(number, path, f"{host}:{self.port or port}"))
             )
-            if port == "0" and not self.port:  # the kernel's choice is every worker's port
+            if port == "0" and not self.port:  # all workers share the port that the kernel chose
                 self.port = await self._wait_for_port()
         if not self.port:
             self.port = int(port)
         give_up_at = self.clock.now() + WORKER_START_TIMEOUT_S
         while sum(bool(channel.port) for channel in self.channels) < self.settings.workers:
             if self.clock.now() > give_up_at:
-                return self.log.line("extproc", "not all workers are up yet")
+                return self.log.line("extproc", "starting although some workers do not listen yet")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _wait_for_port(self) -> int:
@@ -140,13 +143,13 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _initial_message(self) -> tuple[Any, ...]:
-        """The names in force; to a worker that comes up while all stop, that it is to stop too."""
+        """Return the first message to a worker: its configuration, or STOP if the front is stopping."""
         if self.stopping:
             return (STOP,)
         return (CONFIGURATION, asdict(self.names), self.max_deadline_s)
 
     async def _supervise(self, number: int, path: str, address: str) -> None:
-        """Run a worker, and its successors: the requests of a dead one's callers stay with the service."""
+        """Run a worker, and restart it when it dies: the service keeps the requests of its callers."""
         backoff_s = MIN_RESTART_BACKOFF_S
         while not self.stopping:
             started_at = self.clock.now()
@@ -163,7 +166,7 @@
             code = await process.wait()
             if self.stopping:
                 return
-            self.log.line("extproc", f"worker {number} ended with {code}; another one follows")
+            self.log.line("extproc", f"worker {number} exited with code {code}; restarting it")
             if self.clock.now() - started_at > MAX_RESTART_BACKOFF_S:
                 backoff_s = MIN_RESTART_BACKOFF_S
             else:
@@ -171,7 +174,7 @@
             await asyncio.sleep(backoff_s)
 
     def reconfigure(self, settings: ExtprocSettings, report_names: tuple[str, ...]) -> None:
-        """New settings under load. Streams that are open go on by the new names."""
+        """Apply new settings under load. Open streams continue with the new header names."""
         self.settings = settings
         self.names = header_names(settings, report_names)
         self.service.return_s = settings.return_ms / 1000.0
@@ -184,7 +187,7 @@
             channel.configure()
 
     async def stop(self) -> None:
-        """GOAWAY to all callers; open streams finish, within the longest deadline."""
+        """Send GOAWAY to all callers and stop; open streams may finish within the longest deadline."""
         self.stopping = True
         if self.processor is not None:
             await self.processor.stop(self.max_deadline_s + STREAM_GRACE_S)
--- a/quartzford/fronts/extproc/service_channel.py
+++ b/quartzford/fronts/extproc/service_channel.py
@@ -23,15 +23,15 @@
 from quartzford.fronts.extproc.message_queue import MessageQueue
 from quartzford.fronts.extproc.remote_request import Stream
 
-MAX_TURN_S = 0.004  # the process works so long at a channel, then looks at all else: drains above all
-MAX_QUEUED_MESSAGES = 8_192  # messages read ahead
+MAX_TURN_S = 0.004  # time spent on one channel before other work, above all drains, gets a turn
+MAX_CHANNEL_QUEUED_MESSAGES = 8_192  # above this the channel is not read
 
 
 class ServiceChannel(JsonLinesProtocol):
-    """One worker's channel. greeting: the fields of the message that configures the worker.
+    """One worker's channel. initial_message: returns the fields of the message that configures the worker.
 
-    What waits here is handled in short turns, in the order that `MessageQueue` gives: an overload of this
-    process must delay neither an endpoint list with a drain nor the end of an attempt in flight.
+    Queued messages are handled in short turns, in the order of `MessageQueue`: an overload of this process
+    must delay neither an endpoint list with a drain nor the end of an attempt in flight.
     """
 
     def __init__(
@@ -53,17 +53,17 @@
         self.paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Part of asyncio.Protocol: the worker is configured at once."""
+        """Part of asyncio.Protocol: configure the worker."""
         super().connection_made(transport)
         self.channels.add(self)
         self.configure()
 
     def configure(self) -> None:
-        """Send the worker the configuration in force."""
+        """Send the worker its current configuration."""
         self.send(*self.initial_message())
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Part of asyncio.Protocol: the worker has died, and its streams with it."""
+        """Part of asyncio.Protocol: the worker has died; close all its streams."""
         self.channels.discard(self)
         streams = self.streams
         self.streams = {}
@@ -72,10 +72,10 @@
             self.service.stream_closed(stream)
 
     def messages_received(self, messages: list[Message]) -> None:
-        """Queue messages, and stop reading where too many wait."""
+        """Queue messages, and pause reading if more than MAX_CHANNEL_QUEUED_MESSAGES wait."""
         for message in messages:
             self.queue.add(message)
-        if not self.paused and len(self.queue) > MAX_QUEUED_MESSAGES:
+        if not self.paused and len(self.queue) > MAX_CHANNEL_QUEUED_MESSAGES:
             self.paused = True
             self.transport.pause_reading()
         if not self.turn_scheduled:
@@ -124,7 +124,7 @@
 
     def _open_stream(self, number: int) -> Stream:
         def send_reply(reply: Reply) -> None:
-            """Write the reply to the channel, under the stream's number."""
+            """Send the reply to the worker under the stream's number."""
             self.send(REPLY_TAGS[type(reply)], number, *reply)
 
         stream = Stream(send_reply)
--- a/quartzford/fronts/extproc/token.py
+++ b/quartzford/fronts/extproc/token.py
@@ -1,4 +1,4 @@
-"""Attempt tokens: they bind each stream of a retried request to it, and only this balancer can make one."""
+"""Decision tokens: they tie the streams of a retried request to it, and only this balancer can issue them."""
 
 from __future__ import annotations
 
@@ -10,37 +10,36 @@
 from enum import Enum
 
 MAC_BYTES = 16
-TOKEN_LAYOUT = struct.Struct(
-    ">8sIQ"
-)  # the incarnation that made it, the request's number, its end in Unix ms
+# Incarnation that issued the token, request number, expiry in Unix ms.
+TOKEN_LAYOUT = struct.Struct(">8sIQ")
 VERSION = b"q1"
 
 
 class InvalidToken(Enum):
-    """Why a token opens nothing. Neither kind is ever taken for a request without a token."""
+    """Why a token is invalid. A request with an invalid token is never handled as a new request."""
 
-    STALE = "stale"  # ours, but of another incarnation of this balancer, or its time is over
+    STALE = "stale"  # issued with this key, but by another incarnation, or expired
     FORGED = "forged"
 
 
 class Tokens:
-    """Makes and reads tokens. key: 16 bytes or more; incarnation: 8 bytes, new with each start."""
+    """Issues and reads tokens. key: at least 16 bytes; incarnation: 8 bytes, new at each start."""
 
     def __init__(self, key: bytes, incarnation: bytes) -> None:
         if len(key) < 16 or len(incarnation) != 8:
-            raise ValueError("key: 16 bytes or more; incarnation: 8 bytes")
+            raise ValueError("a token key needs at least 16 bytes, an incarnation exactly 8")
         self.key = hashlib.blake2b(key).digest()
         self.incarnation = incarnation
 
     def make(self, number: int, identity: str, expires_unix_ms: float) -> str:
-        """A token for a request; identity is the request's correlation id, which it is good for alone."""
+        """Return a token for a request; it is valid only with the request's correlation id, `identity`."""
         body = TOKEN_LAYOUT.pack(self.incarnation, number, int(expires_unix_ms))
         return base64.urlsafe_b64encode(body + self._mac(body, identity)).decode().rstrip("=")
 
     def read(self, text: str, identity: str, now_ms: float) -> int | InvalidToken:
-        """The request's number, or why there is none; now_ms: Unix ms.
+        """Return the request's number, or why the token is invalid; now_ms: Unix ms.
 
-        A token of an earlier incarnation differs from a forged one only where the key is kept.
+        A token of an earlier incarnation is told from a forged one only if the key has stayed the same.
         """
         try:
             decoded = base64.b64decode(text + "=" * (-len(text) % 4), b"-_", validate=True)
--- a/quartzford/fronts/extproc/worker.py
+++ b/quartzford/fronts/extproc/worker.py
@@ -1,4 +1,7 @@
-"""A gRPC worker, which decides nothing: python -m quartzford.fronts.extproc.worker SOCKET ADDRESS STREAMS."""
+"""A gRPC worker: it serves callers and forwards decision requests to the deciding process.
+
+Usage: python -m quartzford.fronts.extproc.worker SOCKET ADDRESS STREAMS
+"""
 
 from __future__ import annotations
 
@@ -17,17 +20,20 @@
 
 
 def read_header_names(table: dict[str, Any]) -> HeaderNames:
-    """Header names as they came over the channel."""
+    """Return the header names of a configuration message."""
     return HeaderNames(**{**table, "report_names": tuple(table["report_names"])})
 
 
 async def serve(path: str, address: str, max_streams: int) -> None:
-    """Serve until told to stop, then until open streams have ended; stop at once if the channel is lost."""
+    """Serve until a STOP message arrives and the open streams have ended.
+
+    If the channel to the deciding process is lost, stop immediately.
+    """
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(
             signal_number, signal.SIG_IGN
-        )  # the deciding process says when; a group's signal must not
+        )  # only a STOP message ends a worker, not a signal to the group
     messages: asyncio.Queue[list[Any]] = asyncio.Queue()
     disconnected = asyncio.Event()
     clock = LoopClock(loop)
@@ -51,7 +57,7 @@
             break
         message = next_message.result()
         if message[0] == STOP:
-            # GOAWAY: callers open nothing new here, and what is open may finish.
+            # Sends GOAWAY: callers open no new streams here, and open streams may finish.
             return await processor.stop(processor.max_stream_s)
         if message[0] == CONFIGURATION:
             processor.configure(read_header_names(message[1]), message[2])
@@ -59,7 +65,7 @@
 
 
 def main() -> int:
-    """Run one worker; its arguments come from the deciding process."""
+    """Run one worker; the deciding process supplies the arguments."""
     path, address, max_streams = sys.argv[1:]
     uvloop.run(serve(path, address, int(max_streams)))
     return 0
--- a/quartzford/fronts/extproc/worker_channel.py
+++ b/quartzford/fronts/extproc/worker_channel.py
@@ -21,7 +21,8 @@
 class WorkerChannel(JsonLinesProtocol):
     """The `DecisionLink` of a worker's streams.
 
-    on_message gets what is addressed to no stream; now: the monotonic clock, seconds.
+    on_message: called with each message that is addressed to no stream. on_disconnect: called when the
+    deciding process is lost. now: the monotonic clock, seconds.
     """
 
     def __init__(
@@ -39,11 +40,11 @@
         self.last_number = 0
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Part of asyncio.Protocol: the deciding process is gone."""
+        """Part of asyncio.Protocol: the connection to the deciding process is lost."""
         self.on_disconnect()
 
     def messages_received(self, messages: list[Message]) -> None:
-        """Hand replies to their streams, and the rest to the worker."""
+        """Pass replies to their streams, and all other messages to the worker."""
         for message in messages:
             reply_type = REPLIES.get(message[0])
             if reply_type is None:
@@ -54,13 +55,13 @@
                 stream.send_reply(reply_type(*message[2:]))
 
     def open(self, stream: Stream) -> None:
-        """Give a new stream its number."""
+        """Assign a number to a new stream."""
         self.last_number += 1
         self.numbers[stream] = self.last_number
         self.streams[self.last_number] = stream
 
     def request_decision(self, stream: Stream, decision_request: DecisionRequest) -> None:
-        """Send a decision request, with the moment at which it came."""
+        """Send a decision request with its arrival time."""
         self.send(DECISION_REQUEST, self.numbers[stream], round(self.now(), 6), *decision_request)
 
     def report_result(self, stream: Stream, result: AttemptResult) -> None:
@@ -68,11 +69,11 @@
         self.send(ATTEMPT_RESULT, self.numbers[stream], *result)
 
     def decision_expired(self, stream: Stream) -> None:
-        """Say that the stream's decision was not written in time."""
+        """Report that the stream's decision was not written in time."""
         self.send(DECISION_EXPIRED, self.numbers[stream])
 
     def stream_closed(self, stream: Stream, unwritten: bool) -> None:
-        """Say that the stream has ended; unwritten: its last reply was not written."""
+        """Report that the stream has closed; unwritten: its last reply was not written."""
         number = self.numbers.pop(stream)
         del self.streams[number]
         self.send(STREAM_CLOSED, number, unwritten)
--- a/tests/test_extproc_channel.py
+++ b/tests/test_extproc_channel.py
@@ -25,7 +25,7 @@
         self.reading = True
 
     def write(self, data: bytes) -> None:
-        self.written += [json.loads(channel) for channel in data.splitlines()]
+        self.written += [json.loads(line) for line in data.splitlines()]
 
     def is_closing(self) -> bool:
         return False
