--- a/quartzford/load/plan.py
+++ b/quartzford/load/plan.py
@@ -11,7 +11,7 @@
 
 from quartzford.load.clients import RequestClass
 from quartzford.load.options import LoadOptions
-from quartzford.load.shapes import fixed, poisson, read_shape
+from quartzford.load.shapes import evenly_spaced_arrivals, poisson_arrivals, read_shape
 from quartzford.load.trace import TraceRow
 
 
@@ -69,9 +69,9 @@
     if load.closed_clients:
         return repeat(0.0)
     if load.spacing == "fixed":
-        every = enumerate(fixed(shape, load.seconds))
+        every = enumerate(evenly_spaced_arrivals(shape, load.seconds))
         return (offset for number, offset in every if number % load.workers == worker)
-    return poisson(shape.part(load.workers), load.seconds, rng)
+    return poisson_arrivals(shape.part(load.workers), load.seconds, rng)
 
 
 def plan_sessions(load: LoadOptions, worker: int) -> SessionPlan:
--- a/quartzford/load/shapes.py
+++ b/quartzford/load/shapes.py
@@ -129,7 +129,7 @@
     return form.make(*values)
 
 
-def poisson(shape: Shape, seconds: float, rng: random.Random) -> Iterator[float]:
+def poisson_arrivals(shape: Shape, seconds: float, rng: random.Random) -> Iterator[float]:
     """Yield the arrivals of a Poisson process with a shape's rate, by thinning (Lewis and Shedler, 1979)."""
     t = 0.0
     while True:
@@ -140,7 +140,9 @@
             yield t
 
 
-def fixed(shape: Shape, seconds: float, step_s: float = INTEGRATION_STEP_S) -> Iterator[float]:
+def evenly_spaced_arrivals(
+    shape: Shape, seconds: float, step_s: float = INTEGRATION_STEP_S
+) -> Iterator[float]:
     """Yield arrivals at even spacing: from 0 on, one each time the area under the rate has grown by 1.
 
     step_s: of the integration by trapezoids.
--- a/quartzford/load/trace.py
+++ b/quartzford/load/trace.py
@@ -18,7 +18,7 @@
 from urllib.parse import quote, unquote
 
 HEADER_PREFIX = "#quartzford-trace "
-VERSION = "1"
+TRACE_VERSION = "1"
 END_PREFIX = "#end "
 NO_VALUE = "-"
 FIELDS = 6
@@ -54,7 +54,7 @@
 
 def write_trace(rows: Iterable[TraceRow]) -> Iterator[str]:
     """Yield the lines of a trace, each with its line break."""
-    yield f"{HEADER_PREFIX}{VERSION}\n"
+    yield f"{HEADER_PREFIX}{TRACE_VERSION}\n"
     count = 0
     for row in rows:
         yield format_row(row)
@@ -122,8 +122,8 @@
     if not text.startswith(HEADER_PREFIX):
         raise TraceError("line 1: not a trace")
     version = text[len(HEADER_PREFIX) :]
-    if version != VERSION:
-        raise TraceError(f"line 1: version {version!r}, {VERSION} is what can be read")
+    if version != TRACE_VERSION:
+        raise TraceError(f"line 1: version {version!r}, {TRACE_VERSION} is what can be read")
 
 
 def _read_row(text: str, number: int) -> TraceRow:
--- a/quartzford/recording.py
+++ b/quartzford/recording.py
@@ -17,7 +17,7 @@
 
 from quartzford.decision import interface as io
 from quartzford.engine import Clock, Log
-from quartzford.load.trace import END_PREFIX, HEADER_PREFIX, VERSION, TraceRow, format_row
+from quartzford.load.trace import END_PREFIX, HEADER_PREFIX, TRACE_VERSION, TraceRow, format_row
 
 MAX_QUEUED_LINES = 65_536  # lines that may wait for the disk
 WRITER_CHECK_S = 0.5
@@ -49,7 +49,7 @@
         self._clock = clock
         self._log = log
         self._file = Path(path).open("w", encoding="ascii", newline="\n")  # noqa: SIM115
-        self._file.write(f"{HEADER_PREFIX}{VERSION}\n")
+        self._file.write(f"{HEADER_PREFIX}{TRACE_VERSION}\n")
         self._secret = os.urandom(SECRET_BYTES)
         self._started_at = clock.now()
         self._recorded_requests = 0
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -36,7 +36,7 @@
 from quartzford.load.plan import make_trace, plan_requests, plan_sessions
 from quartzford.load.record import Record, histogram, histogram_summary
 from quartzford.load.result import RunResults, WorkerResult, show, summary
-from quartzford.load.shapes import ShapeError, fixed, poisson, read_shape
+from quartzford.load.shapes import ShapeError, evenly_spaced_arrivals, poisson_arrivals, read_shape
 from quartzford.load.trace import TraceError, TraceRow, read_trace, write_trace
 from quartzford.load.worker import Progress
 
@@ -55,21 +55,21 @@
     ],
 )
 def test_arrivals_are_as_many_as_the_area_under_the_rate(text: str, area: float) -> None:
-    even = list(fixed(read_shape(text), 10.0))
-    drawn = list(poisson(read_shape(text), 10.0, random.Random(3)))
+    even = list(evenly_spaced_arrivals(read_shape(text), 10.0))
+    drawn = list(poisson_arrivals(read_shape(text), 10.0, random.Random(3)))
     assert abs(len(even) - area) <= 2 and abs(len(drawn) - area) < 5 * area**0.5
     for moments in (even, drawn):
         assert moments == sorted(moments) and all(0 <= at < 10.0 for at in moments)
 
 
 def test_even_spacing_is_even() -> None:
-    moments = list(fixed(read_shape("constant:250"), 4.0))
+    moments = list(evenly_spaced_arrivals(read_shape("constant:250"), 4.0))
     gaps = [b - a for a, b in itertools.pairwise(moments)]
     assert len(moments) == 1000 and max(abs(gap - 0.004) for gap in gaps) < 1e-9
 
 
 def test_poisson_gaps_are_exponential() -> None:
-    moments = list(poisson(read_shape("constant:1000"), 30.0, random.Random(1)))
+    moments = list(poisson_arrivals(read_shape("constant:1000"), 30.0, random.Random(1)))
     gaps = [b - a for a, b in itertools.pairwise(moments)]
     mean = sum(gaps) / len(gaps)
     spread = (sum((g - mean) ** 2 for g in gaps) / len(gaps)) ** 0.5
