--- a/tests/test_close_answers.py
+++ b/tests/test_close_answers.py
@@ -10,7 +10,7 @@
 from peers import SETTINGS, BalancerTestbed, async_test, read_message, reply, request, wait_until
 from test_endings import read_all, respond_after
 from test_operations import OperationsTestbed, operations_port
-from test_relay_server import PATH, Site, site
+from test_relay_server import PATH, RelayTestbed, relay_testbed
 
 from quartzford.fronts import operations
 from quartzford.fronts.http_front import MAX_LINGERING_CLIENTS
@@ -205,35 +205,35 @@
 GET = f"GET {PATH} HTTP/1.1\r\nHost: a\r\n"
 
 
-async def relay_client(here: Site, data: str) -> socket.socket:
+async def relay_client(testbed: RelayTestbed, data: str) -> socket.socket:
     """Return a connection after the relay has read a part of its request."""
-    sock = await connect_and_send(here.server.address[1], data.encode())
-    await wait_until(lambda: any(connection.bytes_read for connection in here.server.connections))
+    sock = await connect_and_send(testbed.server.address[1], data.encode())
+    await wait_until(lambda: any(connection.bytes_read for connection in testbed.server.connections))
     return sock
 
 
 @async_test
 async def test_relay_client_receives_error_while_still_sending_body() -> None:
-    async with site() as here:
-        sock = await relay_client(here, "GET /else HTTP/1.1\r\n")
+    async with relay_testbed() as testbed:
+        sock = await relay_client(testbed, "GET /else HTTP/1.1\r\n")
         sock.send(b"Content-Length: 99999999\r\n\r\n")
-        await wait_until(lambda: all(each.state is CallState.ENDED for each in here.server.connections))
+        await wait_until(lambda: all(each.state is CallState.ENDED for each in testbed.server.connections))
         for _ in range(7):
             await asyncio.get_running_loop().sock_sendall(sock, b"b" * 10_000)
         assert await read_status(sock) == 404
-        await wait_until(lambda: not here.server.connections)
+        await wait_until(lambda: not testbed.server.connections)
 
 
 @async_test
 async def test_stalled_relay_request_is_answered_408() -> None:
-    async with site() as here:
-        assert await read_status(await relay_client(here, GET)) == 408
+    async with relay_testbed() as testbed:
+        assert await read_status(await relay_client(testbed, GET)) == 408
 
 
 @async_test
 async def test_partial_relay_request_is_answered_at_shutdown() -> None:
-    async with site() as here:
-        half = await relay_client(here, GET)
-        stopping = asyncio.ensure_future(here.relay.stop())
+    async with relay_testbed() as testbed:
+        half = await relay_client(testbed, GET)
+        stopping = asyncio.ensure_future(testbed.relay.stop())
         assert await read_status(half) == 503
         await stopping
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -97,7 +97,7 @@
         return await self.reader.read() == b""
 
 
-class Site:
+class RelayTestbed:
     """A relay in this process and its source."""
 
     def __init__(self, source: Source, relay: Relay) -> None:
@@ -133,7 +133,7 @@
 
 
 @asynccontextmanager
-async def site(*rows: dict[str, Any], **settings: Any) -> AsyncIterator[Site]:
+async def relay_testbed(*rows: dict[str, Any], **settings: Any) -> AsyncIterator[RelayTestbed]:
     source, loop = Source(*(rows or (row("a"), row("b")))), asyncio.get_running_loop()
     await source.peer.start()
     heartbeats = asyncio.ensure_future(source.send_heartbeats())
@@ -141,7 +141,7 @@
     clock = LoopClock(loop)
     relay = Relay(RelaySettings(**(values | settings)), clock, StderrLog(clock.now), loop)
     await relay.start()
-    made = Site(source, relay)
+    made = RelayTestbed(source, relay)
     try:
         await wait_until(lambda: relay.catalog.version is not None, 60.0)
         yield made
@@ -155,21 +155,23 @@
 
 def test_watches_by_index_get_changes_and_heartbeats_and_none_ahead_gets_an_older_list() -> None:
     async def main() -> None:
-        async with site() as here:
-            current, old = await here.watch(8), await here.watch(3)
+        async with relay_testbed() as testbed:
+            current, old = await testbed.watch(8), await testbed.watch(3)
             assert await current.line() == table(8, complete=False)
             assert await old.line() == table(8, row("a"), row("b"))
-            here.source.silent = True  # the line that decides is the one below
-            behind, other = await here.call(9), await here.call(50)
-            await wait_until(lambda: len(here.server.waiting) == 2)
-            here.source.send_line(table(9, row("a", block=7), complete=False))
-            here.source.silent = False
+            testbed.source.silent = True  # the line that decides is the one below
+            behind, other = await testbed.call(9), await testbed.call(50)
+            await wait_until(lambda: len(testbed.server.waiting) == 2)
+            testbed.source.send_line(table(9, row("a", block=7), complete=False))
+            testbed.source.silent = False
             for watch in (current, old):
                 assert await watch.line() == table(9, row("a", block=7), complete=False)
             assert await behind.status() == 200 and await behind.line() == table(9, complete=False)
             assert await other.status() == 200 and (await other.line())["whole"]
             assert await current.reader.readuntil(b"\n\r\n") == b"1\r\n\n\r\n"
-            assert len(here.source.peer.received) == 1 and "index=0" in here.source.peer.received[0].line
+            assert (
+                len(testbed.source.peer.received) == 1 and "index=0" in testbed.source.peer.received[0].line
+            )
 
     async_test(main)()
 
@@ -178,8 +180,8 @@
     monkeypatch.setattr(single_request, "REQUEST_START_TIMEOUT_S", 1.0)
 
     async def main() -> None:
-        async with site() as here:
-            silent, slow = await here.raw(""), await here.raw("GET /catalog/mem")
+        async with relay_testbed() as testbed:
+            silent, slow = await testbed.raw(""), await testbed.raw("GET /catalog/mem")
             requests = {
                 "GET /catalog HTTP/1.1\r\n\r\n": 404,
                 f"POST {PATH} HTTP/1.1\r\nContent-Length: 0\r\n\r\n": 405,
@@ -189,11 +191,11 @@
                 "nonsense\r\n\r\n": 400,
             }
             for text, status in requests.items():
-                call = await here.raw(text)
+                call = await testbed.raw(text)
                 assert await call.status() == status and await call.reader.read() == b""
-            complete = await here.get()
+            complete = await testbed.get()
             assert await complete.status() == 200
-            assert json.loads(await complete.reader.read()) == here.source.now
+            assert json.loads(await complete.reader.read()) == testbed.source.now
             assert await silent.reader.read() == b"" and await slow.status() == 408
             assert await slow.reader.read() == b""
 
@@ -204,13 +206,13 @@
     """A row changed twice between two reads, one removed and added again, one removed."""
 
     async def main() -> None:
-        async with site(row("a"), row("b"), row("c")) as here:
-            slow, quick = await here.watch(8, receive=4096), await here.watch(8)
-            watcher = next(iter(here.server.watchers))
+        async with relay_testbed(row("a"), row("b"), row("c")) as testbed:
+            slow, quick = await testbed.watch(8, receive=4096), await testbed.watch(8)
+            watcher = next(iter(testbed.server.watchers))
             version = 8
             while not watcher.writing_paused:
                 version += 1
-                here.source.send_line(
+                testbed.source.send_line(
                     table(version, *(row(f"s{n}", born_ms=version) for n in range(900)), complete=False)
                 )
                 await quick.lines_to(version)
@@ -223,7 +225,7 @@
                 row("c", health="gone"),
             ):
                 version += 1
-                here.source.send_line(table(version, changed, complete=False))
+                testbed.source.send_line(table(version, changed, complete=False))
                 assert (await quick.lines_to(version))[-1]["hosts"] == [changed]
             assert (
                 watcher.transport.get_write_buffer_size() <= 200_000
@@ -242,20 +244,20 @@
 
     async def main() -> None:
         rows = [row(f"s{n}") for n in range(63_000)]
-        async with site(*rows, list_bytes_per_s=1e9) as here:
-            quick = await here.watch(8)
+        async with relay_testbed(*rows, list_bytes_per_s=1e9) as testbed:
+            quick = await testbed.watch(8)
             assert await quick.line() == table(8, complete=False)
             drips = []
             for version in range(9, 14):
-                drips.append(await here.watch(0, receive=4096))
-                here.source.send_line(table(version, row("s5", block=version), complete=False))
+                drips.append(await testbed.watch(0, receive=4096))
+                testbed.source.send_line(table(version, row("s5", block=version), complete=False))
                 assert (await quick.lines_to(version))[-1]["hosts"] == [row("s5", block=version)]
                 for drip in drips:
                     drip.taken += await drip.reader.readexactly(1)
-            sending = [c for c in here.server.watchers if c.state is CallState.SENDING_LIST]
+            sending = [c for c in testbed.server.watchers if c.state is CallState.SENDING_LIST]
             assert len(sending) == len(drips)
             assert all(c.transport.get_write_buffer_size() <= PART_BYTES + 64 for c in sending)
-            assert len(here.relay.catalog._encodings) <= MAX_ENCODINGS + 1
+            assert len(testbed.relay.catalog._encodings) <= MAX_ENCODINGS + 1
             for drip in (drips[0], drips[-1]):
                 data = drip.taken
                 while b'"seq":%d,' % version not in data[-400:] or not data.endswith(b"\n\r\n"):
@@ -271,15 +273,15 @@
 @pytest.mark.parametrize("version", [3, 8])
 def test_a_source_that_begins_again_is_believed(version: int) -> None:
     async def main() -> None:
-        async with site() as here:
-            watch = await here.watch(8)
+        async with relay_testbed() as testbed:
+            watch = await testbed.watch(8)
             await watch.line()
             again = table(version, row("a", born_ms=9), row("d"))
-            here.source.send_line(again)
+            testbed.source.send_line(again)
             assert await watch.line() == again
-            moved = await here.watch(version)  # by an index that may be of the incarnation before
+            moved = await testbed.watch(version)  # by an index that may be of the incarnation before
             assert await moved.line() == again
-            here.source.send_line(table(version + 1, row("d", block=2), complete=False))
+            testbed.source.send_line(table(version + 1, row("d", block=2), complete=False))
             assert (
                 await watch.line()
                 == await moved.line()
@@ -302,11 +304,11 @@
     """The relay has heard 8 and then 11; a call by 10 gets the complete list, and never that of 8."""
 
     async def main() -> None:
-        async with site(*(row(f"s{n}") for n in range(100))) as here:
-            assert (await (await here.watch(0)).line())["seq"] == 8
-            here.source.send_line(table(11, row("c"), complete=False))
-            await wait_until(lambda: here.relay.catalog.version == 11)
-            received = await (await here.watch(10)).line()
+        async with relay_testbed(*(row(f"s{n}") for n in range(100))) as testbed:
+            assert (await (await testbed.watch(0)).line())["seq"] == 8
+            testbed.source.send_line(table(11, row("c"), complete=False))
+            await wait_until(lambda: testbed.relay.catalog.version == 11)
+            received = await (await testbed.watch(10)).line()
             assert received["whole"] and received["seq"] == 11
 
     async_test(main)()
@@ -316,15 +318,15 @@
     """The source may have begun again, and the one who calls may know its new list."""
 
     async def main() -> None:
-        async with site() as here:
-            here.source.silent = True
-            here.source.watches[-1].close()
-            await wait_until(lambda: not here.relay.watch.is_current())
-            call = await here.call(8)
-            await wait_until(lambda: here.server.waiting)
-            here.source.now = table(3, row("z"))
-            here.source.silent = False
-            for writer in here.source.peer.writers:
+        async with relay_testbed() as testbed:
+            testbed.source.silent = True
+            testbed.source.watches[-1].close()
+            await wait_until(lambda: not testbed.relay.watch.is_current())
+            call = await testbed.call(8)
+            await wait_until(lambda: testbed.server.waiting)
+            testbed.source.now = table(3, row("z"))
+            testbed.source.silent = False
+            for writer in testbed.source.peer.writers:
                 writer.close()  # the call that got no answer
             assert await call.status() == 200
             received = await call.line()
@@ -336,14 +338,14 @@
 @pytest.mark.parametrize("garbage", GARBAGE, ids=range(len(GARBAGE)))
 def test_garbage_from_the_source_is_kept_out(garbage: bytes) -> None:
     async def main() -> None:
-        async with site() as here:
-            watch = await here.watch(8)
+        async with relay_testbed() as testbed:
+            watch = await testbed.watch(8)
             await watch.line()
-            here.source.send_line(garbage)
-            await wait_until(lambda: len(here.source.peer.received) == 2)
-            assert here.relay.catalog.version == 8 and len(here.server.watchers) == 1
-            await wait_until(lambda: len(here.source.watches) == 2)
-            here.source.send_line(table(9, row("a", block=1), complete=False))
+            testbed.source.send_line(garbage)
+            await wait_until(lambda: len(testbed.source.peer.received) == 2)
+            assert testbed.relay.catalog.version == 8 and len(testbed.server.watchers) == 1
+            await wait_until(lambda: len(testbed.source.watches) == 2)
+            testbed.source.send_line(table(9, row("a", block=1), complete=False))
             assert await watch.line() == table(9, row("a", block=1), complete=False)
 
     async_test(main)()
@@ -351,27 +353,28 @@
 
 def test_cut_from_its_source_alone_it_says_so_and_the_return_costs_one_call() -> None:
     async def main() -> None:
-        async with site() as here:
-            watches = [await here.watch(8) for _ in range(10)]
+        async with relay_testbed() as testbed:
+            watches = [await testbed.watch(8) for _ in range(10)]
             for watch in watches:
                 await watch.line()
-            here.source.silent = True
+            testbed.source.silent = True
             assert all([await watch.ended() for watch in watches])
-            late = await here.call(8)
+            late = await testbed.call(8)
             assert await late.status() == 503 and "Retry-After" in late.head
-            complete = await here.get()
+            complete = await testbed.get()
             assert (
-                await complete.status() == 200 and json.loads(await complete.reader.read()) == here.source.now
+                await complete.status() == 200
+                and json.loads(await complete.reader.read()) == testbed.source.now
             )
-            await here.source.peer.stop()
-            await wait_until(lambda: here.relay.watch.counts["ended unreached"] >= 2)
-            before = len(here.source.peer.received)
-            here.source.silent = False
-            await here.source.peer.start(here.source.peer.port)
-            await wait_until(lambda: here.relay.watch.is_current())
-            back = await here.watch(8)
+            await testbed.source.peer.stop()
+            await wait_until(lambda: testbed.relay.watch.counts["ended unreached"] >= 2)
+            before = len(testbed.source.peer.received)
+            testbed.source.silent = False
+            await testbed.source.peer.start(testbed.source.peer.port)
+            await wait_until(lambda: testbed.relay.watch.is_current())
+            back = await testbed.watch(8)
             assert await back.line() == table(8, complete=False)
-            assert len(here.source.peer.received) == before + 1
+            assert len(testbed.source.peer.received) == before + 1
 
     async_test(main)()
 
@@ -379,45 +382,45 @@
 def test_complete_lists_keep_to_the_bound_and_other_calls_get_retry_after() -> None:
     async def main() -> None:
         rows = [row(f"s{n}") for n in range(400)]
-        async with site(*rows, list_bytes_per_s=200_000.0) as here:
+        async with relay_testbed(*rows, list_bytes_per_s=200_000.0) as testbed:
             began = time.monotonic()
-            calls = [await here.get() for _ in range(20)] + [await here.call(0) for _ in range(20)]
+            calls = [await testbed.get() for _ in range(20)] + [await testbed.call(0) for _ in range(20)]
             received = [await call.status() for call in calls]
             took = time.monotonic() - began
-            size = len(here.relay.catalog.complete_list().line)
+            size = len(testbed.relay.catalog.complete_list().line)
             assert 6 <= received.count(200) <= 2 + (1.5 + took) * 200_000 / size and received.count(503) >= 6
             waits = [float(re.findall(r"Retry-After: (\S+)", c.head)[0]) for c in calls if "503" in c.head]
             assert min(waits) > 0 and len(set(waits)) >= 4
             first = calls[received.index(200)]
             assert json.loads(await first.reader.read())["hosts"] == rows
-            assert len(here.server.watchers) == received[20:].count(200)
+            assert len(testbed.server.watchers) == received[20:].count(200)
 
     async_test(main)()
 
 
 def test_no_more_watchers_than_configured() -> None:
     async def main() -> None:
-        async with site(balancers=3, most_watchers=3) as here:
-            watches = [await here.watch(8) for _ in range(3)]
-            full = await here.call(8)
+        async with relay_testbed(balancers=3, most_watchers=3) as testbed:
+            watches = [await testbed.watch(8) for _ in range(3)]
+            full = await testbed.call(8)
             assert await full.status() == 503
             watches[0].writer.close()
-            await wait_until(lambda: len(here.server.watchers) == 2)
-            await here.watch(8)
+            await wait_until(lambda: len(testbed.server.watchers) == 2)
+            await testbed.watch(8)
 
     async_test(main)()
 
 
 def test_a_balancer_that_retries_soon_is_admitted_beyond_the_share() -> None:
     async def main() -> None:
-        async with site(balancers=1, most_watchers=1) as here:
-            await here.watch(8)
+        async with relay_testbed(balancers=1, most_watchers=1) as testbed:
+            await testbed.watch(8)
             for host in ("127.0.0.2", "127.0.0.3"):
-                assert await (await here.call(8, host=host)).status() == 503
-            again = await here.call(8, host="127.0.0.2")
+                assert await (await testbed.call(8, host=host)).status() == 503
+            again = await testbed.call(8, host="127.0.0.2")
             assert await again.status() == 200
             assert (await again.line())["seq"] == 8
-            assert len(here.server.watchers) == 2
+            assert len(testbed.server.watchers) == 2
 
     async_test(main)()
 
