--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Files on a disk that fails for a while, hangs, or is left behind by a kill in the middle of a write."""
+"""Writes to a disk that fails temporarily or hangs, and files left behind by a kill during a write."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from quartzford.membership.snapshot import Snapshot, SnapshotAgeLimits, SnapshotError, decode, encode
 from quartzford.membership.snapshot_writer import MAX_RETRY_DELAY_S, SnapshotWriter, write_snapshot
 from quartzford.recording import Recorder
-from quartzford.replacement import state as wire
+from quartzford.replacement import state as state_codec
 from quartzford.replacement import unix_socket
 from quartzford.replacement.errors import MaintenanceFileError, StateFormatError
 from quartzford.replacement.handover import Handover
@@ -45,44 +45,47 @@
 from quartzford.replacement.predecessor_side import LISTEN_RETRY_S
 
 ROOT = Path(__file__).resolve().parent.parent
-CALLS = ("open", "write", "fsync", "close", "replace", "unlink", "chmod")
+FAULTY_CALLS = ("open", "write", "fsync", "close", "replace", "unlink", "chmod")
 
 
 def snapshot(version: int) -> Snapshot:
     return Snapshot("127.0.0.1:8500", 1_000.0, {"seq": version, "whole": True, "hosts": [LIST_ROW]})
 
 
-class Killed(BaseException):
-    """The process ends here; no handler of its own runs any more."""
+class SimulatedKill(BaseException):
+    """Simulates SIGKILL: no error handler of the process catches it, because it is not an Exception."""
 
 
 class FaultyOs:
-    """The `os` module with calls that fail. fault: by the call's name, the error to raise or None."""
+    """The `os` module with calls that fail.
+
+    fault: takes a call's name and returns the error to raise, or None.
+    """
 
     def __init__(self, fault: Callable[[str], BaseException | None]) -> None:
         self.fault = fault
-        self.kept = 0  # bytes of a failing write that reach the file
+        self.written_bytes = 0  # number of bytes that a failing write still writes
 
     def __getattr__(self, name: str) -> Any:
         real = getattr(os, name)
-        return self._failing(name, real) if name in CALLS else real
+        return self._failing(name, real) if name in FAULTY_CALLS else real
 
     def _failing(self, name: str, real: Any) -> Any:
         def call(*arguments: Any) -> Any:
             error = self.fault(name)
             if error is None:
                 return real(*arguments)
-            if name == "close":  # on Linux the descriptor is gone all the same
+            if name == "close":  # on Linux, a failing close releases the descriptor too
                 real(*arguments)
             if name == "write":
-                real(arguments[0], bytes(arguments[1])[: self.kept])
+                real(arguments[0], bytes(arguments[1])[: self.written_bytes])
             raise error
 
         return call
 
 
 def fault_at(number: int, error: BaseException) -> Callable[[str], BaseException | None]:
-    """The call of this number fails, counted from 0, and no other."""
+    """Return a fault of only the call with this number, counted from 0."""
     left = [number]
 
     def fault(name: str) -> BaseException | None:
@@ -93,15 +96,16 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-@pytest.mark.parametrize("number", range(8))  # open, write, fsync, close, replace, and the folder's three
-def test_each_call_that_fails_leaves_a_complete_file_and_no_temporary_file(
+# Calls 0 to 4: open, write, fsync, close and replace of the file; 5 to 7: open, fsync, close of the folder.
+@pytest.mark.parametrize("number", range(8))
+def test_snapshot_write_failing_call_leaves_complete_file_only(
     number: int, code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "last"
     write_snapshot(str(path), snapshot(1))
     descriptors = len(os.listdir("/proc/self/fd"))
     faulty = FaultyOs(fault_at(number, OSError(code, os.strerror(code))))
-    faulty.kept = 7
+    faulty.written_bytes = 7
     monkeypatch.setattr(atomic_file, "os", faulty)
     with pytest.raises(OSError):
         write_snapshot(str(path), snapshot(2))
@@ -110,7 +114,7 @@
     assert len(os.listdir("/proc/self/fd")) == descriptors
 
 
-def test_a_thousand_failures_leave_one_temporary_file_at_most_and_the_next_write_none(
+def test_snapshot_write_repeated_failures_leave_at_most_one_temporary_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, rng, failed = tmp_path / "last", random.Random(9), 0
@@ -123,7 +127,7 @@
         faulty = FaultyOs(fault)
         patch.setattr(atomic_file, "os", faulty)
         while failed < 1_000:
-            faulty.kept = rng.randrange(100)
+            faulty.written_bytes = rng.randrange(100)
             try:
                 write_snapshot(str(path), snapshot(failed))
             except OSError:
@@ -134,39 +138,42 @@
     assert os.listdir(tmp_path) == ["last"] and decode(path.read_bytes()) == snapshot(7)
 
 
-def ended_process() -> int:
+def start_and_end_process() -> int:
     process = subprocess.Popen([sys.executable, "-c", ""])
     process.wait()
     return process.pid
 
 
-def test_a_kill_at_any_byte_leaves_the_old_file_and_half_a_one_is_refused(
+def test_snapshot_write_killed_at_any_byte_keeps_old_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, data = tmp_path / "last", encode(snapshot(2))
     write_snapshot(str(path), snapshot(1))
-    for kept in range(len(data)):
+    for written_bytes in range(len(data)):
         with monkeypatch.context() as patch:
-            faulty = FaultyOs(fault_at(1, Killed()))
-            faulty.kept = kept
+            faulty = FaultyOs(fault_at(1, SimulatedKill()))
+            faulty.written_bytes = written_bytes
             patch.setattr(atomic_file, "os", faulty)
-            with pytest.raises(Killed):
+            with pytest.raises(SimulatedKill):
                 write_snapshot(str(path), snapshot(2))
         assert decode(path.read_bytes()) == snapshot(1)
         half = Path(atomic_file.temporary_path(str(path))).read_bytes()
-        assert half == data[:kept]
+        assert half == data[:written_bytes]
         with pytest.raises(SnapshotError, match="."):
             decode(half)
 
 
-def test_kills_don_t_pile_up_files_and_those_of_running_processes_stay(
+def test_snapshot_write_removes_temporary_files_of_killed_processes_only(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two processes may write at once while one replaces the other; other files are nobody's business."""
-    path, ended = tmp_path / "last", ended_process()
+    """Temporary files of running processes and other files must stay.
+
+    Two processes may write at the same time while one replaces the other.
+    """
+    path, ended = tmp_path / "last", start_and_end_process()
     for number in range(4):  # after open, write, fsync and close
-        with monkeypatch.context() as patch, suppress(Killed):
-            patch.setattr(atomic_file, "os", FaultyOs(fault_at(number + 1, Killed())))
+        with monkeypatch.context() as patch, suppress(SimulatedKill):
+            patch.setattr(atomic_file, "os", FaultyOs(fault_at(number + 1, SimulatedKill())))
             patch.setattr(os, "getpid", lambda: ended)
             write_snapshot(str(path), snapshot(1))
         assert os.listdir(tmp_path) == [f"last.{ended}.tmp"]
@@ -178,7 +185,7 @@
 
 
 class Timer(NamedTuple):
-    """A callback that is due at a time; cancelled, it stays without effect."""
+    """A callback that is due at a given time unless it is cancelled."""
 
     due: float
     callback: Callable[[], object]
@@ -189,7 +196,7 @@
 
 
 class ManualClock:
-    """Time that the test moves."""
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -216,8 +223,8 @@
             timer.callback()
 
 
-class Lines:
-    """A log that is kept."""
+class RecordingLog:
+    """A log that records its lines."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -229,11 +236,11 @@
         self.lines.append(where)
 
 
-class Site:
-    """A snapshot writer over a list that the test sets, on a disk that the test breaks."""
+class SnapshotWriterTestbed:
+    """A snapshot writer with a list that the test sets, on a disk whose writes the test makes fail."""
 
     def __init__(self, path: Path, patch: pytest.MonkeyPatch) -> None:
-        self.path, self.clock, self.log = path, ManualClock(), Lines()
+        self.path, self.clock, self.log = path, ManualClock(), RecordingLog()
         self.table, self.confirmed = snapshot(1).table, True
         self.error: OSError | None = None
         patch.setattr(atomic_file, "os", FaultyOs(lambda name: self.error if name == "write" else None))
@@ -249,7 +256,7 @@
         )
 
     async def settle(self, seconds: float = 2.0) -> None:
-        """Let so much time pass, and a write that it starts come to its end."""
+        """Advance the clock, then wait for the end of a write that this starts."""
         self.clock.advance(seconds)
         await wait_until(lambda: not self.writer.writing)
 
@@ -257,70 +264,68 @@
         return int(decode(self.path.read_bytes()).table["seq"])
 
 
-def test_the_newest_list_is_written_once_the_disk_is_well_without_a_further_change(
+def test_snapshot_newest_list_is_written_after_disk_recovers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     @async_test
     async def test() -> None:
-        site = Site(tmp_path / "last", monkeypatch)
-        site.error = OSError(errno.ENOSPC, "No space left on device")
-        site.writer.list_changed()
-        await site.settle()
-        site.table = snapshot(2).table
-        site.writer.list_changed()
+        testbed = SnapshotWriterTestbed(tmp_path / "last", monkeypatch)
+        testbed.error = OSError(errno.ENOSPC, "No space left on device")
+        testbed.writer.list_changed()
+        await testbed.settle()
+        testbed.table = snapshot(2).table
+        testbed.writer.list_changed()
         for _ in range(20):
-            await site.settle()
-        assert not site.path.exists() and 4 <= site.writer.failed_writes < 10
-        site.error = None
-        await site.settle(MAX_RETRY_DELAY_S)
-        assert site.version() == 2 and not site.clock.timers
-        site.table = snapshot(3).table  # from then on as if nothing had been
-        site.writer.list_changed()
-        await site.settle()
-        assert site.version() == 3
+            await testbed.settle()
+        assert not testbed.path.exists() and 4 <= testbed.writer.failed_writes < 10
+        testbed.error = None
+        await testbed.settle(MAX_RETRY_DELAY_S)
+        assert testbed.version() == 2 and not testbed.clock.timers
+        testbed.table = snapshot(3).table  # later changes are written as before the failures
+        testbed.writer.list_changed()
+        await testbed.settle()
+        assert testbed.version() == 3
 
     test()
 
 
-def test_a_change_while_the_list_is_not_confirmed_is_written_when_it_is(
+def test_snapshot_unconfirmed_list_is_written_once_confirmed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     @async_test
     async def test() -> None:
-        site = Site(tmp_path / "last", monkeypatch)
-        site.confirmed = False
-        site.writer.list_changed()
-        await site.settle()
-        assert not site.path.exists()
-        site.confirmed = True
-        await site.settle()
-        assert site.version() == 1
+        testbed = SnapshotWriterTestbed(tmp_path / "last", monkeypatch)
+        testbed.confirmed = False
+        testbed.writer.list_changed()
+        await testbed.settle()
+        assert not testbed.path.exists()
+        testbed.confirmed = True
+        await testbed.settle()
+        assert testbed.version() == 1
 
     test()
 
 
-def test_failures_in_a_row_are_one_line_whatever_their_errors(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_snapshot_consecutive_failures_log_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     @async_test
     async def test() -> None:
-        site = Site(tmp_path / "last", monkeypatch)
+        testbed = SnapshotWriterTestbed(tmp_path / "last", monkeypatch)
         for number in range(100):
             code = errno.EIO if number % 2 else errno.ENOSPC
-            site.error = OSError(code, os.strerror(code))
-            site.writer.list_changed()
-            await site.settle(MAX_RETRY_DELAY_S)
-        assert len(site.log.lines) == 1 and site.writer.failed_writes == 100
-        assert "cannot be written" in site.log.lines[0] and "No space left" in site.log.lines[0]
-        site.error = None
-        await site.settle(MAX_RETRY_DELAY_S)
-        assert len(site.log.lines) == 2 and "written again after 100 failures" in site.log.lines[1]
+            testbed.error = OSError(code, os.strerror(code))
+            testbed.writer.list_changed()
+            await testbed.settle(MAX_RETRY_DELAY_S)
+        assert len(testbed.log.lines) == 1 and testbed.writer.failed_writes == 100
+        assert "cannot be written" in testbed.log.lines[0] and "No space left" in testbed.log.lines[0]
+        testbed.error = None
+        await testbed.settle(MAX_RETRY_DELAY_S)
+        assert len(testbed.log.lines) == 2 and "written again after 100 failures" in testbed.log.lines[1]
         assert os.listdir(tmp_path) == ["last"]
 
     test()
 
 
-HANGING = """
+HANGING_WRITE_PROGRAM = """
 import asyncio, threading, time, uvloop
 from quartzford import atomic_file
 from quartzford.engine import LoopClock, StderrLog
@@ -354,9 +359,9 @@
 """
 
 
-def test_a_write_that_hangs_holds_up_neither_the_loop_nor_the_end_of_the_process(tmp_path: Path) -> None:
+def test_snapshot_hanging_write_blocks_neither_loop_nor_exit(tmp_path: Path) -> None:
     done = subprocess.run(
-        [sys.executable, "-c", HANGING],
+        [sys.executable, "-c", HANGING_WRITE_PROGRAM],
         cwd=tmp_path,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
         capture_output=True,
@@ -366,45 +371,45 @@
     assert done.stdout == b"ended\n"
 
 
-def test_a_disk_that_hangs_is_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_snapshot_hanging_disk_logs_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     @async_test
     async def test() -> None:
-        site, well = Site(tmp_path / "last", monkeypatch), threading.Event()
-        monkeypatch.setattr(writing, "write_snapshot", lambda path, one: well.wait(20.0))
-        site.writer.refresh_age()
-        site.clock.advance(2.0)
+        testbed, disk_recovered = SnapshotWriterTestbed(tmp_path / "last", monkeypatch), threading.Event()
+        monkeypatch.setattr(writing, "write_snapshot", lambda path, snapshot: disk_recovered.wait(20.0))
+        testbed.writer.refresh_age()
+        testbed.clock.advance(2.0)
         for _ in range(4):
-            site.clock.advance(30.0)
-        assert len(site.log.lines) == 1 and "hangs" in site.log.lines[0]
-        well.set()
-        await wait_until(lambda: not site.writer.writing)
+            testbed.clock.advance(30.0)
+        assert len(testbed.log.lines) == 1 and "hangs" in testbed.log.lines[0]
+        disk_recovered.set()
+        await wait_until(lambda: not testbed.writer.writing)
 
     test()
 
 
-def maintenance_file_on(
+def make_maintenance_file(
     disk: Any, path: Path, patch: pytest.MonkeyPatch
-) -> tuple[MaintenanceFile, ManualClock, Lines]:
+) -> tuple[MaintenanceFile, ManualClock, RecordingLog]:
     patch.setattr(atomic_file, "os", disk)
-    clock, log = ManualClock(), Lines()
+    clock, log = ManualClock(), RecordingLog()
     return MaintenanceFile(str(path), clock, log), clock, log
 
 
-def test_endpoints_in_maintenance_go_on_file_once_the_disk_is_well(
+def test_maintenance_file_is_written_after_disk_recovers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     broken, rng = [True], random.Random(3)
 
     def fault(name: str) -> OSError | None:
-        wanted = broken[0] and name in ("write", "replace")
-        return OSError(rng.choice([errno.ENOSPC, errno.EIO]), "fails") if wanted else None
+        is_faulty = broken[0] and name in ("write", "replace")
+        return OSError(rng.choice([errno.ENOSPC, errno.EIO]), "fails") if is_faulty else None
 
-    maintenance_file, clock, log = maintenance_file_on(FaultyOs(fault), tmp_path / "out", monkeypatch)
+    maintenance_file, clock, log = make_maintenance_file(FaultyOs(fault), tmp_path / "out", monkeypatch)
     names = {"s0"}
     maintenance_file.save(names)
     for _ in range(100):
         clock.advance(WRITE_RETRY_S)
-    names.add("s1")  # told meanwhile by the other process, which keeps its own file of it
+    names.add("s1")  # a change from the other process, added to the set without a call of save
     assert len(log.lines) == 1 and os.listdir(tmp_path) == []
     broken[0] = False
     clock.advance(WRITE_RETRY_S)
@@ -418,41 +423,41 @@
     assert maintenance_file.read() == []
 
 
-def test_a_maintenance_file_that_could_not_be_written_is_retried_at_the_end(
+def test_maintenance_file_failed_write_is_retried_at_stop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     errors: list[OSError | None] = [OSError(errno.EIO, "fails")]
     disk = FaultyOs(lambda name: errors[0] if name == "write" else None)
-    maintenance_file, _, _ = maintenance_file_on(disk, tmp_path / "out", monkeypatch)
+    maintenance_file, _, _ = make_maintenance_file(disk, tmp_path / "out", monkeypatch)
     maintenance_file.save({"s0"})
     errors[0] = None
     maintenance_file.stop()
     assert maintenance_file.read() == ["s0"]
 
 
-def test_a_kill_at_any_byte_of_the_maintenance_file_leaves_the_old_content(
+def test_maintenance_file_write_killed_at_any_byte_keeps_old_content(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, page = tmp_path / "out", b'{"format":1,"out":["s0","s1"]}'
     write_maintenance_file(str(path), {"s0"})
-    for kept in range(len(page)):
+    for written_bytes in range(len(page)):
         with monkeypatch.context() as patch:
-            disk = FaultyOs(fault_at(1, Killed()))
-            disk.kept = kept
+            disk = FaultyOs(fault_at(1, SimulatedKill()))
+            disk.written_bytes = written_bytes
             patch.setattr(atomic_file, "os", disk)
-            with pytest.raises(Killed):
+            with pytest.raises(SimulatedKill):
                 write_maintenance_file(str(path), {"s0", "s1"})
         assert read_maintenance_file(str(path)) == ["s0"]
         half = Path(atomic_file.temporary_path(str(path)))
-        assert half.read_bytes() == page[:kept]
+        assert half.read_bytes() == page[:written_bytes]
         with pytest.raises(MaintenanceFileError):
             read_maintenance_file(str(half))
 
 
-def test_two_processes_that_write_the_maintenance_file_at_once_don_t_meet_in_one_temporary_file(
+def test_maintenance_file_concurrent_writers_use_separate_temporary_files(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The old one's write is on when the successor's begins and ends."""
+    """The successor starts and completes a write while the predecessor is writing."""
     path, pids = tmp_path / "out", [os.getpid(), os.getppid()]
 
     class Overtaken(FaultyOs):
@@ -460,45 +465,45 @@
             if len(pids) == 2:
                 monkeypatch.setattr(os, "getpid", lambda: pids[0])
                 pids.pop()
-                write_maintenance_file(str(path), {"new"})
+                write_maintenance_file(str(path), {"successor"})
             return os.write(descriptor, data)
 
     monkeypatch.setattr(os, "getpid", lambda: pids[1])
     monkeypatch.setattr(atomic_file, "os", Overtaken(lambda name: None))
-    write_maintenance_file(str(path), {"of the old one"})
-    assert read_maintenance_file(str(path)) == ["of the old one"] and os.listdir(tmp_path) == ["out"]
+    write_maintenance_file(str(path), {"predecessor"})
+    assert read_maintenance_file(str(path)) == ["predecessor"] and os.listdir(tmp_path) == ["out"]
 
 
 @with_replaced_balancer
-async def test_maintenance_that_the_predecessor_could_not_write_is_written_by_its_successor(
+async def test_successor_writes_maintenance_file_that_predecessor_could_not(
     balancer: ReplacedBalancer,
 ) -> None:
     assert (await balancer.call("PUT /maintenance/enter", "s1")).status == 200
     (file,) = balancer.folder.glob("*.out")
-    file.unlink()  # as if it had never been written
+    file.unlink()  # simulates a predecessor that could not write the file
     await balancer.replace()
     balancer.processes[-1].kill()
     await balancer.processes[-1].wait()
     await balancer.start()
-    await balancer.yes()
+    await balancer.wait_until_ready()
     assert (await balancer.metrics())["edge.upstreams_excluded"] == 1
 
 
 @pytest.mark.parametrize("name", ["open", "chmod", "replace"])
-def test_a_successor_can_come_once_the_folder_is_well(
+def test_predecessor_listens_after_folder_recovers(
     name: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failures in a row leave no descriptor and no file, and are one line."""
+    """Consecutive failures leave no descriptor and no file, and log one line."""
     errors = [OSError(errno.ENOSPC, "No space left on device")]
 
     @async_test
     async def test() -> None:
         faulty = FaultyOs(lambda call: errors[0] if errors and call == name else None)
         monkeypatch.setattr(unix_socket, "os", faulty)
-        clock, log, loop = ManualClock(), Lines(), asyncio.get_running_loop()
-        one = Handover(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
+        clock, log, loop = ManualClock(), RecordingLog(), asyncio.get_running_loop()
+        handover = Handover(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
         descriptors = len(os.listdir("/proc/self/fd"))
-        one.announce_serving()
+        handover.announce_serving()
         for _ in range(100):
             clock.advance(LISTEN_RETRY_S)
         assert len(os.listdir("/proc/self/fd")) == descriptors
@@ -507,32 +512,32 @@
         clock.advance(LISTEN_RETRY_S)
         assert (
             os.listdir(tmp_path) == ["q.sock"]
-            and one.predecessor_side.listener is not None
+            and handover.predecessor_side.listener is not None
             and len(log.lines) == 2
         )
-        one.stop()
+        handover.stop()
         assert not clock.timers
 
     test()
 
 
-def test_the_socket_of_a_process_killed_before_it_took_over_the_path_is_removed(tmp_path: Path) -> None:
-    (tmp_path / f"q.sock.{ended_process()}.tmp").write_bytes(b"")
+def test_predecessor_removes_temporary_socket_of_killed_process(tmp_path: Path) -> None:
+    (tmp_path / f"q.sock.{start_and_end_process()}.tmp").write_bytes(b"")
 
     @async_test
     async def test() -> None:
-        clock, log, loop = ManualClock(), Lines(), asyncio.get_running_loop()
-        one = Handover(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
-        one.announce_serving()
+        clock, log, loop = ManualClock(), RecordingLog(), asyncio.get_running_loop()
+        handover = Handover(None, str(tmp_path / "q"), clock, log, loop)  # type: ignore[arg-type]
+        handover.announce_serving()
         assert os.listdir(tmp_path) == ["q.sock"]
-        one.stop()
+        handover.stop()
 
     test()
 
 
-@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no device that is full")
-def test_a_full_disk_behind_the_log_costs_lines(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A reload goes on behind its line, and the exit status stays."""
+@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="/dev/full does not exist")
+def test_log_full_disk_loses_only_lines(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A failed log write must neither stop a reload nor change the exit status."""
     monkeypatch.setattr(test_process, "COMMAND", f"{test_process.COMMAND} 2>/dev/full")
 
     async def test() -> None:
@@ -547,8 +552,8 @@
     uvloop.run(test())
 
 
-@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no device that is full")
-def test_a_line_that_can_t_be_written_raises_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="/dev/full does not exist")
+def test_log_failed_write_raises_no_error(monkeypatch: pytest.MonkeyPatch) -> None:
     clock, full = ManualClock(), open("/dev/full", "w", buffering=1)  # noqa: SIM115
     monkeypatch.setattr(sys, "stderr", full)
     log = StderrLog(clock.now)
@@ -563,15 +568,15 @@
     return io.Request(number, "consulta", 2000.0, "lima", "k" * 200)
 
 
-def recorder_at(path: Path) -> tuple[Recorder, Lines]:
-    log = Lines()
+def recorder_at(path: Path) -> tuple[Recorder, RecordingLog]:
+    log = RecordingLog()
     return Recorder(str(path), "plain", 10**9, ManualClock(), log), log
 
 
-def test_a_trace_whose_disk_hangs_is_not_waited_for_beyond_its_time(tmp_path: Path) -> None:
+def test_trace_hanging_disk_close_returns_after_timeout(tmp_path: Path) -> None:
     path = tmp_path / "trace"
     os.mkfifo(path)
-    reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)  # which reads nothing
+    reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)  # opened but never read
     recorder, log = recorder_at(path)
     for number in range(2_000):
         recorder.record(request_of(number), 0)
@@ -582,9 +587,7 @@
     recorder.thread.join(20.0)
 
 
-def test_a_process_whose_trace_hangs_ends_in_its_time(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_trace_hanging_disk_process_exits_in_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path, operator = tmp_path / "trace", tmp_path / "operator.toml"
     operator.write_text('[trace]\nfile = "trace"\n')
     os.mkfifo(path)
@@ -607,9 +610,9 @@
     os.close(reader)
 
 
-@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no device that is full")
+@pytest.mark.skipif(not os.path.exists("/dev/full"), reason="/dev/full does not exist")
 @pytest.mark.parametrize("count", [1, 2_000])
-def test_a_trace_that_fails_in_its_last_lines_says_so_once(count: int) -> None:
+def test_trace_failure_in_last_lines_is_logged_once(count: int) -> None:
     recorder, log = recorder_at(Path("/dev/full"))
     for number in range(count):
         recorder.record(request_of(number), 0)
@@ -618,7 +621,7 @@
     assert len(log.lines) == 1 and "No space left" in log.lines[0]
 
 
-def test_a_trace_cut_off_at_any_byte_is_refused(tmp_path: Path) -> None:
+def test_trace_truncated_at_any_byte_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "trace"
     recorder, _ = recorder_at(path)
     for number in range(11):
@@ -626,27 +629,29 @@
     recorder.close()
     text = path.read_text()
     assert len(list(read_trace(text.splitlines(keepends=True)))) == 11
-    for kept in range(len(text) - 1):
+    for length in range(len(text) - 1):
         with pytest.raises(TraceError, match="line [0-9]+: "):
-            list(read_trace(text[:kept].splitlines(keepends=True)))
+            list(read_trace(text[:length].splitlines(keepends=True)))
 
 
-def test_a_handed_over_state_cut_off_at_any_byte_is_refused() -> None:
-    """A predecessor that is killed half way: nothing is taken from a part of its state."""
+def test_state_truncated_at_any_byte_is_rejected() -> None:
+    """The successor must not use a part of the state of a predecessor killed during the handover."""
     balancer = started_balancer(6)
     listing: dict[str, Any] = {"seq": 1, "whole": True, "hosts": [LIST_ROW]}
-    one = wire.BalancerState(wire.STATE_FORMAT, listing, 1, ["a", 1], True, 0, balancer.hand_over(5.0))
-    data = b"".join(wire.split_state(one))
-    assert wire.decode_state(data).listing == listing
-    for kept in range(len(data)):
+    state = state_codec.BalancerState(
+        state_codec.STATE_FORMAT, listing, 1, ["a", 1], True, 0, balancer.hand_over(5.0)
+    )
+    data = b"".join(state_codec.split_state(state))
+    assert state_codec.decode_state(data).listing == listing
+    for length in range(len(data)):
         with pytest.raises(StateFormatError, match="the state"):
-            wire.decode_state(data[:kept])
+            state_codec.decode_state(data[:length])
 
 
-def test_a_maintenance_file_that_can_t_be_read_is_logged(tmp_path: Path) -> None:
-    path, log = tmp_path / "out", Lines()
+def test_maintenance_file_unreadable_is_logged(tmp_path: Path) -> None:
+    path, log = tmp_path / "out", RecordingLog()
     maintenance_file = MaintenanceFile(str(path), ManualClock(), log)
-    assert maintenance_file.read() == [] and not log.lines  # there is none yet
+    assert maintenance_file.read() == [] and not log.lines  # a missing file is not an error
     path.write_bytes(b"{")
     assert maintenance_file.read() == [] and "is not used" in log.lines[-1]
     path.unlink()
@@ -654,10 +659,10 @@
     assert maintenance_file.read() == [] and len(log.lines) == 2
 
 
-def test_a_worker_s_socket_that_can_t_be_removed_does_not_break_the_end_off(
+def test_extproc_stop_survives_failed_removal_of_worker_socket(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The external processor ends before the balancer, which still answers its requests."""
+    """The external processor stops before the balancer, which must still answer open requests."""
     extproc_site = pytest.importorskip("extproc_site")
 
     def fails(*arguments: Any, **named: Any) -> None:
@@ -670,6 +675,6 @@
             monkeypatch.setattr(os, "rmdir", fails)
             await site.front.stop()
             monkeypatch.undo()
-            site.front.folder.cleanup()
+            site.front.socket_folder.cleanup()
 
     test()
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -1,4 +1,4 @@
-"""The keys that the operator's file may have, and the fields that hold them."""
+"""The keys of the operator's file and the settings fields into which they are read."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 @pytest.mark.parametrize("section", SECTIONS)
-def test_each_field_of_a_section_has_a_checked_key(section: str) -> None:
-    kind, checks = SECTIONS[section]
+def test_section_fields_match_checked_keys(section: str) -> None:
+    section_type, checks = SECTIONS[section]
     names = {file.RELAY_FIELD_NAMES.get(key, key) for key in checks}
-    assert names == {field.name for field in fields(kind)}
+    assert names == {field.name for field in fields(section_type)}
 
 
-def test_a_key_whose_field_has_another_name_is_read_into_it() -> None:
+def test_renamed_key_is_read_into_its_field() -> None:
     text = '[relay]\nlisten = "h:1"\nsource = "h:2"\nbalancers = 3\nwhole_bytes_per_s = 4000\n'
     relay = file.read_operator_settings(text).relay
     assert relay is not None
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -1,4 +1,4 @@
-"""A process is replaced while it serves: the table, the state, and the failures, each on real processes."""
+"""Replacement of a serving process: state machine, state that is handed over, failures of real processes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from quartzford.decision.logic import Balancer
 from quartzford.engine import LoopClock, StderrLog
 from quartzford.replacement import messages
-from quartzford.replacement import state as wire
+from quartzford.replacement import state as state_codec
 from quartzford.replacement.encoded_learned_state import EncodedEndpoint, EncodedLearnedState, EncodedRate
 from quartzford.replacement.errors import StateFormatError
 from quartzford.replacement.handover import Handover
@@ -48,11 +48,14 @@
 )
 from quartzford.replacement.unix_socket import balancer_path, short_path
 
-# ---- the table
+# ---- state machine
 
 
-def test_events_in_any_order_leave_one_process_serving() -> None:
-    """Drawn events: it takes connections in SERVING and DRAINING alone, and hands them to the living."""
+def test_state_machine_random_events_accept_only_in_serving_and_draining() -> None:
+    """After random events, the process accepts connections only in SERVING and DRAINING.
+
+    It transfers clients only while a successor is connected.
+    """
     for seed in range(300):
         rng, actions = random.Random(seed), []
         state_machine = HandoverStateMachine(actions.append)
@@ -90,33 +93,35 @@
     )
 
 
-# ---- what is handed over
+# ---- state that is handed over
 
 
 def learned_balancer(**changes: Any) -> Balancer:
-    """A balancer with a fast and a failing server, a cold one, one out by hand and one suspect."""
+    """Return a balancer with servers that are fast, failing, suspect, in slow start and in maintenance."""
     balancer = started_balancer(6, **changes)
     balancer.handle(5.0, io.MaintenanceChange("s5", True))
     balancer.handle(6.0, io.EndpointListUpdate("changes", (make_endpoint(4, started_ms=5.0),)))
     for number in range(400):
         now = 10.0 + 5 * number
         for send in sends(submit(balancer, now, number)):
-            bad = send.server == "s0"
-            spent = 5.0 if send.server == "s1" else 20.0
-            actions = balancer.handle(now + 4, attempt_ended(send, 0, "error" if bad else "ok", spent))
-            for again in sends(actions):
-                balancer.handle(now + 4.5, attempt_ended(again, 1, "ok", spent))
+            fails = send.server == "s0"
+            latency_ms = 5.0 if send.server == "s1" else 20.0
+            actions = balancer.handle(now + 4, attempt_ended(send, 0, "error" if fails else "ok", latency_ms))
+            for retry in sends(actions):
+                balancer.handle(now + 4.5, attempt_ended(retry, 1, "ok", latency_ms))
     return balancer
 
 
-def test_a_successor_goes_on_where_its_predecessor_stopped() -> None:
+def test_successor_continues_with_learned_state() -> None:
     old, now = learned_balancer(), 2_100.0
     before = {s.entry.server: (s.p, s.cost, s.failure_rate, max(0.0, s.ejected_until)) for s in old.ready}
     budget = old.retry_budget
-    memory = wire.decode_state(
+    memory = state_codec.decode_state(
         b"".join(
-            wire.split_state(
-                wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, old.hand_over(now))
+            state_codec.split_state(
+                state_codec.BalancerState(
+                    state_codec.STATE_FORMAT, {}, 1, ["a", 1], True, 0, old.hand_over(now)
+                )
             )
         )
     ).memory
@@ -131,7 +136,7 @@
         new.latency.typical_latencies == old.latency.typical_latencies
         and new.retry_budget + old.retry_budget == pytest.approx(budget)
     )
-    # One budget for the cold server: the old process has none of it left, the new one what was left.
+    # The slow-start budget moves with the server: the new process has the rest, the old process has none.
     cold = new.servers["s4"]
     assert cold in new.endpoints.slow_start.cold and cold.tokens == old.servers["s4"].tokens
     old_sends = {s.server for n in range(200) for s in sends(submit(old, now + 5_000, 9_000 + n))}
@@ -140,7 +145,7 @@
     assert old.servers["s4"].tokens == 0.0
 
 
-def test_another_incarnation_and_unknown_endpoints_start_without_what_was_learned() -> None:
+def test_new_incarnation_and_unknown_endpoints_inherit_no_learned_state() -> None:
     old = learned_balancer()
     memory = old.hand_over(2_100.0)
     new = Balancer(settings(), 1)
@@ -156,12 +161,12 @@
     assert sends(submit(new, 2_101.0, 1))
 
 
-def test_encoded_records_have_the_fields_and_defaults_of_those_they_stand_for() -> None:
+def test_encoded_records_match_fields_and_defaults_of_records() -> None:
     for encoded, record in (
         (EncodedRate, io.LearnedRate),
         (EncodedEndpoint, io.LearnedEndpoint),
         (EncodedLearnedState, io.LearnedState),
-        (wire.EncodedBalancerState, wire.BalancerState),
+        (state_codec.EncodedBalancerState, state_codec.BalancerState),
     ):
         assert encoded.__struct_fields__ == tuple(field.name for field in fields(record))
     assert EncodedRate().decode() == io.LearnedRate()
@@ -172,8 +177,8 @@
 
 def _table(**changes: Any) -> dict[str, Any]:
     memory = learned_balancer().hand_over(2_100.0)
-    state = wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, memory)
-    table: dict[str, Any] = msgspec.msgpack.decode(b"".join(wire.split_state(state)))
+    state = state_codec.BalancerState(state_codec.STATE_FORMAT, {}, 1, ["a", 1], True, 0, memory)
+    table: dict[str, Any] = msgspec.msgpack.decode(b"".join(state_codec.split_state(state)))
     return table | changes
 
 
@@ -199,30 +204,30 @@
         (lambda: b"\xc1", "the state cannot be decoded"),
     ],
 )
-def test_an_invalid_state_is_rejected_with_its_reason(table: Any, reason: str) -> None:
+def test_invalid_state_is_rejected_with_reason(table: Any, reason: str) -> None:
     made = table()
     data = made if isinstance(made, bytes) else msgspec.msgpack.encode(made)
     with pytest.raises(StateFormatError, match=reason):
-        wire.decode_state(data)
+        state_codec.decode_state(data)
     for cut in range(0, len(data), max(1, len(data) // 40)):
         with suppress(StateFormatError):
-            wire.decode_state(data[:cut])
+            state_codec.decode_state(data[:cut])
 
 
-# ---- processes
+# ---- real processes
 
 
 class ReplacedBalancer:
-    """A balancer whose processes replace one another, in one folder."""
+    """A balancer whose processes replace one another and share a folder."""
 
     def __init__(self, path: Path, upstreams: int) -> None:
         self.path, self.testbed = path, BalancerTestbed(upstreams)
         self.processes: list[asyncio.subprocess.Process] = []
-        self.admins: list[int] = []
+        self.admin_ports: list[int] = []
         self.folder = path / "t"
-        self.root = ROOT  # where the code of the next process lies
+        self.root = ROOT  # folder with the code of the next process
 
-    async def begin(self) -> None:
+    async def start_site(self) -> None:
         self.folder.mkdir()
         for peer in (*self.testbed.upstreams, self.testbed.discovery):
             await peer.start()
@@ -239,19 +244,19 @@
             "settings": self.testbed.settings,
         }
         await self.start()
-        await self.yes()
+        await self.wait_until_ready()
 
     async def start(self, config: Any = None) -> asyncio.subprocess.Process:
-        self.admins.append(reserved_port())
-        file = self.path / f"{len(self.admins)}.json"
+        self.admin_ports.append(reserved_port())
+        file = self.path / f"{len(self.admin_ports)}.json"
         file.write_text(json.dumps(config or self.config))
         env = {
             **os.environ,
             "EDGE_CONFIG": str(file),
             "TMPDIR": str(self.folder),
-            "EDGE_ADMIN_ADDR": f"127.0.0.1:{self.admins[-1]}",
+            "EDGE_ADMIN_ADDR": f"127.0.0.1:{self.admin_ports[-1]}",
         }
-        with self.log_file(len(self.admins)).open("wb") as log:
+        with self.log_file(len(self.admin_ports)).open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh", "-c", COMMAND, cwd=self.root, env=env, stderr=log
             )
@@ -259,47 +264,47 @@
         return process
 
     def log_file(self, number: int) -> Path:
-        """Of the process that was started as this one, counted from 1."""
+        """Return the log file of the process with this number, counted from 1 in order of start."""
         return self.path / f"{number}.log"
 
-    def print_evidence(self) -> None:
-        """What lies in the folder and what the processes wrote: shown where the test fails."""
+    def print_diagnostics(self) -> None:
+        """Print the folder's content and the processes' logs, which pytest shows if the test fails."""
         print("in the folder:", sorted(path.name for path in self.folder.glob("*")))
         for file in sorted(self.path.glob("*.log")):
             print(f"{file.name}:\n{file.read_text(errors='replace')}")
 
     async def call(self, line: str, body: str = "", at: int = -1) -> Message:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.admins[at])
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_ports[at])
         writer.write(f"{line} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         try:
             return await asyncio.wait_for(read_message(reader), 20)
         finally:
             writer.close()
 
-    async def yes(self, at: int = -1) -> None:
+    async def wait_until_ready(self, at: int = -1) -> None:
         for _ in range(1000):
             with suppress(OSError, asyncio.IncompleteReadError):
                 if (await self.call("GET /status", at=at)).status == 200:
                     return
             await asyncio.sleep(0.01)
-        raise AssertionError("it was never ready")
+        raise AssertionError("the balancer did not become ready in time")
 
     async def metrics(self, at: int = -1) -> dict[str, int]:
         body = (await self.call("GET /status/metrics", at=at)).body.decode()
         return {name: int(value) for name, _, value in (li.partition("=") for li in body.splitlines())}
 
-    async def until_figure(self, name: str, wanted: int, at: int = -1) -> None:
+    async def wait_for_metric(self, name: str, expected: int, at: int = -1) -> None:
         for _ in range(1000):
-            if (await self.metrics(at))[f"edge.{name}"] == wanted:
+            if (await self.metrics(at))[f"edge.{name}"] == expected:
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError(f"{name} was never {wanted}")
+        raise AssertionError(f"{name} did not become {expected}")
 
     async def replace(self) -> None:
-        """As the platform does: SIGTERM to the old one at the new one's yes."""
+        """Replace the process as the platform does: SIGTERM to the old process once the new one is ready."""
         old = self.processes[-1]
         await self.start()
-        await self.yes()
+        await self.wait_until_ready()
         old.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(old.wait(), 20) == 0
 
@@ -307,15 +312,15 @@
         return ClientConnection(*await asyncio.open_connection("127.0.0.1", self.port, limit=2**22))
 
     async def submit(self, data: bytes | None = None) -> Message:
-        kept = await self.connect()
+        connection = await self.connect()
         try:
-            return await asyncio.wait_for(kept.submit(data or request()), 20)
+            return await asyncio.wait_for(connection.submit(data or request()), 20)
         finally:
-            kept.writer.close()
+            connection.writer.close()
 
 
 class ClientConnection:
-    """A client's connection that is kept."""
+    """A persistent connection of a client."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -332,10 +337,10 @@
     balancer = ReplacedBalancer(path, upstreams)
     balancer.root = root
     try:
-        await balancer.begin()
+        await balancer.start_site()
         yield balancer
     finally:
-        balancer.print_evidence()
+        balancer.print_diagnostics()
         for process in balancer.processes:
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
@@ -358,22 +363,22 @@
 
 
 @with_replaced_balancer
-async def test_two_replacements_in_a_row_lose_nothing_and_keep_every_connection(
+async def test_two_consecutive_replacements_lose_no_request_or_connection(
     balancer: ReplacedBalancer,
 ) -> None:
-    kept = [await balancer.connect() for _ in range(20)]
-    stop, served = asyncio.Event(), [0] * len(kept)
+    connections = [await balancer.connect() for _ in range(20)]
+    stop, served = asyncio.Event(), [0] * len(connections)
 
     async def client(number: int) -> None:
         while not stop.is_set():
-            answer = await kept[number].submit()
+            answer = await connections[number].submit()
             assert answer.status == 200 and answer.fields.get("connection") != "close"
             served[number] += 1
             await asyncio.sleep(0.002 * (number % 5))
 
-    resting = await balancer.connect()
-    assert (await resting.submit()).status == 200
-    clients = [asyncio.ensure_future(client(n)) for n in range(len(kept))]
+    idle = await balancer.connect()
+    assert (await idle.submit()).status == 200
+    clients = [asyncio.ensure_future(client(n)) for n in range(len(connections))]
     await wait_until(lambda: min(served) > 5)
     assert (await balancer.call("PUT /maintenance/enter", "s0")).status == 200
     for _ in range(2):
@@ -382,16 +387,16 @@
         await wait_until(lambda marks=marks: all(a > b + 3 for a, b in zip(served, marks, strict=True)))
     stop.set()
     await asyncio.gather(*clients)
-    assert (await resting.submit()).status == 200
+    assert (await idle.submit()).status == 200
     assert (await balancer.metrics())["edge.upstreams_excluded"] == 1
     received = len(balancer.testbed.upstreams[0].received)
     assert (await balancer.submit()).status == 200 and len(balancer.testbed.upstreams[0].received) == received
     assert (await balancer.call("PUT /maintenance/exit", "s0")).status == 200
-    await balancer.until_figure("upstreams_excluded", 0)
+    await balancer.wait_for_metric("upstreams_excluded", 0)
 
 
 @with_replaced_balancer
-async def test_what_is_open_ends_at_the_old_process_and_its_connection_goes_on(
+async def test_open_requests_complete_at_predecessor_and_connections_continue(
     balancer: ReplacedBalancer,
 ) -> None:
     gate = asyncio.Event()
@@ -402,59 +407,59 @@
 
     for up in balancer.testbed.upstreams:
         up.script = wait
-    kept, half = await balancer.connect(), await balancer.connect()
-    pending = asyncio.ensure_future(kept.submit(request("pay", b"x")))
-    half.writer.write(request("pay", b"body")[:-2])
+    connection, partial = await balancer.connect(), await balancer.connect()
+    pending = asyncio.ensure_future(connection.submit(request("pay", b"x")))
+    partial.writer.write(request("pay", b"body")[:-2])
     await wait_until(lambda: sum(len(up.received) for up in balancer.testbed.upstreams) == 1)
     old = balancer.processes[0]
     await balancer.start()
-    await balancer.yes()
-    await balancer.until_figure("in_flight", 1, at=0)
+    await balancer.wait_until_ready()
+    await balancer.wait_for_metric("in_flight", 1, at=0)
     old.send_signal(signal.SIGTERM)
-    half.writer.write(b"dy")
+    partial.writer.write(b"dy")
     await wait_until(lambda: sum(len(up.received) for up in balancer.testbed.upstreams) == 2)
     gate.set()
-    assert (await pending).body == b"late" and (await read_message(half.reader)).body == b"late"
+    assert (await pending).body == b"late" and (await read_message(partial.reader)).body == b"late"
     assert await asyncio.wait_for(old.wait(), 20) == 0
-    assert (await kept.submit()).status == (await half.submit()).status == 200
+    assert (await connection.submit()).status == (await partial.submit()).status == 200
     assert (await balancer.metrics())["edge.served.read"] == 2
 
 
 @with_replaced_balancer
-async def test_maintenance_changes_go_both_ways_while_two_processes_live(balancer: ReplacedBalancer) -> None:
+async def test_maintenance_change_reaches_the_other_process(balancer: ReplacedBalancer) -> None:
     await balancer.start()
-    await balancer.yes()
+    await balancer.wait_until_ready()
     assert (await balancer.call("PUT /maintenance/enter", "s0", at=0)).status == 200
-    await balancer.until_figure("upstreams_excluded", 1, at=1)
+    await balancer.wait_for_metric("upstreams_excluded", 1, at=1)
     assert (await balancer.call("PUT /maintenance/enter", "s1", at=1)).status == 200
-    await balancer.until_figure("upstreams_excluded", 2, at=0)
+    await balancer.wait_for_metric("upstreams_excluded", 2, at=0)
     assert (await balancer.call("PUT /maintenance/exit", "s0", at=1)).status == 200
-    await balancer.until_figure("upstreams_excluded", 1, at=0)
+    await balancer.wait_for_metric("upstreams_excluded", 1, at=0)
 
 
 @with_replaced_balancer
-async def test_a_successor_that_dies_or_can_t_start_leaves_the_old_one_serving(
+async def test_predecessor_serves_after_successor_fails(
     balancer: ReplacedBalancer,
 ) -> None:
-    kept = await balancer.connect()
-    assert (await kept.submit()).status == 200
-    bad = await balancer.start({**balancer.config, "seed": "xyz"})
-    assert await asyncio.wait_for(bad.wait(), 20) == 2
-    assert (await balancer.submit()).status == (await kept.submit()).status == 200
-    after = await balancer.start()
-    await balancer.yes()
+    connection = await balancer.connect()
+    assert (await connection.submit()).status == 200
+    misconfigured = await balancer.start({**balancer.config, "seed": "xyz"})
+    assert await asyncio.wait_for(misconfigured.wait(), 20) == 2
+    assert (await balancer.submit()).status == (await connection.submit()).status == 200
+    successor = await balancer.start()
+    await balancer.wait_until_ready()
     assert (await balancer.submit()).status == 200
-    after.kill()
-    await after.wait()
-    assert (await balancer.submit()).status == 200  # it waited in the queue of a listener that both held
-    balancer.admins[1:] = []
+    successor.kill()
+    await successor.wait()
+    assert (await balancer.submit()).status == 200  # it waited in the backlog of the shared listener
+    balancer.admin_ports[1:] = []
     balancer.processes[1:] = []
     await balancer.replace()
     assert (await balancer.submit()).status == 200
 
 
 async def connect_as_successor(balancer: ReplacedBalancer) -> tuple[socket.socket, list[int]]:
-    """A successor that the test plays: it has requested the handover and has the listener."""
+    """Act as a successor that requests the handover. Return its connection and the listener's descriptor."""
     path = balancer_path(str(balancer.folder.resolve()), "n0", ("127.0.0.1", balancer.port)) + ".sock"
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     with short_path(path) as address:
@@ -469,15 +474,15 @@
     return sock, descriptors
 
 
-@pytest.mark.parametrize("how", ["ends", "hangs", "talks nonsense"])
-def test_a_successor_lost_in_the_middle_gives_the_listener_back(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("failure", ["closes", "hangs", "sends garbage"])
+def test_successor_lost_during_handover_returns_listener(tmp_path: Path, failure: str) -> None:
     async def test() -> None:
         async with replaced_balancer(tmp_path) as balancer:
             sock, descriptors = await connect_as_successor(balancer)
-            pending = asyncio.ensure_future(balancer.submit())  # waits in the queue: nobody accepts
-            if how == "ends":
+            pending = asyncio.ensure_future(balancer.submit())  # in the backlog: no process accepts
+            if failure == "closes":
                 sock.close()
-            elif how == "talks nonsense":
+            elif failure == "sends garbage":
                 sock.send(b"\xc1\xc1")
             assert (await pending).status == 200
             sock.close()
@@ -488,22 +493,20 @@
     uvloop.run(asyncio.wait_for(test(), 60))
 
 
-@pytest.mark.parametrize("how", ["hangs", "killed"])
-def test_a_predecessor_that_gives_nothing_costs_a_cold_start_and_keeps_maintenance(
-    tmp_path: Path, how: str
-) -> None:
-    """Also: the socket's file of an earlier life is no obstacle."""
+@pytest.mark.parametrize("failure", ["hangs", "killed"])
+def test_unresponsive_predecessor_cold_start_keeps_maintenance(tmp_path: Path, failure: str) -> None:
+    """The predecessor's socket file, which is still there, must not prevent the start either."""
 
     async def test() -> None:
         async with replaced_balancer(tmp_path) as balancer:
             assert (await balancer.call("PUT /maintenance/enter", "s1")).status == 200
-            balancer.processes[0].send_signal(signal.SIGSTOP if how == "hangs" else signal.SIGKILL)
-            if how == "killed":
+            balancer.processes[0].send_signal(signal.SIGSTOP if failure == "hangs" else signal.SIGKILL)
+            if failure == "killed":
                 await balancer.processes[0].wait()
             await balancer.start()
-            await balancer.yes()
+            await balancer.wait_until_ready()
             assert (await balancer.metrics())["edge.upstreams_excluded"] == 1
-            if how == "hangs":  # half of the new connections wait in its queue until it is gone
+            if failure == "hangs":  # half of the new connections wait in its backlog until it is killed
                 balancer.processes[0].send_signal(signal.SIGKILL)
                 await balancer.processes[0].wait()
             assert (await balancer.submit()).status == 200
@@ -514,9 +517,12 @@
     uvloop.run(asyncio.wait_for(test(), 60))
 
 
-@pytest.mark.parametrize("complete", [True, False], ids=["another version", "killed half way"])
-def test_a_predecessor_of_another_version_or_one_that_dies_half_way(complete: bool) -> None:
-    """State of a format that this process does not read: the listener is used, what was learnt is not."""
+@pytest.mark.parametrize("complete", [True, False], ids=["other format", "killed during handover"])
+def test_predecessor_with_other_state_format_or_killed_during_handover(complete: bool) -> None:
+    """If the state has an unknown format, the successor uses the listener without the state.
+
+    It uses nothing if the predecessor is killed before the state is complete.
+    """
     uvloop.run(asyncio.wait_for(_predecessor(complete), 60))
 
 
@@ -548,7 +554,7 @@
             sock.close()
         result = await pending
         server.close()
-        if not complete:  # killed in the middle: nothing is taken that is not whole
+        if not complete:  # an incomplete handover is not used
             assert result is None
             return listener.close()
         assert result is not None and result.state is None
@@ -557,15 +563,18 @@
 
 
 @with_replaced_balancer
-async def test_a_second_successor_takes_the_place_of_one_that_has_not_served(
+async def test_second_successor_replaces_one_not_yet_serving(
     balancer: ReplacedBalancer,
 ) -> None:
-    """Taking connections back for the first one's loss must not outlive the second one's coming."""
+    """The loss of the first successor must not make the predecessor accept after the second one connected.
+
+    The predecessor closes the first connection when the second successor arrives, which counts as a loss.
+    """
     first, descriptors = await connect_as_successor(balancer)
     second, more = await connect_as_successor(balancer)
     pending = asyncio.ensure_future(balancer.submit())
     await asyncio.sleep(0.4)
-    assert not pending.done()  # the listener is the second one's
+    assert not pending.done()  # the second successor has the listener
     second.close()
     assert (await pending).status == 200
     first.close()
@@ -574,31 +583,33 @@
 
 
 @with_replaced_balancer
-async def test_a_predecessor_killed_after_the_handover_takes_nothing_along(
+async def test_predecessor_killed_after_handover_loses_no_connection(
     balancer: ReplacedBalancer,
 ) -> None:
-    resting = await balancer.connect()
-    assert (await resting.submit()).status == 200
+    idle = await balancer.connect()
+    assert (await idle.submit()).status == 200
     await balancer.start()
-    await balancer.yes()
-    moved = await balancer.connect()
-    assert (await moved.submit()).status == 200 and (await balancer.metrics())["edge.served.read"] == 1
-    for _ in range(1000):  # the resting one has gone over: the new process answers it
-        assert (await resting.submit()).status == 200
+    await balancer.wait_until_ready()
+    later = await balancer.connect()
+    assert (await later.submit()).status == 200 and (await balancer.metrics())["edge.served.read"] == 1
+    for _ in range(1000):  # the idle connection is transferred: the new process answers on it
+        assert (await idle.submit()).status == 200
         if (await balancer.metrics())["edge.served.read"] > 1:
             break
     balancer.processes[0].kill()
     await balancer.processes[0].wait()
     assert (
-        (await resting.submit()).status
-        == (await moved.submit()).status
+        (await idle.submit()).status
+        == (await later.submit()).status
         == (await balancer.submit()).status
         == 200
     )
 
 
 @with_replaced_balancer
-async def test_a_replacement_during_a_drain_sends_nothing_there(balancer: ReplacedBalancer) -> None:
+async def test_replacement_during_drain_sends_nothing_to_draining_upstream(
+    balancer: ReplacedBalancer,
+) -> None:
     await wait_until(lambda: balancer.testbed.watches)
     balancer.testbed.served_list = balancer.testbed.endpoint_list(
         balancer.testbed.list_row(0, "draining"), balancer.testbed.list_row(1)
@@ -612,31 +623,35 @@
 
 
 @with_replaced_balancer
-async def test_a_replacement_during_a_reload_gets_the_complete_list_of_the_new_discovery(
+async def test_replacement_during_reload_gets_complete_list_of_new_discovery(
     balancer: ReplacedBalancer,
 ) -> None:
-    """The old one counts by the old discovery: changes since its number would be of another list."""
+    """The successor must not ask the new list service for changes since a version of the old one.
+
+    The predecessor still follows the old list service at the handover, and versions of different services
+    cannot be compared.
+    """
     await wait_until(lambda: balancer.testbed.watches)
     balancer.testbed.version = 900
     balancer.testbed.update(balancer.testbed.list_row(0))
-    elsewhere = BalancerTestbed(3)
-    for peer in (elsewhere.upstreams[2], elsewhere.discovery):
+    new_testbed = BalancerTestbed(3)
+    for peer in (new_testbed.upstreams[2], new_testbed.discovery):
         await peer.start()
-    elsewhere.upstreams[2].script, elsewhere.version = responds_with(reply(b"new")), 1_000
-    elsewhere.served_list = elsewhere.endpoint_list(elsewhere.list_row(2))
-    balancer.config = {**balancer.config, "discovery": f"127.0.0.1:{elsewhere.discovery.port}"}
+    new_testbed.upstreams[2].script, new_testbed.version = responds_with(reply(b"new")), 1_000
+    new_testbed.served_list = new_testbed.endpoint_list(new_testbed.list_row(2))
+    balancer.config = {**balancer.config, "discovery": f"127.0.0.1:{new_testbed.discovery.port}"}
     old = balancer.processes[0]
-    await balancer.start()  # while the old one still follows the old discovery
-    await balancer.yes()
+    await balancer.start()  # while the old process still follows the old list service
+    await balancer.wait_until_ready()
     (balancer.path / "1.json").write_text(json.dumps(balancer.config))
     old.send_signal(signal.SIGHUP)
     old.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(old.wait(), 20) == 0
-    await wait_until(lambda: elsewhere.watches)
-    assert not any("index=901" in message.line for message in elsewhere.discovery.received)
+    await wait_until(lambda: new_testbed.watches)
+    assert not any("index=901" in message.line for message in new_testbed.discovery.received)
     for _ in range(1000):
         if (await balancer.submit()).body == b"new":
             break
     assert [(await balancer.submit()).body for _ in range(20)] == [b"new"] * 20
-    for peer in (elsewhere.upstreams[2], elsewhere.discovery):
+    for peer in (new_testbed.upstreams[2], new_testbed.discovery):
         await peer.stop()
