--- a/quartzford/__init__.py
+++ b/quartzford/__init__.py
@@ -1,4 +1,4 @@
-"""quartzford: the decisions of a reverse proxy that spreads requests over servers."""
+"""quartzford: a reverse proxy that balances requests over servers. Exports its decision module."""
 
 from quartzford.decision import interface
 from quartzford.decision.logic import Balancer
--- a/quartzford/__main__.py
+++ b/quartzford/__main__.py
@@ -1,6 +1,6 @@
-"""The command line. With no argument: one balancer as the platform runs it, until SIGTERM.
+"""The command line. Without arguments it runs one balancer, as the platform does, until SIGTERM.
 
-Modules that a subcommand needs are imported only by it: the run without one stays small.
+Each subcommand imports the modules that it needs itself, which keeps a run without a subcommand small.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 
 
 def load_configuration() -> Config:
-    """The configuration that the environment names; ConfigError where it can't be used."""
+    """Load the configuration that the environment names. Raises ConfigError if it is invalid."""
     return load_config(os.environ.get(CONFIG_VARIABLE, ""))
 
 
 def reload_configuration(node: Node) -> None:
-    """SIGHUP: read the configuration again. A file that can't be used leaves what is in force as it is."""
+    """Handle SIGHUP: read the configuration again. If it is invalid, the current settings stay in force."""
     reloads = node.engine.request_counters.reloads
     try:
         config = load_configuration()
         node.reconfigure(config)
     except ConfigError as error:
         reloads["failed"] += 1
-        node.log.line("reload", f"{error}; the settings in force stay")
+        node.log.line("reload", f"{error}; keeping the current settings")
         return
     reloads["ok"] += 1
-    node.log.line("reload", f"in force, discovery at {config.discovery[0]}:{config.discovery[1]}")
+    node.log.line("reload", f"settings in force, discovery at {config.discovery[0]}:{config.discovery[1]}")
 
 
 async def run(config: Config) -> None:
-    """One balancer until it has shut down; ConfigError where it can't start."""
+    """Run one balancer until it has shut down. Raises ConfigError if it can't start."""
     loop = asyncio.get_running_loop()
-    # The platform keeps $TMPDIR between a process and the one that replaces it.
+    # $TMPDIR persists from a process to its successor on the platform.
     folder = os.environ.get("TMPDIR", "") if config.admin is not None else ""
     node = Node(config, loop, folder=folder)
     loop.add_signal_handler(signal.SIGHUP, reload_configuration, node)
@@ -59,7 +59,7 @@
 
 
 def report_metrics(node: Node) -> None:
-    """Write the node's metrics at the interval that the environment sets, if any: for experiments."""
+    """Write the node's metrics for experiments, if the environment sets an interval."""
     interval = os.environ.get(METRICS_INTERVAL_VARIABLE)
     if not interval:
         return
@@ -69,7 +69,7 @@
 
 
 def run_command(arguments: list[str]) -> int:
-    """Run a subcommand; its exit status. ConfigError where a file that it is given can't be used."""
+    """Run a subcommand and return its exit status. Raises ConfigError if a file that it names is invalid."""
     if arguments[0] == "load":
         from quartzford.load.cli import main as load
 
@@ -89,47 +89,49 @@
 
 
 def parse_arguments(arguments: list[str]) -> argparse.Namespace:
-    """The subcommand and its options; exits with the usage where there is no such subcommand."""
+    """Parse the subcommand and its options. An unknown subcommand prints the usage and exits."""
     import argparse
 
-    parser = argparse.ArgumentParser(prog="quartzford", description="A balancer that has to hold.")
+    parser = argparse.ArgumentParser(prog="quartzford", description="A load balancer for HTTP services.")
     commands = parser.add_subparsers(dest="command", required=True)
-    serving = commands.add_parser("serve", help="run a balancer with what an operator's file switches on")
+    serving = commands.add_parser("serve", help="run a balancer with the features of an operator's file")
     serving.add_argument("--operator", required=True, metavar="FILE")
-    relaying = commands.add_parser("relay", help="pass a list service's lists on to thousands of balancers")
+    relaying = commands.add_parser(
+        "relay", help="relay a list service's endpoint lists to thousands of balancers"
+    )
     relaying.add_argument("--operator", required=True, metavar="FILE")
-    checking = commands.add_parser("check", help="say whether an operator's file can be used, and why not")
+    checking = commands.add_parser("check", help="validate an operator's file")
     checking.add_argument("file", metavar="FILE")
-    commands.add_parser("load", help="drive a balancer with open-loop load, and measure", add_help=False)
+    commands.add_parser("load", help="send open-loop load to a balancer and measure it", add_help=False)
     commands.add_parser(
-        "demo", help="a balancer, upstreams with faults, a surge, and the report", add_help=False
+        "demo", help="run a balancer with faulty upstreams and a load surge, and report", add_help=False
     )
     return parser.parse_args(arguments)
 
 
 def run_with_operator_file(options: argparse.Namespace) -> None:
-    """`check`, `relay` or `serve`; OperatorError where the operator's file can't be used."""
+    """Run `check`, `relay` or `serve`. Raises OperatorError if the operator's file is invalid."""
     from quartzford.serve import serve
     from quartzford.settings.operator_checks import OperatorError
     from quartzford.settings.operator_file import load_operator_settings
 
     if options.command == "check":
         load_operator_settings(options.file)
-        print(f"{options.file}: can be used")
+        print(f"{options.file}: valid")
         return
     if options.command == "serve":
         uvloop.run(serve(options.operator))
         return
     settings = load_operator_settings(options.operator).relay
     if settings is None:
-        raise OperatorError(f"{options.operator}: no section [relay]")
+        raise OperatorError(f"{options.operator}: section [relay] is missing")
     from quartzford.relay.relay import run as run_relay
 
     uvloop.run(run_relay(settings))
 
 
 def main() -> int:
-    """Exit 0 after SIGTERM, 2 with one plain line when a configuration can't be used."""
+    """Return 0 after SIGTERM; print one line and return 2 if a configuration is invalid."""
     try:
         if len(sys.argv) > 1:
             return run_command(sys.argv[1:])
--- a/quartzford/atomic_file.py
+++ b/quartzford/atomic_file.py
@@ -1,8 +1,8 @@
-"""Replaces a file as a whole: readers see the old content or the new, also after a kill or on a full disk.
+"""Atomic file replacement: readers see the old content or the new, even after a kill or on a full disk.
 
-The new content goes to a temporary file in the same folder, which is renamed over the old one. Its name holds
-the writer's process id: processes that write the same file at once don't meet in it, and whoever comes later
-can tell that a process was killed and left its own behind.
+The new content is written to a temporary file in the same folder, which is renamed over the old file. The
+temporary file's name contains the writer's process id. Concurrent writers therefore use separate temporary
+files, and a later process can recognize a file left behind by a killed process.
 """
 
 from __future__ import annotations
@@ -12,18 +12,19 @@
 from pathlib import Path
 
 TEMPORARY_SUFFIX = ".tmp"
-FILE_MODE = 0o666  # less the umask
+FILE_MODE = 0o666  # before the umask is applied
 
 
 def temporary_path(path: str) -> str:
-    """Where this process prepares what will lie at a path: `PATH.PID.tmp`."""
+    """Return the path of this process's temporary file for a target path: `PATH.PID.tmp`."""
     return f"{path}.{os.getpid()}{TEMPORARY_SUFFIX}"
 
 
 def replace_file(path: str, data: bytes, *, synced: bool) -> None:
-    """Replace a file's content; OSError where that failed, with the old content still there or the new one.
+    """Replace a file's content. After an OSError the file has either the old content or the new.
 
-    synced: wait until the disk has it, so that it outlives the machine. Without that it outlives the process.
+    synced: wait until the data is on the disk, so that it survives a crash of the machine. Otherwise it
+    survives only a crash of the process.
     """
     temporary = temporary_path(path)
     try:
@@ -47,7 +48,7 @@
         if synced:
             os.fsync(descriptor)
     except OSError:
-        with suppress(OSError):  # the first error is the one to report
+        with suppress(OSError):  # the write error is reported, not one of close
             os.close(descriptor)
         raise
     os.close(descriptor)
@@ -62,17 +63,17 @@
 
 
 def remove_stale_temporary_files(path: str) -> None:
-    """Remove the temporary files of processes that have ended. OSError where the folder can't be read."""
+    """Remove a target's temporary files whose writers no longer run. OSError if the folder can't be read."""
     target = Path(path)
     for name in os.listdir(target.parent):
-        writer = _writer_of(name, target.name)
-        if writer is not None and not _is_running(writer):
+        writer_pid = _writer_pid(name, target.name)
+        if writer_pid is not None and not _is_running(writer_pid):
             with suppress(OSError):
                 os.unlink(target.parent / name)
 
 
-def _writer_of(name: str, target_name: str) -> int | None:
-    """The process id in the name of a temporary file for the target; None where it is another file's name."""
+def _writer_pid(name: str, target_name: str) -> int | None:
+    """Return the process id in the name of a target's temporary file; None for any other file name."""
     prefix = f"{target_name}."
     if not name.startswith(prefix) or not name.endswith(TEMPORARY_SUFFIX):
         return None
@@ -85,6 +86,6 @@
         os.kill(process_id, 0)
     except (ProcessLookupError, OverflowError):
         return False
-    except PermissionError:  # it belongs to another user
+    except PermissionError:  # the process exists and belongs to another user
         return True
     return True
--- a/quartzford/control.py
+++ b/quartzford/control.py
@@ -1,7 +1,7 @@
-"""The control side of a balancer: its decision module, its list, and the watch that keeps the list current.
+"""The control side of a balancer: decision module, endpoint list, and the watch that updates the list.
 
-`assemble` puts one together, for a `Node` with its fronts and backends as for a process that has no client
-traffic at all. Whoever makes attempts follows the list by `followers`.
+`assemble` creates one, for a `Node` with fronts and backends or for a process without client traffic.
+Components that make attempts, such as backends, receive the list as `followers`.
 """
 
 from __future__ import annotations
@@ -32,20 +32,21 @@
 if TYPE_CHECKING:
     from quartzford.membership.snapshot_writer import SnapshotWriter, StoredList
 
-DEFAULT_LISTS_PER_S = 50.0  # what a list service is taken to bear where no operator has said
+DEFAULT_LISTS_PER_S = 50.0  # assumed capacity of a list service if no operator sets it
 
 
 class Follower(Protocol):
-    """A backend: it gets each list before the engine does."""
+    """A component that makes attempts, such as a backend. It receives each list before the engine does."""
 
     def listed(self, listing: Listing) -> None:
-        """A list, or its changes, as whoever makes attempts is to see it."""
+        """Apply a list or its changes, with endpoints in maintenance masked."""
 
 
 class InheritedStarts(NamedTuple):
-    """What the predecessor knew of its list's starts, in milliseconds on this engine's clock.
+    """The upstream start times that the predecessor recorded, in milliseconds on this engine's clock.
 
-    known_ms: when the list was last known to be the service's; starts: of young incarnations, by name.
+    known_ms: when the list was last confirmed by the list service; minus infinity if never.
+    starts: start times of recently started incarnations, by upstream name.
     """
 
     known_ms: float
@@ -53,7 +54,7 @@
 
 
 class ControlSide:
-    """A balancer's decision module and endpoint list, kept current by a watch. Made by `assemble`."""
+    """A balancer's decision module and endpoint list, updated by a watch. `assemble` creates it."""
 
     watch: ListWatch
 
@@ -72,19 +73,23 @@
         self.clock = engine.clock
         self.log = engine.log
         self.lists_per_s = lists_per_s
-        self.polls_list = config.settings.polls_list  # one service for the fleet; else an agent's pushes
+        # True: the list is polled from a service of the whole fleet. False: an agent pushes it.
+        self.polls_list = config.settings.polls_list
         self.followers: list[Follower] = []
         self.pending = ListingQueue()
         self.registry = Registry()
         self.start_times = StartTimes()
-        self._inherited_known_ms = -math.inf  # when the predecessor last knew the list
-        self.first_list_adopted = asyncio.Event()  # the first list or changes are in force
-        self.snapshot_writer: SnapshotWriter | None = None  # of the last list, where there is a lasting disk
-        # The snapshot's list, while its upstreams are presumed to have just started.
+        self._inherited_known_ms = -math.inf  # last confirmation of the list, by the predecessor
+        self.first_list_adopted = asyncio.Event()  # the first list or changes have been applied
+        self.snapshot_writer: SnapshotWriter | None = None  # None without a persistent disk
+        # The snapshot's list while its upstreams are presumed to have just started; None otherwise.
         self._snapshot_listing: Listing | None = None
 
     def call_policy(self, relays: Sequence[Address]) -> tuple[CallPolicy, Addresses]:
-        """When calls for the list are made, and to whom. relays: called in the list service's place."""
+        """Return the policy that schedules calls for the list, and the addresses to call.
+
+        relays: addresses that are called instead of the list service.
+        """
         settings = self.config.settings
         service = SingleAddress(lambda: self.config.discovery)
         if not self.polls_list:
@@ -92,14 +97,14 @@
             return AgentCallPolicy(agent_random, settings.rules.drain_grace_ms / 1000.0), service
         if not relays:
             return SharedServiceCallPolicy(*self._shared_service()), service
-        # Only here: the platform's run has no relays.
+        # Imported here because the platform's run has no relays.
         from quartzford.membership.relay_call_policy import RelayCallPolicy
 
         addresses = RelayAddresses(self.config.name, relays, service.address)
         return RelayCallPolicy(addresses, *self._shared_service()), addresses
 
     def _shared_service(self) -> tuple[int, float, float, random.Random, Callable[[], float]]:
-        """What a policy needs to know of a list service that all of the fleet poll."""
+        """Return the arguments of a call policy for a list service that the whole fleet polls."""
         settings = self.config.settings
         host, port = self.config.listen
         own_random = seeded_random(self.config.name, f"{host}:{port}", self.config.seed)
@@ -115,10 +120,12 @@
         learned: io.LearnedState | None = None,
         inherited: InheritedStarts | None = None,
     ) -> None:
-        """Apply what is known and follow the list from there.
+        """Apply the initial list and start the watch.
 
-        learned: by the predecessor, which had this list; changes may follow from this version.
-        inherited: when its upstreams started, as that process dated them.
+        known: the initial list; a snapshot that is not older replaces it.
+        version: with `learned`, the list version after which the watch may request changes.
+        learned: the learned state of a predecessor that had this list.
+        inherited: the upstream start times that the predecessor recorded.
         """
         stored = self._newer_snapshot(known)
         if stored is not None:
@@ -133,7 +140,7 @@
         self.watch.start()
 
     def _newer_snapshot(self, known: Listing) -> StoredList | None:
-        """The snapshot's list, where there is one not older than what the configuration knows."""
+        """Return the snapshot's list; None if there is none or it is older than the configuration's list."""
         if self.snapshot_writer is None:
             return None
         self.snapshot_writer.refresh_age()
@@ -143,7 +150,7 @@
         return stored
 
     def _date_first_list(self, known: Listing, cold: bool, inherited: InheritedStarts | None) -> None:
-        """Date the list that this process begins with. cold: its upstreams may have started just now."""
+        """Set the start times of the initial list's upstreams. cold: they may have started just now."""
         now_ms = self.clock.unix_ms()
         if inherited is not None:
             self._inherited_known_ms = min(inherited.known_ms, now_ms)
@@ -155,16 +162,17 @@
             self.start_times.date_initial_list(known, now_ms)
 
     def list_known_ms(self) -> float:
-        """When the list was last known to be the service's, on the engine's clock; minus infinity if never.
+        """Return when the list service last confirmed the list, in milliseconds on the engine's clock.
 
-        Each line of a watch says so, also an empty one.
+        Each line received on a watch confirms the list, including an empty line. Minus infinity if there was
+        none.
         """
         since_line_ms = (self.clock.now() - self.watch.last_line_at) * 1000.0
         return max(self.clock.unix_ms() - since_line_ms, self._inherited_known_ms)
 
     def reconfigure(self, config: Config) -> None:
-        """A new configuration: what is in flight goes on, the list held stays until the next one."""
-        moved = config.discovery != self.config.discovery
+        """Apply a new configuration. Requests in flight continue; the list stays until the next one."""
+        source_changed = config.discovery != self.config.discovery
         self.config = config
         self.engine.reconfigure(config.settings)
         if isinstance(self.watch.policy, SharedServiceCallPolicy):
@@ -172,31 +180,31 @@
             self.watch.policy.configure(config.settings.balancers, self.lists_per_s, max_delay_s)
         elif isinstance(self.watch.policy, AgentCallPolicy):
             self.watch.policy.configure(config.settings.rules.drain_grace_ms / 1000.0)
-        if moved:
+        if source_changed:
             self.start_times.note_source_change()
             self.watch.follow_address()
 
     def stop(self) -> None:
-        """No more calls, and no more writes of the list."""
+        """Stop the calls for the list and the writes of its snapshot."""
         self.watch.stop()
         if self.snapshot_writer is not None:
             self.snapshot_writer.stop()
 
-    # ---- what the watch brings
+    # ---- updates from the watch
 
     def listed(self, listing: Listing) -> None:
-        """Apply a short list at once, a long one in chunks, one in each turn of the loop."""
+        """Apply a short list at once, a long list in chunks, one chunk per iteration of the event loop."""
         in_progress = self.pending.has_chunks()
         snapshot_listing, self._snapshot_listing = self._snapshot_listing, None
         if snapshot_listing is not None and not listing.complete:
-            # The service has spoken: these are changes to the list as it was written.
+            # The service answered with changes relative to the snapshot's list, which confirms that list.
             self._enqueue(snapshot_listing)
         self._enqueue(listing)
         if not in_progress:
             self._apply_next_chunk()
 
     def _enqueue(self, listing: Listing) -> None:
-        """Date a line of the service, before it is reduced to the subset, and put it into the queue."""
+        """Record the start times of a received listing, before the subset filters it, and queue it."""
         self.start_times.date_listing(listing, self.list_known_ms(), self.clock.unix_ms())
         self.pending.add(self._in_subset(listing))
 
@@ -217,23 +225,25 @@
                 if self.snapshot_writer is not None:
                     self.snapshot_writer.list_changed()
 
-    def _apply(self, listing: Listing, how: str) -> None:
+    def _apply(self, listing: Listing, kind: str) -> None:
         self.registry.apply(listing)
         masked = self.registry.mask_maintenance(listing, self.engine.balancer.in_maintenance)
         for follower in self.followers:
             follower.listed(masked)
-        self.engine.endpoint_list_update(how, listing.entries, self.start_times.starts_of(listing.entries))
+        self.engine.endpoint_list_update(kind, listing.entries, self.start_times.starts_of(listing.entries))
 
-    # ---- what operators set
+    # ---- settings made by operators
 
-    def set_maintenance(self, name: str, out: bool) -> None:
-        """An upstream is taken out by an operator, or put back; nothing if it is so already."""
-        if out == (name in self.engine.balancer.in_maintenance):
+    def set_maintenance(self, name: str, in_maintenance: bool) -> None:
+        """Put an upstream into maintenance or return it to service; no effect if it already is."""
+        if in_maintenance == (name in self.engine.balancer.in_maintenance):
             return
-        self.engine.feed(io.MaintenanceChange(name, out))
+        self.engine.feed(io.MaintenanceChange(name, in_maintenance))
         for follower in self.followers:
-            follower.listed(self.registry.row_changes(name, out))
-        self.log.line("by hand", f"{name[:100]} {'out' if out else 'back in use'}")
+            follower.listed(self.registry.row_changes(name, in_maintenance))
+        self.log.line(
+            "by hand", f"{name[:100]} {'in maintenance' if in_maintenance else 'returned to service'}"
+        )
 
 
 def assemble(
@@ -245,14 +255,14 @@
     lists_per_s: float = DEFAULT_LISTS_PER_S,
     relays: Sequence[Address] = (),
 ) -> ControlSide:
-    """A control side, complete, that has not begun.
+    """Return a complete control side that has not started: `begin` starts it.
 
-    lists_per_s: calls per second that a list service of the fleet answers. relays: are called in
-    its place.
+    lists_per_s: calls per second that the fleet's list service can answer.
+    relays: addresses that are called instead of the list service.
     """
     engine = Engine(config.settings, config.seed, clock, log)
     side = ControlSide(config, engine, loop, subset, lists_per_s)
-    calls, addresses = side.call_policy(relays)
-    side.watch = ListWatch(side, addresses, calls, clock, log, loop)
+    policy, addresses = side.call_policy(relays)
+    side.watch = ListWatch(side, addresses, policy, clock, log, loop)
     engine.poll_list = side.watch.start
     return side
--- a/quartzford/graceful_shutdown.py
+++ b/quartzford/graceful_shutdown.py
@@ -1,8 +1,8 @@
-"""The shutdown of a balancer after SIGTERM: every request read is answered before the platform's SIGKILL.
+"""Graceful shutdown of a balancer after SIGTERM: it answers every request it has read before SIGKILL.
 
-Without a successor, new connections are accepted for a moment. Then the listener is closed, idle connections
-are closed and open requests go on, until none is left or SIGKILL is near. In that case, one step at a time,
-requests in flight get their final answer, requests read in part are rejected, and the process exits.
+Without a successor, the process accepts new connections for ACCEPT_AFTER_SIGTERM_S. Then it closes the
+listener and idle connections, and open requests continue until none is left or SIGKILL is near. Near SIGKILL
+it gives the requests in flight their final answer, then rejects partially read requests, then exits.
 """
 
 from __future__ import annotations
@@ -13,22 +13,24 @@
 from quartzford.engine import Clock, Engine
 from quartzford.fronts.http_front import HttpFront
 
-ACCEPT_S = 0.6  # new connections are accepted for so long after SIGTERM
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as this at most, and a margin.
+ACCEPT_AFTER_SIGTERM_S = 0.6  # period after SIGTERM in which new connections are accepted
+# The platform sends SIGKILL no earlier than min(longest request deadline, MAX_DEADLINE_S) + KILL_MARGIN_S
+# after SIGTERM.
 MAX_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
-# Steps by the time that is left until SIGKILL, each early enough for a loop that is held up for 0.15 s then:
-ANSWER_BEFORE_S = 0.35  # every request in flight gets its final answer, later ones get theirs at once
-REJECT_BEFORE_S = 0.25  # nothing more is read as a request: what has been read in part is rejected
-EXIT_BEFORE_S = 0.2  # the process exits
-STEP_S = 0.02  # between two looks; after a hold-up, timers are due ahead of what has come meanwhile
+# Last steps, by the time left until SIGKILL. Each leaves room for an event loop hold-up of 0.15 s.
+ANSWER_BEFORE_KILL_S = 0.35  # requests in flight, and any that arrive later, get their final answer at once
+REJECT_BEFORE_KILL_S = 0.25  # the front reads no further requests and rejects partially read ones
+EXIT_BEFORE_KILL_S = 0.2  # the process exits
+# Interval of the checks. After a hold-up, timers run before the input that arrived during it.
+STEP_INTERVAL_S = 0.02
 
 
 class GracefulShutdown:
-    """The steps from SIGTERM to the exit of one process. Times in seconds on the node's clock."""
+    """Runs the steps from SIGTERM to the exit of one process. Times are seconds on the node's clock."""
 
     def __init__(self, engine: Engine, front: HttpFront, clock: Clock, finish: Callable[[], None]) -> None:
-        """finish: called once, or more often, when the process may exit."""
+        """finish: called when the process may exit, possibly several times."""
         self.engine = engine
         self.front = front
         self.clock = clock
@@ -36,53 +38,58 @@
         self.started_at = math.inf
 
     def begin(self) -> None:
-        """SIGTERM has come: the time to SIGKILL counts from now on."""
+        """Record the arrival of SIGTERM, from which the time to SIGKILL counts."""
         self.started_at = self.clock.now()
 
     def drain(self) -> None:
-        """Shut down without a successor: accept for a moment, answer what is open, exit."""
+        """Shut down without a successor: accept new connections briefly, answer open requests, exit."""
         self.front.draining = True
-        accept_until = min(self.started_at + ACCEPT_S, self._killed_at() - ANSWER_BEFORE_S)
+        accept_until = min(
+            self.started_at + ACCEPT_AFTER_SIGTERM_S, self._earliest_kill_at() - ANSWER_BEFORE_KILL_S
+        )
         self.clock.call_later(max(0.0, accept_until - self.clock.now()), self._accept_last)
 
     def exit_deadline(self) -> float:
-        """When the process has to have done everything."""
-        return self._killed_at() - EXIT_BEFORE_S
+        """Return the time by which the process has to exit."""
+        return self._earliest_kill_at() - EXIT_BEFORE_KILL_S
 
     def finish_when_idle(self) -> None:
-        """Look again and again whether all clients are gone, or SIGKILL is near."""
+        """Check every STEP_INTERVAL_S until all clients have disconnected or SIGKILL is near."""
         if self.front.draining:
             self.front.close_idle()
-        # After a failed handover, more clients may come.
+        # After a failed handover the front accepts clients again.
         idle = self.front.has_no_clients() and not self.front.accepting
         if idle or self._take_last_step():
             self.finish()
             return
-        self.clock.call_later(STEP_S, self.finish_when_idle)
+        self.clock.call_later(STEP_INTERVAL_S, self.finish_when_idle)
 
     def _accept_last(self) -> None:
-        """Closing the listener would reset the connections in its queue: they are accepted first."""
-        self.clock.call_later(STEP_S, self._stop_listening)
+        """Delay closing the listener by one interval: closing it resets connections still in its queue."""
+        self.clock.call_later(STEP_INTERVAL_S, self._stop_listening)
 
     def _stop_listening(self) -> None:
-        if self.front.draining:  # else a successor has come meanwhile
+        if self.front.draining:  # false if a successor has taken over since
             self.front.stop_listening()
             self.finish_when_idle()
 
-    def _killed_at(self) -> float:
-        """SIGKILL comes no sooner."""
+    def _earliest_kill_at(self) -> float:
+        """Return the earliest time at which the platform sends SIGKILL."""
         deadline_s = min(MAX_DEADLINE_S, self.engine.max_deadline_ms / 1000.0)
         return self.started_at + deadline_s + KILL_MARGIN_S
 
     def _take_last_step(self) -> bool:
-        """Whether the process has to exit. One step each time: what comes in between is read and answered."""
-        left_s = self._killed_at() - self.clock.now()
+        """Take the next of the last steps if it is due; return whether the process has to exit.
+
+        At most one step a call, so that input arriving between two steps is still read and answered.
+        """
+        left_s = self._earliest_kill_at() - self.clock.now()
         if not self.engine.balancer.shutting_down:
-            if left_s <= ANSWER_BEFORE_S:
+            if left_s <= ANSWER_BEFORE_KILL_S:
                 self.engine.shut_down()
             return False
         if not self.front.rejecting:
-            if left_s <= REJECT_BEFORE_S:
+            if left_s <= REJECT_BEFORE_KILL_S:
                 self.front.reject_unfinished()
             return False
-        return left_s <= EXIT_BEFORE_S
+        return left_s <= EXIT_BEFORE_KILL_S
--- a/quartzford/handover_state.py
+++ b/quartzford/handover_state.py
@@ -1,7 +1,8 @@
-"""The state that a predecessor hands over: made from its control side, and read for a successor's.
+"""Captures the state that a predecessor hands over, and converts it for the successor.
 
-Moments in it are on the predecessor's scale. Both processes share the machine's monotonic clock, so the
-successor moves them to its own scale by the difference of both scales' anchors.
+Timestamps in the state are on the predecessor's engine clock, which is the machine's monotonic clock plus an
+anchor read at the process's start. Both processes share the monotonic clock, so the successor shifts the
+timestamps to its own engine clock by the difference of the two anchors.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 
 class InheritedState(NamedTuple):
-    """What a successor begins with. Moments are milliseconds on its own engine's clock.
+    """The predecessor's state, as a successor uses it. Times are milliseconds on its own engine clock.
 
-    version: of the list, from which it may be followed; None where it may not.
-    starts: None from a predecessor of an earlier version, which did not date them.
-    busy_clients: client connections with a request open, which stay with the predecessor for now.
-    discovery_answered: whether discovery has answered the predecessor yet.
+    version: list version after which the successor may request changes; None if it needs the complete list.
+    starts: upstream start times; None from a predecessor of an earlier version, which did not record them.
+    busy_clients: number of client connections with an open request, which stay with the predecessor for now.
+    discovery_answered: whether the predecessor had received an answer from discovery.
     """
 
     listing: Listing
@@ -36,12 +37,15 @@
 
 
 def anchor_ms(clock: Clock) -> float:
-    """The engine's scale less the monotonic clock, in milliseconds."""
+    """Return the offset of the engine clock from the monotonic clock, in milliseconds."""
     return clock.unix_ms() - clock.now() * 1000.0
 
 
 def capture_state(control: ControlSide, busy_clients: int) -> BalancerState:
-    """What a balancer knows at this instant, for its successor; its requests in flight stay."""
+    """Return the balancer's current state for its successor, without the requests in flight.
+
+    busy_clients: number of client connections with an open request.
+    """
     memory = control.engine.hand_over()
     list_known_ms = control.list_known_ms()
     warm_before_ms = control.clock.unix_ms() - control.config.settings.rules.slow_start_ms
@@ -60,17 +64,18 @@
 
 
 def read_state(state: BalancerState, discovery: Address, own_anchor_ms: float) -> InheritedState:
-    """The predecessor's state as the successor uses it; ValueError where its list can't be read.
+    """Convert the predecessor's state for the successor. Raises ValueError if its list is invalid.
 
-    discovery: the successor's. Another one counts its versions anew: changes since the predecessor's version
-    would leave out what differs.
+    discovery: address of the successor's list service. If the predecessor used another one, the list version
+    is dropped: each service numbers its own versions, so changes since that version would be incomplete.
+    own_anchor_ms: the successor's `anchor_ms`.
     """
     listing = read_listing(state.listing)
     same_discovery = state.discovery == list(discovery)
     version = state.version if same_discovery else None
     memory = state.memory
     starts = None
-    if state.anchor_ms is not None:  # else of an earlier version, which took the two scales for one
+    if state.anchor_ms is not None:  # None: an earlier version, which assumed equal engine clocks
         shift_ms = own_anchor_ms - state.anchor_ms
         memory = shift_times(state.memory, shift_ms)
         starts = _shift_starts(state, same_discovery, shift_ms)
--- a/quartzford/housekeeping.py
+++ b/quartzford/housekeeping.py
@@ -1,4 +1,4 @@
-"""What a balancer does at intervals: it looks for time-outs on its connections, and logs a summary."""
+"""Periodic tasks of a balancer: time-out checks on its connections, and a log summary."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Housekeeping:
-    """The repeated work of one balancer."""
+    """Runs the periodic tasks of one balancer."""
 
     def __init__(
         self,
@@ -30,20 +30,20 @@
         self.budget = budget
         self.clock = clock
         self.log = log
-        self._summarized: Counter[str] = Counter()  # the counts at the last summary
+        self._summarized_counts: Counter[str] = Counter()  # at the last summary
 
     def schedule_summary(self) -> None:
-        """Log a summary after each interval from now on."""
+        """Log a summary every SUMMARY_INTERVAL_S."""
         self.clock.call_later(SUMMARY_INTERVAL_S, self._log_summary)
 
     def schedule_sweep(self) -> None:
-        """Look for time-outs after each interval from now on."""
+        """Check connections for time-outs every SWEEP_INTERVAL_S."""
         self.clock.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _log_summary(self) -> None:
         counts = self.engine.counts
-        since_last = counts - self._summarized
-        self._summarized = counts.copy()
+        since_last = counts - self._summarized_counts
+        self._summarized_counts = counts.copy()
         parts = [f"{name} {count}" for name, count in sorted(since_last.items())]
         parts.append(f"clients {len(self.front.clients)}")
         parts.append(f"upstream connections {len(self.backend.connections)}")
--- a/quartzford/node.py
+++ b/quartzford/node.py
@@ -1,4 +1,4 @@
-"""One balancer put together: its control side, and the HTTP/1.1 front and backend."""
+"""Assembles one balancer: its control side, the HTTP/1.1 front and the HTTP/1.1 backend."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
     from quartzford.replaceable_node import ReplaceableNode
     from quartzford.replacement.handover import Handover
 
-FIRST_LIST_TIMEOUT_S = 1.0  # the address listens after so long even if no list has come
-BIND_TIMEOUT_S = 5.0  # the predecessor may still hold the address
+FIRST_LIST_TIMEOUT_S = 1.0  # start listening after this time even without a list
+BIND_TIMEOUT_S = 5.0  # a predecessor may still be bound to the address
 BIND_RETRY_S = 0.05
 
 
 class Node:
-    """One balancer on sockets: start, reload and end of its parts."""
+    """One balancer on sockets. Starts, reconfigures and shuts down its components."""
 
     def __init__(
         self,
@@ -45,9 +45,10 @@
         lists_per_s: float = DEFAULT_LISTS_PER_S,
         relays: Sequence[Address] = (),
     ) -> None:
-        """folder: where this process and its successor find each other; "": they don't.
+        """folder: holds the socket that connects this process and its successor; "": no replacement.
 
-        lists_per_s: calls per second that a list service of the fleet answers. relays: polled in its place.
+        lists_per_s: calls per second that the fleet's list service can answer.
+        relays: addresses that are polled instead of the list service.
         """
         self.loop = loop
         self.clock = clock = LoopClock(loop)
@@ -70,13 +71,14 @@
         self.replacement = self._make_replaceable(folder) if folder else None
         self._apply_limits(config)
         self.finished = loop.create_future()
-        self.list_due_at = clock.now() + FIRST_LIST_TIMEOUT_S  # requests wait no longer for the first list
+        # From this time on, requests are served even without a list.
+        self.list_due_at = clock.now() + FIRST_LIST_TIMEOUT_S
         self._begun = False
-        self._listening = False  # the address takes clients, of this process or of its predecessor
-        self._listener: socket.socket | None = None  # the predecessor's
+        self._listening = False  # the front listens, on its own or on an inherited socket
+        self._inherited_listener: socket.socket | None = None
 
     def _make_replaceable(self, folder: str) -> ReplaceableNode:
-        # Only here: what is needed for it costs other runs nothing.
+        # Imported here so that processes that can't be replaced don't load the handover modules.
         from quartzford.replaceable_node import ReplaceableNode
 
         return ReplaceableNode(
@@ -90,38 +92,38 @@
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """The current configuration."""
         return self.control.config
 
     @property
     def handover(self) -> Handover | None:
-        """The handovers from the predecessor and to a successor, where there can be any."""
+        """Handovers from the predecessor and to a successor; None if the process can't be replaced."""
         return self.replacement.handover if self.replacement is not None else None
 
     @property
     def subset(self) -> Subset | None:
-        """Which upstreams of the list are used, where not all are."""
+        """Selects the upstreams of the list that are used; None if all are."""
         return self.control.subset
 
     @subset.setter
     def subset(self, subset: Subset | None) -> None:
-        """Use another subset, from the next list on."""
+        """Use another subset, starting with the next list."""
         self.control.subset = subset
 
     @property
     def snapshot_writer(self) -> SnapshotWriter | None:
-        """Keeps the last list on a lasting disk."""
+        """Writes the last list to a persistent disk; None without a snapshot."""
         return self.control.snapshot_writer
 
     @snapshot_writer.setter
     def snapshot_writer(self, writer: SnapshotWriter | None) -> None:
-        """Set before the node starts: a start reads what was kept."""
+        """Set before the node starts: the start reads the snapshot."""
         self.control.snapshot_writer = writer
 
     # ---- configuration
 
     def _apply_limits(self, config: Config) -> None:
-        """Divide memory and descriptors between the parts, alone or with a paired process."""
+        """Divide memory and descriptors between buffers, front and backend. Paired processes share them."""
         limits = full_limits(config) if self.replacement is None else self.replacement.limits(config)
         self.budget.limit = limits.buffered_bytes
         self.front.max_clients = limits.client_connections
@@ -133,9 +135,10 @@
         )
 
     def reconfigure(self, config: Config) -> None:
-        """A new configuration, under load: what is in flight goes on, the list held stays until the next one.
+        """Apply a new configuration while serving.
 
-        The address for clients, the seed and the way to discovery (pushed or polled) take a restart.
+        Requests in flight continue, and the current list stays until the next one arrives. Changes of the
+        client address, of the seed and of the list mode (pushed or polled) require a restart.
         """
         self._apply_limits(config)
         self.control.reconfigure(config)
@@ -145,8 +148,8 @@
     async def start(self) -> None:
         """Take over from the predecessor, wait for the list, and listen.
 
-        ConfigError where the configuration can't be used; OSError where an address can't be had now: then
-        start may be called again.
+        Raises ConfigError if the configuration is invalid, and OSError if an address can't be bound now.
+        After an OSError, start may be called again.
         """
         try:
             known = read_listing(self.config.known)
@@ -158,7 +161,9 @@
             await self._begin(known)
         if self.shutting_down:
             return
-        self.front.listen(self.config.listen, self.loop, self.config.admin is not None, self._listener)
+        self.front.listen(
+            self.config.listen, self.loop, self.config.admin is not None, self._inherited_listener
+        )
         self._listening = True
         if self.handover is not None:
             self.handover.announce_serving()
@@ -175,31 +180,34 @@
             raise ConfigError(f"admin_addr: {address[0]}:{address[1]}: {error}") from None
 
     async def _begin(self, known: Listing) -> None:
-        """Take over what there is, and wait for the list, before a request can come.
+        """Inherit the predecessor's state and wait for the list, before any request can arrive.
 
-        The agent counts the balancer as notified of its list from the process's start on, and clients that
-        knew the predecessor come as soon as the address listens: the list as last known may name servers that
-        drain since.
+        The agent considers the balancer notified of its list from the process's start on, and clients of the
+        predecessor connect as soon as the address listens. The last known list may contain servers that have
+        begun to drain since.
         """
         self._begun = True
         inherited = None
         if self.replacement is not None:
-            self._listener, inherited = await self.replacement.inherit()
+            self._inherited_listener, inherited = await self.replacement.inherit()
         if inherited is None:
             self.control.begin(known)
         else:
             if inherited.discovery_answered:
                 self.list_due_at = self.clock.now()
             self.control.begin(inherited.listing, inherited.version, inherited.memory, inherited.starts)
-        # Requests in the queue of an inherited listener count as accepted: they can't wait, and the
-        # predecessor served by the same list.
-        if not self.control.polls_list and self._listener is None:
+        # Connections in the queue of an inherited listener count as accepted and can't wait for the list. The
+        # predecessor served with the same list.
+        if not self.control.polls_list and self._inherited_listener is None:
             wait_s = max(0.0, self.list_due_at - self.clock.now())
             self.clock.call_later(wait_s, self.first_list_adopted.set)
             await self.first_list_adopted.wait()
 
     def ready(self) -> bool:
-        """Requests can be served: the address listens, the list has come or is late, an upstream is ready."""
+        """Return whether requests can be served.
+
+        They can if the address listens, the list has arrived or is overdue, and an upstream is ready.
+        """
         if self.shutting_down or not self._listening:
             return False
         list_late = self.clock.now() >= self.list_due_at
@@ -209,7 +217,10 @@
     # ---- end
 
     def terminate(self) -> None:
-        """SIGTERM: shut down gracefully, to a successor if there is one. `finished` is set at the end."""
+        """Handle SIGTERM: shut down gracefully, with a handover if there is a successor.
+
+        `finished` is set at the end.
+        """
         if self.shutting_down:
             return
         self.shutting_down = True
@@ -221,7 +232,7 @@
             self.handover.terminate()
 
     def exit_deadline(self) -> float:
-        """When a process that shuts down has to have done everything, in seconds of its clock."""
+        """Return the time by which a process that shuts down has to exit, in seconds on its clock."""
         return self.shutdown.exit_deadline()
 
     def _finish(self) -> None:
@@ -232,20 +243,20 @@
         if not self.finished.done():
             self.finished.set_result(None)
 
-    # ---- operators' calls
+    # ---- calls by operators
 
-    def set_maintenance(self, name: str, out: bool) -> bool:
-        """Take an upstream out for maintenance, or put it back; False: no such upstream."""
+    def set_maintenance(self, name: str, in_maintenance: bool) -> bool:
+        """Put an upstream into maintenance or return it to service; False if there is no such upstream."""
         balancer = self.engine.balancer
         if name not in balancer.servers and name not in balancer.in_maintenance:
             return False
-        self.control.set_maintenance(name, out)
+        self.control.set_maintenance(name, in_maintenance)
         if self.handover is not None:
-            self.handover.publish_maintenance(name, out, balancer.in_maintenance)
+            self.handover.publish_maintenance(name, in_maintenance, balancer.in_maintenance)
         return True
 
     def metrics_page(self, prefix: str) -> str:
-        """The page of metrics. prefix: of each metric's name."""
+        """Return the metrics page. prefix: prefix of each metric's name."""
         balancer = self.engine.balancer
         gauges = (
             ("in_flight", len(self.engine.pending_requests) + self.front.pipelined_count()),
@@ -256,14 +267,14 @@
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether an address that can't be had now may be had soon."""
+    """Return whether a bind that failed with this error may succeed on a retry."""
     return error.errno == errno.EADDRINUSE or is_exhausted(error)
 
 
 async def start_listening(node: Node) -> None:
-    """Start, and wait for an address that the predecessor still holds, for descriptors and for memory.
+    """Start the node; retry while a predecessor holds the address or descriptors or memory are exhausted.
 
-    ConfigError where an address can't be had in time.
+    Raises ConfigError if an address can't be bound within BIND_TIMEOUT_S.
     """
     give_up_at = node.clock.now() + BIND_TIMEOUT_S
     while True:
@@ -276,7 +287,7 @@
 
 
 def _address_error(node: Node, error: OSError) -> ConfigError:
-    """The key of the address that could not be had, and the reason."""
+    """Return an error with the configuration key of the address that could not be bound, and the reason."""
     key, (host, port) = "listen", node.config.listen
     if node.config.admin is not None and node.operations.listener is None:
         key, (host, port) = "admin_addr", node.config.admin
--- a/quartzford/recording.py
+++ b/quartzford/recording.py
@@ -1,9 +1,9 @@
-"""The access log as a trace: the requests that this balancer took, so that they can be played again.
+"""Records the requests that a balancer accepts as a trace, which the load generator can replay.
 
-The format is that of load/trace.py. Lines are handed to a thread that writes them: neither the event loop nor
-a request ever waits for the disk, and a disk that fails ends the recording, not the service. What is written
-holds no body and no correlation id; idempotency keys are hashed under a secret of this recording unless the
-operator wants them plain or none at all.
+load/trace.py defines the format. A separate thread writes the lines, so that neither the event loop nor a
+request waits for the disk; a disk error ends the recording but not the service. The trace contains no bodies
+and no correlation ids. Idempotency keys are hashed with a secret of the recording, unless the operator
+chooses plain keys or none.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from quartzford.engine import Clock, Log
 from quartzford.load.trace import END_PREFIX, HEADER_PREFIX, TRACE_VERSION, TraceRow, format_row
 
-MAX_QUEUED_LINES = 65_536  # lines that may wait for the disk
+MAX_QUEUED_LINES = 65_536  # lines that wait to be written
 WRITER_CHECK_S = 0.5
 CLOSE_TIMEOUT_S = 5.0
 SECRET_BYTES = 16
 KEY_DIGEST_BYTES = 8
-NO_CLASS = "-"  # in the trace, for a request without service class
+NO_CLASS_FIELD = "-"  # of a request without a service class
 
 
 class KeyMode(StrEnum):
@@ -36,14 +36,14 @@
 
 
 class Recorder:
-    """Writes each request that the engine takes to a trace file."""
+    """Writes each request that the engine accepts to a trace file."""
 
     def __init__(self, path: str, keys: str, max_bytes: int, clock: Clock, log: Log) -> None:
-        """Create the file and start its thread. OSError if the file can't be made.
+        """Create the file and start the thread that writes it. Raises OSError if the file can't be created.
 
-        keys: a KeyMode's value. max_bytes: where the recording ends.
+        keys: value of a KeyMode. max_bytes: size of the file at which the recording ends.
         """
-        self.stopped = False  # nothing is recorded any more
+        self.stopped = False  # True: no further requests are recorded
         self._key_mode = KeyMode(keys)
         self._max_bytes = max_bytes
         self._clock = clock
@@ -54,32 +54,32 @@
         self._started_at = clock.now()
         self._recorded_requests = 0
         self._recorded_bytes = 0
-        self._write_error = ""  # set by the thread: why it ended before the service did
+        self._write_error = ""  # set by the thread if a write fails
         self._failure_logged = False
-        self._lines: queue.SimpleQueue[str | None] = queue.SimpleQueue()  # None: the end
-        self.thread = threading.Thread(target=self._write, name="trace", daemon=True)
+        self._lines: queue.SimpleQueue[str | None] = queue.SimpleQueue()  # None ends the thread
+        self.thread = threading.Thread(target=self._write_lines, name="trace", daemon=True)
         self.thread.start()
         clock.call_later(WRITER_CHECK_S, self._check_writer)
 
     def record(self, request: io.Request, size: int) -> None:
-        """A request has been taken. size: of its body, in bytes."""
+        """Record an accepted request. size: of its body, in bytes."""
         if self.stopped:
             return
-        line = self._line(request, size)
+        line = self._format_line(request, size)
         if self._recorded_bytes + len(line) > self._max_bytes:
-            self._end("the file has its full size")
+            self._end_recording("maximum file size reached")
             return
         if self._lines.qsize() >= MAX_QUEUED_LINES:
-            self._end("the disk does not keep up")
+            self._end_recording("the disk is too slow")
             return
         self._recorded_requests += 1
         self._recorded_bytes += len(line)
         self._lines.put(line)
 
-    def _line(self, request: io.Request, size: int) -> str:
+    def _format_line(self, request: io.Request, size: int) -> str:
         row = TraceRow(
             self._clock.now() - self._started_at,
-            request.service_class or NO_CLASS,
+            request.service_class or NO_CLASS_FIELD,
             request.tenant,
             self._recorded_key(request.key),
             size,
@@ -94,15 +94,15 @@
             return blake2b(key.encode(), digest_size=KEY_DIGEST_BYTES, key=self._secret).hexdigest()
         return key
 
-    def _end(self, reason: str) -> None:
-        """Record no more; what was recorded so far is a complete trace. reason: to be logged, if any."""
+    def _end_recording(self, reason: str) -> None:
+        """Stop recording and complete the trace with its end line. reason: logged unless empty."""
         if self.stopped:
             return
         self.stopped = True
         self._lines.put(f"{END_PREFIX}{self._recorded_requests}\n")
         self._lines.put(None)
         if reason:
-            self._log.line("trace", f"{reason}; recording has ended with {self._recorded_requests} requests")
+            self._log.line("trace", f"{reason}; recording stopped after {self._recorded_requests} requests")
 
     def _check_writer(self) -> None:
         if self._write_error:
@@ -114,19 +114,19 @@
     def _log_failure(self) -> None:
         if not self._failure_logged:
             self._failure_logged = True
-            self._log.line("trace", f"{self._write_error}; recording has ended")
+            self._log.line("trace", f"{self._write_error}; recording stopped")
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """End the recording with the service: wait until queued lines are written, timeout_s at most."""
-        self._end("")
+        """Stop recording at the end of the service; wait up to timeout_s until queued lines are written."""
+        self._end_recording("")
         self.thread.join(timeout_s)
         if self.thread.is_alive():
-            self._log.line("trace", f"not written to its end within {timeout_s:.1f} s: the disk hangs")
+            self._log.line("trace", f"not completely written within {timeout_s:.1f} s: the disk hangs")
         elif self._write_error:
             self._log_failure()
 
-    def _write(self) -> None:
-        """Run in the thread: write lines in batches, until the end."""
+    def _write_lines(self) -> None:
+        """Write queued lines in the thread, and flush the file whenever the queue is empty."""
         try:
             with self._file:
                 while (line := self._lines.get()) is not None:
--- a/quartzford/replaceable_node.py
+++ b/quartzford/replaceable_node.py
@@ -1,6 +1,6 @@
-"""The node's side of a replacement, as its predecessor's successor and as a predecessor itself.
+"""The node's part in a process replacement: it takes over from a predecessor and hands over to a successor.
 
-Imported only by processes that may be replaced: the others do without what a handover needs.
+Only processes that can be replaced import this module; the others save the cost of the handover code.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 from quartzford.resource_limits import ResourceLimits, full_limits, paired_limits
 from quartzford.settings.configuration import Config
 
-OFFER_INTERVAL_S = 0.02  # idle client connections are offered to the successor so often
+OFFER_INTERVAL_S = 0.02  # between two offers of idle client connections to the successor
 
 
 class Inheritance(NamedTuple):
-    """What a successor got of its predecessor; None for what it did not get."""
+    """What a successor received from its predecessor; a field is None if it was not received."""
 
     listener: socket.socket | None
     state: InheritedState | None
 
 
 class ReplaceableNode:
-    """A node that can take over from its predecessor, and give all it has to a successor."""
+    """Takes over a node's listener, state and clients from a predecessor, and hands them to a successor."""
 
     def __init__(
         self,
@@ -45,9 +45,9 @@
         shutdown: GracefulShutdown,
         apply_limits: Callable[[], None],
     ) -> None:
-        """folder: where this process and its successor find each other.
+        """folder: holds the socket through which this process and its successor communicate.
 
-        apply_limits: brings `limits` into force, which have changed.
+        apply_limits: called when the result of `limits` has changed.
         """
         self.control = control
         self.front = front
@@ -57,10 +57,10 @@
         config = control.config
         path = balancer_path(str(Path(folder).resolve()), config.name, config.listen)
         self.handover = Handover(self, path, control.clock, control.log, control.loop)
-        self.predecessor_busy_clients = 0  # client connections with a request open that it still has
+        self.predecessor_busy_clients = 0  # its client connections with an open request
 
     def limits(self, config: Config) -> ResourceLimits:
-        """The process's bounds; two processes share the configuration's while they are paired."""
+        """Return the process's limits. While paired, two processes share the configured limits."""
         if self.handover.paired:
             return paired_limits(config, self.predecessor_busy_clients)
         return full_limits(config)
@@ -68,7 +68,10 @@
     # ---- as a successor
 
     async def inherit(self) -> Inheritance:
-        """Take over what the predecessor gives; endpoints in maintenance are also on file."""
+        """Take over the listener and the state from the predecessor, and restore endpoints in maintenance.
+
+        Endpoints in maintenance are also stored in a file, for a start without a predecessor.
+        """
         result = await self.handover.request_handover()
         on_file = set(self.handover.maintenance_on_file())
         state = self._read_state(result.state) if result is not None and result.state is not None else None
@@ -83,7 +86,7 @@
         try:
             inherited = read_state(state, control.config.discovery, anchor_ms(control.clock))
         except ValueError as error:
-            control.log.line("replacement", f"the list handed over can't be read: {error}")
+            control.log.line("replacement", f"invalid endpoint list in the predecessor's state: {error}")
             return None
         self.predecessor_busy_clients = inherited.busy_clients
         return inherited
@@ -96,18 +99,18 @@
             self.handover.maintenance_file.save(self.control.engine.balancer.in_maintenance)
 
     def adopt_client(self, sock: socket.socket) -> None:
-        """Serve an idle client connection of the predecessor."""
+        """Serve an idle client connection received from the predecessor."""
         self.control.loop.create_task(self.front.adopt(sock))
 
     def use_full_limits(self) -> None:
-        """Use memory and descriptors in full: the predecessor is gone."""
+        """Use the full memory and descriptor limits, after the other process has exited."""
         self.predecessor_busy_clients = 0
         self.apply_limits()
 
     # ---- as a predecessor
 
     def release_listener(self) -> HandoverOffer | None:
-        """Accept no connection from now on; None where the listener is closed already."""
+        """Stop accepting and return the handover offer; None if the listener is already closed."""
         listener = self.front.stop_accepting()
         if listener is None:
             return None
@@ -117,13 +120,16 @@
         return HandoverOffer(listener, capture_state(self.control, busy_clients))
 
     def resume_serving(self) -> None:
-        """Accept connections again: the successor is lost."""
+        """Accept connections again after the successor was lost."""
         self.use_full_limits()
         self.control.engine.cancel_handover()
         self.front.resume()
 
     def transfer_clients(self, transfer: Callable[[int], bool] | None) -> None:
-        """Give each idle client connection to the successor, now and from now on; None: no longer."""
+        """Start transferring idle client connections to the successor; None stops it.
+
+        transfer: sends a connection's descriptor; returns whether it was sent.
+        """
         self.front.transfer_to_successor = transfer
         if transfer is not None:
             self.backend.close_idle()
@@ -135,15 +141,15 @@
             self.control.clock.call_later(OFFER_INTERVAL_S, self._offer_clients)
 
     def drain(self) -> None:
-        """Shut down without a successor: accept for a moment, answer what is open, exit."""
+        """Shut down without a successor: accept new connections briefly, answer open requests, exit."""
         self.shutdown.drain()
 
     def drain_to_successor(self) -> None:
-        """Shut down with a successor: answer what is open, exit once no client is left."""
+        """Shut down with a successor: answer open requests, exit once no client is left."""
         self.shutdown.finish_when_idle()
 
-    # ---- as either
+    # ---- in both roles
 
     def apply_maintenance(self, endpoint: str, in_maintenance: bool) -> None:
-        """An endpoint was taken out at the other process, or put back."""
+        """Apply a maintenance change of an endpoint that the other process received."""
         self.control.set_maintenance(endpoint, in_maintenance)
--- a/quartzford/resource_limits.py
+++ b/quartzford/resource_limits.py
@@ -1,4 +1,4 @@
-"""How the memory and the descriptors of a process are divided between its parts."""
+"""Divides the memory and the file descriptors of a process between buffers and connections."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 from quartzford.settings.configuration import Config
 
 MB = 1024 * 1024
-BASE_BYTES = 56 * MB  # the interpreter, the module and what sockets cost
-PAIRED_BASE_BYTES = 30 * MB  # of each process while there are two: the interpreter without headroom
+BASE_BYTES = 56 * MB  # interpreter, decision module and socket overhead
+PAIRED_BASE_BYTES = 30 * MB  # of each of two paired processes: the interpreter, without headroom
 MIN_BUFFERED_BYTES = 8 * MB
 MIN_PAIRED_BUFFERED_BYTES = 4 * MB
-BASE_DESCRIPTORS = 48  # the process's own: listeners, watches, operators' calls, files
+BASE_DESCRIPTORS = 48  # for listeners, list watches, operators' connections and files
 MIN_CONNECTIONS = 16
-MIN_PAIRED_CONNECTIONS = 8  # on each side
-CLIENT_SHARE = 0.5  # a request open at a client needs a descriptor upstream too, and may hold a third here
+MIN_PAIRED_CONNECTIONS = 8  # client connections, and as many upstream connections
+# An open request needs a client and an upstream descriptor, and may hold a third one in this process.
+CLIENT_CONNECTION_SHARE = 0.5
 
 
 class ResourceLimits(NamedTuple):
-    """The bounds of one process: bytes in buffers, and connections on each side."""
+    """Limits of one process: buffered bytes, client connections and upstream connections."""
 
     buffered_bytes: int
     client_connections: int
@@ -26,9 +27,9 @@
 
 
 def full_limits(config: Config) -> ResourceLimits:
-    """The bounds of a process that is the only one of its balancer."""
+    """Return the limits of a process that runs its balancer alone."""
     connections = max(MIN_CONNECTIONS, config.descriptors - BASE_DESCRIPTORS)
-    clients = int(CLIENT_SHARE * connections)
+    clients = int(CLIENT_CONNECTION_SHARE * connections)
     return ResourceLimits(
         max(MIN_BUFFERED_BYTES, config.memory_bytes - BASE_BYTES),
         clients,
@@ -37,9 +38,9 @@
 
 
 def paired_limits(config: Config, predecessor_busy_clients: int) -> ResourceLimits:
-    """The bounds of a process while it shares the configuration's with its predecessor or successor.
+    """Return the limits of a process that shares the configured limits with its predecessor or successor.
 
-    predecessor_busy_clients: client connections with a request open that stay with the predecessor.
+    predecessor_busy_clients: number of client connections with an open request that the predecessor keeps.
     """
     full = full_limits(config)
     return ResourceLimits(
--- a/quartzford/serve.py
+++ b/quartzford/serve.py
@@ -1,4 +1,4 @@
-"""`serve --operator FILE`: one balancer, with what the operator's file switches on."""
+"""`serve --operator FILE`: one balancer with the features that the operator's file enables."""
 
 from __future__ import annotations
 
@@ -28,16 +28,17 @@
     from quartzford.backends.caller import CallerBackend
     from quartzford.fronts.extproc.service import ExtprocFront
 
-BYTES_PER_MB = 1e6  # of a trace
-MIN_TRACE_CLOSE_S = 0.05  # for the trace's last lines, however late it is
-MIN_GRACE_SHARE = 0.25  # of a drain's grace, where that is hardly longer than a hold-up
+BYTES_PER_MB = 1e6  # in the size limit of a trace
+MIN_TRACE_CLOSE_S = 0.05  # minimum time for writing the last lines of the trace
+# Minimum decision validity as a share of the drain grace, for a grace hardly longer than a hold-up.
+MIN_GRACE_SHARE = 0.25
 SHUTDOWN_CHECK_S = 0.02
 
 
 def config_path(operator: OperatorSettings, path: str) -> str:
-    """The configuration file: EDGE_CONFIG, or what the operator's file names, relative to its own folder.
+    """Return the path of the configuration: EDGE_CONFIG, else the one in the operator's file, else "".
 
-    path: of the operator's file. "" where neither names one.
+    A path in the operator's file is relative to that file's folder. path: of the operator's file.
     """
     from_environment = os.environ.get(CONFIG_VARIABLE)
     if from_environment:
@@ -46,32 +47,36 @@
 
 
 def check_compatible(operator: OperatorSettings, config: Config) -> None:
-    """OperatorError where the operator's file demands what the configuration rules out."""
+    """Raise OperatorError if the operator's file requires something that the configuration excludes."""
     if operator.lists is not None and operator.lists.relays and not config.settings.polls_list:
         raise OperatorError(
-            'lists.relays: relays are for registryMode "subscribe"; the configuration\'s lists are pushed'
+            'lists.relays: relays require registryMode "subscribe"; in this configuration lists are pushed'
         )
 
 
 def decision_valid_s(extproc: ExtprocSettings, settings: io.Settings) -> float:
-    """For how long a decision is valid, so that a worker held up as it writes one keeps a drain's grace."""
+    """Return for how many seconds a decision is valid.
+
+    The validity ends early enough that a worker held up while it writes a decision still respects the drain
+    grace.
+    """
     grace_ms = settings.rules.drain_grace_ms
     within_grace_ms = max(MIN_GRACE_SHARE * grace_ms, grace_ms - settings.stall_ms)
     return min(extproc.decision_valid_ms, within_grace_ms) / 1000.0
 
 
 class ExternalProcessor(NamedTuple):
-    """The parts of the external processor: callers make the attempts that its backend decides."""
+    """The front and the backend of the external processor. Its callers make the attempts."""
 
     front: ExtprocFront
     backend: CallerBackend
 
 
 class Service:
-    """A node with the operator's parts, their reload and their end."""
+    """A node with the features of the operator's file. Starts, reloads and stops them."""
 
     def __init__(self, path: str, loop: asyncio.AbstractEventLoop) -> None:
-        """path: of the operator's file. OperatorError or ConfigError where a file can't be used."""
+        """path: of the operator's file. Raises OperatorError or ConfigError if a file is invalid."""
         self.path = path
         self.operator = load_operator_settings(path)
         config = load_config(config_path(self.operator, path))
@@ -79,21 +84,21 @@
         self.node = make_node(self.operator, config, loop)
         lists = self.operator.lists
         if lists is not None and lists.snapshot:
-            keep_snapshot(self.node, self._beside_file(lists.snapshot), lists)
+            enable_snapshot(self.node, self._relative_to_file(lists.snapshot), lists)
         trace = self.operator.trace
         self.recorder: Recorder | None = None
         if trace is not None:
-            self.recorder = record(self.node, self._beside_file(trace.file), trace)
+            self.recorder = start_recording(self.node, self._relative_to_file(trace.file), trace)
         self.extproc: ExternalProcessor | None = None
         if self.operator.extproc is not None:
             self.extproc = make_external_processor(self.node, self.operator.extproc)
 
-    def _beside_file(self, name: str) -> Path:
-        """A path that the operator's file gives, relative to its folder."""
+    def _relative_to_file(self, name: str) -> Path:
+        """Resolve a path of the operator's file, relative to the file's folder."""
         return Path(self.path).parent / name
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT; SIGHUP reloads. ConfigError where an address can't be had."""
+        """Serve until SIGTERM or SIGINT; SIGHUP reloads. Raises ConfigError if an address can't be bound."""
         loop = self.node.loop
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -105,7 +110,7 @@
 
     async def start(self) -> None:
         """Listen for clients, and for streams of the external processor."""
-        load_arrays()  # now, not when the fleet first grows to where they are used
+        load_arrays()  # avoids a delay when the fleet first reaches the size that uses arrays
         await start_listening(self.node)
         if self.extproc is not None:
             front = self.extproc.front
@@ -121,23 +126,25 @@
             self.recorder.close(max(MIN_TRACE_CLOSE_S, left_s))
 
     def reload(self) -> None:
-        """Read both files again. One that can't be used leaves all that is in force as it is."""
+        """Read both files again. If one of them is invalid, the current settings stay in force."""
         try:
             operator = load_operator_settings(self.path)
             config = load_config(config_path(operator, self.path))
             check_compatible(operator, config)
             key = first_restart_only_change(self.operator, operator)
             if key:
-                raise OperatorError(f"{key}: a change takes a restart")
+                raise OperatorError(f"{key}: a change requires a restart")
         except (OperatorError, ConfigError) as error:
-            self.node.log.line("reload", f"{error}; the settings in force stay")
+            self.node.log.line("reload", f"{error}; keeping the current settings")
             return
         self.node.reconfigure(config)
         self.operator = operator
         if self.extproc is not None and operator.extproc is not None:
             self.extproc.backend.decision_valid_s = decision_valid_s(operator.extproc, config.settings)
             self.extproc.front.reconfigure(operator.extproc, config.report_names)
-        self.node.log.line("reload", f"in force, discovery at {config.discovery[0]}:{config.discovery[1]}")
+        self.node.log.line(
+            "reload", f"settings in force, discovery at {config.discovery[0]}:{config.discovery[1]}"
+        )
 
 
 def make_node(operator: OperatorSettings, config: Config, loop: asyncio.AbstractEventLoop) -> Node:
@@ -156,14 +163,14 @@
     )
 
 
-def keep_snapshot(node: Node, path: Path, lists: ListsSettings) -> None:
-    """Keep the node's last list in a file; OperatorError where there is no folder for it."""
-    # Only here: installations without a lasting disk don't load it.
+def enable_snapshot(node: Node, path: Path, lists: ListsSettings) -> None:
+    """Write the node's last list to a snapshot file. Raises OperatorError if its folder does not exist."""
+    # Imported here so that installations without a persistent disk don't load it.
     from quartzford.membership.snapshot import SnapshotAgeLimits
     from quartzford.membership.snapshot_writer import SnapshotWriter
 
     if not path.parent.is_dir():
-        raise OperatorError(f"lists.snapshot: {path.parent} is no folder")
+        raise OperatorError(f"lists.snapshot: folder {path.parent} does not exist")
     node.snapshot_writer = SnapshotWriter(
         str(path),
         SnapshotAgeLimits(lists.snapshot_age_s, lists.snapshot_fresh_s),
@@ -176,8 +183,8 @@
     )
 
 
-def record(node: Node, path: Path, trace: TraceSettings) -> Recorder:
-    """Record the node's requests in a file; OperatorError where it can't be opened."""
+def start_recording(node: Node, path: Path, trace: TraceSettings) -> Recorder:
+    """Record the node's requests in a file. Raises OperatorError if the file can't be created."""
     max_bytes = int(trace.most_mb * BYTES_PER_MB)
     try:
         recorder = Recorder(str(path), trace.keys, max_bytes, node.clock, node.log)
@@ -188,8 +195,8 @@
 
 
 def make_external_processor(node: Node, settings: ExtprocSettings) -> ExternalProcessor:
-    """The external processor of a node; OperatorError where its token key can't be used."""
-    # Only here: gRPC and its messages are an extra, and cost other runs nothing.
+    """Create the external processor of a node. Raises OperatorError if its token key is invalid."""
+    # Imported here because gRPC is an optional dependency, which other runs should not load.
     from quartzford.backends.caller import CallerBackend
     from quartzford.fronts.extproc.service import ExtprocFront
 
@@ -201,5 +208,8 @@
 
 
 async def serve(path: str) -> None:
-    """Run the balancer of an operator's file until SIGTERM; OperatorError or ConfigError otherwise."""
+    """Run the balancer of an operator's file until SIGTERM.
+
+    Raises OperatorError or ConfigError if the balancer can't start.
+    """
     await Service(path, asyncio.get_running_loop()).run()
--- a/rig/meter.py
+++ b/rig/meter.py
@@ -139,8 +139,8 @@
         listed(self, listing)
 
     @functools.wraps(apply)
-    def metered_apply(self: Any, listing: Listing, how: str) -> None:
-        apply(self, listing, how)
+    def metered_apply(self: Any, listing: Listing, kind: str) -> None:
+        apply(self, listing, kind)
         if not self.pending.has_chunks():
             self.meter.version_applied(listing.version)
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -308,7 +308,7 @@
             "admin_addr": self.admin_addr,
         }
         self.node = Node(read_config(json.dumps(config)), asyncio.get_running_loop())
-        self.node._listener = listener
+        self.node._inherited_listener = listener
         handle = self.node.engine.balancer.handle
 
         def recording_handle(now: float, event: io.Event) -> list[io.Action]:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,5 +1,8 @@
-"""Nothing of one deployment, class or tenant is found in another: names, effects and limits come from the
-settings alone, and a request ends by those that it came with."""
+"""Deployments, classes and tenants are independent of each other.
+
+Names, effects and limits come from the settings alone, and a request is completed under the settings that
+were in force when it arrived.
+"""
 
 from __future__ import annotations
 
@@ -26,21 +29,21 @@
 from quartzford.settings.configuration import read_config
 
 ROOT = Path(__file__).resolve().parent.parent
-SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
-EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
+SITE_FILES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
+EFFECT_VALUES = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 
 
-def kind(name: str, effect: str, **more: Any) -> dict[str, Any]:
+def make_class(name: str, effect: str, **more: Any) -> dict[str, Any]:
     return {"name": name, "sloMs": 2500.0, "deadlineMs": 3000.0, "value": 1.0, "effect": effect} | more
 
 
 def settings_of(path: Path) -> dict[str, Any]:
-    """A site file's classes and tenants in the platform's words."""
+    """Convert the classes and tenants of a site file to the platform's settings."""
     site = tomllib.loads(path.read_text())
     classes = [
         {
             "name": c["name"],
-            "effect": EFFECTS[c["effect"]],
+            "effect": EFFECT_VALUES[c["effect"]],
             "group": c.get("group", "all"),
             "memorySpanMs": float(c.get("window_ms", 0.0)),
             "sloMs": float(c["aim_ms"]),
@@ -55,7 +58,7 @@
 
 
 def reload(testbed: BalancerTestbed, **settings: Any) -> None:
-    """What SIGHUP does with a new file."""
+    """Reconfigure the node, as SIGHUP does with a new file."""
     port = testbed.discovery.port
     config = {
         "name": "n0",
@@ -69,12 +72,12 @@
     testbed.node.reconfigure(read_config(json.dumps(config)))
 
 
-async def breaks(message: Message, writer: asyncio.StreamWriter) -> None:
+async def break_connection(message: Message, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-def rich(testbed: BalancerTestbed) -> None:
-    """Retries to spend: what is looked at is who may have any."""
+def fill_retry_budget(testbed: BalancerTestbed) -> None:
+    """Fill the retry budget, so that only the class's effect limits the retries."""
     testbed.node.engine.balancer.retry_budget = 10.0
 
 
@@ -85,51 +88,55 @@
     )
 
 
-@pytest.mark.parametrize("path", SITES, ids=[path.stem for path in SITES])
-def test_each_class_of_a_deployment_is_repeated_as_its_own_effect_says(path: Path) -> None:
-    """The connection breaks behind each request's last byte: it may have run. The names of these classes mean
-    something else on other sites."""
+@pytest.mark.parametrize("path", SITE_FILES, ids=[path.stem for path in SITE_FILES])
+def test_each_class_is_retried_according_to_its_own_effect(path: Path) -> None:
+    """Each connection breaks after the request's last byte, so the request may have run.
+
+    Other sites use some of these class names for classes with other effects.
+    """
     site_settings = settings_of(path)
 
     async def test() -> None:
         async with BalancerTestbed(6, **site_settings) as testbed:
             for up in testbed.upstreams:
-                up.script = breaks
-            for one in site_settings["classes"]:
+                up.script = break_connection
+            for service_class in site_settings["classes"]:
                 before = sum(len(up.received) for up in testbed.upstreams)
-                rich(testbed)
-                answer = await testbed.submit(request_bytes(one["name"], one["effect"] == "guarded", "2500m"))
+                fill_retry_budget(testbed)
+                answer = await testbed.submit(
+                    request_bytes(service_class["name"], service_class["effect"] == "guarded", "2500m")
+                )
                 sends = sum(len(up.received) for up in testbed.upstreams) - before
-                if one["effect"] == "single_shot":
+                if service_class["effect"] == "single_shot":
                     assert sends == 1 and answer.status == 502
                 else:
-                    assert sends == min(site_settings["limits"]["maxAttempts"], 6), one["name"]
-                    refusable = one["effect"] == "free" or one["group"] == "all"
-                    assert answer.status == (503 if refusable else 502)
+                    assert sends == min(site_settings["limits"]["maxAttempts"], 6), service_class["name"]
+                    may_be_rejected = service_class["effect"] == "free" or service_class["group"] == "all"
+                    assert answer.status == (503 if may_be_rejected else 502)
 
-    assert SITES
+    assert SITE_FILES
     uvloop.run(test())
 
 
 @async_test
-async def test_classes_swapped_by_a_reload_leave_what_is_out_to_the_settings_it_came_with() -> None:
-    """Held back at the upstreams: one that is unsafe and one that is safe; then the names change places."""
+async def test_requests_in_flight_keep_their_settings_when_a_reload_swaps_classes() -> None:
+    """An unsafe and a safe request are in flight while a reload exchanges the effects of their classes."""
     limits = {**SETTINGS["limits"], "maxAttempts": 3}
-    before = [kind("left", "single_shot"), kind("right", "free")]
+    before = [make_class("left", "single_shot"), make_class("right", "free")]
     after = [
-        kind("left", "free", deadlineMs=900.0, sloMs=900.0),
-        kind("right", "single_shot"),
-        kind("new", "free"),
+        make_class("left", "free", deadlineMs=900.0, sloMs=900.0),
+        make_class("right", "single_shot"),
+        make_class("new", "free"),
     ]
     async with BalancerTestbed(3, classes=before, limits=limits) as testbed:
-        gate = asyncio.Event()
+        release = asyncio.Event()
 
-        async def held(message: Message, writer: asyncio.StreamWriter) -> None:
-            await gate.wait()
+        async def abort_when_released(message: Message, writer: asyncio.StreamWriter) -> None:
+            await release.wait()
             writer.transport.abort()
 
         for up in testbed.upstreams:
-            up.script = held
+            up.script = abort_when_released
 
         def sends(name: str) -> int:
             return sum(m.fields["x-service-class"] == name for up in testbed.upstreams for m in up.received)
@@ -137,27 +144,27 @@
         old = [asyncio.ensure_future(testbed.submit(request_bytes(name))) for name in ("left", "right")]
         await wait_until(lambda: sends("left") == sends("right") == 1)
         reload(testbed, classes=after, limits=limits)
-        rich(testbed)
-        gate.set()
+        fill_retry_budget(testbed)
+        release.set()
         assert [answer.status for answer in await asyncio.gather(*old)] == [502, 503]
         assert (sends("left"), sends("right")) == (1, 3)
         new = []
         for name in ("left", "right", "new"):
-            rich(testbed)
+            fill_retry_budget(testbed)
             new.append(await testbed.submit(request_bytes(name)))
         assert [answer.status for answer in new] == [503, 502, 503]
         assert (sends("left"), sends("right"), sends("new")) == (4, 4, 3)
         for up in testbed.upstreams:
             up.script = never_responds
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        start = loop.time()
         async with LoopLag() as lag:
             await testbed.submit(request_bytes("left", left="2900m"))
-        assert loop.time() - begun < 1.2 + 2 * lag.max_lag_s  # the new limit of the same name
+        assert loop.time() - start < 1.2 + 2 * lag.max_lag_s  # the new deadline of the class
 
 
 @async_test
-async def test_tenants_with_names_alike_have_their_own_quota_and_a_site_without_any_has_none() -> None:
+async def test_tenants_with_similar_names_have_separate_quotas_until_a_reload() -> None:
     tenants = [
         {"name": "norte", "quotaPerS": 500.0},
         {"name": "norte-alto", "quotaPerS": 5.0},
@@ -182,36 +189,36 @@
 
 
 @async_test
-async def test_a_name_that_another_deployment_has_is_unknown_here_and_unsafe() -> None:
-    async with BalancerTestbed(3, classes=[kind("only", "free")], customers=[]) as testbed:
+async def test_class_name_of_another_deployment_is_unknown_and_unsafe() -> None:
+    async with BalancerTestbed(3, classes=[make_class("only", "free")], customers=[]) as testbed:
         for up in testbed.upstreams:
-            up.script = breaks
+            up.script = break_connection
         for name in ("read", "consulta", "view-schedule", "Only", "on", "only-more"):
             before = sum(len(up.received) for up in testbed.upstreams)
-            rich(testbed)
+            fill_retry_budget(testbed)
             assert (await testbed.submit(request_bytes(name, keyed=True))).status in (502, 503)
             sends = sum(len(up.received) for up in testbed.upstreams) - before
             assert sends == 1, name
-        rich(testbed)
+        fill_retry_budget(testbed)
         await testbed.submit(request_bytes("only"))
         assert sum(len(up.received) for up in testbed.upstreams) > 6
 
 
 @pytest.mark.parametrize("left", ["abc", "", "-5m", "1e400m", "nanm", "infm", "999999999m", "12q", "5"])
-def test_a_deadline_that_cannot_be_is_no_reason_to_wait_for_ever(left: str) -> None:
-    """An upstream hangs, a late answer is worth something: the class's own deadline holds then."""
-    classes = [kind("pay", "single_shot", deadlineMs=800.0, sloMs=300.0, lateWorth=0.5)]
+def test_invalid_deadline_header_falls_back_to_the_class_deadline(left: str) -> None:
+    """An upstream hangs and late answers have a value: an invalid header must not cause an endless wait."""
+    classes = [make_class("pay", "single_shot", deadlineMs=800.0, sloMs=300.0, lateWorth=0.5)]
 
     async def test() -> None:
         async with BalancerTestbed(classes=classes) as testbed:
             testbed.upstreams[0].script = never_responds
             loop = asyncio.get_running_loop()
-            begun = loop.time()
+            start = loop.time()
             reader, writer = await testbed.connect()
             writer.write(request("pay", b"", time_left=left))
             async with LoopLag() as lag:
                 answer = await asyncio.wait_for(read_message(reader), 3)
-            assert answer.status >= 400 and loop.time() - begun < 1.2 + 2 * lag.max_lag_s
+            assert answer.status >= 400 and loop.time() - start < 1.2 + 2 * lag.max_lag_s
             assert not testbed.node.engine.pending_requests and len(testbed.upstreams[0].received) <= 1
 
     uvloop.run(test())
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -603,7 +603,7 @@
             balancer.process.send_signal(signal.SIGTERM)
             _, errors = await asyncio.wait_for(balancer.process.communicate(), 20)
         assert balancer.process.returncode == 0
-        waited = re.search(rb"not written to its end within ([0-9.]+) s", errors)
+        waited = re.search(rb"not completely written within ([0-9.]+) s", errors)
         assert waited is not None and float(waited[1]) <= 3.0 + 0.7
 
     uvloop.run(test())
--- a/tests/test_extproc_process.py
+++ b/tests/test_extproc_process.py
@@ -228,7 +228,7 @@
             for extra, key in (
                 ("retrun_ms = 5\n", "extproc.retrun_ms: no such key"),
                 ("return_ms = -1\n", "extproc.return_ms: -1 is not from"),
-                ("most_streams = 7\n", "extproc.most_streams: a change takes a restart"),
+                ("most_streams = 7\n", "extproc.most_streams: a change requires a restart"),
             ):
                 it.write(extra)
                 it.process.send_signal(signal.SIGHUP)
@@ -340,7 +340,7 @@
     command = [sys.executable, "-m", "quartzford", "relay", "--operator", str(tmp_path / "operator.toml")]
     done = subprocess.run(command, capture_output=True, text=True, timeout=30)
     assert done.returncode == 2 and done.stdout == ""
-    assert done.stderr.count("\n") == 1 and "no section [relay]" in done.stderr
+    assert done.stderr.count("\n") == 1 and "section [relay] is missing" in done.stderr
 
 
 def test_the_variable_goes_before_the_file_and_is_seen_from_here(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -369,7 +369,7 @@
         )
         out, errors = await asyncio.wait_for(process.communicate(), 20)
         assert process.returncode == code
-        assert (b"can be used" in out) == (code == 0) and (b"extproc.x" in errors) == (code == 2)
+        assert (b": valid" in out) == (code == 0) and (b"extproc.x" in errors) == (code == 2)
 
     uvloop.run(test())
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the deploy file starts it: start, bad configurations, SIGTERM, SIGKILL."""
+"""The program as the deploy file starts it: start, reload, invalid configurations, SIGTERM and SIGKILL."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     )
 
 
-def test_a_reserved_port_is_given_to_nobody_else_and_can_be_listened_to() -> None:
+def test_reserved_port_refuses_bind_and_allows_listen() -> None:
     port = reserved_port()
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
         other.bind(("127.0.0.1", port))
@@ -53,7 +53,7 @@
 
 
 class Program:
-    """A balancer in a process of its own, with one upstream."""
+    """A balancer in a separate process, with one upstream."""
 
     sockets = 1024
 
@@ -84,7 +84,7 @@
             except OSError:
                 pass
             await asyncio.sleep(0.02)
-        raise AssertionError("it was never ready")
+        raise AssertionError("the balancer did not become ready")
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port, limit=2**22)
@@ -113,30 +113,35 @@
         await it.testbed.discovery.stop()
 
 
-def test_sigterm_under_load_answers_all_and_exits_0(tmp_path: Path) -> None:
+def test_sigterm_under_load_answers_all_requests_and_exits_0(tmp_path: Path) -> None:
     async def test() -> None:
         async with program(tmp_path) as it:
-            gate = asyncio.Event()
+            release = asyncio.Event()
 
-            async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
-                await gate.wait()
+            async def answer_when_released(message: Message, writer: asyncio.StreamWriter) -> None:
+                await release.wait()
                 writer.write(reply())
 
-            kept, half = await it.connect(), await it.connect()
-            kept[1].write(request())
-            assert (await read_message(kept[0])).status == 200
-            it.up.script = wait
-            held = asyncio.ensure_future(it.submit(request("pay", b"")))
-            half[1].write(request("pay", b"body")[:-2])
+            kept_alive, uploading = await it.connect(), await it.connect()
+            kept_alive[1].write(request())
+            assert (await read_message(kept_alive[0])).status == 200
+            it.up.script = answer_when_released
+            in_flight = asyncio.ensure_future(it.submit(request("pay", b"")))
+            uploading[1].write(request("pay", b"body")[:-2])
             await wait_until(lambda: len(it.up.received) == 2)
             it.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.1)
-            new = asyncio.ensure_future(it.submit(request("pay", b"")))
-            kept[1].write(request("pay", b""))  # unsafe: it is sent once, however long it takes
-            half[1].write(b"dy")
+            after_sigterm = asyncio.ensure_future(it.submit(request("pay", b"")))
+            kept_alive[1].write(request("pay", b""))  # unsafe class: a slow answer causes no second attempt
+            uploading[1].write(b"dy")
             await wait_until(lambda: len(it.up.received) == 5)
-            gate.set()
-            answers = [await held, await new, await read_message(kept[0]), await read_message(half[0])]
+            release.set()
+            answers = [
+                await in_flight,
+                await after_sigterm,
+                await read_message(kept_alive[0]),
+                await read_message(uploading[0]),
+            ]
             assert [a.status for a in answers] == [200] * 4
             assert all(a.fields["connection"] == "close" for a in answers)
             assert await asyncio.wait_for(it.process.wait(), 10) == 0
@@ -144,14 +149,14 @@
     uvloop.run(test())
 
 
-def test_sigterm_with_an_upload_a_stream_and_silence_ends_in_time(tmp_path: Path) -> None:
+def test_sigterm_with_stalled_upload_and_response_exits_in_time(tmp_path: Path) -> None:
     async def test() -> None:
         async with program(tmp_path) as it:
 
-            async def half(message: Message, writer: asyncio.StreamWriter) -> None:
+            async def send_half(message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"h" * 150_000)
 
-            it.up.script = half
+            it.up.script = send_half
             streaming = await it.connect()
             streaming[1].write(request("pay", b""))
             await streaming[0].readexactly(100_000)
@@ -163,27 +168,27 @@
     uvloop.run(test())
 
 
-def test_sighup_follows_the_new_discovery_and_keeps_what_is_in_flight(tmp_path: Path) -> None:
-    """SIGHUP once ended the process; a reload loses nothing and leaves the old address."""
+def test_sighup_switches_discovery_and_keeps_requests_in_flight(tmp_path: Path) -> None:
+    """SIGHUP once terminated the process. A reload must lose no request and must leave the old discovery."""
 
     async def test() -> None:
         async with program(tmp_path) as it:
             assert it.process.stderr is not None
-            gate = asyncio.Event()
+            release = asyncio.Event()
 
-            async def wait(message: Message, writer: asyncio.StreamWriter) -> None:
-                await gate.wait()
+            async def answer_when_released(message: Message, writer: asyncio.StreamWriter) -> None:
+                await release.wait()
                 writer.write(reply(b"kept"))
 
-            it.up.script = wait
-            held = asyncio.ensure_future(it.submit(request("pay", b"")))
+            it.up.script = answer_when_released
+            in_flight = asyncio.ensure_future(it.submit(request("pay", b"")))
             await wait_until(lambda: it.up.received)
             it.path.write_text("{")
             it.process.send_signal(signal.SIGHUP)
             line = await asyncio.wait_for(it.process.stderr.readline(), 20)
             assert line.startswith(b"reload: not JSON") and it.process.returncode is None
             await wait_until(lambda: it.testbed.watches and not it.testbed.discovery.closed_connections)
-            elsewhere = BalancerTestbed(2)  # knows of another upstream, and counts its versions anew
+            elsewhere = BalancerTestbed(2)  # lists another upstream, with version numbers of its own
             for peer in (*elsewhere.upstreams, elsewhere.discovery):
                 await peer.start()
             elsewhere.version, elsewhere.upstreams[1].script = 0, responds_with(reply(b"new"))
@@ -193,8 +198,8 @@
             )
             it.process.send_signal(signal.SIGHUP)
             await wait_until(lambda: elsewhere.watches and it.testbed.discovery.closed_connections)
-            gate.set()
-            assert (await held).body == b"kept"
+            release.set()
+            assert (await in_flight).body == b"kept"
             assert (await it.submit(request("pay", b""))).body == b"new"
             assert it.process.returncode is None
             for peer in (*elsewhere.upstreams, elsewhere.discovery):
@@ -204,58 +209,62 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 1024])
-def test_idle_clients_over_the_bound_leave_room_for_what_has_to_go_on(tmp_path: Path, sockets: int) -> None:
-    """Before, during and after an outage of discovery, and after a stop in which more came than fit."""
+def test_excess_idle_clients_do_not_prevent_service(tmp_path: Path, sockets: int) -> None:
+    """Idle clients beyond the descriptor limit must not block requests, list calls or a reload.
+
+    Checked before, during and after an outage of discovery, and after a SIGSTOP during which more clients
+    connect than the limit allows.
+    """
 
     async def test() -> None:
-        idle: list[socket.socket] = []
+        idle_sockets: list[socket.socket] = []
 
-        def crowd() -> None:
+        def connect_idle_clients() -> None:
             for _ in range(sockets + sockets // 2):
-                idle.append(socket.socket())
-                idle[-1].setblocking(False)
-                idle[-1].connect_ex(("127.0.0.1", it.port))
+                idle_sockets.append(socket.socket())
+                idle_sockets[-1].setblocking(False)
+                idle_sockets[-1].connect_ex(("127.0.0.1", it.port))
 
-        async def serves() -> None:
+        async def check_service() -> None:
             answers = await asyncio.gather(*(it.submit(request("pay", b"")) for _ in range(20)))
             assert {answer.status for answer in answers} == {200}
 
         async with program(tmp_path, sockets) as it:
             assert it.process.stderr is not None
-            crowd()
-            await serves()
+            connect_idle_clients()
+            await check_service()
             await it.testbed.discovery.stop()
-            crowd()
-            await serves()
+            connect_idle_clients()
+            await check_service()
             it.process.send_signal(signal.SIGSTOP)
-            crowd()
-            asking = asyncio.ensure_future(serves())
+            connect_idle_clients()
+            service_check = asyncio.ensure_future(check_service())
             await asyncio.sleep(0)
             it.process.send_signal(signal.SIGCONT)
-            await asking
+            await service_check
             watches = len(it.testbed.watches)
             await it.testbed.discovery.start(it.testbed.discovery.port)
             await wait_until(lambda: len(it.testbed.watches) > watches)
             it.process.send_signal(signal.SIGHUP)
             assert b"in force" in await asyncio.wait_for(it.process.stderr.readline(), 20)
-            crowd()
-            await serves()
+            connect_idle_clients()
+            await check_service()
             assert len(os.listdir(f"/proc/{it.process.pid}/fd")) < sockets
             it.process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(it.process.wait(), 10) == 0
             assert not (await it.process.stderr.read()).count(b"Traceback")
-            for sock in idle:
+            for sock in idle_sockets:
                 sock.close()
 
     uvloop.run(test())
 
 
-def test_sigkill_and_a_start_again_under_the_same_address(tmp_path: Path) -> None:
+def test_restart_after_sigkill_binds_the_same_address(tmp_path: Path) -> None:
     async def test() -> None:
         async with program(tmp_path) as it:
-            kept = await it.connect()
-            kept[1].write(request())
-            assert (await read_message(kept[0])).status == 200
+            kept_alive = await it.connect()
+            kept_alive[1].write(request())
+            assert (await read_message(kept_alive[0])).status == 200
             it.process.kill()
             await it.process.wait()
             await it.start()
@@ -280,7 +289,7 @@
         ({"seed": "xyz"}, "seed"),
         ({"limits": {"memory_mb": 128}}, "limits.sockets"),
         ({"admin_addr": "9100"}, "admin_addr"),
-        ({"admin_addr": "192.0.2.1:9"}, "admin_addr"),  # not of this machine
+        ({"admin_addr": "192.0.2.1:9"}, "admin_addr"),  # not an address of this machine
         ({"limits": {"memory_mb": -1, "sockets": 10}}, "limits.memory_mb"),
         ({"known": []}, "known"),
         ({"known": {"seq": 1, "whole": True, "hosts": [{}]}}, "known"),
@@ -290,9 +299,9 @@
         ({"settings": {k: v for k, v in BalancerTestbed().settings.items() if k != "myZone"}}, "myZone"),
     ],
 )
-def test_a_bad_configuration_ends_the_start_with_one_line(tmp_path: Path, change: Any, key: str) -> None:
+def test_invalid_configuration_fails_the_start_with_one_line(tmp_path: Path, change: Any, key: str) -> None:
     async def test() -> None:
-        good = {
+        valid_config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
             "discovery": "127.0.0.1:1",
@@ -301,7 +310,9 @@
             "settings": BalancerTestbed().settings,
             "known": {"seq": 1, "whole": True, "hosts": []},
         }
-        process = await spawn(change if isinstance(change, str) else good | change, tmp_path / "c.json")
+        process = await spawn(
+            change if isinstance(change, str) else valid_config | change, tmp_path / "c.json"
+        )
         _, errors = await asyncio.wait_for(process.communicate(), 20)
         assert process.returncode == 2
         assert key in errors.decode() and errors.count(b"\n") == 1 and b"Traceback" not in errors
@@ -310,8 +321,11 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.15, 0.3, 0.45, 0.7])
-def test_sigterm_within_the_first_second_ends_it_with_no_word(tmp_path: Path, after_s: float) -> None:
-    """Before it can hear of signals it ends by this one, after that in order; nothing was taken yet."""
+def test_sigterm_during_startup_exits_without_traceback(tmp_path: Path, after_s: float) -> None:
+    """SIGTERM kills the process before it installs its signal handlers; later it shuts down gracefully.
+
+    In both cases it has accepted no request yet.
+    """
 
     async def test() -> None:
         testbed = BalancerTestbed()
@@ -327,13 +341,13 @@
         process = await spawn(config, tmp_path / "config.json")
         await asyncio.sleep(after_s)
         process.terminate()
-        _, said = await asyncio.wait_for(process.communicate(), 20)
-        assert process.returncode in (0, -signal.SIGTERM) and b"Traceback" not in said
+        _, errors = await asyncio.wait_for(process.communicate(), 20)
+        assert process.returncode in (0, -signal.SIGTERM) and b"Traceback" not in errors
 
     uvloop.run(test())
 
 
-def test_an_upstream_script_serves(tmp_path: Path) -> None:
+def test_request_is_served_by_the_upstream_script(tmp_path: Path) -> None:
     async def test() -> None:
         async with program(tmp_path) as it:
             it.up.script = responds_with(reply(b"from afar"))
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""Traces recorded from a running balancer: complete, replayable, and never in the service's way."""
+"""Traces recorded by a balancer: they are complete and replayable, and do not disturb the service."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
         self.lines.append(where)
 
 
-def open_recorder(path: Path, keys: str = "hashed", most: int = 10**9) -> tuple[Recorder, LogLines]:
+def open_recorder(path: Path, keys: str = "hashed", max_bytes: int = 10**9) -> tuple[Recorder, LogLines]:
     log = LogLines()
-    return Recorder(str(path), keys, most, LoopClock(asyncio.get_running_loop()), log), log
+    return Recorder(str(path), keys, max_bytes, LoopClock(asyncio.get_running_loop()), log), log
 
 
 def make_request(number: int, key: str = "") -> io.Request:
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("keys", ["hashed", "plain", "none"])
-def test_requests_are_in_the_trace_with_their_keys_as_the_operator_wants(tmp_path: Path, keys: str) -> None:
+def test_trace_contains_requests_with_keys_in_the_configured_mode(tmp_path: Path, keys: str) -> None:
     @async_test
     async def test() -> None:
         recorder, _ = open_recorder(tmp_path / "t", keys)
@@ -66,40 +66,40 @@
     rows = rows_in(tmp_path / "t")
     assert [row.size for row in rows] == list(range(50)) and {row.left_ms for row in rows} == {2000.0}
     assert [row.offset for row in rows] == sorted(row.offset for row in rows)
-    names = {row.key for row in rows}
-    assert len(names) == (1 if keys == "none" else 5)
-    assert ("user" in (tmp_path / "t").read_text()) == ("user-1" in names) == (keys == "plain")
+    recorded_keys = {row.key for row in rows}
+    assert len(recorded_keys) == (1 if keys == "none" else 5)
+    assert ("user" in (tmp_path / "t").read_text()) == ("user-1" in recorded_keys) == (keys == "plain")
 
 
 @async_test
-async def test_a_full_file_ends_the_recording_with_a_complete_trace() -> None:
+async def test_recording_at_maximum_file_size_ends_with_a_complete_trace() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t"
-        recorder, log = open_recorder(path, most=200)
+        recorder, log = open_recorder(path, max_bytes=200)
         for number in range(50):
             recorder.record(make_request(number), 0)
         recorder.close()
         rows = rows_in(path)
         assert 0 < len(rows) < 50 and log.lines == [
-            f"trace: the file has its full size; recording has ended with {len(rows)} requests"
+            f"trace: maximum file size reached; recording stopped after {len(rows)} requests"
         ]
 
 
 @pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no device that is full")
-def test_a_disk_that_fails_ends_the_recording_and_says_so() -> None:
+def test_write_error_ends_the_recording_and_is_logged() -> None:
     @async_test
     async def test() -> None:
         recorder, log = open_recorder(Path("/dev/full"))
         recorder.record(make_request(1), 0)
         await wait_until(lambda: log.lines)
         assert "No space left" in log.lines[0] and recorder.stopped
-        recorder.record(make_request(2), 0)  # nothing is thrown, nothing waits
+        recorder.record(make_request(2), 0)  # neither raises nor blocks
         recorder.close()
 
     test()
 
 
-def test_a_balancer_records_its_requests_and_the_trace_can_be_played(tmp_path: Path) -> None:
+def test_trace_of_a_balancer_process_can_be_replayed(tmp_path: Path) -> None:
     async def test() -> None:
         upstreams, _, registry = await start_upstreams(
             2, lambda n, journal: StandInUpstream(f"s{n}", journal)
@@ -131,13 +131,13 @@
             stderr=subprocess.DEVNULL,
         )
         try:
-            link = None
-            while link is None:
+            streams = None
+            while streams is None:
                 try:
-                    link = await asyncio.open_connection("127.0.0.1", port)
+                    streams = await asyncio.open_connection("127.0.0.1", port)
                 except OSError:
                     await asyncio.sleep(0.05)
-            reader, writer = link
+            reader, writer = streams
             for number in range(10):
                 writer.write(
                     f"POST /api HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c{number}\r\nX-Account: lima\r\n"
@@ -164,7 +164,7 @@
     assert [planned.size for planned in replayed] == list(range(10))
 
 
-def test_a_file_that_cannot_be_made_is_refused_at_the_start(tmp_path: Path) -> None:
+def test_trace_file_that_cannot_be_created_fails_the_start(tmp_path: Path) -> None:
     operator = tmp_path / "operator.toml"
     operator.write_text('[trace]\nfile = "none/such/t"\n')
     config = {
@@ -178,7 +178,7 @@
     }
     path = tmp_path / "balancer.json"
     path.write_text(json.dumps(config))
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "quartzford", "serve", "--operator", str(operator)],
         cwd=ROOT,
         env={**os.environ, "EDGE_CONFIG": str(path)},
@@ -186,4 +186,4 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and b"trace.file: " in done.stderr
+    assert result.returncode == 2 and result.stderr.count(b"\n") == 1 and b"trace.file: " in result.stderr
--- a/tests/test_resource_limits.py
+++ b/tests/test_resource_limits.py
@@ -1,4 +1,4 @@
-"""How memory and descriptors are divided, alone and while two processes share them."""
+"""Division of memory and descriptors, for a single process and for two paired processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from quartzford.settings.configuration import Config, read_config
 
 
-def config(memory_bytes: int, descriptors: int) -> Config:
+def make_config(memory_bytes: int, descriptors: int) -> Config:
     table = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -35,19 +35,19 @@
     return replace(read_config(json.dumps(table)), memory_bytes=memory_bytes, descriptors=descriptors)
 
 
-def test_one_process_has_all_but_its_own_base() -> None:
-    limits = full_limits(config(256 * MB, BASE_DESCRIPTORS + 101))
+def test_full_limits_leave_out_the_base_of_the_process() -> None:
+    limits = full_limits(make_config(256 * MB, BASE_DESCRIPTORS + 101))
     assert limits == (256 * MB - BASE_BYTES, 50, 51)
 
 
-def test_two_processes_share_and_busy_clients_stay_with_the_predecessor() -> None:
-    limits = paired_limits(config(256 * MB, BASE_DESCRIPTORS + 101), 20)
+def test_paired_limits_subtract_busy_clients_of_the_predecessor() -> None:
+    limits = paired_limits(make_config(256 * MB, BASE_DESCRIPTORS + 101), 20)
     assert limits == (128 * MB - PAIRED_BASE_BYTES, 30, 25)
 
 
-def test_small_machines_get_the_least_that_serves() -> None:
-    small = config(1 * MB, 1)
+def test_small_machine_gets_the_minimum_limits() -> None:
+    small = make_config(1 * MB, 1)
     half = MIN_CONNECTIONS // 2
     assert full_limits(small) == (MIN_BUFFERED_BYTES, half, half)
-    least = MIN_PAIRED_CONNECTIONS
-    assert paired_limits(small, 99) == (MIN_PAIRED_BUFFERED_BYTES, least, least)
+    minimum = MIN_PAIRED_CONNECTIONS
+    assert paired_limits(small, 99) == (MIN_PAIRED_BUFFERED_BYTES, minimum, minimum)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Wall clocks that are wrong or stepped: slow start, replacement, snapshot, tokens, Retry-After, traces."""
+"""Wrong or stepped wall clocks: slow start, replacement, snapshot, tokens, Retry-After and traces."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 HOUR_MS = 3_600_000.0
 UNIX_MS = 1_796_083_200_000.0
-COLD_MS = 8_000.0
-GUARANTEES = SETTINGS["guarantees"] | {"coldMs": COLD_MS, "startCapacity": 0.1}
-SKEWS = pytest.mark.parametrize("skew_ms", [0.0, -HOUR_MS, HOUR_MS], ids=["in step", "back", "ahead"])
+SLOW_START_MS = 8_000.0
+GUARANTEES = SETTINGS["guarantees"] | {"coldMs": SLOW_START_MS, "startCapacity": 0.1}
+CLOCK_SKEWS = pytest.mark.parametrize("skew_ms", [0.0, -HOUR_MS, HOUR_MS], ids=["equal", "behind", "ahead"])
 
 
 class AnchoredClock(FakeClock):
-    """As LoopClock: Unix time is read once, here from what the machine says at the start."""
+    """Reads Unix time once, at the start, as LoopClock does; machine_ms is the machine's time then."""
 
     def __init__(self, machine_ms: float = UNIX_MS) -> None:
         super().__init__()
@@ -61,12 +61,12 @@
     }
 
 
-def lines(version: int, *rows: dict[str, Any], complete: bool = False) -> Listing:
+def make_listing(version: int, *rows: dict[str, Any], complete: bool = False) -> Listing:
     return read_listing({"seq": version, "whole": complete, "hosts": list(rows)})
 
 
-class Site:
-    """A control side whose watch is played by hand, and its traffic, on a clock that the test moves."""
+class ControlSideHarness:
+    """A control side with simulated list updates and traffic, on a clock that the test advances."""
 
     def __init__(self, clock: AnchoredClock, subset: Subset | None = None) -> None:
         self.clock, self.requests = clock, 0
@@ -87,12 +87,12 @@
         self.side.watch.start = lambda: None  # type: ignore[method-assign]
         self.balancer = self.side.engine.balancer
 
-    def hears(self, listing: Listing) -> None:
+    def receive_listing(self, listing: Listing) -> None:
         self.side.listed(listing)
         self.side.watch.last_line_at = self.clock.now()
 
-    def sends_to(self, name: str, seconds: float, rate: float = 150.0) -> int:
-        """Requests that reach this upstream; all are answered in 5 ms. The watch beats every 2 s."""
+    def count_sends(self, name: str, seconds: float, rate: float = 150.0) -> int:
+        """Return how many requests reach this upstream, with answers in 5 ms and a heartbeat every 2 s."""
         count = 0
         for number in range(int(seconds * rate)):
             self.clock.at += 1.0 / rate
@@ -108,33 +108,33 @@
         return count
 
     def age_ms(self, name: str) -> float:
-        """How long ago slow start began."""
+        """Return the time since slow start began, in milliseconds."""
         return self.clock.unix_ms() - self.balancer.servers[name].slow_start_from_ms
 
 
-def serving(skew_ms: float = 0.0) -> Site:
-    """Four old upstreams that have served for ten seconds."""
-    site = Site(AnchoredClock())
+def harness_in_service(skew_ms: float = 0.0) -> ControlSideHarness:
+    """Return a harness with four old upstreams that have served for ten seconds."""
+    harness = ControlSideHarness(AnchoredClock())
     old = [row(n, 0.0 if n % 2 else UNIX_MS + skew_ms - 9 * HOUR_MS) for n in range(4)]
-    site.side.begin(lines(0, complete=True))
-    site.hears(lines(1, *old, complete=True))
-    site.sends_to("s0", 10.0)
-    return site
+    harness.side.begin(make_listing(0, complete=True))
+    harness.receive_listing(make_listing(1, *old, complete=True))
+    harness.count_sends("s0", 10.0)
+    return harness
 
 
 # ---- slow start
 
 
-@SKEWS
-def test_a_newcomer_is_ramped_up_whatever_the_list_services_clock_says(skew_ms: float) -> None:
-    site = serving(skew_ms)
-    site.hears(lines(2, row(4, site.clock.unix_ms() + skew_ms)))
-    first, _, after = (site.sends_to("s4", seconds) for seconds in (2.0, 8.0, 4.0))
+@CLOCK_SKEWS
+def test_new_upstream_gets_slow_start_at_any_skew_of_the_list_service(skew_ms: float) -> None:
+    harness = harness_in_service(skew_ms)
+    harness.receive_listing(make_listing(2, row(4, harness.clock.unix_ms() + skew_ms)))
+    first, _, after = (harness.count_sends("s4", seconds) for seconds in (2.0, 8.0, 4.0))
     assert 0 < first <= 16 and 60 <= after <= 180, (first, after)
-    assert site.balancer.servers["s4"] not in site.balancer.endpoints.slow_start.cold
+    assert harness.balancer.servers["s4"] not in harness.balancer.endpoints.slow_start.cold
 
 
-@SKEWS
+@CLOCK_SKEWS
 @pytest.mark.parametrize(
     "between",
     [
@@ -144,104 +144,116 @@
         ["whole"],
         ["empty", "whole"],
     ],
-    ids=["drained and back", "sent again", "gone and back", "told whole", "told whole after an empty list"],
+    ids=[
+        "drained and ready",
+        "sent again",
+        "removed and ready",
+        "complete list",
+        "complete list after an empty one",
+    ],
 )
-def test_repeated_rows_neither_restart_slow_start_nor_skip_it(skew_ms: float, between: list[Any]) -> None:
-    site = serving(skew_ms)
-    born = site.clock.unix_ms() + skew_ms
-    site.hears(lines(2, row(4, born)))
-    site.sends_to("s4", 1.0)
-    old_born = UNIX_MS + skew_ms - 9 * HOUR_MS
-    complete = [*(row(n, 0.0 if n % 2 else old_born) for n in range(4)), row(4, born)]
-    for version, what in enumerate(between, 3):
-        if isinstance(what, str):
-            site.hears(lines(version, *(complete if what == "whole" else []), complete=True))
+def test_repeated_rows_neither_restart_nor_skip_slow_start(skew_ms: float, between: list[Any]) -> None:
+    harness = harness_in_service(skew_ms)
+    born_ms = harness.clock.unix_ms() + skew_ms
+    harness.receive_listing(make_listing(2, row(4, born_ms)))
+    harness.count_sends("s4", 1.0)
+    old_born_ms = UNIX_MS + skew_ms - 9 * HOUR_MS
+    complete = [*(row(n, 0.0 if n % 2 else old_born_ms) for n in range(4)), row(4, born_ms)]
+    for version, step in enumerate(between, 3):
+        if isinstance(step, str):
+            harness.receive_listing(
+                make_listing(version, *(complete if step == "whole" else []), complete=True)
+            )
         else:
-            site.hears(lines(version, row(4, born, what[2])))
-        site.clock.at += 1.0
+            harness.receive_listing(make_listing(version, row(4, born_ms, step[2])))
+        harness.clock.at += 1.0
     expected = 1_000.0 + 1_000.0 * len(between)
-    assert site.age_ms("s4") == pytest.approx(expected, abs=1.0)
-    site.sends_to("s4", 0.1)
-    assert {server.entry.server for server in site.balancer.endpoints.slow_start.cold} == {"s4"}
-
-
-def test_another_born_ms_is_another_incarnation_even_if_it_is_earlier() -> None:
-    site = serving()
-    site.hears(lines(2, row(4, UNIX_MS + 5_000.0)))
-    site.sends_to("s4", 12.0)
-    assert site.balancer.servers["s4"] not in site.balancer.endpoints.slow_start.cold
-    site.hears(lines(3, row(4, UNIX_MS - HOUR_MS)))
-    assert site.age_ms("s4") == 0.0
-    assert 0 < site.sends_to("s4", 2.0) <= 16
-
-
-def test_after_a_long_time_without_the_list_born_ms_dates_within_that_time() -> None:
-    site = serving()
-    site.clock.at += 100.0
-    now = site.clock.unix_ms()
-    listing = lines(2, row(4, now - 50_000.0), row(5, now - HOUR_MS), row(6, now + HOUR_MS))
-    site.hears(listing)
-    assert site.side.start_times.starts_of(listing.entries) == {"s4": now - 50_000.0, "s5": now, "s6": now}
-    assert site.balancer.servers["s4"].started_ms == now - 50_000.0
-
-
-@SKEWS
-def test_at_the_process_own_start_an_age_is_bounded_at_both_ends(skew_ms: float) -> None:
-    """Nothing but born_ms is known of the list's upstreams: one dated in the future is cold from now."""
-    site = Site(AnchoredClock())
-    site.side.begin(lines(1, row(0), row(1, UNIX_MS + skew_ms), complete=True))
-    site.hears(lines(1, row(0), row(1, UNIX_MS + skew_ms), complete=True))
-    site.clock.at += 1.0
-    site.hears(lines(2, row(1, UNIX_MS + skew_ms)))
-    assert site.age_ms("s1") == pytest.approx(1_000.0 + max(0.0, -skew_ms))
-    site.sends_to("s1", COLD_MS / 1000.0)
-    assert not site.balancer.endpoints.slow_start.cold
-
-
-def test_an_upstream_that_is_taken_into_the_subset_later_is_no_newcomer() -> None:
-    site = Site(AnchoredClock(), subset=Subset("n0", 2))
+    assert harness.age_ms("s4") == pytest.approx(expected, abs=1.0)
+    harness.count_sends("s4", 0.1)
+    assert {server.entry.server for server in harness.balancer.endpoints.slow_start.cold} == {"s4"}
+
+
+def test_changed_born_ms_is_a_new_incarnation_even_if_earlier() -> None:
+    harness = harness_in_service()
+    harness.receive_listing(make_listing(2, row(4, UNIX_MS + 5_000.0)))
+    harness.count_sends("s4", 12.0)
+    assert harness.balancer.servers["s4"] not in harness.balancer.endpoints.slow_start.cold
+    harness.receive_listing(make_listing(3, row(4, UNIX_MS - HOUR_MS)))
+    assert harness.age_ms("s4") == 0.0
+    assert 0 < harness.count_sends("s4", 2.0) <= 16
+
+
+def test_start_times_after_a_list_outage_are_bounded_by_the_outage() -> None:
+    harness = harness_in_service()
+    harness.clock.at += 100.0
+    now = harness.clock.unix_ms()
+    listing = make_listing(2, row(4, now - 50_000.0), row(5, now - HOUR_MS), row(6, now + HOUR_MS))
+    harness.receive_listing(listing)
+    assert harness.side.start_times.starts_of(listing.entries) == {"s4": now - 50_000.0, "s5": now, "s6": now}
+    assert harness.balancer.servers["s4"].started_ms == now - 50_000.0
+
+
+@CLOCK_SKEWS
+def test_start_times_of_the_initial_list_are_not_in_the_future(skew_ms: float) -> None:
+    """At the process's start born_ms is the only source. If it is in the future, slow start begins now."""
+    harness = ControlSideHarness(AnchoredClock())
+    harness.side.begin(make_listing(1, row(0), row(1, UNIX_MS + skew_ms), complete=True))
+    harness.receive_listing(make_listing(1, row(0), row(1, UNIX_MS + skew_ms), complete=True))
+    harness.clock.at += 1.0
+    harness.receive_listing(make_listing(2, row(1, UNIX_MS + skew_ms)))
+    assert harness.age_ms("s1") == pytest.approx(1_000.0 + max(0.0, -skew_ms))
+    harness.count_sends("s1", SLOW_START_MS / 1000.0)
+    assert not harness.balancer.endpoints.slow_start.cold
+
+
+def test_upstream_added_to_the_subset_later_gets_no_slow_start() -> None:
+    harness = ControlSideHarness(AnchoredClock(), subset=Subset("n0", 2))
     rows = [row(n, UNIX_MS - HOUR_MS) for n in range(4)]
-    site.side.begin(lines(0, complete=True))
-    site.hears(lines(1, *rows, complete=True))
-    used = {server.entry.server for server in site.balancer.ready}
-    site.sends_to("s0", 4.0)
-    changes = [row(int(name[1:]), UNIX_MS - HOUR_MS, "draining") for name in used]
-    site.hears(lines(2, *changes))
-    taken = {server.entry.server for server in site.balancer.ready}
-    site.sends_to("s0", 0.1)
-    assert len(taken) == 2 and not taken & used and not site.balancer.endpoints.slow_start.cold
-
-
-def test_a_list_of_another_service_has_no_last_moment_without_its_upstreams() -> None:
+    harness.side.begin(make_listing(0, complete=True))
+    harness.receive_listing(make_listing(1, *rows, complete=True))
+    initial = {server.entry.server for server in harness.balancer.ready}
+    harness.count_sends("s0", 4.0)
+    changes = [row(int(name[1:]), UNIX_MS - HOUR_MS, "draining") for name in initial]
+    harness.receive_listing(make_listing(2, *changes))
+    replacements = {server.entry.server for server in harness.balancer.ready}
+    harness.count_sends("s0", 0.1)
+    assert (
+        len(replacements) == 2
+        and not replacements & initial
+        and not harness.balancer.endpoints.slow_start.cold
+    )
+
+
+def test_list_of_another_service_dates_upstreams_by_born_ms() -> None:
     times, now = StartTimes(), 100_000.0
-    times.date_listing(lines(1, row(0, 5.0), complete=True), -float("inf"), now)
+    times.date_listing(make_listing(1, row(0, 5.0), complete=True), -float("inf"), now)
     times.note_source_change()
-    other = lines(1, row(7, 10.0), row(8, now * 2), complete=True)
+    other = make_listing(1, row(7, 10.0), row(8, now * 2), complete=True)
     times.date_listing(other, now - 1_000.0, now)
     assert times.starts_of(other.entries) == {"s7": 10.0, "s8": now}
     times.note_source_change()
-    same = lines(2, row(7, 10.0), row(9, 10.0), complete=True)  # the same fleet at another address
+    same = make_listing(2, row(7, 10.0), row(9, 10.0), complete=True)  # the same fleet at another address
     times.date_listing(same, now - 1_000.0, now)
     assert times.starts_of(same.entries) == {"s7": 10.0, "s9": now}
 
 
-def test_incarnations_that_are_gone_are_forgotten_past_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_removed_incarnations_beyond_the_limit_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(start_times, "MIN_REMEMBERED_REMOVALS", 3)
     times = StartTimes()
     for number in range(10):
-        times.date_listing(lines(number, row(number, 5.0)), 50.0, 100.0)
-        times.date_listing(lines(number, row(number, 5.0, "gone")), 50.0, 100.0)
+        times.date_listing(make_listing(number, row(number, 5.0)), 50.0, 100.0)
+        times.date_listing(make_listing(number, row(number, 5.0, "gone")), 50.0, 100.0)
     assert list(times._removed) == ["s7", "s8", "s9"] and not times.started_after(0.0)
-    long = [row(number, 5.0) for number in range(20)]
-    times.date_listing(lines(20, *long, complete=True), 50.0, 100.0)
-    times.date_listing(lines(21, complete=True), 50.0, 100.0)
+    entries = [row(number, 5.0) for number in range(20)]
+    times.date_listing(make_listing(20, *entries, complete=True), 50.0, 100.0)
+    times.date_listing(make_listing(21, complete=True), 50.0, 100.0)
     assert len(times._removed) == 20
 
 
 # ---- replacement
 
 
-def test_what_is_handed_over_is_moved_to_the_receivers_scale() -> None:
+def test_handed_over_times_are_shifted_to_the_successor_clock() -> None:
     rate = io.LearnedRate(1_000.0, 2_000.0, 3.0)
     server = io.LearnedEndpoint("s0", 9.0, 0.5, 1.0, 1.0, 0.0, 0.1, 1, 2_500.0, False, 0.3, 1_900.0, 1_500.0)
     warm = io.LearnedEndpoint("s1", 0.0, 0.5, 1.0, 1.0, 0.0)
@@ -267,31 +279,32 @@
     assert shift_times(moved, -HOUR_MS) == memory and moved.answers == memory.answers
 
 
-@SKEWS
-def test_a_successor_goes_on_with_the_predecessors_dates(skew_ms: float) -> None:
-    before = serving(skew_ms)
-    born = before.clock.unix_ms() + skew_ms
-    listing = (*(row(n) for n in range(4)), row(4, born))
-    before.hears(lines(2, *listing, complete=True))
-    before.sends_to("s4", 1.0)
-    memory, starts = before.side.engine.hand_over(), before.side.start_times.started_after(0.0)
-    after = Site(AnchoredClock(UNIX_MS - skew_ms))  # the machine's clock was stepped between the two starts
-    after.clock.at = before.clock.at
-    by_ms = after.clock.anchor_ms - before.clock.anchor_ms
+@CLOCK_SKEWS
+def test_successor_keeps_start_times_of_the_predecessor(skew_ms: float) -> None:
+    predecessor = harness_in_service(skew_ms)
+    born_ms = predecessor.clock.unix_ms() + skew_ms
+    listing = (*(row(n) for n in range(4)), row(4, born_ms))
+    predecessor.receive_listing(make_listing(2, *listing, complete=True))
+    predecessor.count_sends("s4", 1.0)
+    memory, starts = predecessor.side.engine.hand_over(), predecessor.side.start_times.started_after(0.0)
+    # The machine's clock was stepped between the two starts.
+    successor = ControlSideHarness(AnchoredClock(UNIX_MS - skew_ms))
+    successor.clock.at = predecessor.clock.at
+    by_ms = successor.clock.anchor_ms - predecessor.clock.anchor_ms
     inherited = InheritedStarts(
-        before.side.list_known_ms() + by_ms, {name: at + by_ms for name, at in starts.items()}
+        predecessor.side.list_known_ms() + by_ms, {name: at + by_ms for name, at in starts.items()}
     )
-    after.side.begin(lines(2, *listing, complete=True), 2, shift_times(memory, by_ms), inherited)
-    assert after.age_ms("s4") == pytest.approx(before.age_ms("s4"), abs=1.0)
-    assert after.balancer.servers["s4"].tokens == before.balancer.servers["s4"].tokens
-    after.hears(lines(3, row(5, born)))
-    assert after.age_ms("s5") == 0.0
-    after.sends_to("s4", COLD_MS / 1000.0)
-    assert not after.balancer.endpoints.slow_start.cold
+    successor.side.begin(make_listing(2, *listing, complete=True), 2, shift_times(memory, by_ms), inherited)
+    assert successor.age_ms("s4") == pytest.approx(predecessor.age_ms("s4"), abs=1.0)
+    assert successor.balancer.servers["s4"].tokens == predecessor.balancer.servers["s4"].tokens
+    successor.receive_listing(make_listing(3, row(5, born_ms)))
+    assert successor.age_ms("s5") == 0.0
+    successor.count_sends("s4", SLOW_START_MS / 1000.0)
+    assert not successor.balancer.endpoints.slow_start.cold
 
 
 class EarlierState(msgspec.Struct):
-    """The state's form before it had the last three fields."""
+    """The form of the state in an earlier version, without the last three fields."""
 
     format: int
     listing: dict[str, Any]
@@ -302,7 +315,7 @@
     memory: dict[str, Any]
 
 
-def test_the_state_is_read_by_an_earlier_version_and_an_earlier_versions_here() -> None:
+def test_state_is_compatible_with_an_earlier_version_in_both_directions() -> None:
     state = wire.BalancerState(
         wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState(), 5.0, 7.0, {"s0": 6.0}
     )
@@ -322,7 +335,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"anchor_ms": float("nan")}, {"starts": {"s0": float("inf")}}])
-def test_moments_that_can_t_be_are_turned_away(changes: dict[str, Any]) -> None:
+def test_state_with_non_finite_times_is_rejected(changes: dict[str, Any]) -> None:
     state = wire.BalancerState(wire.STATE_FORMAT, {}, 1, ["a", 1], True, 0, io.LearnedState())
     table = msgspec.msgpack.decode(b"".join(wire.split_state(state)))
     with pytest.raises(StateFormatError, match="not finite"):
@@ -330,13 +343,13 @@
 
 
 def step_machine_clock(monkeypatch: pytest.MonkeyPatch, by_ms: float) -> None:
-    """What starts from now on takes its anchor from a clock that was stepped."""
+    """Step the machine's clock: clocks created from now on read the stepped time as their anchor."""
     stepped = SimpleNamespace(time=lambda: time.time() + by_ms / 1000.0, monotonic=time.monotonic)
     monkeypatch.setattr("quartzford.engine.clock.time", stepped)
 
 
-@SKEWS
-def test_two_processes_of_one_line_with_a_step_between_their_starts(
+@CLOCK_SKEWS
+def test_handover_after_a_clock_step_keeps_slow_start_ages(
     skew_ms: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     @async_test
@@ -371,7 +384,7 @@
         ages = [
             node.clock.unix_ms() - node.engine.balancer.servers["s2"].slow_start_from_ms for node in nodes
         ]
-        assert ages[1] == pytest.approx(ages[0], abs=100.0) and 0.0 <= ages[1] < COLD_MS
+        assert ages[1] == pytest.approx(ages[0], abs=100.0) and 0.0 <= ages[1] < SLOW_START_MS
         await wait_until(lambda: len(testbed.watches) > 1)
         testbed.update(testbed.list_row(3, born=time.time() * 1000.0 - HOUR_MS))
         await wait_until(lambda: "s3" in nodes[1].engine.balancer.servers)
@@ -390,7 +403,7 @@
 # ---- the clock itself, tokens, traces
 
 
-def test_a_step_after_the_start_moves_neither_clock_nor_token_nor_trace(
+def test_clock_step_after_the_start_changes_no_clock_token_or_trace(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     @async_test
@@ -398,13 +411,13 @@
         clock = LoopClock(asyncio.get_running_loop())
         tokens = Tokens(b"k" * 16, b"life-one")
         recorder = Recorder(str(tmp_path / "trace"), "none", 10_000, clock, MemoryLog())
-        begun, text = clock.unix_ms(), tokens.make(7, "c1", clock.unix_ms() + 60_000.0)
+        start_ms, token = clock.unix_ms(), tokens.make(7, "c1", clock.unix_ms() + 60_000.0)
         for by_ms in (-HOUR_MS, HOUR_MS):
             step_machine_clock(monkeypatch, by_ms)
             recorder.record(io.Request(1, "read", 800.0), 0)
-            assert 0.0 <= clock.unix_ms() - begun < 30_000.0
-            assert tokens.read(text, "c1", clock.unix_ms()) == 7
-        assert tokens.read(text, "c1", clock.unix_ms() + 61_000.0) is InvalidToken.STALE
+            assert 0.0 <= clock.unix_ms() - start_ms < 30_000.0
+            assert tokens.read(token, "c1", clock.unix_ms()) == 7
+        assert tokens.read(token, "c1", clock.unix_ms() + 61_000.0) is InvalidToken.STALE
         recorder.close()
         offsets = [
             float(line.split()[0])
@@ -419,14 +432,14 @@
 # ---- Retry-After
 
 
-@SKEWS
-def test_a_date_to_come_back_at_is_taken_against_the_answers_own_date(skew_ms: float) -> None:
+@CLOCK_SKEWS
+def test_retry_after_date_is_relative_to_the_date_of_the_answer(skew_ms: float) -> None:
     @async_test
     async def test() -> None:
-        heard: list[float] = []
+        retry_after_values: list[float] = []
         testbed = BalancerTestbed(1, registryMode="subscribe")
 
-        async def turned_away(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def reject_with_date(message: Message, writer: asyncio.StreamWriter) -> None:
             now = time.time() + skew_ms / 1000.0
             date, later = formatdate(now, usegmt=True), formatdate(now + 5.0, usegmt=True)
             writer.write(
@@ -436,20 +449,20 @@
 
         for peer in (*testbed.upstreams, testbed.discovery):
             await peer.start()
-        testbed.discovery.script = turned_away
+        testbed.discovery.script = reject_with_date
         testbed.initial_list = testbed.endpoint_list(testbed.list_row(0), complete=True)
-        enter = asyncio.ensure_future(testbed.start_balancer(wait_for_list=False))
+        starting = asyncio.ensure_future(testbed.start_balancer(wait_for_list=False))
         await wait_until(lambda: hasattr(testbed, "node"))
         delay_after = testbed.node.watch.policy.delay_after
 
-        def recorded_delay(end: Any, took: float, retry_after: float = 0.0) -> float:
-            heard.append(retry_after)
-            return delay_after(end, took, retry_after)
+        def recorded_delay(outcome: Any, elapsed_s: float, retry_after: float = 0.0) -> float:
+            retry_after_values.append(retry_after)
+            return delay_after(outcome, elapsed_s, retry_after)
 
         testbed.node.watch.policy.delay_after = recorded_delay  # type: ignore[method-assign]
-        await wait_until(lambda: heard)
-        assert heard[0] == 5.0
-        await enter
+        await wait_until(lambda: retry_after_values)
+        assert retry_after_values[0] == 5.0
+        await starting
         await testbed.__aexit__()
 
     test()
