--- a/tests/test_extproc_channel.py
+++ b/tests/test_extproc_channel.py
@@ -1,4 +1,4 @@
-"""The channel of a worker to the deciding process: what an overload delays, and what it must not."""
+"""A worker's channel to the deciding process: the order of messages under overload, and lost channels."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RecordingTransport:
-    """A transport that keeps what is written."""
+    """A transport that records written messages."""
 
     def __init__(self) -> None:
         self.written: list[Any] = []
@@ -58,7 +58,7 @@
     uvloop.run(main())
 
 
-def test_lines_in_pieces_and_their_replies() -> None:
+def test_channel_lines_in_fragments_are_answered() -> None:
     async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
         data = encode_lines(request_message(1, testbed.clock.at, "pay"))
         for at in range(0, len(data), 9):
@@ -74,10 +74,10 @@
     run_on_loop(test)
 
 
-def test_ends_go_before_decision_requests_and_these_by_priority_weight() -> None:
+def test_queue_handles_ends_first_then_requests_by_priority() -> None:
     async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
         channel.data_received(encode_lines(request_message(1, testbed.clock.at, "pay")))
-        channel.turn_scheduled = True  # a turn is under way: what comes now waits
+        channel.turn_scheduled = True  # as if a turn were running: messages queue until the next one
         now = testbed.clock.at
         channel.data_received(
             encode_lines(
@@ -95,7 +95,7 @@
     run_on_loop(test)
 
 
-def test_a_stream_that_closed_before_its_decision_request_was_handled_opens_nothing() -> None:
+def test_request_of_closed_stream_is_dropped() -> None:
     async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
         channel.turn_scheduled = True
         channel.data_received(
@@ -113,8 +113,11 @@
     run_on_loop(test)
 
 
-def test_a_closed_stream_takes_all_its_waiting_decision_requests() -> None:
-    """A stream that was known and asked again once came back to life, and was never dropped."""
+def test_all_requests_of_closed_stream_are_dropped() -> None:
+    """A stream with a completed request sends two more requests and closes.
+
+    Handling one of them after the close reopened the stream, which was then never closed.
+    """
 
     async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
         now = testbed.clock.at
@@ -149,44 +152,46 @@
     )
 )
 @budget(max_examples=300, deadline=None, derandomize=True, database=None)
-def test_the_message_queue_gives_each_message_once_in_its_order(steps: list[Any]) -> None:
+def test_message_queue_returns_each_message_once_in_order(steps: list[Any]) -> None:
     priority_weight = {"a": 1.0, "b": 5.0, "c": 10.0}
-    queue, put, got = MessageQueue(priority_weight.__getitem__), [], []
+    queue, added, received = MessageQueue(priority_weight.__getitem__), [], []
     dropped: set[int] = set()
-    for number, (what, stream, name) in enumerate([*steps, *[("next", 0, "a")] * 70]):
-        if what != "next":
+    for number, (tag, stream, name) in enumerate([*steps, *[("next", 0, "a")] * 70]):
+        if tag != "next":
             if stream in dropped:
                 continue
-            if what == "drop":
+            if tag == "drop":
                 dropped.add(stream)
-            put.append([what, stream, number, "id", name])
-            queue.add(put[-1])
+            added.append([tag, stream, number, "id", name])
+            queue.add(added[-1])
             continue
-        before = list(queue.end_messages), {w: list(q) for w, q in queue.decision_requests.items()}
+        queued_before = list(queue.end_messages), {w: list(q) for w, q in queue.decision_requests.items()}
         message = queue.next_message()
         if message is None:
             continue
-        got.append(message)
+        received.append(message)
         if message[0] == "ask":
-            assert not before[0], "an ask went before an end"
-            higher = [m for w, q in before[1].items() if w > priority_weight[message[4]] for m in q]
+            assert not queued_before[0], "a decision request was handled before an end"
+            higher = [m for w, q in queued_before[1].items() if w > priority_weight[message[4]] for m in q]
             assert all(
                 m[1] in queue.closed_streams or m[1] in dropped for m in higher
-            ), "not by priority weight"
+            ), "not in the order of priority weights"
     assert not len(queue) and not queue.closed_streams and not queue.request_counts
-    ends = [m for m in put if m[0] != "ask"]
-    assert [m for m in got if m[0] != "ask"] == ends, "an end was lost, or out of order"
-    for message in put:
-        if message[0] == "ask" and message not in got:
-            later = [m for m in put if m[0] == "drop" and m[1] == message[1] and m[2] > message[2]]
-            assert later, "an ask was lost whose stream was not dropped"
+    ends = [m for m in added if m[0] != "ask"]
+    assert [m for m in received if m[0] != "ask"] == ends, "an end was lost or out of order"
+    for message in added:
+        if message[0] == "ask" and message not in received:
+            later = [m for m in added if m[0] == "drop" and m[1] == message[1] and m[2] > message[2]]
+            assert later, "a decision request of an open stream was lost"
 
 
-def test_an_overload_stops_reading_and_rejects_what_waited() -> None:
+def test_overload_pauses_reading_and_rejects_late_requests() -> None:
     async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
         channel.turn_scheduled = True
-        old = testbed.clock.at - 0.2
-        channel.data_received(encode_lines(*(request_message(n, old, "read") for n in range(10_000))))
+        old_arrival_s = testbed.clock.at - 0.2
+        channel.data_received(
+            encode_lines(*(request_message(n, old_arrival_s, "read") for n in range(10_000)))
+        )
         assert not transport.reading
         channel._run_turn()
         while channel.turn_scheduled:
@@ -198,7 +203,7 @@
     run_on_loop(test)
 
 
-def test_a_lost_channel_closes_its_streams_and_a_bad_message_spoils_nothing() -> None:
+def test_lost_channel_closes_streams_and_bad_message_is_ignored() -> None:
     async def test(testbed: ServiceTestbed, channel: ServiceChannel, transport: RecordingTransport) -> None:
         channel.data_received(
             encode_lines(
--- a/tests/test_extproc_streams.py
+++ b/tests/test_extproc_streams.py
@@ -1,4 +1,4 @@
-"""The external processor over real streams: what a caller is told, and what each of its failures leaves."""
+"""The external processor over real gRPC streams: replies to callers, and the effects of callers' failures."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 @async_test
-async def test_a_request_goes_where_the_module_says_and_its_report_stays_here() -> None:
+async def test_request_follows_decision_and_load_report_is_recorded() -> None:
     async with ExtprocSite() as site:
-        caller, heard, handle = site.caller(), [], site.node.engine.balancer.handle
+        caller, reports, handle = site.caller(), [], site.node.engine.balancer.handle
 
-        def watched(now: float, event: io.Event) -> list[io.Action]:
+        def record_report(now: float, event: io.Event) -> list[io.Action]:
             if isinstance(event, io.AttemptEnded):
-                heard.append(event.report)
+                reports.append(event.report)
             return handle(now, event)
 
-        site.node.engine.balancer.handle = watched  # type: ignore[method-assign]
+        site.node.engine.balancer.handle = record_report  # type: ignore[method-assign]
         for upstream in site.upstreams:
             upstream.busy = lambda now: 1  # type: ignore[method-assign]
         for name in ("read", "book", "pay"):
@@ -38,29 +38,29 @@
             assert done.statuses == [200] and len(done.attempts) == 1 and not done.reason
             assert site.execution_count(done.identity) == 1
         assert site.node.engine.counts["ok"] == 3 and not site.node.engine.pending_requests
-        # The nodos say queue 0 and util 1.0; the module is told, in the order of the settings.
-        assert heard == [(0.0, 1.0)] * 3
+        # The servers report queue 0 and util 1.0; the module gets both, in the order of the settings.
+        assert reports == [(0.0, 1.0)] * 3
 
 
 @pytest.mark.parametrize("opener", [False, True])
-def test_a_rejected_attempt_goes_elsewhere_by_a_new_decision(opener: bool) -> None:
+def test_rejected_attempt_is_retried_elsewhere(opener: bool) -> None:
     async def test() -> None:
         async with ExtprocSite(2) as site:
             site.upstreams[0].mode = "full"
             caller = site.caller(opener=opener)
-            several = 0
+            retried_count = 0
             for _ in range(20):
                 done = await site.submit(caller, "pay")
                 assert done.statuses == [200] and site.execution_count(done.identity) == 1
-                several += len(done.attempts) > 1
+                retried_count += len(done.attempts) > 1
                 assert len({a.address for a in done.attempts}) == len(done.attempts)
-            assert several and not site.open_requests()
+            assert retried_count and not site.open_requests()
 
     uvloop.run(test())
 
 
 @async_test
-async def test_an_unsafe_request_that_may_have_run_fails_and_is_not_rejected() -> None:
+async def test_unsafe_request_that_may_have_run_fails_without_rejection() -> None:
     async with ExtprocSite(2) as site:
         for upstream in site.upstreams:
             upstream.mode = "error"
@@ -74,7 +74,7 @@
 
 
 @async_test
-async def test_what_never_ran_is_rejected_with_retry_after() -> None:
+async def test_request_that_never_ran_is_rejected_with_retry_after() -> None:
     async with ExtprocSite(2) as site:
         for upstream in site.upstreams:
             upstream.mode = "full"
@@ -82,15 +82,20 @@
         assert done.statuses == [503] and float(done.retry_after) > 0
         for upstream in site.upstreams:
             upstream.mode = "ok"
-        # It surely did not run: the same request may come again.
+        # The request certainly did not run, so the same request may be sent again.
         await wait_until(lambda: not site.open_requests())
         again = await site.submit(site.caller(), "pay", identity=done.identity)
         assert again.statuses == [200] and site.execution_count(done.identity) == 1
 
 
 @pytest.mark.parametrize(("name", "mode", "status"), [("pay", "full", 503), ("book", "error", 502)])
-def test_a_caller_that_cannot_go_again_leaves_the_truth(name: str, mode: str, status: int) -> None:
-    """The nodo's own answer must not pass for a refusal of what may have run, nor the other way round."""
+def test_caller_without_retries_gets_status_for_never_ran_or_may_have_run(
+    name: str, mode: str, status: int
+) -> None:
+    """The server's own 503 must not reach the client as a rejection if the request may have run.
+
+    Nor may a rejection, which proves that the request did not run, reach the client as a failure.
+    """
 
     async def test() -> None:
         async with ExtprocSite(4) as site:
@@ -103,7 +108,7 @@
 
 
 @async_test
-async def test_a_tenant_over_its_quota_gets_429() -> None:
+async def test_tenant_over_quota_gets_429() -> None:
     customers = [{"name": "acme", "quotaPerS": 0.5}]
     async with ExtprocSite(1, settings={"customers": customers}) as site:
         admission = site.node.engine.balancer.admission
@@ -115,11 +120,11 @@
         assert all(float(done.retry_after) > 0 for done in answers if done.statuses == [429])
 
 
-# ---- callers that leave
+# ---- callers that disconnect
 
 
 @async_test
-async def test_a_stream_dropped_before_its_decision_surely_did_not_run() -> None:
+async def test_stream_closed_before_decision_never_ran() -> None:
     async with ExtprocSite(1) as site:
         site.registry.notify(site.upstreams[0], health="draining")
         await wait_until(lambda: not site.backend.endpoints)
@@ -138,7 +143,7 @@
 
 @pytest.mark.parametrize("stage", STAGES[1:])
 @pytest.mark.parametrize("name", ["pay", "book", "read"])
-def test_a_stream_dropped_after_its_decision_may_have_run(stage: str, name: str) -> None:
+def test_stream_closed_after_decision_may_have_run(stage: str, name: str) -> None:
     async def test() -> None:
         async with ExtprocSite(2, return_ms=50.0) as site:
             caller = site.caller()
@@ -156,8 +161,11 @@
 
 
 @async_test
-async def test_an_unsafe_request_whose_decision_comes_after_its_caller_gave_up() -> None:
-    """The caller never read it, but who can tell? It is neither sent again nor refused as harmless."""
+async def test_unsafe_request_with_written_unread_decision_may_have_run() -> None:
+    """The decision was written, but its caller never read it.
+
+    The service cannot know that: it must neither send the request again nor report that it never ran.
+    """
     async with ExtprocSite(2, return_ms=50.0) as site:
         processor, caller = site.front.processor, site.caller()
         assert processor is not None
@@ -174,19 +182,19 @@
 
 
 @async_test
-async def test_an_unsafe_request_whose_caller_gave_up_before_the_decision_was_written() -> None:
-    """Nothing left us, so it surely did not run: its client may come again."""
+async def test_unsafe_request_with_unwritten_decision_never_ran() -> None:
+    """The decision was never written, so the request certainly did not run and may be sent again."""
     async with ExtprocSite(2, return_ms=50.0) as site:
         assert site.front.processor is not None
         link, loop = site.front.processor.link, asyncio.get_running_loop()
         request_decision = link.request_decision
 
-        def late(stream: Any, decision_request: Any) -> None:
+        def delay_reply(stream: Any, decision_request: Any) -> None:
             reply = stream.reply
-            stream.reply = lambda said: loop.call_later(0.3, reply, said)
+            stream.reply = lambda delayed_reply: loop.call_later(0.3, reply, delayed_reply)
             request_decision(stream, decision_request)
 
-        link.request_decision = late  # type: ignore[method-assign]
+        link.request_decision = delay_reply  # type: ignore[method-assign]
         caller = site.caller(message_timeout_s=0.1)
         done = await site.submit(caller, "pay")
         assert done.statuses == [504] and not done.attempts
@@ -197,8 +205,8 @@
 
 
 @async_test
-async def test_a_request_whose_time_is_over_while_its_attempt_is_out_is_cut() -> None:
-    """A caller that holds to no time-out of its own: its stream is ended, so that its client hears."""
+async def test_stream_ends_when_deadline_passes_during_attempt() -> None:
+    """The stream of a caller that enforces no time-out ends with an error, so that its client gets one."""
     async with ExtprocSite(1) as site:
         raw = RawStream(site.caller())
         assert immediate_status(await raw.submit(request_headers("c9", left_s=0.3))) == 0
@@ -209,11 +217,11 @@
         assert site.node.engine.counts["timeout"] == 1 and not site.open_requests()
 
 
-# ---- callers that go again
+# ---- callers that retry
 
 
 @pytest.mark.parametrize(("name", "status"), [("pay", 409), ("read", 409)])
-def test_a_second_attempt_beside_one_in_flight_is_rejected(name: str, status: int) -> None:
+def test_second_attempt_during_first_is_rejected(name: str, status: int) -> None:
     async def test() -> None:
         async with ExtprocSite(3, overlap_ms=30.0) as site:
             caller = site.caller()
@@ -226,22 +234,22 @@
 
 
 @pytest.mark.parametrize(("name", "sent"), [("pay", False), ("read", True), ("book", True)])
-def test_a_caller_that_lost_its_attempt_goes_again_by_the_rules(name: str, sent: bool) -> None:
-    """Its stream ends with nothing reported, and the next one comes with the token, even a moment before."""
+def test_lost_attempt_is_retried_by_class_rules(name: str, sent: bool) -> None:
+    """A stream closes without a report; the next one brings the token, possibly a moment before the close."""
 
     async def test() -> None:
         async with ExtprocSite(4, overlap_ms=5000.0) as site:
             caller = site.caller()
             one, two = RawStream(caller), RawStream(caller)
             await one.submit(request_headers("c1", name))
-            asking = asyncio.ensure_future(two.submit(request_headers("c1", name, one.token())))
+            reply_task = asyncio.ensure_future(two.submit(request_headers("c1", name, one.token())))
             await wait_until(lambda: any(f.next_stream for f in site.front.service.requests.values()))
             one.drop()
-            reply = await asking
+            reply = await reply_task
             if not sent:
-                return _check(immediate_status(reply) == 502)
+                return assert_true(immediate_status(reply) == 502)
             assert immediate_status(reply) == 0 and two.address()
-            if name == "book":  # only in its block are its repeats dropped
+            if name == "book":  # only the servers of its block recognize its repeats
                 block = {f"127.0.0.1:{n.port}": n.block for n in site.upstreams}
                 assert block[two.address()] == block[one.address()]
             await two.report(200)
@@ -251,8 +259,8 @@
 
 
 @pytest.mark.parametrize(("name", "runs"), [("pay", 1), ("read", 2)])
-def test_a_caller_that_retries_by_itself_on_a_reset_is_held_to_the_rules(name: str, runs: int) -> None:
-    """Against what its operators are asked: it sends again unbidden, with the token, and reports nothing."""
+def test_unrequested_retry_after_reset_follows_class_rules(name: str, runs: int) -> None:
+    """A caller configured against the documentation retries on its own, without a report."""
 
     async def test() -> None:
         async with ExtprocSite(3) as site:
@@ -270,7 +278,7 @@
 
 
 @pytest.mark.parametrize("connections", [1, 2])
-def test_the_same_id_on_two_streams_is_one_request(connections: int) -> None:
+def test_same_id_on_two_streams_is_one_request(connections: int) -> None:
     async def test() -> None:
         async with ExtprocSite() as site:
             callers = [site.caller() for _ in range(connections)]
@@ -283,11 +291,11 @@
     uvloop.run(test())
 
 
-# ---- what clients and strangers send
+# ---- invalid and forged input
 
 
 @async_test
-async def test_a_token_that_is_not_ours_opens_nothing() -> None:
+async def test_invalid_token_is_rejected() -> None:
     async with ExtprocSite() as site:
         caller = site.caller()
         for text in ("x", "AAAA" * 20, "é", "=" * 9):
@@ -304,11 +312,11 @@
             == 400
         )
         await one.report(200)
-        # Of a request that has ended: whatever it was, it is not sent again.
+        # A token of a completed request: the request is not sent again, whatever its result.
         assert (
             immediate_status(await RawStream(caller).submit(request_headers("c1", "pay", one.token()))) == 502
         )
-        # Of an earlier life, with a key that lasts.
+        # A token of an earlier incarnation that had the same key.
         tokens = site.front.service.tokens
         tokens.key = Tokens(b"k" * 16, b"l" * 8).key
         old = Tokens(b"k" * 16, os.urandom(8)).make(3, "c7", site.node.clock.unix_ms() + 1e6)
@@ -322,7 +330,7 @@
 
 
 @async_test
-async def test_a_destination_that_a_client_wrote_is_overwritten() -> None:
+async def test_client_sent_destination_is_overwritten() -> None:
     async with ExtprocSite() as site:
         forged = (
             ("x-quartzford-destination", "127.0.0.1:9"),
@@ -331,9 +339,12 @@
         )
         done = await site.submit(site.caller(), "pay", extra=forged)
         assert done.statuses == [200] and done.attempts[0].address != "127.0.0.1:9"
-        brought = RawStream(site.caller(), opens_request=True)  # whoever opens a request has no token yet
+        # A caller that opens a request has no token yet.
+        opener_with_token = RawStream(site.caller(), opens_request=True)
         assert (
-            immediate_status(await brought.submit(request_headers("c7", "pay", ("x-quartzford-token", "x"))))
+            immediate_status(
+                await opener_with_token.submit(request_headers("c7", "pay", ("x-quartzford-token", "x")))
+            )
             == 400
         )
         raw = RawStream(site.caller(), opens_request=True)
@@ -345,12 +356,12 @@
     return Headers(list(rows)).message(raw, True)
 
 
-def _check(truth: bool) -> None:
+def assert_true(truth: bool) -> None:
     assert truth
 
 
 @pytest.mark.parametrize("raw_values", [True, False])
-def test_header_values_come_in_either_field(raw_values: bool) -> None:
+def test_header_values_are_read_from_either_field(raw_values: bool) -> None:
     async def test() -> None:
         async with ExtprocSite() as site:
             done = await site.submit(site.caller(raw_values=raw_values), "book")
@@ -360,7 +371,7 @@
 
 
 @async_test
-async def test_requests_that_cannot_be_read() -> None:
+async def test_unreadable_requests_are_rejected() -> None:
     async with ExtprocSite() as site:
         caller = site.caller()
         no_id = [row for row in request_headers("c1") if row[0] != "x-correlation-id"]
@@ -379,15 +390,20 @@
             )
             == 431
         )
-        odd = [row for row in request_headers("c3") if row[0] not in ("x-service-class", "x-time-left")]
+        rows_without_class = [
+            row for row in request_headers("c3") if row[0] not in ("x-service-class", "x-time-left")
+        ]
         raw = RawStream(caller)
-        assert immediate_status(await raw.submit([*odd, ("x-time-left", "soon")])) == 0 and raw.address()
+        assert (
+            immediate_status(await raw.submit([*rows_without_class, ("x-time-left", "soon")])) == 0
+            and raw.address()
+        )
         assert site.node.engine.pending_requests and (await raw.report(200)) and not site.open_requests()
         assert not site.journal.runs
 
 
 @async_test
-async def test_bytes_that_are_no_message_end_their_stream_only() -> None:
+async def test_undecodable_message_ends_only_its_stream() -> None:
     async with ExtprocSite() as site:
         caller = site.caller()
         plain = caller.channel.stream_stream(PROCESS)
@@ -396,12 +412,12 @@
             await call.write(data)
             with pytest.raises(grpc.aio.AioRpcError):
                 assert await asyncio.wait_for(call.read(), 20) is not grpc.aio.EOF
-                raise AssertionError("it was answered")
+                raise AssertionError("the message was answered")
         assert (await site.submit(caller, "pay")).statuses == [200] and not site.open_requests()
 
 
 @async_test
-async def test_phases_that_were_not_requested_get_the_neutral_reply() -> None:
+async def test_unrequested_phases_get_neutral_reply() -> None:
     async with ExtprocSite() as site:
         raw = RawStream(site.caller())
         reply = await raw.exchange(proto.ProcessingRequest(response_headers=_message([(":status", "200")])))
@@ -410,23 +426,23 @@
         override = reply.mode_override
         assert (override.request_body_mode, override.response_body_mode) == (0, 0)
         assert override.response_header_mode == override.SEND
-        for kind, body in (("request_body", proto.HttpBody(body=b"x")), ("request_trailers", None)):
-            message = proto.ProcessingRequest(**{kind: body or proto.HttpTrailers()})
+        for phase, body in (("request_body", proto.HttpBody(body=b"x")), ("request_trailers", None)):
+            message = proto.ProcessingRequest(**{phase: body or proto.HttpTrailers()})
             reply = await raw.exchange(message)
-            assert reply.WhichOneof("response") == kind
+            assert reply.WhichOneof("response") == phase
         await raw.report(200)
         reply = await raw.exchange(proto.ProcessingRequest(response_body=proto.HttpBody(body=b"x")))
         assert reply.WhichOneof("response") == "response_body" and not site.open_requests()
 
 
-# ---- decisions that age
+# ---- expired decisions
 
 VALID_S = 0.2
-STALL_S = 0.3  # longer than a decision stands
+STALL_S = 0.3  # longer than a decision is valid
 
 
 @async_test
-async def test_an_upstream_that_drains_between_decision_and_send_gets_nothing() -> None:
+async def test_server_draining_between_decision_and_send_gets_no_request() -> None:
     async with ExtprocSite(4, decision_valid_ms=5000.0) as site:
         caller = site.caller()
         opener = RawStream(caller, opens_request=True)
@@ -444,7 +460,7 @@
 
 
 @async_test
-async def test_a_decision_that_waited_too_long_is_made_anew() -> None:
+async def test_unclaimed_expired_decision_is_replaced() -> None:
     async with ExtprocSite(4, decision_valid_ms=1000.0 * VALID_S, return_ms=2000.0) as site:
         caller = site.caller()
         opener = RawStream(caller, opens_request=True)
@@ -458,10 +474,11 @@
 
 
 def assert_only_expired_before_the_last(attempts: list[Attempt]) -> None:
-    """All but the last attempt expired, the first by its stall, and nothing was sent on an old decision.
+    """Assert that all attempts but the last expired unsent, and that the last was sent on a valid decision.
 
-    One more expires where the caller was held up: its own clock says so. The validity counts from the request
-    for the decision, in whole milliseconds.
+    The caller's stall makes the first attempt expire. Further ones may expire if the machine holds the caller
+    up, measured by the caller's own clock. The validity counts from the caller's request for the decision, in
+    whole milliseconds.
     """
     *expired, sent = attempts
     assert expired and {attempt.outcome for attempt in expired} == {"expired"}
@@ -471,7 +488,7 @@
 
 
 @async_test
-async def test_a_caller_that_stalls_and_keeps_to_the_end_of_validity_sends_nothing_old() -> None:
+async def test_stalled_caller_that_respects_validity_sends_no_expired_decision() -> None:
     async with ExtprocSite(4, decision_valid_ms=1000.0 * VALID_S) as site:
         done = await site.submit(site.caller(honours=True, stall_s=STALL_S), "pay")
         assert done.statuses == [200]
@@ -482,7 +499,7 @@
 
 
 @async_test
-async def test_what_a_client_says_of_the_validity_is_overwritten() -> None:
+async def test_client_sent_validity_is_overwritten() -> None:
     async with ExtprocSite(4, decision_valid_ms=1000.0 * VALID_S) as site:
         claim = (("x-quartzford-within", "60000"),)
         caller = site.caller(honours=True, stall_s=STALL_S)
@@ -492,7 +509,7 @@
 
 
 @async_test
-async def test_an_opened_request_that_nobody_follows_up_is_given_up() -> None:
+async def test_opened_request_without_attempt_is_abandoned() -> None:
     async with ExtprocSite(return_ms=50.0) as site:
         caller = site.caller()
         opener = RawStream(caller, opens_request=True)
@@ -509,28 +526,33 @@
 
 
 @async_test
-async def test_a_thousand_streams_on_one_connection() -> None:
+async def test_thousand_streams_on_one_connection() -> None:
     async with ExtprocSite(4, settings={"tickMs": 1.0}) as site:
         for upstream in site.upstreams:
             upstream.gate, upstream.queue = asyncio.Event(), 2000
         caller = site.caller()
-        asking = [asyncio.ensure_future(site.submit(caller, "pay", left_s=20.0)) for _ in range(1000)]
-        await wait_until(lambda: len(site.journal.runs) + sum(bool(t.done()) for t in asking) == 1000, 40)
+        reply_tasks = [asyncio.ensure_future(site.submit(caller, "pay", left_s=20.0)) for _ in range(1000)]
+        await wait_until(
+            lambda: len(site.journal.runs) + sum(bool(t.done()) for t in reply_tasks) == 1000, 40
+        )
         for upstream in site.upstreams:
             upstream.gate.set()
-        answers = await asyncio.gather(*asking)
+        answers = await asyncio.gather(*reply_tasks)
         assert all(len(done.statuses) == 1 for done in answers)
         assert not any(site.execution_count(done.identity) > 1 for done in answers)
         assert not site.open_requests() and not site.node.engine.pending_requests
 
 
 @async_test
-async def test_a_caller_that_reads_nothing_harms_only_itself() -> None:
-    """Its windows are never opened again: what it is owed is held within them, and ends with its time."""
+async def test_caller_that_does_not_read_harms_only_itself() -> None:
+    """The caller never reopens its flow control windows.
+
+    The output queued for it must stay within these windows, and must be released when its streams' time ends.
+    """
     classes = [{**c, "deadlineMs": 600.0, "sloMs": 500.0} for c in SETTINGS["classes"]]
     async with ExtprocSite(2, settings={"classes": classes}) as site:
-        deaf = h2.connection.H2Connection()
-        deaf.initiate_connection()
+        unread_connection = h2.connection.H2Connection()
+        unread_connection.initiate_connection()
         _, writer = await asyncio.open_connection("127.0.0.1", site.front.port, limit=1)
         grpc_headers = [
             (":method", "POST"),
@@ -545,9 +567,9 @@
                 request_headers=_message(request_headers(f"d{number}", left_s=0.5))
             )
             data, stream = message.SerializeToString(), 2 * number + 1
-            deaf.send_headers(stream, grpc_headers)
-            writer.write(deaf.data_to_send())
-            # h2 keeps the window that it was told of: none of this needs our words.
+            unread_connection.send_headers(stream, grpc_headers)
+            writer.write(unread_connection.data_to_send())
+            # h2 would respect the flow control window; frames encoded here do not.
             writer.write(
                 http2.encode_frame(
                     http2.FrameType.DATA, 0, stream, b"\0" + len(data).to_bytes(4, "big") + data
@@ -565,8 +587,8 @@
 
 
 @async_test
-async def test_a_connection_has_so_many_streams_at_a_time() -> None:
-    """The bound is told in SETTINGS; a caller that has heard of it lets a further stream wait."""
+async def test_connection_streams_are_limited_to_most_streams() -> None:
+    """SETTINGS announces the limit; a caller that has received it makes a further stream wait."""
     async with ExtprocSite(most_streams=4) as site:
         caller = site.caller()
         first = RawStream(caller)
@@ -575,11 +597,12 @@
         for number, raw in enumerate(streams):
             await raw.submit(request_headers(f"c{number + 1}"))
         fifth = asyncio.ensure_future(RawStream(caller).submit(request_headers("c4")))
-        other = await site.submit(site.caller(), "pay", identity="other")  # another connection has its own
+        # Another connection has its own limit.
+        other = await site.submit(site.caller(), "pay", identity="other")
         assert other.statuses == [200] and site.front.processor is not None
-        # Where the caller waits for a stream to end, or opens a further connection, is its own affair.
-        held = [len(c.connection.streams) for c in site.front.processor.callers]
-        assert max(held) <= 4 and site.open_requests() in (4, 5)
+        # The caller may wait for a stream to end, or open a further connection.
+        open_streams = [len(c.connection.streams) for c in site.front.processor.callers]
+        assert max(open_streams) <= 4 and site.open_requests() in (4, 5)
         await first.report(200)
         await first.call.done_writing()
         assert immediate_status(await fifth) == 0
