--- a/tests/test_relay_limits.py
+++ b/tests/test_relay_limits.py
@@ -1,4 +1,4 @@
-"""When complete lists are sent and how many watches are admitted: the relay's limits, without I/O."""
+"""Tests of a relay's limits: the schedule of complete lists, and the number of admitted watches."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 from quartzford.relay.watch_limit import RETRY_WINDOW_S, WatchLimit
 
 
-def test_complete_lists_are_sent_in_turn_within_the_bound_and_other_calls_get_a_retry_time() -> None:
+def test_schedule_grants_slots_within_wait_limit_and_retry_times_beyond() -> None:
     schedule = TransferSchedule(1_000.0)
     slots = [schedule.reserve(100.0, 500) for _ in range(8)]
-    assert [t.wait_s for t in slots if t.granted] == [0.0, 0.5, 1.0, 1.5]
-    assert [t.wait_s for t in slots if not t.granted] == [2.0, 2.5, 3.0, 2.0]
-    # A call that retries at the given time is granted a slot, within the bound.
-    assert [schedule.reserve(100.0 + t.wait_s, 500) for t in slots[4:7]] == [(True, 0.0)] * 3
+    assert [slot.wait_s for slot in slots if slot.granted] == [0.0, 0.5, 1.0, 1.5]
+    assert [slot.wait_s for slot in slots if not slot.granted] == [2.0, 2.5, 3.0, 2.0]
+    # Calls that retry at the given time are granted a slot within the rate.
+    assert [schedule.reserve(100.0 + slot.wait_s, 500) for slot in slots[4:7]] == [(True, 0.0)] * 3
     assert schedule.reserve(200.0, 500) == (True, 0.0)
     schedule.release(500)
     assert schedule.reserve(200.0, 500) == (True, 0.0)
     assert all(schedule.reserve(200.0, 10**6).wait_s <= MAX_RETRY_S for _ in range(9))
 
 
-def test_many_calls_that_retry_at_the_given_time_use_the_bound_in_full() -> None:
-    """Four hundred calls at once, each retried until granted: a list lasts 0.2 s at the rate."""
+def test_schedule_retrying_calls_use_full_rate() -> None:
+    """Retry times must not leave the rate unused.
+
+    Four hundred calls arrive at once, and each retries until it is granted. A list takes 0.2 s at the rate.
+    """
     schedule = TransferSchedule(1_000.0)
     arrivals = [0.0] * 400
     served = 0
@@ -33,24 +36,26 @@
     assert 0.95 * 60.0 / 0.2 <= served <= 1.05 * 60.0 / 0.2
 
 
-def test_a_list_longer_than_the_bound_allows_is_sent_all_the_same() -> None:
+def test_schedule_oversized_list_is_granted() -> None:
     schedule = TransferSchedule(1_000.0)
     assert schedule.reserve(5.0, 10_000) == (True, 0.0) and not schedule.reserve(5.1, 10_000).granted
     assert schedule.reserve(14.0, 10_000) == (True, 1.0)
 
 
-def test_watches_beyond_the_share_are_for_those_that_retry() -> None:
+def test_watch_limit_admits_only_retrying_hosts_beyond_share() -> None:
     limit = WatchLimit(share=2, maximum=3)
     assert limit.admits("a", 0, 0.0) and limit.admits("b", 1, 0.0)
     assert not limit.admits("c", 2, 0.0) and not limit.admits("d", 2, 0.0)
     assert limit.admits("c", 2, 4.0)
-    assert not limit.admits("d", 3, 4.0), "nobody beyond what the descriptors allow"
-    assert not limit.admits("d", 2, 4.0 + RETRY_WINDOW_S + 0.1), "a better place that is tried now and then"
+    assert not limit.admits("d", 3, 4.0), "the maximum applies to retrying hosts too"
+    assert not limit.admits(
+        "d", 2, 4.0 + RETRY_WINDOW_S + 0.1
+    ), "a retry after the window counts as a first call"
     assert limit.admits("d", 1, 30.0)
-    assert not limit.admits("d", 2, 31.0), "taken meanwhile: it comes for the first time"
+    assert not limit.admits("d", 2, 31.0), "an admission clears the earlier rejection"
 
 
-def test_rejected_hosts_are_remembered_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_limit_remembers_bounded_number_of_rejected_hosts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quartzford.relay.watch_limit.MAX_REMEMBERED_HOSTS", 2)
     limit = WatchLimit(share=0, maximum=10)
     for host in ("a", "b", "c"):
--- a/tests/test_relay_request.py
+++ b/tests/test_relay_request.py
@@ -1,4 +1,4 @@
-"""The request of a call to a relay, and the source's state, without sockets."""
+"""Tests of the request parser of a relay and of the source monitor, without sockets."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         (f"GET {PATH}?stream=0&index=x HTTP/1.1\r\n\r\n", None),
     ],
 )
-def test_a_request_in_parts_of_any_size_and_with_bytes_behind_it(head: str, index: int | None) -> None:
+def test_request_in_parts_is_parsed_and_trailing_bytes_ignored(head: str, index: int | None) -> None:
     for part_bytes in (1, 7, len(head)):
         parser = RequestParser()
         data = head.encode()
@@ -45,10 +45,10 @@
         (f"GET {PATH} HTTP/1.1\r\nX: {'x' * MAX_HEAD_BYTES}\r\n\r\n", 431),
     ],
 )
-def test_what_is_no_call_for_the_list_has_a_status(head: str, status: int) -> None:
-    with pytest.raises(RequestError) as refused:
+def test_invalid_request_raises_its_status(head: str, status: int) -> None:
+    with pytest.raises(RequestError) as raised:
         RequestParser().feed(head.encode())
-    assert refused.value.status == status
+    assert raised.value.status == status
 
 
 class FixedClock:
@@ -60,7 +60,7 @@
         return self.time
 
 
-def test_the_source_is_current_then_late_then_lost_by_its_last_line() -> None:
+def test_source_state_follows_age_of_last_line() -> None:
     clock = FixedClock()
     connected = True
     monitor = SourceMonitor(lambda: 10.0, lambda: connected, cast(Clock, clock))
@@ -74,7 +74,7 @@
         clock.time = now
         assert monitor.state() is state
     monitor.start()
-    assert monitor.state() is SourceState.LATE, "a start counts as a line"
+    assert monitor.state() is SourceState.LATE, "the start of the monitor counts as a line"
     connected = False
     clock.time = 10.0
     assert monitor.state() is SourceState.LATE, "without a watch the source may have restarted"
