--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -183,7 +183,7 @@
         """Part of asyncio.Protocol: handle HTTP/2 frames."""
         self.connection.receive(data)
         self._write()
-        if self.connection.over:
+        if self.connection.failed:
             self.transport.close()
             self._close_all_streams()
 
--- a/quartzford/fronts/operations.py
+++ b/quartzford/fronts/operations.py
@@ -142,8 +142,8 @@
             self._answer(answer(reader.error))
         elif reader.call is not None:
             self._execute(reader.call)
-        elif reader.expects and reader.state is State.BODY:
-            reader.expects = False
+        elif reader.expects_continue and reader.state is State.BODY:
+            reader.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _execute(self, call: OneCall) -> None:
--- a/quartzford/protocols/http2/connection.py
+++ b/quartzford/protocols/http2/connection.py
@@ -64,7 +64,7 @@
     """One connection.
 
     max_streams: open at the same time, further ones are refused. max_header_list_bytes: as RFC 9113, 6.5.2
-    counts it. over: the connection has ended with an error, and what comes is ignored.
+    counts it. failed: the connection has ended with an error, and what comes is ignored.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
     ) -> None:
         self.events = events
         self.max_streams = max_streams
-        self.over = False
+        self.failed = False
         self.going_away = False  # GOAWAY was sent: nothing new is taken
         self.last_stream_id = 0  # the highest stream that the peer opened
         self.decoder = HeaderBlockDecoder(max_header_list_bytes)
@@ -102,13 +102,13 @@
         return self.output.take()
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the peer. After an error `over` is set, and GOAWAY is among what take() gives."""
-        if self.over:
+        """Bytes from the peer. After an error `failed` is set, and GOAWAY is among what take() gives."""
+        if self.failed:
             return
         try:
             self._receive(data)
         except ProtocolError as error:
-            self.over = True
+            self.failed = True
             self.output.write(encode_goaway(self.last_stream_id, error.code, str(error).encode()))
 
     def _receive(self, data: bytes) -> None:
@@ -298,6 +298,6 @@
 
     def go_away(self) -> None:
         """Take nothing new; what is open goes on (6.8)."""
-        if not self.going_away and not self.over:
+        if not self.going_away and not self.failed:
             self.going_away = True
             self.output.write(encode_goaway(self.last_stream_id, ErrorCode.NO_ERROR))
--- a/quartzford/protocols/onecall.py
+++ b/quartzford/protocols/onecall.py
@@ -54,7 +54,7 @@
         self.state = State.HEAD
         self.call: OneCall | None = None
         self.error = 0  # the status that answers what is no call
-        self.expects = False  # a 100 is wanted before the body (RFC 9110, 10.1.1)
+        self.expects_continue = False  # a 100 is wanted before the body (RFC 9110, 10.1.1)
         self._parser: Any = httptools.HttpRequestParser(self)
         self._url = b""
         self._body = b""
@@ -103,7 +103,7 @@
         elif key == b"content-length" and _is_too_long(value):
             self._fail(413)
         elif key == b"expect":
-            self.expects = value.lower() == b"100-continue"
+            self.expects_continue = value.lower() == b"100-continue"
 
     def on_headers_complete(self) -> None:
         """The head is complete."""
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -100,7 +100,7 @@
     assert len(answers) == 30 and dict(answers[0].headers)[b"x-long"] == b"v" * 300
     assert sum(len(e.data) for e in pair.events_of(h2.events.DataReceived)) == 4 * sum(range(30))
     assert len(pair.events_of(h2.events.StreamEnded)) == 30
-    assert not pair.server.streams and not pair.server.over
+    assert not pair.server.streams and not pair.server.failed
 
 
 def test_the_cache_of_blocks_never_outlives_the_table() -> None:
@@ -192,7 +192,7 @@
     server.receive(headers_frame(7))
     assert 7 not in recorded.opened and server.take().startswith(b"\0\0\4\3")
     server.send_headers(3, RESPONSE_HEADERS, end_stream=True)  # open streams go on
-    assert server.take() and not server.over
+    assert server.take() and not server.failed
 
 
 # ---- peers that break the protocol
@@ -207,13 +207,13 @@
     server = ServerConnection(RecordedEvents(), max_streams)
     server.receive(PREFACE + encode_frame(FrameType.SETTINGS, 0, 0) + headers_frame(1))
     server.take()
-    assert not server.over
+    assert not server.failed
     return server
 
 
 def goaway_code(server: ServerConnection) -> int:
     """The code of the GOAWAY that a connection ended with."""
-    assert server.over
+    assert server.failed
     data = server.take()
     while data:
         size = int.from_bytes(data[:3], "big")
@@ -298,15 +298,15 @@
 def test_what_concerns_one_stream_ends_one_stream() -> None:
     server = connection_with_stream()
     server.receive(encode_frame(FrameType.WINDOW_UPDATE, 0, 1, uint32(2**31 - 1)))
-    assert not server.over and 1 not in server.streams
+    assert not server.failed and 1 not in server.streams
     server.receive(
         encode_frame(FrameType.DATA, 0, 1, b"late")
         + encode_frame(FrameType.WINDOW_UPDATE, 0, 1, uint32(5))
         + headers_frame(3)
     )
-    assert not server.over and 3 in server.streams
+    assert not server.failed and 3 in server.streams
     server.receive(encode_frame(99, 0, 0, b"unknown") + encode_frame(FrameType.PRIORITY, 0, 3, b"12345"))
-    assert not server.over
+    assert not server.failed
 
 
 def test_a_header_list_over_the_bound() -> None:
@@ -314,10 +314,10 @@
     many = b"".join(hpack.Encoder().encode([(b"x-%d" % n, b"v" * 90)], huffman=False) for n in range(100))
     bomb = encode_header_block([(b"x", b"v" * 4000)] * 4)
     server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 3, many))
-    assert not server.over
+    assert not server.failed
     for stream_id in (5, 7):
         server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, stream_id, bomb))
-    assert not server.over
+    assert not server.failed
     indexed = hpack.Encoder()
     first = indexed.encode([(b"x-big", b"v" * 3000)], huffman=False)
     again = indexed.encode([(b"x-big", b"v" * 3000)] * 100, huffman=False)  # 100 bytes that mean 300 KB
