--- a/quartzford/protocols/http2/__init__.py
+++ b/quartzford/protocols/http2/__init__.py
@@ -1,8 +1,9 @@
-"""The server's side of HTTP/2 (RFC 9113) without I/O: as much of it as gRPC needs, and lean.
+"""The server side of HTTP/2 (RFC 9113) without I/O, limited to the features that gRPC needs.
 
-frames: frames, settings and error codes. header_blocks: HPACK. flow_control: streams, and what is sent on
-them. connection: what the peer sends, and the connection itself. Numbers in comments are sections of RFC 9113
-unless said otherwise. docs/extproc.md compares it with h2 and with gRPC's own server.
+frames: frames, settings and error codes. header_blocks: HPACK. flow_control: streams, and sending on them.
+connection: the connection itself and the processing of received frames. Section numbers in comments refer to
+RFC 9113 unless another source is named. docs/extproc.md compares this implementation with h2 and with gRPC's
+own server.
 """
 
 from quartzford.protocols.http2.connection import MAX_UNSENT_BYTES, Events, ServerConnection
--- a/quartzford/protocols/http2/connection.py
+++ b/quartzford/protocols/http2/connection.py
@@ -1,6 +1,7 @@
-"""The server's side of an HTTP/2 connection (RFC 9113) without I/O.
+"""The server side of an HTTP/2 connection (RFC 9113) without I/O.
 
-Bytes go into receive(); what they say is passed to the `Events` handed in; bytes to write come from take().
+The caller passes received bytes to receive(), which calls methods of `Events`, and writes the bytes that
+take() returns. Section numbers in this file refer to RFC 9113.
 """
 
 from __future__ import annotations
@@ -40,31 +41,39 @@
 from quartzford.protocols.http2.header_blocks import HeaderBlockDecoder, Headers, PartialHeaderBlock
 
 DEFAULT_MAX_HEADER_LIST_BYTES = 64 * 1024
-MAX_UNSENT_BYTES = 4 * 1024 * 1024  # for a peer that reads nothing; its connection is aborted beyond
-MAX_IDLE_FRAMES = 10_000  # frames that carry nothing of a request, without any that does in between
+# The owner aborts the connection of a peer that leaves more bytes than this unread.
+MAX_UNSENT_BYTES = 4 * 1024 * 1024
+MAX_IDLE_FRAMES = 10_000  # consecutive frames without request content
 REQUEST_FRAMES = frozenset(
     {FrameType.DATA, FrameType.HEADERS, FrameType.CONTINUATION, FrameType.PUSH_PROMISE}
 )
 
 
 class Events(Protocol):
-    """What the peer sends on streams. Called from within receive()."""
+    """Receives what the peer sends on streams. The methods are called from within receive()."""
 
     def headers(self, stream_id: int, headers: Headers, end_stream: bool) -> None:
-        """The peer has opened a stream; end_stream: nothing follows on it."""
+        """The peer has opened a stream. end_stream: the peer sends nothing more on it."""
 
     def data(self, stream_id: int, data: bytes, end_stream: bool) -> None:
-        """Data of a stream, or its end alone. Trailers are an end, too; their fields are not passed on."""
+        """The peer has sent data, or only the end of a stream.
+
+        Trailers end a stream; their fields are dropped.
+        """
 
     def reset(self, stream_id: int, code: int) -> None:
-        """The peer has reset the stream, or broke the protocol on it; code: maybe none of ErrorCode."""
+        """The peer has reset the stream or violated the protocol on it.
+
+        code: may be a value not in ErrorCode.
+        """
 
 
 class ServerConnection:
-    """One connection.
+    """The server side of one connection.
 
-    max_streams: open at the same time, further ones are refused. max_header_list_bytes: as RFC 9113, 6.5.2
-    counts it. failed: the connection has ended with an error, and what comes is ignored.
+    max_streams: the maximum number of open streams; further streams are refused. max_header_list_bytes: the
+    size as defined in RFC 9113, section 6.5.2. failed: the connection has ended with an error and ignores
+    further bytes.
     """
 
     def __init__(
@@ -73,7 +82,7 @@
         self.events = events
         self.max_streams = max_streams
         self.failed = False
-        self.going_away = False  # GOAWAY was sent: nothing new is taken
+        self.going_away = False  # GOAWAY was sent: new streams are refused
         self.last_stream_id = 0  # the highest stream that the peer opened
         self.decoder = HeaderBlockDecoder(max_header_list_bytes)
         self.output = OutputBuffer()
@@ -92,17 +101,17 @@
 
     @property
     def streams(self) -> dict[int, Stream]:
-        """The open streams."""
+        """Return the open streams by stream identifier."""
         return self.sender.streams
 
     # ---- bytes
 
     def take(self) -> bytes:
-        """What is to be written now."""
+        """Return the bytes to write now, and remove them from the output buffer."""
         return self.output.take()
 
     def receive(self, data: bytes) -> None:
-        """Bytes from the peer. After an error `failed` is set, and GOAWAY is among what take() gives."""
+        """Process bytes from the peer. On a protocol error, set `failed` and queue a GOAWAY for take()."""
         if self.failed:
             return
         try:
@@ -115,7 +124,7 @@
         unread = self._unread + data if self._unread else data
         if not self._preface_received:
             if not PREFACE.startswith(unread[: len(PREFACE)]):
-                raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "no HTTP/2 preface")  # 3.4
+                raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "no HTTP/2 preface")  # section 3.4
             if len(unread) < len(PREFACE):
                 self._unread = unread
                 return
@@ -133,7 +142,7 @@
         partial = self._partial_block
         if partial is not None:
             continues = frame.type == FrameType.CONTINUATION and frame.stream_id == partial.stream_id
-            if not continues:  # 6.10
+            if not continues:  # section 6.10
                 raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "a header block was left unfinished")
         if frame.type not in REQUEST_FRAMES:
             self._count_idle_frame("nothing but control frames")
@@ -142,13 +151,16 @@
             handler(self, frame)
 
     def _count_idle_frame(self, reason: str) -> None:
-        """10.5: what costs the peer nothing and carries nothing must not go on for ever."""
+        """Raise ProtocolError after too many consecutive frames without effect (section 10.5).
+
+        Such frames cost the peer almost nothing.
+        """
         self._idle_frames += 1
         if self._idle_frames > MAX_IDLE_FRAMES:
             raise ProtocolError(ErrorCode.ENHANCE_YOUR_CALM, reason)
 
     def _require_opened(self, stream_id: int) -> None:
-        """ProtocolError for a stream that the peer has not opened (5.1)."""
+        """Raise ProtocolError for a stream that the peer has never opened (section 5.1)."""
         if stream_id == 0 or stream_id > self.last_stream_id or not stream_id % 2:
             raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "a frame of a stream that is not open")
 
@@ -161,12 +173,13 @@
             self.output.write(encode_window_update(0, increment))
         stream = self.streams.get(stream_id)
         if stream is None:
-            return  # of a stream that has ended: our frame that ended it may have crossed this one (5.1)
+            return  # the stream has ended: the peer may not have seen our last frame yet (section 5.1)
         if stream.peer_ended:
             raise ProtocolError(ErrorCode.STREAM_CLOSED, "DATA after END_STREAM")
         end_stream = frame.end_stream
         data = frame.unpadded()
-        if size and not end_stream:  # given back at once: what a stream may hold, its reader bounds
+        # Restore the stream's window at once: the reader of the stream limits its size.
+        if size and not end_stream:
             self.output.write(encode_window_update(stream_id, size))
         if not data and not end_stream:
             self._count_idle_frame("nothing but empty frames")
@@ -177,7 +190,7 @@
         self.events.data(stream_id, data, end_stream)
 
     def _on_headers(self, frame: Frame) -> None:
-        if not frame.stream_id % 2:  # 5.1.1
+        if not frame.stream_id % 2:  # section 5.1.1
             raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "a stream that no client may open")
         fragment = frame.header_fragment()
         if frame.end_headers:
@@ -188,14 +201,14 @@
     def _on_continuation(self, frame: Frame) -> None:
         partial = self._partial_block
         if partial is None:
-            raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "CONTINUATION of nothing")  # 6.10
+            raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "CONTINUATION of nothing")  # section 6.10
         partial.add(frame)
         if frame.end_headers:
             self._partial_block = None
             self._on_header_block(partial.stream_id, partial.join(), partial.end_stream)
 
     def _on_header_block(self, stream_id: int, block: bytes, end_stream: bool) -> None:
-        headers = self.decoder.decode(block)  # in any case: the table is the connection's (4.3)
+        headers = self.decoder.decode(block)  # always: the blocks of a connection share a table (section 4.3)
         stream = self.streams.get(stream_id)
         if stream is not None:
             self._on_trailers(stream_id, stream, end_stream)
@@ -203,7 +216,7 @@
             self._on_new_stream(stream_id, headers, end_stream)
 
     def _on_trailers(self, stream_id: int, stream: Stream, end_stream: bool) -> None:
-        if stream.peer_ended or not end_stream:  # 8.1
+        if stream.peer_ended or not end_stream:  # section 8.1
             raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "headers in the middle of a stream")
         self.sender.peer_ended(stream_id, stream)
         self.events.data(stream_id, b"", True)
@@ -211,14 +224,14 @@
     def _on_new_stream(self, stream_id: int, headers: Headers, end_stream: bool) -> None:
         self._idle_frames = 0
         self.last_stream_id = stream_id
-        if self.going_away or len(self.streams) >= self.max_streams:  # 5.1.2
+        if self.going_away or len(self.streams) >= self.max_streams:  # section 5.1.2
             self.output.write(encode_rst_stream(stream_id, ErrorCode.REFUSED_STREAM))
             return
         self.sender.open(stream_id, end_stream)
         self.events.headers(stream_id, headers, end_stream)
 
     def _on_priority(self, frame: Frame) -> None:
-        """Priorities are deprecated and have no effect (5.3.2)."""
+        """Ignore priorities, which are deprecated (section 5.3.2)."""
         if frame.stream_id == 0:
             raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "PRIORITY of the connection")
 
@@ -238,7 +251,7 @@
         self.sender.unblock()
 
     def _apply_setting(self, identifier: int, value: int) -> None:
-        """A setting of the peer (6.5.2); those that concern nothing that we send are ignored."""
+        """Apply a setting of the peer (section 6.5.2); settings that do not affect sending are ignored."""
         if identifier == Setting.INITIAL_WINDOW_SIZE:
             self.sender.set_initial_window(value)
         elif identifier == Setting.MAX_FRAME_SIZE:
@@ -249,10 +262,10 @@
             raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "ENABLE_PUSH is neither 0 nor 1")
 
     def _on_push_promise(self, frame: Frame) -> None:
-        raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "a client pushes")  # 8.4
+        raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "a client pushes")  # section 8.4
 
     def _on_ping(self, frame: Frame) -> None:
-        if frame.stream_id or len(frame.payload) != PING_BYTES:  # 6.7
+        if frame.stream_id or len(frame.payload) != PING_BYTES:  # section 6.7
             raise ProtocolError(ErrorCode.FRAME_SIZE_ERROR, "PING of a wrong form")
         if not frame.ack:
             self.output.write(encode_frame(FrameType.PING, Flag.ACK, 0, frame.payload))
@@ -260,15 +273,15 @@
     def _on_window_update(self, frame: Frame) -> None:
         increment = frame.uint32() & MAX_WINDOW_BYTES
         if frame.stream_id == 0:
-            self.sender.widen_connection(increment)
+            self.sender.increase_connection_window(increment)
             return
         self._require_opened(frame.stream_id)
-        code = self.sender.widen_stream(frame.stream_id, increment)
+        code = self.sender.increase_stream_window(frame.stream_id, increment)
         if code is not ErrorCode.NO_ERROR:
             self.reset(frame.stream_id, code)
             self.events.reset(frame.stream_id, ErrorCode.FLOW_CONTROL_ERROR)
 
-    # GOAWAY of the peer says nothing that matters to a server that opens no streams.
+    # GOAWAY from the peer is ignored: this server opens no streams.
     _HANDLERS: ClassVar[dict[int, Callable[[ServerConnection, Frame], None]]] = {
         FrameType.DATA: _on_data,
         FrameType.HEADERS: _on_headers,
@@ -281,23 +294,23 @@
         FrameType.CONTINUATION: _on_continuation,
     }
 
-    # ---- what we send
+    # ---- sending
 
     def send_headers(self, stream_id: int, header_block: bytes, end_stream: bool = False) -> None:
-        """Send a header block, ready-made and of 16 KiB at most; it waits behind data that waits."""
+        """Send an encoded header block of at most 16 KiB, after any data queued on the stream."""
         self.sender.send_headers(stream_id, header_block, end_stream)
 
     def send_data(self, stream_id: int, data: bytes, end_stream: bool = False) -> None:
-        """Send data; it waits as long as the peer's windows require (6.9)."""
+        """Send data, and queue the part that exceeds the peer's windows (section 6.9)."""
         self.sender.send_data(stream_id, data, end_stream)
 
     def reset(self, stream_id: int, code: ErrorCode) -> None:
-        """End a stream at once (6.4); nothing if it has ended."""
+        """Reset a stream (section 6.4). Does nothing if the stream has ended."""
         if self.sender.drop(stream_id):
             self.output.write(encode_rst_stream(stream_id, code))
 
     def go_away(self) -> None:
-        """Take nothing new; what is open goes on (6.8)."""
+        """Refuse new streams from now on; open streams continue (section 6.8)."""
         if not self.going_away and not self.failed:
             self.going_away = True
             self.output.write(encode_goaway(self.last_stream_id, ErrorCode.NO_ERROR))
--- a/quartzford/protocols/http2/flow_control.py
+++ b/quartzford/protocols/http2/flow_control.py
@@ -1,6 +1,7 @@
-"""Streams and flow control (RFC 9113, sections 5.1, 5.2 and 6.9): what is sent within the peer's windows.
+"""Streams and flow control (RFC 9113, sections 5.1, 5.2 and 6.9): sending within the peer's windows.
 
-A stream is open until both sides have ended it, or either has reset it.
+A stream is open until both sides have ended it or one side has reset it. Section numbers in this file refer
+to RFC 9113.
 """
 
 from __future__ import annotations
@@ -19,11 +20,12 @@
     encode_frame,
 )
 
-RECEIVE_WINDOW_BYTES = 16 * 1024 * 1024  # of a connection; streams keep the protocol's own
+# Window of a connection; streams have the default window of the protocol.
+RECEIVE_WINDOW_BYTES = 16 * 1024 * 1024
 
 
 class OutputBuffer:
-    """Bytes that are to be written; its length is their number."""
+    """Buffers the bytes to write; its length is the number of bytes."""
 
     __slots__ = ("_parts", "_size")
 
@@ -40,7 +42,7 @@
         self._size += len(data)
 
     def take(self) -> bytes:
-        """All bytes so far, which are the caller's from now on."""
+        """Return all buffered bytes and empty the buffer."""
         data = b"".join(self._parts)
         self._parts = []
         self._size = 0
@@ -48,7 +50,7 @@
 
 
 class QueuedFrame(NamedTuple):
-    """HEADERS or DATA held back by flow control; payload: of any length."""
+    """A HEADERS or DATA frame held back by flow control. payload: may exceed the maximum frame size."""
 
     type: FrameType
     payload: bytes
@@ -56,19 +58,22 @@
 
 
 class Stream:
-    """An open stream. window: bytes that we may send on it; below 0 if a setting shrank it (6.9.2)."""
+    """An open stream.
+
+    window: the number of bytes that may be sent on it; negative after a setting reduced it (section 6.9.2).
+    """
 
     __slots__ = ("window", "queue", "ended", "peer_ended")
 
     def __init__(self, window: int, peer_ended: bool) -> None:
         self.window = window
         self.queue: deque[QueuedFrame] = deque()
-        self.ended = False  # our last frame has been written
-        self.peer_ended = peer_ended  # the peer has sent its last one
+        self.ended = False  # this side has written its last frame
+        self.peer_ended = peer_ended  # the peer has sent its last frame
 
 
 class ReceiveWindow:
-    """The connection's window for what the peer sends. It is opened again when half of it is used up."""
+    """The connection's window for bytes from the peer. It is refilled when half of it is used."""
 
     __slots__ = ("remaining",)
 
@@ -76,7 +81,7 @@
         self.remaining = RECEIVE_WINDOW_BYTES
 
     def consume(self, size: int) -> int:
-        """Count received bytes; the increment that is to be sent to the peer, or 0 for none yet."""
+        """Count received bytes; return the window increment to send to the peer, 0 if none is due."""
         self.remaining -= size
         if self.remaining < 0:
             raise ProtocolError(ErrorCode.FLOW_CONTROL_ERROR, "over the connection's window")
@@ -88,10 +93,11 @@
 
 
 class Sender:
-    """The open streams of a connection, and what is sent on them.
+    """The open streams of a connection, and sending on them.
 
-    window: bytes that we may send on the connection. initial_window: of a new stream. max_frame_bytes: the
-    longest payload that the peer takes. blocked: streams that wait for a window, in order.
+    window: the number of bytes that may be sent on the connection. initial_window: the window of a new
+    stream. max_frame_bytes: the longest payload that the peer accepts. blocked: the streams that wait for a
+    window, in order.
     """
 
     def __init__(self, output: OutputBuffer) -> None:
@@ -105,26 +111,26 @@
     # ---- streams
 
     def open(self, stream_id: int, peer_ended: bool) -> None:
-        """The peer has opened a stream."""
+        """Add a stream that the peer has opened."""
         self.streams[stream_id] = Stream(self.initial_window, peer_ended)
 
     def peer_ended(self, stream_id: int, stream: Stream) -> None:
-        """The peer has sent its last frame on a stream."""
+        """Note that the peer has sent its last frame on a stream."""
         stream.peer_ended = True
         if stream.ended:
             del self.streams[stream_id]
 
     def drop(self, stream_id: int) -> bool:
-        """Forget a stream, with what waits on it; False if it was not open."""
+        """Remove a stream and its queued frames; return False if it was not open."""
         if self.streams.pop(stream_id, None) is None:
             return False
         self.blocked.pop(stream_id, None)
         return True
 
-    # ---- what is sent
+    # ---- sending
 
     def send_headers(self, stream_id: int, header_block: bytes, end_stream: bool) -> None:
-        """Write a header block in one frame, or queue it behind data that waits for a window."""
+        """Write a header block in one frame, or queue it after data that waits for a window."""
         stream = self.streams.get(stream_id)
         if stream is None or stream.ended:
             return
@@ -148,7 +154,7 @@
         flags = Flag.END_HEADERS | Flag.END_STREAM if end_stream else Flag.END_HEADERS
         self._output.write(encode_frame(FrameType.HEADERS, flags, stream_id, header_block))
         if end_stream:
-            self._ended(stream_id, stream)
+            self._mark_ended(stream_id, stream)
 
     def _write_data(self, stream_id: int, stream: Stream, data: bytes, end_stream: bool) -> None:
         stream.window -= len(data)
@@ -156,15 +162,15 @@
         flags = Flag.END_STREAM if end_stream else 0
         self._output.write(encode_frame(FrameType.DATA, flags, stream_id, data))
         if end_stream:
-            self._ended(stream_id, stream)
+            self._mark_ended(stream_id, stream)
 
-    def _ended(self, stream_id: int, stream: Stream) -> None:
+    def _mark_ended(self, stream_id: int, stream: Stream) -> None:
         stream.ended = True
         if stream.peer_ended:
             del self.streams[stream_id]
 
     def _drain(self, stream_id: int, stream: Stream) -> None:
-        """Write what is queued, as far as the windows allow."""
+        """Write queued frames as far as the windows allow."""
         queue = stream.queue
         while queue:
             frame_type, payload, end_stream = queue[0]
@@ -187,8 +193,8 @@
 
     # ---- the peer's windows
 
-    def widen_connection(self, increment: int) -> None:
-        """WINDOW_UPDATE of the connection (6.9.1)."""
+    def increase_connection_window(self, increment: int) -> None:
+        """Process a WINDOW_UPDATE of the connection (section 6.9.1)."""
         self.window += increment
         if not increment:
             raise ProtocolError(ErrorCode.PROTOCOL_ERROR, "a window out of bounds")
@@ -196,8 +202,11 @@
             raise ProtocolError(ErrorCode.FLOW_CONTROL_ERROR, "a window out of bounds")
         self.unblock()
 
-    def widen_stream(self, stream_id: int, increment: int) -> ErrorCode:
-        """WINDOW_UPDATE of a stream; a code other than NO_ERROR ends that stream (6.9, 6.9.1)."""
+    def increase_stream_window(self, stream_id: int, increment: int) -> ErrorCode:
+        """Process a WINDOW_UPDATE of a stream (sections 6.9 and 6.9.1).
+
+        Returns NO_ERROR, or the code with which the caller must reset the stream.
+        """
         stream = self.streams.get(stream_id)
         if stream is None:
             return ErrorCode.NO_ERROR
@@ -211,7 +220,7 @@
         return ErrorCode.NO_ERROR
 
     def set_initial_window(self, size: int) -> None:
-        """SETTINGS_INITIAL_WINDOW_SIZE, which also changes the windows of open streams (6.9.2)."""
+        """Apply SETTINGS_INITIAL_WINDOW_SIZE, also to the windows of open streams (section 6.9.2)."""
         if size > MAX_WINDOW_BYTES:
             raise ProtocolError(ErrorCode.FLOW_CONTROL_ERROR, "a window out of bounds")
         change = size - self.initial_window
@@ -220,7 +229,7 @@
             stream.window += change
 
     def unblock(self) -> None:
-        """Send what waits and is allowed now."""
+        """Write the queued frames of blocked streams as far as the windows now allow."""
         for stream_id in list(self.blocked):
             stream = self.streams.get(stream_id)
             if stream is None:
--- a/quartzford/protocols/http2/frames.py
+++ b/quartzford/protocols/http2/frames.py
@@ -1,4 +1,7 @@
-"""HTTP/2 frames, their types and flags, settings and error codes (RFC 9113, sections 4, 6 and 7)."""
+"""HTTP/2 frames, their types and flags, settings and error codes (RFC 9113, sections 4, 6 and 7).
+
+Section numbers in this file refer to RFC 9113.
+"""
 
 from __future__ import annotations
 
@@ -7,24 +10,24 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"  # 3.4
-FRAME_HEADER_BYTES = 9  # 4.1
-PRIORITY_FIELDS_BYTES = 5  # 6.2: stream dependency and weight
-PING_BYTES = 8  # 6.7
-MAX_STREAM_ID = 2**31 - 1  # 4.1; the bit above it is reserved
-DEFAULT_FRAME_BYTES = 16_384  # 6.5.2: the least that SETTINGS_MAX_FRAME_SIZE may be, too
-MAX_FRAME_BYTES = 2**24 - 1  # 6.5.2
-DEFAULT_WINDOW_BYTES = 65_535  # 6.9.2
-MAX_WINDOW_BYTES = 2**31 - 1  # 6.9.1
-
-_FRAME_HEADER = struct.Struct(">BHBBL")  # length in 24 bits, type, flags, stream
+PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"  # section 3.4
+FRAME_HEADER_BYTES = 9  # section 4.1
+PRIORITY_FIELDS_BYTES = 5  # stream dependency and weight (section 6.2)
+PING_BYTES = 8  # payload of a PING frame (section 6.7)
+MAX_STREAM_ID = 2**31 - 1  # section 4.1; the highest of the 32 bits is reserved
+DEFAULT_FRAME_BYTES = 16_384  # also the minimum value of SETTINGS_MAX_FRAME_SIZE (section 6.5.2)
+MAX_FRAME_BYTES = 2**24 - 1  # section 6.5.2
+DEFAULT_WINDOW_BYTES = 65_535  # section 6.9.2
+MAX_WINDOW_BYTES = 2**31 - 1  # section 6.9.1
+
+_FRAME_HEADER = struct.Struct(">BHBBL")  # length in 24 bits, type, flags, stream identifier
 _SETTING = struct.Struct(">HL")
 _UINT32 = struct.Struct(">L")
 _GOAWAY = struct.Struct(">LL")
 
 
 class FrameType(IntEnum):
-    """Frame types (6). Others are ignored (4.1)."""
+    """Frame types (section 6). Frames of unknown types are ignored (section 4.1)."""
 
     DATA = 0x0
     HEADERS = 0x1
@@ -39,17 +42,17 @@
 
 
 class Flag(IntEnum):
-    """Flags of frames (6). No IntFlag: combining members of one costs a microsecond."""
+    """Flags of frames (section 6). Not an IntFlag: combining its members takes a microsecond."""
 
     END_STREAM = 0x1
-    ACK = 0x1  # of SETTINGS and PING
+    ACK = 0x1  # in SETTINGS and PING frames
     END_HEADERS = 0x4
     PADDED = 0x8
     PRIORITY = 0x20
 
 
 class ErrorCode(IntEnum):
-    """Error codes (7)."""
+    """Error codes (section 7)."""
 
     NO_ERROR = 0x0
     PROTOCOL_ERROR = 0x1
@@ -68,7 +71,7 @@
 
 
 class Setting(IntEnum):
-    """Identifiers of settings (6.5.2)."""
+    """Identifiers of settings (section 6.5.2)."""
 
     HEADER_TABLE_SIZE = 0x1
     ENABLE_PUSH = 0x2
@@ -79,7 +82,7 @@
 
 
 class ProtocolError(Exception):
-    """The peer broke the protocol: the connection ends with GOAWAY and this code (5.4.1)."""
+    """The peer violated the protocol. The connection ends with a GOAWAY of this code (section 5.4.1)."""
 
     def __init__(self, code: ErrorCode, reason: str) -> None:
         super().__init__(reason)
@@ -87,7 +90,7 @@
 
 
 class Frame(NamedTuple):
-    """A frame that the peer sent (4.1); type: maybe none of FrameType."""
+    """A frame from the peer (section 4.1). type: may be a value not in FrameType."""
 
     type: int
     flags: int
@@ -96,21 +99,24 @@
 
     @property
     def end_stream(self) -> bool:
-        """Whether the flag END_STREAM is set."""
+        """Return whether the flag END_STREAM is set."""
         return bool(self.flags & Flag.END_STREAM)
 
     @property
     def end_headers(self) -> bool:
-        """Whether the flag END_HEADERS is set."""
+        """Return whether the flag END_HEADERS is set."""
         return bool(self.flags & Flag.END_HEADERS)
 
     @property
     def ack(self) -> bool:
-        """Whether the flag ACK is set."""
+        """Return whether the flag ACK is set."""
         return bool(self.flags & Flag.ACK)
 
     def unpadded(self) -> bytes:
-        """The payload without its padding (6.1); ProtocolError where that is longer than the payload."""
+        """Return the payload without its padding (section 6.1).
+
+        Raise ProtocolError if the padding is too long.
+        """
         payload = self.payload
         if not self.flags & Flag.PADDED:
             return payload
@@ -119,7 +125,7 @@
         return payload[1 : len(payload) - payload[0]]
 
     def header_fragment(self) -> bytes:
-        """The part of a header block in a HEADERS frame (6.2), without padding and priority."""
+        """Return the header block fragment of a HEADERS frame (section 6.2), without padding and priority."""
         fragment = self.unpadded()
         if not self.flags & Flag.PRIORITY:
             return fragment
@@ -128,23 +134,24 @@
         return fragment[PRIORITY_FIELDS_BYTES:]
 
     def uint32(self) -> int:
-        """The payload of a frame that holds one number of four bytes (6.4, 6.9)."""
+        """Return the payload of a frame that consists of one four-byte number (sections 6.4 and 6.9)."""
         if len(self.payload) != _UINT32.size:
             name = FrameType(self.type).name
             raise ProtocolError(ErrorCode.FRAME_SIZE_ERROR, f"{name} is not 4 bytes")
         return int.from_bytes(self.payload, "big")
 
     def settings(self) -> Iterable[tuple[int, int]]:
-        """Identifiers and values in a SETTINGS frame (6.5); ProtocolError where it has a wrong form."""
+        """Return identifiers and values of a SETTINGS frame (section 6.5). Raises ProtocolError."""
         if self.stream_id or len(self.payload) % _SETTING.size or (self.ack and self.payload):
             raise ProtocolError(ErrorCode.FRAME_SIZE_ERROR, "SETTINGS of a wrong form")
         return _SETTING.iter_unpack(self.payload)
 
 
 def read_frame(data: bytes, start: int) -> Frame | None:
-    """The frame that begins there; None where more bytes are needed.
+    """Return the frame that begins at `start`, or None if more bytes are needed.
 
-    ProtocolError if it is longer than what a peer may send without a setting of ours (4.2).
+    Raises ProtocolError if the frame exceeds the default maximum size, which this server does not raise
+    (section 4.2).
     """
     payload_start = start + FRAME_HEADER_BYTES
     if payload_start > len(data):
@@ -160,30 +167,30 @@
 
 
 def encode_frame(frame_type: int, flags: int, stream_id: int, payload: bytes = b"") -> bytes:
-    """One frame (4.1)."""
+    """Return an encoded frame (section 4.1)."""
     size = len(payload)
     return _FRAME_HEADER.pack(size >> 16, size & 0xFFFF, frame_type, flags, stream_id) + payload
 
 
 def encode_settings(settings: Iterable[tuple[Setting, int]]) -> bytes:
-    """A SETTINGS frame (6.5)."""
+    """Return an encoded SETTINGS frame (section 6.5)."""
     payload = b"".join(_SETTING.pack(setting, value) for setting, value in settings)
     return encode_frame(FrameType.SETTINGS, 0, 0, payload)
 
 
 def encode_window_update(stream_id: int, increment: int) -> bytes:
-    """A WINDOW_UPDATE frame (6.9); stream 0: of the connection."""
+    """Return an encoded WINDOW_UPDATE frame (section 6.9). Stream 0 stands for the connection."""
     return encode_frame(FrameType.WINDOW_UPDATE, 0, stream_id, _UINT32.pack(increment))
 
 
 def encode_rst_stream(stream_id: int, code: int) -> bytes:
-    """A RST_STREAM frame (6.4)."""
+    """Return an encoded RST_STREAM frame (section 6.4)."""
     return encode_frame(FrameType.RST_STREAM, 0, stream_id, _UINT32.pack(code))
 
 
 def encode_goaway(last_stream_id: int, code: int, debug_data: bytes = b"") -> bytes:
-    """A GOAWAY frame (6.8)."""
+    """Return an encoded GOAWAY frame (section 6.8)."""
     return encode_frame(FrameType.GOAWAY, 0, 0, _GOAWAY.pack(last_stream_id, code) + debug_data)
 
 
-SETTINGS_ACK = encode_frame(FrameType.SETTINGS, Flag.ACK, 0)  # 6.5.3
+SETTINGS_ACK = encode_frame(FrameType.SETTINGS, Flag.ACK, 0)  # section 6.5.3
--- a/quartzford/protocols/http2/header_blocks.py
+++ b/quartzford/protocols/http2/header_blocks.py
@@ -1,7 +1,7 @@
-"""Header blocks: HPACK (RFC 7541) in both directions, and blocks that come in several frames (RFC 9113, 4.3).
+"""Header blocks: HPACK (RFC 7541), and header blocks split into several frames (RFC 9113, section 4.3).
 
-What is sent is encoded without the dynamic table, so that a block is ready-made for all connections and
-nothing is kept for encoding. Received blocks are decoded by the library hpack.
+Blocks to send are encoded without the dynamic table, so a block can be reused on all connections and encoding
+needs no state. The library hpack decodes received blocks.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 
 from quartzford.protocols.http2.frames import FRAME_HEADER_BYTES, ErrorCode, Frame, ProtocolError
 
-MAX_BLOCK_BYTES = 80 * 1024  # on the wire, with the frame headers of its continuations
+MAX_BLOCK_BYTES = 80 * 1024  # encoded size, including the frame headers of CONTINUATION frames
 MAX_CACHED_BLOCKS = 256
-LITERAL_NEW_NAME = b"\0"  # RFC 7541, 6.2.2: literal without indexing, with its name
-STRING_LENGTH_PREFIX = 127  # RFC 7541, 5.2: the largest value of a prefix of 7 bits
-INDEXED_FIELD = 0x80  # RFC 7541, 6.1
-INDEX_CONTINUES = 0xFF
+LITERAL_NEW_NAME = b"\0"  # literal without indexing and with a new name (RFC 7541, section 6.2.2)
+STRING_LENGTH_PREFIX = 127  # the maximum value of a 7-bit prefix (RFC 7541, section 5.2)
+INDEXED_FIELD = 0x80  # the first bit of an indexed field (RFC 7541, section 6.1)
+MULTI_BYTE_INDEX = 0xFF  # an indexed field whose index continues in the next byte
 
 Headers = list[tuple[bytes, bytes]]
 
 
 def encode_header_block(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """A header block of literals that no table keeps (RFC 7541, 6.2.2): good on any connection."""
+    """Return a header block of literals without indexing (RFC 7541, section 6.2.2) for any connection."""
     return b"".join(
         LITERAL_NEW_NAME + _encode_string(name) + _encode_string(value) for name, value in headers
     )
 
 
 def _encode_string(text: bytes) -> bytes:
-    """A string literal without Huffman coding (RFC 7541, 5.2), its length as an integer (5.1)."""
+    """Return a string literal without Huffman coding (RFC 7541, section 5.2; its length: section 5.1)."""
     if len(text) < STRING_LENGTH_PREFIX:
         return bytes((len(text),)) + text
     encoded = bytearray((STRING_LENGTH_PREFIX,))
@@ -44,14 +44,14 @@
 
 
 class HeaderBlockDecoder:
-    """Decodes the blocks of a connection, all of which share a dynamic table."""
+    """Decodes the header blocks of a connection, which share a dynamic table."""
 
     def __init__(self, max_list_bytes: int) -> None:
         self.cache: dict[bytes, Headers] = {}
         self._decoder: Any = hpack.Decoder(max_header_list_size=max_list_bytes)
 
     def decode(self, block: bytes) -> Headers:
-        """The header fields; ProtocolError where they are too long or can't be decoded."""
+        """Return the header fields. Raise ProtocolError if they are too long or cannot be decoded."""
         cached = self.cache.get(block)
         if cached is not None:
             return cached
@@ -61,24 +61,24 @@
             raise ProtocolError(ErrorCode.ENHANCE_YOUR_CALM, "a header list over the bound") from None
         except hpack.HPACKError as error:
             raise ProtocolError(ErrorCode.COMPRESSION_ERROR, type(error).__name__) from None
-        if not _leaves_table_as_is(block):
+        if not _only_reads_table(block):
             self.cache.clear()
         elif len(self.cache) < MAX_CACHED_BLOCKS:
             self.cache[block] = headers
         return headers
 
 
-def _leaves_table_as_is(block: bytes) -> bool:
-    """Whether a block consists of indexed fields alone (RFC 7541, 6.1).
+def _only_reads_table(block: bytes) -> bool:
+    """Return whether a block consists only of indexed fields (RFC 7541, section 6.1).
 
-    These neither read nor change more than the table: as long as it stays as it is, the same bytes have the
-    same meaning. Any other block may have changed it.
+    Such a block only reads the dynamic table. The same bytes have the same meaning as long as the table does
+    not change. Any other block may change the table.
     """
-    return all(byte >= INDEXED_FIELD for byte in block) and INDEX_CONTINUES not in block
+    return all(byte >= INDEXED_FIELD for byte in block) and MULTI_BYTE_INDEX not in block
 
 
 class PartialHeaderBlock:
-    """A header block whose last CONTINUATION frame has not come yet (6.10)."""
+    """A header block whose last CONTINUATION frame has not arrived yet (RFC 9113, section 6.10)."""
 
     __slots__ = ("stream_id", "end_stream", "_fragments", "_size")
 
@@ -89,12 +89,12 @@
         self._size = len(fragment)
 
     def add(self, continuation: Frame) -> None:
-        """Take another fragment; ProtocolError where the block gets too long."""
-        self._size += len(continuation.payload) + FRAME_HEADER_BYTES  # an empty one counts too
+        """Append the fragment of a CONTINUATION frame. Raise ProtocolError if the block becomes too long."""
+        self._size += len(continuation.payload) + FRAME_HEADER_BYTES  # an empty frame counts too
         if self._size > MAX_BLOCK_BYTES:
             raise ProtocolError(ErrorCode.ENHANCE_YOUR_CALM, "a header block without end")
         self._fragments.append(continuation.payload)
 
     def join(self) -> bytes:
-        """The block."""
+        """Return the complete header block."""
         return b"".join(self._fragments)
--- a/quartzford/protocols/lingering.py
+++ b/quartzford/protocols/lingering.py
@@ -1,8 +1,8 @@
-"""The end of a connection behind its last answer: half-close, read on for a moment, then close.
+"""Lingering close of a connection after its last response: half-close, read for a short time, then close.
 
-To close over bytes that were not read resets the connection, and what the peer has not read of its answer
-may be gone with it (RFC 9112, 9.6). What the peer still sends is not acted on: it can tell by the half-close
-that it was not.
+Closing a connection with unread bytes resets it, and the peer may then lose the part of the response that it
+has not read yet (RFC 9112, section 9.6). Requests that the peer still sends are not processed, and the
+half-close informs the peer of this.
 """
 
 from __future__ import annotations
@@ -11,37 +11,41 @@
 
 from quartzford.engine import Clock
 
-LINGER_S = 1.0  # behind the last byte written, for what the peer still writes
-LINGER_BYTES = 32 * 1024 * 1024  # that are read on the way
-CHECK_S = 0.25
+LINGER_S = 1.0  # how long to read after the last byte was written
+MAX_LINGER_BYTES = 32 * 1024 * 1024  # maximum number of bytes read in that time
+EXPIRY_CHECK_INTERVAL_S = 0.25
 
 
 class LingeringClose:
-    """A connection on which nothing more is written. Times are on the clock handed in, in seconds."""
+    """A connection whose response is complete. Times are clock readings of the caller, in seconds."""
 
     def __init__(self, transport: asyncio.Transport, now: float) -> None:
-        """Half-close behind what has been written so far."""
+        """Half-close the connection after the bytes written so far."""
         self._transport = transport
         self._since = now
         self._bytes_read = 0
         transport.write_eof()
 
     def received(self, size: int) -> None:
-        """So many bytes were read and dropped; a peer that sends too many is cut off."""
+        """Count bytes that were read and dropped; abort the connection if they exceed MAX_LINGER_BYTES."""
         self._bytes_read += size
-        if self._bytes_read > LINGER_BYTES:
+        if self._bytes_read > MAX_LINGER_BYTES:
             self._transport.abort()
 
     def expired(self, now: float) -> bool:
-        """Whether LINGER_S have passed since all was written; to be called now and then, from the start."""
+        """Return whether LINGER_S have passed since all bytes were written.
+
+        The owner must call this regularly from the start, because each call with unwritten bytes restarts the
+        time.
+        """
         if self._transport.get_write_buffer_size():
             self._since = now
         return now - self._since > LINGER_S
 
     def close_in_time(self, clock: Clock) -> None:
-        """Close the connection once it has expired, for an owner that does not check `expired` itself."""
+        """Close the connection when it has expired, for an owner that does not call `expired` itself."""
         if self._transport.is_closing():
             return
         if self.expired(clock.now()):
             return self._transport.abort()
-        clock.call_later(CHECK_S, self.close_in_time, clock)
+        clock.call_later(EXPIRY_CHECK_INTERVAL_S, self.close_in_time, clock)
--- a/quartzford/protocols/socketerrors.py
+++ b/quartzford/protocols/socketerrors.py
@@ -1,20 +1,20 @@
-"""Errors of socket calls whose cause is this machine alone."""
+"""Classifies errors of socket calls that are caused by this machine and not by the peer."""
 
 from __future__ import annotations
 
 import errno
 
-# Descriptors or memory have run out, which may be over in a moment.
+# Errors for lack of descriptors or memory, which may be temporary.
 EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-# The same of connect(2), and ports.
+# Errors of connect(2) for lack of descriptors, memory or local ports.
 LOCAL_TO_CONNECT = EXHAUSTED | {errno.EADDRNOTAVAIL}
 
 
 def is_exhausted(error: BaseException) -> bool:
-    """This machine has run out of descriptors or memory."""
+    """Return whether this machine has run out of descriptors or memory."""
     return isinstance(error, OSError) and error.errno in EXHAUSTED
 
 
 def is_local_to_connect(error: BaseException) -> bool:
-    """A connection failed for want of something of this machine: whoever it was to reach is not to blame."""
+    """Return whether a connection attempt failed for lack of a local resource, not because of the peer."""
     return isinstance(error, OSError) and error.errno in LOCAL_TO_CONNECT
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 without I/O: against the library h2 as the peer, and against peers that break the protocol."""
+"""Tests of HTTP/2 without I/O, with the library h2 as the peer and with peers that violate the protocol."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class RecordedEvents:
-    """The events of a connection."""
+    """Records the events of a connection."""
 
     def __init__(self) -> None:
         self.opened: dict[int, Any] = {}
@@ -55,7 +55,7 @@
 
 
 class ClientAndServer:
-    """Our server and h2's client, connected in memory."""
+    """The server under test and a client of h2, connected in memory."""
 
     def __init__(self, max_streams: int = 100) -> None:
         self.recorded = RecordedEvents()
@@ -65,12 +65,15 @@
         self.events: list[Any] = []
         self.exchange()
 
-    def exchange(self, piece: int = 0) -> None:
-        """Carry bytes both ways until neither has any. piece: bytes at a time to the server; 0: all."""
+    def exchange(self, piece_bytes: int = 0) -> None:
+        """Transfer bytes in both directions until none are left.
+
+        piece_bytes: the number of bytes passed to the server at a time, 0 for all.
+        """
         while True:
             from_client = self.client.data_to_send()
-            for at in range(0, len(from_client), piece or max(1, len(from_client))):
-                self.server.receive(from_client[at : at + (piece or len(from_client))])
+            for at in range(0, len(from_client), piece_bytes or max(1, len(from_client))):
+                self.server.receive(from_client[at : at + (piece_bytes or len(from_client))])
             from_server = self.server.take()
             if from_server:
                 self.events += self.client.receive_data(from_server)
@@ -78,24 +81,24 @@
                 return
 
     def events_of(self, kind: type[Any]) -> list[Any]:
-        """The client's events of one kind."""
+        """Return the client's events of one type."""
         return [e for e in self.events if isinstance(e, kind)]
 
 
-@pytest.mark.parametrize("piece", [0, 1, 7])
-def test_streams_with_h2_in_pieces_of_any_size(piece: int) -> None:
+@pytest.mark.parametrize("piece_bytes", [0, 1, 7])
+def test_streams_with_h2_client_in_pieces_of_any_size(piece_bytes: int) -> None:
     pair = ClientAndServer()
     for number in range(30):
         stream_id = 2 * number + 1
         pair.client.send_headers(stream_id, [*REQUEST_HEADERS, (b"x-n", str(number // 10).encode())])
         pair.client.send_data(stream_id, b"up" * number, end_stream=True)
-        pair.exchange(piece)
+        pair.exchange(piece_bytes)
         assert pair.recorded.opened[stream_id][:4] == REQUEST_HEADERS
         assert pair.recorded.bodies[stream_id] == b"up" * number
         pair.server.send_headers(stream_id, RESPONSE_HEADERS)
         pair.server.send_data(stream_id, b"down" * number)
         pair.server.send_headers(stream_id, encode_header_block(((b"grpc-status", b"0"),)), end_stream=True)
-        pair.exchange(piece)
+        pair.exchange(piece_bytes)
     answers = pair.events_of(h2.events.ResponseReceived)
     assert len(answers) == 30 and dict(answers[0].headers)[b"x-long"] == b"v" * 300
     assert sum(len(e.data) for e in pair.events_of(h2.events.DataReceived)) == 4 * sum(range(30))
@@ -103,24 +106,27 @@
     assert not pair.server.streams and not pair.server.failed
 
 
-def test_the_cache_of_blocks_never_outlives_the_table() -> None:
-    """The same bytes mean another thing once a literal has moved the table's indices."""
+def test_block_cache_is_cleared_when_dynamic_table_changes() -> None:
+    """Guards against stale cached blocks.
+
+    A literal with indexing shifts the indices of the dynamic table, so the same bytes then mean other fields.
+    """
     pair = ClientAndServer()
     rng = random.Random(5)
-    wanted = {}
+    expected = {}
     for number in range(400):
         stream_id = 2 * number + 1
         headers = [*REQUEST_HEADERS, (b"x-a", b"%d" % rng.randrange(3)), (b"x-b", b"%d" % rng.randrange(2))]
         if rng.random() < 0.05:
             headers.append((b"x-new", b"%d" % number))
-        wanted[stream_id] = headers
+        expected[stream_id] = headers
         pair.client.send_headers(stream_id, headers, end_stream=True)
         pair.exchange()
         pair.server.send_headers(stream_id, RESPONSE_HEADERS, end_stream=True)
-    assert pair.recorded.opened == wanted and pair.server.decoder.cache
+    assert pair.recorded.opened == expected and pair.server.decoder.cache
 
 
-def test_windows_of_stream_and_connection_are_kept() -> None:
+def test_sending_stays_within_stream_and_connection_windows() -> None:
     pair = ClientAndServer()
     for stream_id in (1, 3):
         pair.client.send_headers(stream_id, REQUEST_HEADERS, end_stream=True)
@@ -134,13 +140,13 @@
     for _ in range(60):
         pair.events = []
         pair.exchange()
-        for event in pair.events_of(h2.events.DataReceived):  # h2 raises if a window is overrun
+        for event in pair.events_of(h2.events.DataReceived):  # h2 raises an exception if a window is exceeded
             bodies[event.stream_id] += event.data
             pair.client.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
     assert bodies == {1: body, 3: body} and not pair.server.streams and not pair.server.sender.blocked
 
 
-def test_a_window_that_shrinks_under_what_was_sent() -> None:
+def test_window_reduced_below_sent_bytes_blocks_until_update() -> None:
     pair = ClientAndServer()
     pair.client.send_headers(1, REQUEST_HEADERS, end_stream=True)
     pair.exchange()
@@ -158,7 +164,7 @@
     assert not pair.server.streams
 
 
-def test_a_large_upload_is_let_through_and_one_over_the_window_is_not() -> None:
+def test_upload_within_window_is_received_and_beyond_is_rejected() -> None:
     pair = ClientAndServer()
     pair.client.send_headers(1, REQUEST_HEADERS)
     sent = 0
@@ -168,13 +174,13 @@
         sent += size
         pair.exchange()
     assert len(pair.recorded.bodies[1]) == sent
-    raw = connection_with_stream()
-    raw.receive_window.remaining = 100
-    raw.receive(encode_frame(FrameType.DATA, 0, 1, b"x" * 101))
-    assert goaway_code(raw) == ErrorCode.FLOW_CONTROL_ERROR
+    limited_server = connection_with_stream()
+    limited_server.receive_window.remaining = 100
+    limited_server.receive(encode_frame(FrameType.DATA, 0, 1, b"x" * 101))
+    assert goaway_code(limited_server) == ErrorCode.FLOW_CONTROL_ERROR
 
 
-def test_streams_over_the_bound_and_after_goaway_are_refused() -> None:
+def test_streams_over_limit_or_after_goaway_are_refused() -> None:
     recorded = RecordedEvents()
     server = ServerConnection(recorded, 2)
     server.receive(PREFACE + encode_frame(FrameType.SETTINGS, 0, 0))
@@ -191,11 +197,11 @@
     assert recorded.resets == {1: ErrorCode.CANCEL}
     server.receive(headers_frame(7))
     assert 7 not in recorded.opened and server.take().startswith(b"\0\0\4\3")
-    server.send_headers(3, RESPONSE_HEADERS, end_stream=True)  # open streams go on
+    server.send_headers(3, RESPONSE_HEADERS, end_stream=True)  # open streams continue
     assert server.take() and not server.failed
 
 
-# ---- peers that break the protocol
+# ---- peers that violate the protocol
 
 
 def headers_frame(stream_id: int, flags: int = Flag.END_HEADERS, extra: bytes = b"") -> bytes:
@@ -203,7 +209,7 @@
 
 
 def connection_with_stream(max_streams: int = 10) -> ServerConnection:
-    """A connection with stream 1 open."""
+    """Return a connection on which stream 1 is open."""
     server = ServerConnection(RecordedEvents(), max_streams)
     server.receive(PREFACE + encode_frame(FrameType.SETTINGS, 0, 0) + headers_frame(1))
     server.take()
@@ -212,7 +218,7 @@
 
 
 def goaway_code(server: ServerConnection) -> int:
-    """The code of the GOAWAY that a connection ended with."""
+    """Return the error code of the GOAWAY that ended the connection."""
     assert server.failed
     data = server.take()
     while data:
@@ -280,7 +286,7 @@
 
 
 @pytest.mark.parametrize(("data", "code"), VIOLATIONS, ids=[str(n) for n in range(len(VIOLATIONS))])
-def test_what_breaks_the_protocol_ends_with_goaway_and_its_code(data: bytes, code: int) -> None:
+def test_protocol_violation_ends_with_goaway_code(data: bytes, code: int) -> None:
     server = connection_with_stream()
     server.receive(data)
     assert goaway_code(server) == code
@@ -289,13 +295,13 @@
 
 
 @pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"PRI * HTTP/1.1\r\n", b"\x16\x03\x01"])
-def test_another_protocol_is_turned_away(data: bytes) -> None:
+def test_other_protocol_is_rejected(data: bytes) -> None:
     server = ServerConnection(RecordedEvents(), 10)
     server.receive(data)
     assert goaway_code(server) == ErrorCode.PROTOCOL_ERROR
 
 
-def test_what_concerns_one_stream_ends_one_stream() -> None:
+def test_stream_error_ends_only_that_stream() -> None:
     server = connection_with_stream()
     server.receive(encode_frame(FrameType.WINDOW_UPDATE, 0, 1, uint32(2**31 - 1)))
     assert not server.failed and 1 not in server.streams
@@ -309,29 +315,32 @@
     assert not server.failed
 
 
-def test_a_header_list_over_the_bound() -> None:
+def test_header_list_over_limit_ends_connection() -> None:
     server = connection_with_stream()
-    many = b"".join(hpack.Encoder().encode([(b"x-%d" % n, b"v" * 90)], huffman=False) for n in range(100))
-    bomb = encode_header_block([(b"x", b"v" * 4000)] * 4)
-    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 3, many))
+    accepted_block = b"".join(
+        hpack.Encoder().encode([(b"x-%d" % n, b"v" * 90)], huffman=False) for n in range(100)
+    )
+    large_block = encode_header_block([(b"x", b"v" * 4000)] * 4)
+    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 3, accepted_block))
     assert not server.failed
     for stream_id in (5, 7):
-        server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, stream_id, bomb))
+        server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, stream_id, large_block))
     assert not server.failed
     indexed = hpack.Encoder()
-    first = indexed.encode([(b"x-big", b"v" * 3000)], huffman=False)
-    again = indexed.encode([(b"x-big", b"v" * 3000)] * 100, huffman=False)  # 100 bytes that mean 300 KB
-    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 9, first))
-    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 11, again))
+    first_block = indexed.encode([(b"x-big", b"v" * 3000)], huffman=False)
+    # 100 bytes that decode to 300 KB.
+    repeated_block = indexed.encode([(b"x-big", b"v" * 3000)] * 100, huffman=False)
+    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 9, first_block))
+    server.receive(encode_frame(FrameType.HEADERS, Flag.END_HEADERS, 11, repeated_block))
     assert goaway_code(server) == ErrorCode.ENHANCE_YOUR_CALM
 
 
 @given(st.binary(max_size=400), st.integers(1, 50))
 @hypothesis_settings(max_examples=300, deadline=None, derandomize=True, database=None)
-def test_no_bytes_raise(data: bytes, piece: int) -> None:
+def test_random_bytes_raise_no_exception(data: bytes, piece_bytes: int) -> None:
     server = connection_with_stream()
-    for at in range(0, len(data), piece):
-        server.receive(data[at : at + piece])
+    for at in range(0, len(data), piece_bytes):
+        server.receive(data[at : at + piece_bytes])
     server.send_data(1, b"x" * 100_000, end_stream=True)
     server.take()
 
@@ -341,7 +350,7 @@
 
 @given(st.lists(FRAMES, max_size=30))
 @hypothesis_settings(max_examples=300, deadline=None, derandomize=True, database=None)
-def test_no_frames_raise(frames: list[Any]) -> None:
+def test_random_frames_raise_no_exception(frames: list[Any]) -> None:
     server = connection_with_stream()
     for kind, flags, stream_id, payload in frames:
         server.receive(encode_frame(kind, flags, stream_id, payload))
