--- a/quartzford/load/__init__.py
+++ b/quartzford/load/__init__.py
@@ -1,8 +1,10 @@
-"""The load generator: open-loop arrivals, clients that behave as clients do, latency from the intended send.
+"""The load generator: open-loop arrivals, clients with timeouts and retries, latency from the intended send.
 
-shapes: arrivals. trace: recorded requests. clients: what a client does next. options: what is to be played.
-plan: the requests of each worker. record: histograms and counts. result: one result out of the workers'
-records. reconciliation: the rules, by what clients and servers saw. page: a result as HTML. None of these
-does I/O. schedule, attempt, connection, connecting, connection_end and driver: one worker's requests on their
-way. worker and run: the processes. live: the view while they run. cli: the command.
+Modules without I/O: shapes (arrival rates), trace (recorded requests), clients (timeouts and retries),
+options (the settings of a run), plan (the requests of each worker), record (histograms and counts), result
+(merges the workers' records), reconciliation (checks the rules against the records of clients and servers)
+and page (a result as HTML).
+
+Modules with I/O: schedule, attempt, connection, connecting, connection_end and driver send one worker's
+requests. worker and run are the processes. live shows a run in progress. cli is the command.
 """
--- a/quartzford/load/attempt.py
+++ b/quartzford/load/attempt.py
@@ -1,18 +1,18 @@
-"""A client's request, its attempts, and the HTTP/1.1 message that each of them sends. No I/O."""
+"""A client's request, its attempts, and the HTTP/1.1 message that each attempt sends. No I/O."""
 
 from __future__ import annotations
 
 from quartzford.load.options import Target
 from quartzford.load.plan import PlannedRequest
 
-MIN_TIME_LEFT_MS = 1.0  # never tell a server that there is no time left
+MIN_TIME_LEFT_MS = 1.0  # in X-Time-Left, so that the server never receives a value of 0
 
 
 class ClientRequest:
-    """A client's request over its attempts. Times are on the monotonic clock, in seconds.
+    """A client's request with the state of its attempts. Times are seconds on the monotonic clock.
 
-    intended_at: when its first attempt should be sent. attempts: those begun. number: of the worker's
-    requests.
+    intended_at: when the first attempt should be sent. attempts: the number of attempts started so far.
+    number: the position among the worker's requests, from 1.
     """
 
     __slots__ = ("planned", "intended_at", "attempts", "number", "deadline")
@@ -26,10 +26,11 @@
 
 
 class ClientAttempt:
-    """One attempt, on a connection or waiting for one. Times are on the monotonic clock, in seconds.
+    """One attempt, on a connection or waiting for one. Times are seconds on the monotonic clock.
 
-    intended_at: when it should be sent. sent_at: when it was; 0: not yet. timeout_at: when the client gives
-    it up. ended: its outcome is known. resent: it was sent once more, as its connection had ended unused.
+    intended_at: when the attempt should be sent. sent_at: when it was sent; 0: not sent yet. timeout_at: when
+    the client cancels it. ended: True once its outcome is known. resent: True if it was sent a second time
+    because the server had closed the first connection without reading the request.
     """
 
     __slots__ = ("request", "intended_at", "sent_at", "timeout_at", "ended", "resent")
@@ -49,7 +50,7 @@
 
 
 def request_message(target: Target, worker_name: str, attempt: ClientAttempt) -> bytes:
-    """Return the complete message of an attempt: a GET of an idempotent request, else a POST with a body."""
+    """Return an attempt's complete message: GET for an idempotent request, otherwise POST with a body."""
     request, planned = attempt.request, attempt.request.planned
     request_class = planned.request_class
     method = "GET" if request_class.effect == "free" else "POST"
--- a/quartzford/load/clients.py
+++ b/quartzford/load/clients.py
@@ -1,4 +1,4 @@
-"""The behaviour of clients: how long they wait for an attempt, and whether and when they retry. No I/O."""
+"""The behaviour of clients: the timeouts of attempts, and whether and when clients retry. No I/O."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 
 
 class Outcome(StrEnum):
-    """How an attempt ended, or a request with its last attempt. The values are words of the results."""
+    """The outcome of an attempt, or of a request, which has that of its last attempt.
+
+    The values appear in the results.
+    """
 
     SERVED = "served"  # 200
     REFUSED = "refused"  # 429 or 503
     FAILED = "failed"  # any other status
     NO_ANSWER = "no answer"  # timed out
     UNREACHABLE = "unreachable"  # no connection
-    LOST = "lost"  # the connection ended without a complete response: a broken rule
+    LOST = "lost"  # the connection closed before a complete response: a violation of the rules
 
 
 SERVED = Outcome.SERVED
@@ -29,12 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests as clients know it. Times are in seconds.
+    """A request class from the clients' point of view. Times are in seconds.
 
-    share: of all requests, relative to the other classes'. priority_weight: what a request that is served
-    within its latency objective counts for in the goodput; late_weight: the share of it that one served
-    later, but within its deadline, counts for. effect: "free" (idempotent), "keyed" (with an idempotency key)
-    or "unsafe". group: of a keyed class, where repeats are dropped: in one "cell", or by "all".
+    share: the class's weight among all requests. priority_weight: what a request adds to the goodput if it is
+    served within its latency objective. late_weight: the part of priority_weight that a request adds if it is
+    served after its latency objective but within its deadline. effect: "free" (idempotent), "keyed" (with an
+    idempotency key) or "unsafe". group: which servers drop repeats of a keyed request, those of one "cell" or
+    "all".
     """
 
     name: str
@@ -48,7 +52,7 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may run again wherever it is sent."""
+        """True if a request may be repeated on any server."""
         return self.effect == "free" or (self.effect == "keyed" and self.group == "all")
 
 
@@ -63,10 +67,10 @@
 class ClientBehaviour:
     """How clients behave.
 
-    max_attempts: of a request, the first included. retry_wait_s: before a retry; 0: at once. timeout_share:
-    an attempt times out after a share of its class's deadline that is drawn evenly from this span.
-    retry_after_share: of the clients, those that obey Retry-After. new_connection_share: of the attempts,
-    those sent on a connection of their own.
+    max_attempts: the maximum number of attempts of a request, including the first. retry_wait_s: the delay
+    before a retry, in seconds; 0: none. timeout_share: an attempt's timeout as a share of its class's
+    deadline, drawn uniformly from this range. retry_after_share: the share of clients that obey Retry-After.
+    new_connection_share: the share of attempts that are sent on a new connection, closed after the response.
     """
 
     max_attempts: int = 4
@@ -80,10 +84,10 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, as far as a retry depends on it.
+    """The result of an attempt: the values on which the decision to retry depends.
 
-    attempts: of the request so far. time_left_s: to the request's deadline. retry_after_s: the response's
-    Retry-After; 0: none.
+    attempts: the number of the request's attempts so far. time_left_s: seconds until the request's deadline.
+    retry_after_s: the response's Retry-After in seconds; 0: none.
     """
 
     outcome: Outcome
@@ -93,24 +97,24 @@
 
 
 class Retry(NamedTuple):
-    """A further attempt, to be sent in so many seconds."""
+    """A further attempt, to be sent after wait_s seconds."""
 
     wait_s: float
 
 
 def attempt_timeout_s(request_class: RequestClass, behaviour: ClientBehaviour, rng: random.Random) -> float:
-    """Draw how long a client waits for the response to an attempt, in seconds."""
-    least, most = behaviour.timeout_share
-    return request_class.deadline_s * (least + (most - least) * rng.random())
+    """Return a random timeout for an attempt, in seconds."""
+    min_share, max_share = behaviour.timeout_share
+    return request_class.deadline_s * (min_share + (max_share - min_share) * rng.random())
 
 
 def plan_retry(
     request_class: RequestClass, behaviour: ClientBehaviour, result: AttemptResult, rng: random.Random
 ) -> Retry | None:
-    """Decide whether a client retries after an attempt that has ended.
+    """Return the retry that a client makes after an attempt's result; None if it makes none.
 
-    A request that may repeat is retried after any failure, others only where it has surely not run: after a
-    refusal, or where no connection was made.
+    A request that may be repeated is retried after any failure. Any other request is retried only if it has
+    certainly not been executed: after a refusal, or if no connection was established.
     """
     if result.outcome is SERVED or result.attempts >= behaviour.max_attempts:
         return None
--- a/quartzford/load/connecting.py
+++ b/quartzford/load/connecting.py
@@ -1,31 +1,31 @@
-"""Opens client connections within a time limit, without blaming the server for delays of this process."""
+"""Opens client connections within a time limit. Delays of this process don't count as the server's."""
 
 from __future__ import annotations
 
 import asyncio
 
-# Long enough for the event loop to poll once more and to run what the poll has made ready.
-POLL_S = 0.002
+# Enough time for the event loop to poll once more and to run the callbacks that have become ready.
+FINAL_POLL_S = 0.002
 
 
 async def connect_within(
     loop: asyncio.AbstractEventLoop, protocol: asyncio.Protocol, host: str, port: int, limit_s: float
 ) -> None:
-    """Connect the protocol to a server; limit_s: seconds from now.
+    """Connect the protocol to a server. limit_s: the time limit, in seconds from now.
 
-    If this process was delayed until the limit, the connection may have been up for long without the event
-    loop having seen it, so the loop polls once more before the server is blamed. The caller may thus get a
-    connection late.
+    If this process was delayed past the limit, the connection may already be established without the event
+    loop having processed that event. The loop therefore polls once more before this function reports a
+    timeout, so a connection may be returned shortly after the limit.
 
-    Raises OSError if the server can't be reached, and TimeoutError if it is not reached in time.
+    Raises OSError if the connection fails, and TimeoutError if it is not established in time.
     """
-    opening = asyncio.ensure_future(loop.create_connection(lambda: protocol, host, port))
+    connect_task = asyncio.ensure_future(loop.create_connection(lambda: protocol, host, port))
     try:
-        await asyncio.wait((opening,), timeout=limit_s)
-        if not opening.done():
-            await asyncio.wait((opening,), timeout=POLL_S)
-        if not opening.done():
+        await asyncio.wait((connect_task,), timeout=limit_s)
+        if not connect_task.done():
+            await asyncio.wait((connect_task,), timeout=FINAL_POLL_S)
+        if not connect_task.done():
             raise TimeoutError
-        opening.result()
+        connect_task.result()
     finally:
-        opening.cancel()
+        connect_task.cancel()
--- a/quartzford/load/connection.py
+++ b/quartzford/load/connection.py
@@ -16,29 +16,29 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection tells the driver that opened it."""
+    """The driver that opened a connection, as the connection calls it."""
 
     def attempt_ended(self, attempt: ClientAttempt, outcome: Outcome, retry_after_s: float) -> None:
-        """An attempt has its outcome. retry_after_s: the response's Retry-After; 0: none."""
+        """Handle an attempt's outcome. retry_after_s: the response's Retry-After in seconds; 0: none."""
 
     def unexpected_response(self) -> None:
-        """A response has come that no attempt waits for."""
+        """Handle data received while no attempt waits for a response."""
 
     def connection_idle(self, connection: TargetConnection) -> None:
-        """The connection can carry another attempt."""
+        """Handle a connection that can carry another attempt."""
 
     def connection_closed(self) -> None:
-        """The connection has ended, and carries no attempt any more."""
+        """Handle the close of a connection."""
 
     def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
-        """Send the attempt on a new connection. fresh: which is closed after it."""
+        """Send the attempt on a new connection. fresh: close that connection after the response."""
 
-    def serve_waiting(self) -> None:
-        """Attempts that wait for a connection may find one now."""
+    def serve_waiting_attempts(self) -> None:
+        """Assign connections that have become available to waiting attempts."""
 
 
 class TargetConnection(asyncio.Protocol):
-    """A client connection. fresh: it is closed after its first response."""
+    """A client connection. fresh: True if it is closed after its first response."""
 
     transport: asyncio.Transport
 
@@ -49,16 +49,16 @@
         self.closed = False
         self._parser: Any = None
         self._retry_after_s = 0.0
-        self._reused = False  # it has brought a response before
-        self._response_begun = False  # a part of this attempt's response has come
-        self._request_acknowledged = False  # the server had all of the request when it closed the connection
+        self._reused = False  # True once the connection has carried a complete response
+        self._response_started = False  # True once data of the current response was received
+        self._request_acknowledged = False  # True if the server had the whole request when it sent its FIN
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Part of asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
 
     def is_usable(self) -> bool:
-        """Whether it can carry an attempt: neither side has ended it."""
+        """Return True if the connection can carry an attempt: neither side has closed it."""
         return not self.closed and not self.transport.is_closing() and not ended_by_peer(self._descriptor())
 
     def _descriptor(self) -> int:
@@ -69,13 +69,13 @@
         """Send an attempt's complete message."""
         self.attempt = attempt
         self._retry_after_s = 0.0
-        self._response_begun = False
+        self._response_started = False
         self._request_acknowledged = False
         self._parser = httptools.HttpResponseParser(self)
         self.transport.write(message)
 
-    def give_up(self) -> None:
-        """Close the connection of an attempt that has timed out."""
+    def abort_attempt(self) -> None:
+        """Close the connection after its attempt has timed out."""
         self.attempt = None
         self.transport.abort()
 
@@ -84,14 +84,14 @@
         if self.attempt is None:
             self.driver.unexpected_response()
             return self.transport.abort()
-        self._response_begun = True
+        self._response_started = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser with each header field."""
+        """Store the value of Retry-After. The parser calls this method with each header field."""
         if name.lower() == b"retry-after":
             try:
                 self._retry_after_s = max(0.0, float(value))
@@ -99,7 +99,7 @@
                 self._retry_after_s = 0.0
 
     def on_message_complete(self) -> None:
-        """Called by the parser at the end of a response."""
+        """Report the attempt's outcome. The parser calls this method at the end of a response."""
         attempt, self.attempt = self.attempt, None
         self._reused = True
         if attempt is None:
@@ -112,26 +112,26 @@
         self.driver.attempt_ended(attempt, _outcome(self._parser.get_status_code()), self._retry_after_s)
 
     def eof_received(self) -> None:
-        """Note whether the server had the request when it closed the connection in order."""
+        """Record whether the server had acknowledged the whole request when it sent its FIN."""
         unsent = self.transport.get_write_buffer_size()
         self._request_acknowledged = not unsent and not unacknowledged_bytes(self._descriptor())
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the attempt, or send it once more if it crossed the end of an idle connection."""
+        """Report the attempt as lost, or resend it once if the server closed before it read the attempt."""
         self.closed = True
         self.driver.connection_closed()
         attempt, self.attempt = self.attempt, None
         if attempt is not None and not attempt.ended:
-            if self._ended_unread() and not attempt.resent:
+            if self._closed_before_read() and not attempt.resent:
                 attempt.resent = True
                 self.driver.connect(attempt)
             else:
                 self.driver.attempt_ended(attempt, LOST, 0.0)
-        self.driver.serve_waiting()
+        self.driver.serve_waiting_attempts()
 
-    def _ended_unread(self) -> bool:
-        """Whether the server closed the connection between requests, as it may, with the attempt unread."""
-        return self._reused and not self._response_begun and not self._request_acknowledged
+    def _closed_before_read(self) -> bool:
+        """Return True if the server closed an idle connection, as it may, before it read the attempt."""
+        return self._reused and not self._response_started and not self._request_acknowledged
 
 
 def _outcome(status: int) -> Outcome:
--- a/quartzford/load/driver.py
+++ b/quartzford/load/driver.py
@@ -1,8 +1,9 @@
-"""Sends one worker's requests when they are due, over HTTP/1.1, and records how each of them ended.
+"""Sends one worker's requests over HTTP/1.1 when they are due, and records their outcomes.
 
-The loop is open: what is due is sent whether or not earlier requests were answered, on a connection of its
-own if none is idle. Timers of the event loop are exact to a millisecond only, so it is kept turning in place
-of sleeping during the last of them before something is due. Only the monotonic clock is read.
+The loop is open: a request that is due is sent whether or not earlier requests were answered, on a new
+connection if none is idle. Timers of the event loop have a resolution of one millisecond. The driver
+therefore polls instead of sleeping during the last SPIN_BEFORE_DUE_S before the next entry is due. It reads
+only the monotonic clock.
 """
 
 from __future__ import annotations
@@ -32,21 +33,21 @@
 from quartzford.load.record import Record
 from quartzford.load.schedule import Schedule, Timeout
 
-SPIN_S = 0.0015  # before something is due, the event loop is kept turning for so long
+SPIN_BEFORE_DUE_S = 0.0015  # the driver polls for this time before the next entry is due
 MAX_SLEEP_S = 0.05
-IDLE_CHECK_S = 0.01  # how often to see whether all is over, where nothing is scheduled
-MIN_CONNECT_S = 0.001
+COMPLETION_CHECK_INTERVAL_S = 0.01  # while nothing is scheduled
+MIN_CONNECT_TIMEOUT_S = 0.001
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerPlan:
-    """What a worker plays. Times are on the monotonic clock, in seconds.
+    """The requests and settings of a worker. Times are seconds on the monotonic clock.
 
-    requests: in the order of their offsets, which count from start. name: what the ids of attempts begin
-    with. warm_up_s: what is due before it has passed is not measured. followers: by session, the requests
-    after its first. closed_clients: so many clients that send a request each when the one before is over,
-    until end, in place of arrivals.
+    requests: in the order of their offsets, which count from start. name: the prefix of attempt ids.
+    warm_up_s: requests that are due in the first warm_up_s seconds are not measured. followers: by session,
+    the requests after the first one. closed_clients: the number of clients in a closed loop; 0: open loop. In
+    a closed loop, a client sends its next request when the previous one has ended, and stops at end.
     """
 
     target: Target
@@ -62,14 +63,15 @@
 
 
 class Driver:
-    """Plays a worker's plan.
+    """Sends the requests of a worker's plan.
 
-    in_flight: requests that have started and not ended. sent: requests that have started. starved: why
-    connections could not be opened where this machine was the reason; empty: it was not.
+    in_flight: the number of requests that have started and not ended. sent: the number of requests that have
+    started. starved: the reason why this machine could not open connections (descriptors or ports are
+    exhausted); empty: this has not happened.
     """
 
     def __init__(self, plan: WorkerPlan, record: Record) -> None:
-        """Needs a running event loop. record: takes the measurements."""
+        """Needs a running event loop. record: receives the measurements."""
         self.plan = plan
         self.target = plan.target
         self.behaviour = plan.behaviour
@@ -81,7 +83,7 @@
         self.in_flight = 0
         self.sent = 0
         self.starved = ""
-        self._waiting: deque[ClientAttempt] = deque()  # for a connection, where their number is limited
+        self._waiting: deque[ClientAttempt] = deque()  # for a connection, if their number is limited
         self._connecting: set[asyncio.Task[None]] = set()
         self._finished: asyncio.Future[None] = self.loop.create_future()
         self._stopped = False
@@ -90,19 +92,19 @@
         self._schedule = Schedule(arrivals, plan.start)
 
     async def run(self) -> None:
-        """Play the plan until its last request has ended."""
+        """Send the plan's requests, and return when the last one has ended."""
         await self._open_initial_connections()
         if self.plan.closed_clients:
             await asyncio.sleep(max(0.0, self.plan.start - monotonic()))
             for _ in range(self.plan.closed_clients):
-                self._start_next_of_closed_loop()
-        self._turn()
+                self._start_next_closed_loop_request()
+        self._run_due_entries()
         await self._finished
         for connection in self.idle:
             connection.transport.abort()
 
     def stop(self) -> None:
-        """Start nothing more, and end at once. Requests in flight are counted as cut short."""
+        """Stop at once and start no further request. Requests in flight are counted as "cut short"."""
         self._stopped = True
         if not self._finished.done():
             self.record.counts["cut short"] += self.in_flight
@@ -122,8 +124,8 @@
 
     # ---- pacing
 
-    def _turn(self) -> None:
-        """Do all that is due, and come back when more is."""
+    def _run_due_entries(self) -> None:
+        """Process all entries that are due, and schedule the next call."""
         if self._finished.done():
             return
         now = monotonic()
@@ -134,27 +136,27 @@
         for _, _, attempt, connection in self._schedule.take_timeouts(now):
             if not attempt.ended:
                 self._time_out(attempt, connection)
-        if self._is_over(now):
+        if self._is_complete(now):
             return self._finished.set_result(None)
-        self._sleep(now)
+        self._schedule_next_run(now)
 
-    def _is_over(self, now: float) -> bool:
+    def _is_complete(self, now: float) -> bool:
         if not self._schedule.plan_ended or self.in_flight:
             return False
         return not self.plan.closed_clients or now >= self.plan.end
 
-    def _sleep(self, now: float) -> None:
-        next_at = self._schedule.next_at()
-        wait_s = IDLE_CHECK_S if next_at is None else next_at - now
-        if wait_s > SPIN_S:
-            self.loop.call_later(min(wait_s - SPIN_S, MAX_SLEEP_S), self._turn)
+    def _schedule_next_run(self, now: float) -> None:
+        next_due_at = self._schedule.next_due_at()
+        wait_s = COMPLETION_CHECK_INTERVAL_S if next_due_at is None else next_due_at - now
+        if wait_s > SPIN_BEFORE_DUE_S:
+            self.loop.call_later(min(wait_s - SPIN_BEFORE_DUE_S, MAX_SLEEP_S), self._run_due_entries)
         else:
-            self.loop.call_soon(self._turn)
+            self.loop.call_soon(self._run_due_entries)
 
     # ---- requests
 
     def _start(self, planned: PlannedRequest, intended_at: float) -> None:
-        """Begin a request now, or schedule it if its time has not come."""
+        """Start a request: send its first attempt now if it is due, otherwise schedule it."""
         self.sent += 1
         self.in_flight += 1
         request = ClientRequest(planned, intended_at, self.sent)
@@ -163,7 +165,7 @@
         else:
             self._schedule.add_attempt(request, intended_at)
 
-    def _start_next_of_closed_loop(self) -> None:
+    def _start_next_closed_loop_request(self) -> None:
         planned = next(self.plan.requests, None)
         if planned is None or self._stopped:
             return
@@ -172,13 +174,13 @@
             self._start(planned, now)
 
     def _start_followers(self, planned: PlannedRequest, now: float) -> None:
-        """Start what comes after a request's end: the next of its session, or of a closed loop's client."""
+        """Start the request that follows an ended one: the next of its session or closed-loop client."""
         followers = self.plan.followers.get(planned.session) if planned.session else None
         if followers and not self._stopped:
             follower = followers.popleft()
             self._start(follower, now + follower.offset)
         if self.plan.closed_clients:
-            self.loop.call_soon(self._start_next_of_closed_loop)
+            self.loop.call_soon(self._start_next_closed_loop_request)
 
     def _is_measured(self, request: ClientRequest) -> bool:
         return request.intended_at >= self._measured_from
@@ -222,15 +224,15 @@
 
     def _time_out(self, attempt: ClientAttempt, connection: TargetConnection | None) -> None:
         if connection is None:
-            # It never had a connection: the generator's own limit, which counts as its lateness.
+            # The attempt never had a connection: its wait counts as the lateness of the generator.
             if self._is_measured(attempt.request):
                 self.record.attempt_sent(monotonic() - attempt.intended_at)
         elif connection.attempt is attempt:
-            connection.give_up()
+            connection.abort_attempt()
         self.attempt_ended(attempt, NO_ANSWER, 0.0)
 
     def attempt_ended(self, attempt: ClientAttempt, outcome: Outcome, retry_after_s: float) -> None:
-        """An attempt has its outcome: its request is retried, or ends with it."""
+        """Record an attempt's outcome, and retry its request or end it."""
         if attempt.ended or self._finished.done():
             return
         attempt.ended = True
@@ -243,10 +245,10 @@
             self.in_flight -= 1
             self._start_followers(request.planned, now)
             self._record_end(request, outcome, now)
-        self.serve_waiting()
+        self.serve_waiting_attempts()
 
     def _retry(self, request: ClientRequest, outcome: Outcome, now: float, retry_after_s: float) -> bool:
-        """Schedule a retry, if the client makes one."""
+        """Schedule a retry if the client makes one. Return True if it does."""
         if self._stopped:
             return False
         result = AttemptResult(outcome, request.attempts, request.deadline - now, retry_after_s)
@@ -268,12 +270,12 @@
     # ---- connections
 
     def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
-        """Send an attempt on a new connection. fresh: which is closed after it."""
+        """Send an attempt on a new connection. fresh: close that connection after the response."""
         self.open_connections += 1
         self._keep_task(self.loop.create_task(self._connect(attempt, fresh)))
 
     def _keep_task(self, task: asyncio.Task[None]) -> None:
-        """Hold a task that opens a connection until it is done: the event loop itself does not."""
+        """Keep a reference to a connecting task until it is done; the event loop holds only a weak one."""
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
@@ -281,7 +283,7 @@
         connection = TargetConnection(self)
         connection.fresh = fresh
         try:
-            limit_s = max(MIN_CONNECT_S, attempt.timeout_at - monotonic())
+            limit_s = max(MIN_CONNECT_TIMEOUT_S, attempt.timeout_at - monotonic())
             await connect_within(self.loop, connection, self.target.host, self.target.port, limit_s)
         except (OSError, TimeoutError) as error:
             self.open_connections -= 1
@@ -291,7 +293,7 @@
         self.connected(attempt, connection)
 
     def connected(self, attempt: ClientAttempt, connection: TargetConnection) -> None:
-        """Send an attempt on its new connection; if its time is over, it ends unsent."""
+        """Send an attempt on its new connection, or time it out unsent if its timeout has passed."""
         if monotonic() < attempt.timeout_at:
             self._send_attempt(attempt, connection)
         else:
@@ -299,19 +301,19 @@
             self._time_out(attempt, None)
 
     def connection_idle(self, connection: TargetConnection) -> None:
-        """A connection can carry another attempt."""
+        """Add a connection that can carry another attempt to the idle ones."""
         self.idle.append(connection)
 
     def connection_closed(self) -> None:
-        """A connection has ended."""
+        """Subtract a closed connection from the open ones."""
         self.open_connections -= 1
 
     def unexpected_response(self) -> None:
-        """A response has come that no attempt waits for."""
+        """Count a response that was received while no attempt waited for one."""
         self.record.counts["answered twice"] += 1
 
-    def serve_waiting(self) -> None:
-        """Give attempts that wait for a connection those that are free, or may be opened."""
+    def serve_waiting_attempts(self) -> None:
+        """Send waiting attempts on idle connections, or on new ones as far as the limit permits."""
         while self._waiting and not self._finished.done():
             attempt = self._waiting[0]
             if attempt.ended:
--- a/quartzford/load/options.py
+++ b/quartzford/load/options.py
@@ -1,4 +1,4 @@
-"""What is to be played, and against which target. No I/O."""
+"""The settings of a run of the load generator, and its target. No I/O."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where requests are sent.
+    """The server to which requests are sent.
 
-    connections: the most that a worker opens; 0: no limit. head: further header lines, each with its CRLF.
-    initial_connections: of each worker, opened before its first request.
+    connections: the maximum number of connections of a worker; 0: no limit. head: additional header lines,
+    each with its CRLF. initial_connections: the number of connections that each worker opens before its first
+    request.
     """
 
     host: str
@@ -28,16 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOptions:
-    """A run of the load generator. Arrivals come from a shape, from the rows of a trace or from a closed
-    loop.
-
-    spacing: of a shape's arrivals, "poisson" or "fixed". keys: how many session keys requests are drawn from;
-    0: none. size: of request bodies, in bytes. speed: the offsets of a trace are divided by it.
-    max_lateness_ms: a run whose generator was later than this at p99 is reported as unsound. warm_up_s:
-    requests that are due before it are played and not measured. keep_think_times: requests of one tenant and
-    key in a trace follow each other's responses, with their gaps. closed_clients: of each worker, clients
-    that wait for their responses, in place of arrivals. keep_attempt_log: keep the outcome of each attempt by
-    its id. report_progress: workers report how far they are while they run.
+    """The settings of a run. Arrivals come from a shape, from the rows of a trace or from a closed loop.
+
+    spacing: the spacing of a shape's arrivals, "poisson" or "fixed". keys: the number of different session
+    keys; 0: requests have no key. size: the length of request bodies, in bytes. speed: the offsets of a trace
+    are divided by this factor. max_lateness_ms: if the p99 of the generator's own lateness is higher, the
+    result of the run is reported as unreliable. warm_up_s: requests that are due in the first warm_up_s
+    seconds are sent but not measured. keep_think_times: of the requests in a trace with the same tenant and
+    key, each is sent after the response to the previous one, with the gap that the trace has.
+    closed_clients: if not 0, each worker runs this number of clients in a closed loop, which wait for the
+    response before the next request. keep_attempt_log: keep the outcome of each attempt by its id.
+    report_progress: workers report their progress during the run.
     """
 
     target: Target
--- a/quartzford/load/plan.py
+++ b/quartzford/load/plan.py
@@ -1,4 +1,4 @@
-"""The requests of a run, worker by worker: drawn from a shape, or read from a trace. No I/O."""
+"""The requests of each worker in a run: generated from a shape, or read from a trace. No I/O."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 class PlannedRequest(NamedTuple):
     """One request of a plan.
 
-    offset: seconds from the start, or from the end of the request before it in its session. size: of the
-    body, in bytes. time_left_s: from the intended send to the request's deadline. session: the key of the
-    session that it belongs to, where think times are kept.
+    offset: seconds from the start, or from the end of the previous request of its session. size: the length
+    of the body, in bytes. time_left_s: seconds from the intended send to the request's deadline. session: the
+    key of the request's session if think times are kept, otherwise empty.
     """
 
     offset: float
@@ -33,7 +33,7 @@
 
 
 class SessionPlan(NamedTuple):
-    """The sessions of one worker. followers: by session, the requests after its first, in order."""
+    """The sessions of one worker. followers: by session, the requests after the first one, in order."""
 
     first_requests: list[PlannedRequest]
     followers: dict[str, deque[PlannedRequest]]
@@ -42,16 +42,16 @@
 def plan_requests(load: LoadOptions, worker: int) -> Iterator[PlannedRequest]:
     """Yield a worker's requests in the order of their offsets.
 
-    In a closed loop there is no end to them, and no offset counts.
+    In a closed loop, the sequence is infinite and all offsets are 0.
     """
     if load.rows:
         classes = _classes_by_name(load)
         for row in load.rows[worker :: load.workers]:
-            yield _from_row(row, classes, row.offset / load.speed)
+            yield _planned_from_row(row, classes, row.offset / load.speed)
         return
     rng = random.Random(f"{load.seed}/{worker}")
     names, weights = [name for name, _ in load.tenants], [weight for _, weight in load.tenants]
-    shares = [one.share for one in load.request_classes]
+    shares = [request_class.share for request_class in load.request_classes]
     for offset in _offsets(load, worker, rng):
         request_class = rng.choices(load.request_classes, shares)[0]
         tenant = rng.choices(names, weights)[0] if names else ""
@@ -60,26 +60,27 @@
 
 
 def _offsets(load: LoadOptions, worker: int, rng: random.Random) -> Iterator[float]:
-    """Yield a worker's arrivals, in seconds from the start.
+    """Return a worker's arrivals, in seconds from the start.
 
-    The sum of Poisson processes is one, so each worker has an equal part of the rate; arrivals at even
-    spacing are dealt out in turn.
+    The sum of independent Poisson processes is a Poisson process, so each worker draws its own arrivals at an
+    equal share of the rate. Evenly spaced arrivals are distributed to the workers in turn.
     """
     shape = read_shape(load.shape)
     if load.closed_clients:
         return repeat(0.0)
     if load.spacing == "fixed":
-        every = enumerate(evenly_spaced_arrivals(shape, load.seconds))
-        return (offset for number, offset in every if number % load.workers == worker)
-    return poisson_arrivals(shape.part(load.workers), load.seconds, rng)
+        numbered_offsets = enumerate(evenly_spaced_arrivals(shape, load.seconds))
+        return (offset for number, offset in numbered_offsets if number % load.workers == worker)
+    return poisson_arrivals(shape.divided_by(load.workers), load.seconds, rng)
 
 
 def plan_sessions(load: LoadOptions, worker: int) -> SessionPlan:
-    """Plan a worker's part of a trace with think times kept.
+    """Return a worker's share of the sessions in a trace, with the think times of the trace.
 
-    A session is the requests of one tenant and key; a request without a key is one of its own. Its first
-    request comes at its offset over the speed. Each further one comes as long after the end of the one before
-    it as lay between the two in the trace, at any speed.
+    A session consists of the requests with one tenant and key. A request without a key is a session of its
+    own. A session's first request is sent at its offset divided by the speed. Each further request is sent
+    after the end of the previous one, with the gap between their offsets in the trace. The speed does not
+    change these gaps.
     """
     classes = _classes_by_name(load)
     sessions = SessionPlan([], {})
@@ -90,19 +91,19 @@
             continue
         if session in previous_offset:
             gap = row.offset - previous_offset[session]
-            follower = _from_row(row, classes, gap, session)
+            follower = _planned_from_row(row, classes, gap, session)
             sessions.followers.setdefault(session, deque()).append(follower)
         else:
-            sessions.first_requests.append(_from_row(row, classes, row.offset / load.speed, session))
+            sessions.first_requests.append(_planned_from_row(row, classes, row.offset / load.speed, session))
         previous_offset[session] = row.offset
     return sessions
 
 
 def _classes_by_name(load: LoadOptions) -> dict[str, RequestClass]:
-    return {one.name: one for one in load.request_classes}
+    return {request_class.name: request_class for request_class in load.request_classes}
 
 
-def _from_row(
+def _planned_from_row(
     row: TraceRow, classes: dict[str, RequestClass], offset: float, session: str = ""
 ) -> PlannedRequest:
     request_class = classes.get(row.service_class) or RequestClass(row.service_class)
@@ -111,7 +112,7 @@
 
 
 def make_trace(load: LoadOptions) -> list[TraceRow]:
-    """Return the requests of all workers as the rows of a trace."""
+    """Return the requests of all workers as the rows of a trace, sorted by offset."""
     return sorted(
         TraceRow(
             planned.offset,
--- a/quartzford/load/run.py
+++ b/quartzford/load/run.py
@@ -1,4 +1,4 @@
-"""A run of the load generator: starts the worker processes, and makes one result of what they measured."""
+"""A run of the load generator: starts the worker processes and merges their measurements into one result."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from quartzford.load.result import RunResults, WorkerResult, summary
 from quartzford.load.worker import Progress, run_worker
 
-LEAD_S = 0.5  # from the readiness of all workers to the start
+START_DELAY_S = 0.5  # between the readiness of all workers and the start of the run
 STOP_TIMEOUT_S = 5.0
-STOP = "stop"
+STOP_MESSAGE = "stop"
 ProgressListener = Callable[[Sequence[Progress]], None]
 
 
@@ -24,15 +24,15 @@
     started: Callable[[], None] = lambda: None,
     progress: ProgressListener = lambda reports: None,
 ) -> dict[str, Any]:
-    """Play a run and return its result; on SIGINT that of what was measured until then.
+    """Execute a run and return its result. After SIGINT, the result covers the time until the interruption.
 
-    started: called when all workers know the start. progress: called whenever a worker has reported, with the
-    latest report of each worker that has reported yet.
+    started: called after the start time was sent to all workers. progress: called after workers have sent
+    messages, with the latest report of each worker that has sent one.
     """
     with _workers(load) as pipes:
         for pipe in pipes:
             pipe.recv()
-        start = monotonic() + LEAD_S
+        start = monotonic() + START_DELAY_S
         for pipe in pipes:
             pipe.send(start)
         collector = _Collector(pipes, progress)
@@ -44,22 +44,22 @@
             interrupted = True
             collector.interrupt()
         results = collector.results
-        silent = load.workers - len(results)
-        return summary(load, RunResults(results, monotonic() - start, interrupted, silent))
+        silent_workers = load.workers - len(results)
+        return summary(load, RunResults(results, monotonic() - start, interrupted, silent_workers))
 
 
 @contextmanager
 def _workers(load: LoadOptions) -> Iterator[list[Connection]]:
-    """Run the worker processes within the block, each at the other end of a pipe."""
+    """Run the worker processes during the block, and yield a pipe to each of them."""
     context = mp.get_context("spawn")
     pipes: list[Connection] = []
     processes = []
     for number in range(load.workers):
-        ours, theirs = context.Pipe()
-        process = context.Process(target=run_worker, args=(load, number, theirs), daemon=True)
+        parent_end, worker_end = context.Pipe()
+        process = context.Process(target=run_worker, args=(load, number, worker_end), daemon=True)
         process.start()
-        theirs.close()
-        pipes.append(ours)
+        worker_end.close()
+        pipes.append(parent_end)
         processes.append(process)
     try:
         yield pipes
@@ -71,20 +71,20 @@
 
 
 class _Collector:
-    """Receives what the workers send."""
+    """Receives the progress reports and the results of the workers."""
 
     def __init__(self, pipes: list[Connection], progress: ProgressListener) -> None:
         self.results: list[WorkerResult] = []
         self._pipes = pipes
         self._running = list(pipes)
         self._progress = progress
-        self._reports: dict[int, Progress] = {}  # the latest, by worker
+        self._reports: dict[int, Progress] = {}  # the latest report, by worker
 
     def collect(self) -> None:
-        """Receive until each worker has sent its result or has died."""
+        """Receive messages until each worker has sent its result or has exited."""
         while self._running:
-            for ready in wait(self._running):
-                number = self._pipes.index(ready)  # type: ignore[arg-type]
+            for ready_pipe in wait(self._running):
+                number = self._pipes.index(ready_pipe)  # type: ignore[arg-type]
                 message = _receive(self._pipes[number])
                 if isinstance(message, Progress):
                     self._reports[number] = message
@@ -93,9 +93,9 @@
             self._progress([report for _, report in sorted(self._reports.items())])
 
     def interrupt(self) -> None:
-        """End the run early, and receive the results of the workers that are left."""
+        """Stop the workers that are still running, and receive their results."""
         for pipe in self._running:
-            pipe.send(STOP)
+            pipe.send(STOP_MESSAGE)
         for pipe in list(self._running):
             message = _receive(pipe)
             while isinstance(message, Progress):
@@ -109,7 +109,7 @@
 
 
 def _receive(pipe: Connection) -> Progress | WorkerResult | None:
-    """Return a worker's next message; None if it has died or is silent."""
+    """Return a worker's next message; None if it has exited or sends nothing for STOP_TIMEOUT_S."""
     try:
         message: Progress | WorkerResult | None = pipe.recv() if pipe.poll(STOP_TIMEOUT_S) else None
     except (EOFError, OSError):
--- a/quartzford/load/shapes.py
+++ b/quartzford/load/shapes.py
@@ -1,13 +1,14 @@
-"""Arrivals: rates over time that add up, and the moments drawn from them. No I/O; every draw is seeded.
+"""Shapes: arrival rates over time, and the arrival times generated from them. No I/O; all draws are seeded.
 
-A shape is written as parts joined by '+', whose rates add up (requests a second, seconds):
+A shape is written as parts joined by '+'. Its rate is the sum of the rates of its parts. RATE, FROM and TO
+are in requests per second; AT, SECONDS and PERIOD are in seconds:
 
-    constant:RATE               always
-    ramp:FROM-TO/SECONDS        linear, then TO
-    step:RATE@AT                from AT on
-    burst:RATE@AT+SECONDS       in that span
-    sine:RATE/PERIOD            a wave from 0 to RATE, at 0 in the beginning
-    surge:RATE@AT+SECONDS       up within a tenth of the span, then slowly down
+    constant:RATE               RATE at all times
+    ramp:FROM-TO/SECONDS        linear from FROM to TO, then TO
+    step:RATE@AT                RATE from AT on, 0 before
+    burst:RATE@AT+SECONDS       RATE from AT until AT + SECONDS, 0 outside
+    sine:RATE/PERIOD            a wave between 0 and RATE that begins at 0
+    surge:RATE@AT+SECONDS       a rise to RATE in the first tenth of SECONDS, then a slow decline to 0
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-NUMBER = r"(\d+(?:\.\d+)?)"
-PART_SEPARATOR = re.compile(r"\+(?=[a-z])")  # a '+' before a digit is inside a part
+NUMBER_PATTERN = r"(\d+(?:\.\d+)?)"
+PART_SEPARATOR = re.compile(r"\+(?=[a-z])")  # a '+' before a digit belongs to a part
 MAX_RATE = 1e6
-SURGE_RISE_SHARE = 0.1  # of a surge's span
+SURGE_RISE_SHARE = 0.1  # of a surge's duration
 INTEGRATION_STEP_S = 1e-4
 END_TOLERANCE_S = 1e-12
 
 
 class ShapeError(ValueError):
-    """A shape that can't be read; the text says which part and why."""
+    """A shape is invalid. The text names the part and the reason."""
 
 
 class Part(NamedTuple):
-    """One part of a shape: its rate at a moment (requests a second, by seconds), and the highest it has."""
+    """One part of a shape. rate: requests per second, by seconds from the start. max_rate: its maximum."""
 
     rate: Callable[[float], float]
     max_rate: float
@@ -69,68 +70,71 @@
     return Part(rate_at, rate)
 
 
-class _Form(NamedTuple):
-    """How a part is written. span: which of its figures is a length of time, and must not be 0."""
+class _PartSyntax(NamedTuple):
+    """The syntax of a part. duration_index: which argument is a duration, which must not be 0."""
 
     pattern: str
     make: Callable[..., Part]
-    span: int | None = None
+    duration_index: int | None = None
 
 
-FORMS = {
-    "constant": _Form(NUMBER, _constant),
-    "ramp": _Form(f"{NUMBER}-{NUMBER}/{NUMBER}", _ramp, 2),
-    "step": _Form(f"{NUMBER}@{NUMBER}", _step),
-    "burst": _Form(rf"{NUMBER}@{NUMBER}\+{NUMBER}", _burst, 2),
-    "sine": _Form(f"{NUMBER}/{NUMBER}", _sine, 1),
-    "surge": _Form(rf"{NUMBER}@{NUMBER}\+{NUMBER}", _surge, 2),
+PART_SYNTAX = {
+    "constant": _PartSyntax(NUMBER_PATTERN, _constant),
+    "ramp": _PartSyntax(f"{NUMBER_PATTERN}-{NUMBER_PATTERN}/{NUMBER_PATTERN}", _ramp, 2),
+    "step": _PartSyntax(f"{NUMBER_PATTERN}@{NUMBER_PATTERN}", _step),
+    "burst": _PartSyntax(rf"{NUMBER_PATTERN}@{NUMBER_PATTERN}\+{NUMBER_PATTERN}", _burst, 2),
+    "sine": _PartSyntax(f"{NUMBER_PATTERN}/{NUMBER_PATTERN}", _sine, 1),
+    "surge": _PartSyntax(rf"{NUMBER_PATTERN}@{NUMBER_PATTERN}\+{NUMBER_PATTERN}", _surge, 2),
 }
 
 
 class Shape:
-    """A sum of parts. max_rate: a bound on its rate, in requests a second."""
+    """A sum of parts. max_rate: an upper bound on the rate, in requests per second."""
 
     def __init__(self, parts: list[Part]) -> None:
         self.parts = parts
         self.max_rate = sum(part.max_rate for part in parts)
 
-    def part(self, count: int) -> Shape:
-        """Return one of so many equal shares of it."""
+    def divided_by(self, count: int) -> Shape:
+        """Return a shape with the rate of this one divided by count."""
 
-        def share(one: Part) -> Part:
-            return Part(lambda t: one.rate(t) / count, one.max_rate / count)
+        def scaled(part: Part) -> Part:
+            return Part(lambda t: part.rate(t) / count, part.max_rate / count)
 
-        return Shape([share(one) for one in self.parts])
+        return Shape([scaled(part) for part in self.parts])
 
     def rate(self, t: float) -> float:
-        """Return the rate at a moment, in requests a second."""
+        """Return the rate in requests per second. t: seconds from the start."""
         return sum(part.rate(t) for part in self.parts)
 
 
 def read_shape(text: str) -> Shape:
-    """Return the shape that a text describes; raises ShapeError if it describes none."""
-    shape = Shape([_read_part(piece) for piece in PART_SEPARATOR.split(text.strip())])
+    """Return the shape that a text describes. Raises ShapeError if the text is invalid."""
+    shape = Shape([_read_part(part_text) for part_text in PART_SEPARATOR.split(text.strip())])
     if not 0 < shape.max_rate <= MAX_RATE:
-        raise ShapeError(f"{text!r}: the rate is not above 0 and at most {MAX_RATE:g}")
+        raise ShapeError(f"{text!r}: the maximum rate must be above 0 and at most {MAX_RATE:g}")
     return shape
 
 
-def _read_part(piece: str) -> Part:
-    name, _, figures = piece.partition(":")
-    if name not in FORMS:
-        raise ShapeError(f"{piece!r}: no such shape; there are {', '.join(FORMS)}")
-    form = FORMS[name]
-    found = re.fullmatch(form.pattern, figures)
-    if found is None:
-        raise ShapeError(f"{piece!r}: not of the form that {name} has")
-    values = [float(value) for value in found.groups()]
-    if form.span is not None and values[form.span] <= 0:
-        raise ShapeError(f"{piece!r}: the span is 0")
-    return form.make(*values)
+def _read_part(part_text: str) -> Part:
+    name, _, arguments = part_text.partition(":")
+    if name not in PART_SYNTAX:
+        raise ShapeError(f"{part_text!r}: no such shape; known shapes: {', '.join(PART_SYNTAX)}")
+    syntax = PART_SYNTAX[name]
+    match = re.fullmatch(syntax.pattern, arguments)
+    if match is None:
+        raise ShapeError(f"{part_text!r}: the arguments of {name} are invalid")
+    values = [float(value) for value in match.groups()]
+    if syntax.duration_index is not None and values[syntax.duration_index] <= 0:
+        raise ShapeError(f"{part_text!r}: the duration must be above 0")
+    return syntax.make(*values)
 
 
 def poisson_arrivals(shape: Shape, seconds: float, rng: random.Random) -> Iterator[float]:
-    """Yield the arrivals of a Poisson process with a shape's rate, by thinning (Lewis and Shedler, 1979)."""
+    """Yield the arrival times of a Poisson process with a shape's rate.
+
+    The method is thinning (Lewis and Shedler, 1979).
+    """
     t = 0.0
     while True:
         t += rng.expovariate(shape.max_rate)
@@ -143,21 +147,22 @@
 def evenly_spaced_arrivals(
     shape: Shape, seconds: float, step_s: float = INTEGRATION_STEP_S
 ) -> Iterator[float]:
-    """Yield arrivals at even spacing: from 0 on, one each time the area under the rate has grown by 1.
+    """Yield arrival times at even spacing: one each time the integral of the rate reaches the next integer.
 
-    step_s: of the integration by trapezoids.
+    The first arrival is at 0 if the rate there is above 0. step_s: the step of the integration by the
+    trapezoidal rule, in seconds.
     """
     area, arrivals, t = 0.0, 1, 0.0
-    before = shape.rate(0.0)
-    if before > 0:
+    rate_before = shape.rate(0.0)
+    if rate_before > 0:
         yield 0.0
     for number in range(1, round(seconds / step_s) + 1):
-        after = shape.rate(number * step_s)
-        growth = (before + after) / 2 * step_s
+        rate_after = shape.rate(number * step_s)
+        growth = (rate_before + rate_after) / 2 * step_s
         while growth > 0 and area + growth >= arrivals:
             at = t + (arrivals - area) / growth * step_s
             if at >= seconds - END_TOLERANCE_S:
                 return
             yield at
             arrivals += 1
-        area, t, before = area + growth, number * step_s, after
+        area, t, rate_before = area + growth, number * step_s, rate_after
--- a/quartzford/load/trace.py
+++ b/quartzford/load/trace.py
@@ -1,14 +1,14 @@
-"""Traces: one request a line, recorded or made, in a format of their own. No I/O but lines.
+"""Traces: recorded or generated requests in a text format, one request per line. No I/O of its own.
 
     #quartzford-trace 1
     offset_us class tenant key size left_ms
     ...
     #end COUNT
 
-Fields are separated by one tab, and '-' stands for none. Offsets are microseconds from the beginning of the
-trace and never fall; `size` is the length of the body in bytes, `left_ms` the time that the client gave.
-Class, tenant and key are percent-encoded where they would break a line. The last line tells that nothing is
-missing.
+Fields are separated by one tab, and '-' stands for an empty value. `offset_us` is in microseconds from the
+beginning of the trace and never decreases. `size` is the length of the body in bytes. `left_ms` is the time
+until the client's deadline, in milliseconds. Characters of class, tenant and key that would break a line are
+percent-encoded. The last line holds the number of requests, and shows that the trace is complete.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 TRACE_VERSION = "1"
 END_PREFIX = "#end "
 NO_VALUE = "-"
-FIELDS = 6
-MAX_SIZE, MAX_LEFT_MS = 32 * 1024 * 1024, 1e9
-SAFE_CHARACTERS = "/:=@,;+*!$&'()[]~ "  # written as they are, beside letters, digits and "_.-"
+FIELD_COUNT = 6
+MAX_SIZE_BYTES, MAX_LEFT_MS = 32 * 1024 * 1024, 1e9
+SAFE_CHARACTERS = "/:=@,;+*!$&'()[]~ "  # not percent-encoded, nor are letters, digits and "_.-"
 
 
 class TraceError(ValueError):
-    """A trace that can't be used; the text names the line and the reason."""
+    """A trace is invalid. The text names the line and the reason."""
 
 
 class TraceRow(NamedTuple):
     """One request.
 
-    offset: seconds from the beginning of the trace. size: of the body, in bytes. left_ms: to the deadline, in
-    milliseconds; 0: that of the class.
+    offset: seconds from the beginning of the trace. size: the length of the body, in bytes. left_ms:
+    milliseconds until the deadline; 0: the deadline of the class applies.
     """
 
     offset: float
@@ -46,7 +46,7 @@
 
 
 def format_row(row: TraceRow) -> str:
-    """Return a row as its line, with the line break."""
+    """Return the line of a row, with the line break."""
     offset_us = round(row.offset * 1e6)
     words = "\t".join(_encode(text) for text in (row.service_class, row.tenant, row.key))
     return f"{offset_us}\t{words}\t{row.size}\t{row.left_ms:g}\n"
@@ -69,7 +69,7 @@
 
 
 def read_trace(lines: Iterable[str]) -> Iterator[TraceRow]:
-    """Yield the rows of a trace; raises TraceError at the first line that breaks it."""
+    """Yield the rows of a trace. Raises TraceError at the first invalid line."""
     reader = _Reader()
     for number, line in enumerate(lines, 1):
         row = reader.read(number, line.rstrip("\n"))
@@ -88,33 +88,33 @@
         self._ended = False
 
     def read(self, number: int, text: str) -> TraceRow | None:
-        """Return the row of a line, if it is one. number: of the line, from 1."""
+        """Return the row of a line; None for the header and the end line. number: the line number, from 1."""
         self._lines = number
         if number == 1:
             _check_header(text)
             return None
         if self._ended:
-            raise TraceError(f"line {number}: more follows the end")
+            raise TraceError(f"line {number}: more follows after the end line")
         if text.startswith(END_PREFIX):
-            self._end(number, text[len(END_PREFIX) :])
+            self._read_end(number, text[len(END_PREFIX) :])
             return None
         row = _read_row(text, number)
         if row.offset < self._last_offset:
-            raise TraceError(f"line {number}: earlier than the line before")
+            raise TraceError(f"line {number}: earlier than the previous line")
         self._rows += 1
         self._last_offset = row.offset
         return row
 
     def finish(self) -> None:
-        """Check that the trace has ended."""
+        """Raise TraceError if the end line is missing."""
         if not self._lines:
             raise TraceError("line 1: not a trace")
         if not self._ended:
-            raise TraceError(f"line {self._lines}: the trace is cut off")
+            raise TraceError(f"line {self._lines}: the trace is cut off, its end line is missing")
 
-    def _end(self, number: int, count: str) -> None:
+    def _read_end(self, number: int, count: str) -> None:
         if count != str(self._rows):
-            raise TraceError(f"line {number}: {self._rows} requests, {count} are said")
+            raise TraceError(f"line {number}: {self._rows} requests, {count} expected")
         self._ended = True
 
 
@@ -123,13 +123,13 @@
         raise TraceError("line 1: not a trace")
     version = text[len(HEADER_PREFIX) :]
     if version != TRACE_VERSION:
-        raise TraceError(f"line 1: version {version!r}, {TRACE_VERSION} is what can be read")
+        raise TraceError(f"line 1: version {version!r}, but {TRACE_VERSION} is the supported one")
 
 
 def _read_row(text: str, number: int) -> TraceRow:
     fields = text.split("\t")
-    if len(fields) != FIELDS:
-        raise TraceError(f"line {number}: {len(fields)} fields, {FIELDS} wanted")
+    if len(fields) != FIELD_COUNT:
+        raise TraceError(f"line {number}: {len(fields)} fields, {FIELD_COUNT} expected")
     words = ["" if word == NO_VALUE else unquote(word) for word in fields[1:4]]
     if not words[0]:
         raise TraceError(f"line {number}: no class")
@@ -137,6 +137,6 @@
         offset_us, size, left_ms = int(fields[0]), int(fields[4]), float(fields[5])
     except ValueError:
         raise TraceError(f"line {number}: offset, size or time left is not a number") from None
-    if offset_us < 0 or not 0 <= size <= MAX_SIZE or not 0 <= left_ms <= MAX_LEFT_MS:
+    if offset_us < 0 or not 0 <= size <= MAX_SIZE_BYTES or not 0 <= left_ms <= MAX_LEFT_MS:
         raise TraceError(f"line {number}: offset, size or time left is out of bounds")
     return TraceRow(offset_us / 1e6, words[0], words[1], words[2], size, left_ms)
--- a/quartzford/load/worker.py
+++ b/quartzford/load/worker.py
@@ -1,8 +1,8 @@
-"""A worker process of the load generator: plays its part of a run and sends its measurements to the parent.
+"""A worker process of the load generator: sends its share of the requests and reports to the parent process.
 
-The parent sends the start, a float on the monotonic clock, once it has received READY from all workers;
-whatever it sends after that ends the run early. A worker sends Progress now and then, if that is wanted, and
-in the end its WorkerResult.
+When the parent has received READY from all workers, it sends them the start time: a float, in seconds on the
+monotonic clock. Any later message from the parent ends the run early. A worker sends Progress every
+PROGRESS_INTERVAL_S if LoadOptions.report_progress is set, and its WorkerResult at the end.
 """
 
 from __future__ import annotations
@@ -27,17 +27,18 @@
 
 READY = "ready"
 PROGRESS_INTERVAL_S = 0.5
-PROGRESS_SECONDS = 4  # the last seconds that a report covers
-# A full collection stops the generator for a millisecond; reference counts free what a run makes anyway.
+PROGRESS_WINDOW_S = 4  # the number of latest seconds that a report covers
+# A full garbage collection stops the generator for a millisecond, so full collections are made rare.
+# Reference counting frees the objects of a run anyway.
 GC_THRESHOLDS = (100_000, 50, 1000)
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """How far a worker is.
+    """The progress of a worker.
 
-    sent: requests. in_flight: requests that have not ended. outcomes: requests by "class outcome". recent:
-    the last seconds, by second.
+    sent: the number of requests started. in_flight: the number of them that have not ended. outcomes: the
+    number of ended requests by "class outcome". recent: the latest seconds, by second.
     """
 
     sent: int
@@ -47,8 +48,8 @@
 
 
 def run_worker(load: LoadOptions, worker: int, pipe: Connection) -> None:
-    """Play the part of one worker, numbered from 0. Runs in a process of its own."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends the run
+    """Run one worker in this process. worker: its number, from 0."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # on SIGINT, the parent stops the workers
     uvloop.run(_play(load, worker, pipe))
 
 
@@ -60,16 +61,14 @@
     record.attempt_log = [] if load.keep_attempt_log else None
     driver = Driver(_worker_plan(load, worker, start), record)
     loop.add_reader(pipe.fileno(), driver.stop)
-    os.set_blocking(pipe.fileno(), True)  # add_reader has changed that, and a long message would fail
+    os.set_blocking(pipe.fileno(), True)  # add_reader made it non-blocking; then a long send fails
     async with _progress_reports(driver, pipe, load.report_progress):
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         await driver.run()
     loop.remove_reader(pipe.fileno())
-    pipe.send(
-        WorkerResult(record.dump(), driver.starved, driver.sent, driver.in_flight, _processor_seconds())
-    )
+    pipe.send(WorkerResult(record.dump(), driver.starved, driver.sent, driver.in_flight, _cpu_time_s()))
 
 
 def _worker_plan(load: LoadOptions, worker: int, start: float) -> WorkerPlan:
@@ -92,9 +91,9 @@
 
 
 @contextlib.asynccontextmanager
-async def _progress_reports(driver: Driver, pipe: Connection, wanted: bool) -> AsyncIterator[None]:
-    """Report progress within the block, if that is wanted."""
-    reporting = asyncio.get_running_loop().create_task(_report(driver, pipe)) if wanted else None
+async def _progress_reports(driver: Driver, pipe: Connection, enabled: bool) -> AsyncIterator[None]:
+    """Send progress reports during the block if enabled."""
+    reporting = asyncio.get_running_loop().create_task(_send_reports(driver, pipe)) if enabled else None
     try:
         yield
     finally:
@@ -102,14 +101,14 @@
             reporting.cancel()
 
 
-async def _report(driver: Driver, pipe: Connection) -> None:
+async def _send_reports(driver: Driver, pipe: Connection) -> None:
     record = driver.record
     while True:
         await asyncio.sleep(PROGRESS_INTERVAL_S)
-        recent = record.recent(PROGRESS_SECONDS)
+        recent = record.recent(PROGRESS_WINDOW_S)
         pipe.send(Progress(driver.sent, driver.in_flight, dict(record.outcomes), recent))
 
 
-def _processor_seconds() -> float:
+def _cpu_time_s() -> float:
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
