--- a/quartzford/load/schedule.py
+++ b/quartzford/load/schedule.py
@@ -40,7 +40,7 @@
 
 
 class Schedule:
-    """The planned requests, attempts and timeouts of a worker that are not due yet."""
+    """The planned requests, attempts and timeouts of a worker that have not been taken yet."""
 
     def __init__(self, planned: Iterator[PlannedRequest], start: float) -> None:
         """planned: in the order of their offsets, which count from start."""
--- a/tests/test_load_connection_end.py
+++ b/tests/test_load_connection_end.py
@@ -1,4 +1,4 @@
-"""Connections that a server ends under a request: only what it had not read goes once more."""
+"""Connections that a server closes around a request: only a request that it had not read is sent again."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Server:
-    """Answers the first request of its first connection, and ends that connection around the second."""
+    """Answers the first request of its first connection, and closes that connection around the second."""
 
     def __init__(self, closes: str) -> None:
         self.closes = closes
@@ -33,18 +33,18 @@
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.listening.setblocking(False)
         self.accepted: list[socket.socket] = []
-        self.read = 0  # requests, to their last byte
+        self.requests_read = 0  # requests that were read completely
 
     async def run(self) -> None:
         first = await self._accept()
         await self._respond(first, COMPLETE_RESPONSE)
         if self.closes == "unread":
-            await self._readable(first)
+            await self._wait_until_readable(first)
         elif self.closes == "read":
-            await self._request(first)
+            await self._read_request(first)
         elif self.closes == "in answer":
             await self._respond(first, CUT_RESPONSE)
-        if self.closes != "as it is sent":  # else the test closes it, between two steps of the loop
+        if self.closes != "as it is sent":  # otherwise the test closes it, synchronously
             first.close()
         second = await self._accept()
         await self._respond(second, COMPLETE_RESPONSE)
@@ -59,35 +59,35 @@
         self.accepted.append(sock)
         return sock
 
-    async def _readable(self, sock: socket.socket) -> None:
+    async def _wait_until_readable(self, sock: socket.socket) -> None:
         readable = asyncio.Event()
         self.loop.add_reader(sock.fileno(), readable.set)
         await readable.wait()
         self.loop.remove_reader(sock.fileno())
 
-    async def _request(self, sock: socket.socket) -> None:
+    async def _read_request(self, sock: socket.socket) -> None:
         data = b""
         while not data.endswith(b"\r\n\r\n" + b"x" * 200):
             data += await self.loop.sock_recv(sock, 65536)
-        self.read += 1
+        self.requests_read += 1
 
     async def _respond(self, sock: socket.socket, response: bytes) -> None:
-        await self._request(sock)
+        await self._read_request(sock)
         await self.loop.sock_sendall(sock, response)
 
 
 class CrossingDriver(Driver):
-    """Calls back right before its second request is written, after the choice of its connection."""
+    """Calls before_second_send between the choice of the second request's connection and the write."""
 
-    before_second: Callable[[], None] | None = None
+    before_second_send: Callable[[], None] | None = None
 
     def _send_attempt(self, attempt: ClientAttempt, connection: TargetConnection) -> None:
-        if attempt.request.number == 2 and not attempt.resent and self.before_second is not None:
-            self.before_second()
+        if attempt.request.number == 2 and not attempt.resent and self.before_second_send is not None:
+            self.before_second_send()
         super()._send_attempt(attempt, connection)
 
 
-async def two_requests(closes: str) -> tuple[Record, Server]:
+async def send_two_requests(closes: str) -> tuple[Record, Server]:
     record, server = Record(KEYED), Server(closes)
     serving = asyncio.ensure_future(server.run())
     target = Target("127.0.0.1", server.listening.getsockname()[1], connections=1)
@@ -104,7 +104,7 @@
         WorkerPlan(target, load.behaviour, plan_requests(load, 0), time.monotonic(), 1, "t"), record
     )
     if closes == "as it is sent":
-        driver.before_second = lambda: server.accepted[0].close()
+        driver.before_second_send = lambda: server.accepted[0].close()
     await driver.run()
     serving.cancel()
     server.close()
@@ -121,16 +121,19 @@
         ("in answer", 1, 1, 2),
     ],
 )
-def test_what_a_server_had_read_when_it_ended_the_connection_is_not_sent_again(
+def test_request_read_before_connection_close_is_not_resent(
     closes: str, served: int, lost: int, read: int
 ) -> None:
-    """A keyed request that was read may have had its effect where nobody else drops its repeat."""
-    record, server = uvloop.run(two_requests(closes))
+    """A keyed request was sent again after its server had read it and closed the connection.
+
+    It may have had its effect, and servers of another cell don't drop its repeat.
+    """
+    record, server = uvloop.run(send_two_requests(closes))
     assert record.outcomes == {"reserva served": served} | ({"reserva lost": lost} if lost else {})
-    assert server.read == read
+    assert server.requests_read == read
 
 
-def test_an_end_is_seen_before_the_loop_looks_and_what_crossed_it_stays_unacknowledged() -> None:
+def test_peer_close_is_detected_at_once_and_later_bytes_stay_unacknowledged() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listening:
         client = socket.create_connection(listening.getsockname())
         server, _ = listening.accept()
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -1,4 +1,4 @@
-"""Runs of the load generator: worker processes, their records as one result, closed loops and replays."""
+"""Runs of the load generator: worker processes, the merge of their records, closed loops and replays."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from quartzford.load.trace import TraceRow
 
 
-def test_the_records_of_workers_are_merged_into_one_result() -> None:
+def test_worker_records_are_merged_into_one_result() -> None:
     with delay_server("constant:1") as (target, _):
         result = play(
             LoadOptions(
@@ -33,7 +33,7 @@
     assert result["latency_ms"]["all"]["count"] == result["ends"]["consulta served"]
 
 
-def test_what_is_due_in_the_warm_up_is_played_and_not_measured() -> None:
+def test_warm_up_requests_are_sent_but_not_measured() -> None:
     with delay_server("none") as (target, _):
         load = LoadOptions(
             target,
@@ -50,8 +50,11 @@
     assert result["latency_ms"]["all"]["count"] == result["lateness_ms"]["count"] == 50
 
 
-def test_a_worker_that_dies_is_said_to_have_given_no_result() -> None:
-    """Its plan breaks on the way: the others' records stand, and the run is not sound."""
+def test_worker_crash_is_reported_as_missing_result() -> None:
+    """A worker without request classes fails at its first request.
+
+    The result must keep the other workers' records and report the run as unreliable.
+    """
     with delay_server("none") as (target, _):
         broken = LoadOptions(
             target, "constant:100", 0.5, workers=1, request_classes=(), behaviour=SINGLE_ATTEMPT
@@ -60,7 +63,7 @@
     assert result["trouble"] == ["1 workers gave no result"] and result["ended"] == 0
 
 
-def test_a_closed_loop_waits_for_its_answers() -> None:
+def test_closed_loop_client_waits_for_response() -> None:
     with delay_server("constant:50") as (target, _):
         load = LoadOptions(
             target,
@@ -71,13 +74,13 @@
             max_lateness_ms=1e6,
         )
         result = play(load)
-    # Four clients, 50 ms each: 160 at most, whatever the machine.
+    # Four clients with 50 ms per request send at most 160 requests in 2 s, on any machine.
     assert 20 < result["ended"] == result["sent"] <= 164
     assert result["latency_ms"]["all"]["p50"] >= 49
 
 
-def test_think_times_are_kept_whatever_the_speed() -> None:
-    """One key's second request waits for the first's answer and 300 ms more; another key's does not."""
+def test_think_times_do_not_depend_on_speed() -> None:
+    """Key a's second request is sent 300 ms after the first response. Key b's request doesn't wait for it."""
     rows = (
         TraceRow(0.0, "consulta", "t", "a"),
         TraceRow(0.1, "consulta", "t", "b"),
@@ -93,16 +96,17 @@
             keep_think_times=True,
             max_lateness_ms=1e6,
         )
-        thinking = play(load)
-        plain = play(replace(load, keep_think_times=False))
-    assert thinking["ended"] == plain["ended"] == 3
-    assert thinking["seconds"] >= 0.7  # 200 ms, 300 ms, 200 ms
-    assert plain["seconds"] < thinking["seconds"]
-    assert thinking["latency_ms"]["all"]["max"] < 1000  # from the moment at which it was due, not the first's
+        with_think_times = play(load)
+        without_think_times = play(replace(load, keep_think_times=False))
+    assert with_think_times["ended"] == without_think_times["ended"] == 3
+    assert with_think_times["seconds"] >= 0.7  # response 200 ms, think time 300 ms, response 200 ms
+    assert without_think_times["seconds"] < with_think_times["seconds"]
+    # Each latency counts from the request's own due time, not from the first request's.
+    assert with_think_times["latency_ms"]["all"]["max"] < 1000
 
 
-def test_workers_report_their_progress() -> None:
-    seen: list[Any] = []
+def test_workers_report_progress() -> None:
+    progress_calls: list[Any] = []
     with delay_server("none") as (target, _):
         load = LoadOptions(
             target,
@@ -113,18 +117,18 @@
             max_lateness_ms=1e6,
             report_progress=True,
         )
-        result = play(load, progress=seen.append)
-    reports = [one for received in seen for one in received]
+        result = play(load, progress=progress_calls.append)
+    reports = [report for received in progress_calls for report in received]
     assert reports and result["ended"] == result["sent"]
-    counts = [one.sent for one in reports]
+    counts = [report.sent for report in reports]
     assert counts == sorted(counts) and 0 < counts[-1] <= result["sent"]
     totals = ProgressTotals()
-    totals.update(seen[-1])
+    totals.update(progress_calls[-1])
     assert totals.sent == counts[-1]
     assert sum(totals.summary(second).served for second in totals.seconds) > 0
 
 
-def test_a_trace_at_five_times_2600_is_in_time_or_said_to_be_late() -> None:
+def test_trace_at_13000_per_second_is_on_time_or_reported_late() -> None:
     with delay_server("none") as (target, _):
         load = LoadOptions(
             target, "constant:2600", 5.0, workers=3, request_classes=ONE_CLASS, behaviour=SINGLE_ATTEMPT
@@ -136,8 +140,8 @@
     assert result["late"] == late and any("late" in text for text in result["trouble"]) == late
 
 
-def test_a_result_of_any_size_reaches_a_parent_that_reads_it_late() -> None:
-    """The attempt log is larger than the pipe's buffer, and the parent is busy when the worker sends it."""
+def test_large_result_reaches_parent_that_reads_late() -> None:
+    """A worker failed to send a result that is larger than the pipe's buffer while the parent was busy."""
     with delay_server("none") as (target, _):
         load = LoadOptions(
             target,
--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -1,4 +1,4 @@
-"""One worker of the load generator over sockets: servers of known delay, frozen, unresponsive or gone."""
+"""One worker of the load generator over sockets: servers of known delay, frozen, silent or unreachable."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 @pytest.mark.parametrize(("spec", "p50", "p99"), [("constant:40", 40, 40), ("two:10,80,0.05", 10, 80)])
-def test_a_server_of_known_delay_is_measured_as_it_is(spec: str, p50: float, p99: float) -> None:
-    """Bounds wide enough for any machine; bench.loadgen holds the narrow ones."""
+def test_server_with_known_delay_is_measured_accurately(spec: str, p50: float, p99: float) -> None:
+    """The bounds are wide enough for any machine; bench.loadgen checks narrow ones."""
     with delay_server(spec) as (target, _):
         record = run_load(
             LoadOptions(target, "constant:200", 3.0, request_classes=ONE_CLASS, behaviour=SINGLE_ATTEMPT)
@@ -35,8 +35,11 @@
     assert p50 <= got["p50"] <= p50 * 1.5 + 5 and p99 <= got["p99"]
 
 
-def test_a_server_frozen_for_a_second_shows_in_all_that_was_due_then() -> None:
-    """What a closed loop hides: hundreds were due in that second, and each waited for the rest of it."""
+def test_one_second_freeze_counts_for_all_requests_due_in_it() -> None:
+    """A closed loop hides a freeze: it sends few requests meanwhile.
+
+    Here 300 are due in that second, and each must wait for the rest of it.
+    """
     with delay_server("constant:2") as (target, process):
         timers = [
             threading.Timer(at, os.kill, (process.pid, number))
@@ -51,15 +54,15 @@
         )
     complete = record.complete(record.latency)
     assert sum(record.outcomes.values()) == 1200
-    half = sum(
+    over_half_a_second = sum(
         item.count_added_in_this_iter_step
         for item in complete.get_recorded_iterator()
         if item.value_iterated_to > 500_000
     )
-    assert 100 <= half <= 260 and complete.get_max_value() > 900_000
+    assert 100 <= over_half_a_second <= 260 and complete.get_max_value() > 900_000
 
 
-def test_latency_counts_the_wait_for_a_connection_and_service_does_not() -> None:
+def test_latency_includes_connection_wait_and_service_time_does_not() -> None:
     with delay_server("constant:20") as (target, _):
         bounded = Target(target.host, target.port, connections=1)
         record = run_load(
@@ -72,12 +75,11 @@
         histogram_summary(record.complete(record.service)),
     )
     assert latency["count"] >= 29 and latency["max"] > 250 > service["p50"] >= 20
-    assert (
-        histogram_summary(record.lateness)["max"] > 200
-    )  # its own bound: the generator says that it was late
+    # The limit on connections is the generator's own, so it reports lateness.
+    assert histogram_summary(record.lateness)["max"] > 200
 
 
-def test_a_server_that_never_answers_loses_no_request() -> None:
+def test_silent_server_requests_are_all_counted() -> None:
     request_classes = (RequestClass("cobro", deadline_s=0.4, effect="unsafe"),)
     with delay_server("never") as (target, _):
         record = run_load(
@@ -95,7 +97,7 @@
 
 
 class DelayedDriver(Driver):
-    """A driver whose process is delayed while its first connection comes up."""
+    """A driver whose process is delayed while its first connection is being established."""
 
     def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
         super().connect(attempt, fresh)
@@ -103,8 +105,8 @@
             self.loop.call_soon(self.loop.call_soon, time.sleep, 0.5)
 
 
-def test_a_delay_of_the_generator_is_no_fault_of_the_server() -> None:
-    """The connection comes up while the generator is delayed beyond the attempt's time limit."""
+def test_generator_delay_is_not_counted_as_unreachable_server() -> None:
+    """The connection is established while the generator is delayed past the attempt's timeout."""
 
     async def main() -> Record:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -123,22 +125,21 @@
 
     record = uvloop.run(main())
     assert record.outcomes == {"cobro no answer": 1} and record.attempt_outcomes == {"no answer": 1}
-    assert (
-        histogram_summary(record.lateness)["max"] > 400
-    )  # its own delay: the generator says that it was late
+    # The delay is the generator's own, so it reports lateness.
+    assert histogram_summary(record.lateness)["max"] > 400
 
 
-def test_a_server_that_never_takes_the_connection_is_unreachable() -> None:
-    """Its queue of connections is full, so that nothing answers the handshake."""
+def test_server_that_never_accepts_is_unreachable() -> None:
+    """The server's accept queue is full, so the TCP handshake is never answered."""
     request_classes = (RequestClass("cobro", deadline_s=0.4, effect="unsafe"),)
-    with socket.socket() as full, contextlib.ExitStack() as queue:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+    with socket.socket() as listening, contextlib.ExitStack() as accept_queue:
+        listening.bind(("127.0.0.1", 0))
+        listening.listen(0)
         for _ in range(4):
-            waiting = queue.enter_context(socket.socket())
+            waiting = accept_queue.enter_context(socket.socket())
             waiting.setblocking(False)
-            waiting.connect_ex(full.getsockname())
-        target = Target("127.0.0.1", full.getsockname()[1])
+            waiting.connect_ex(listening.getsockname())
+        target = Target("127.0.0.1", listening.getsockname()[1])
         record = run_load(
             LoadOptions(
                 target,
@@ -152,7 +153,7 @@
     assert record.outcomes == {"cobro unreachable": 1} and record.attempt_outcomes == {"unreachable": 2}
 
 
-def test_an_unreachable_server_is_retried_and_counted() -> None:
+def test_unreachable_server_is_retried_and_counted() -> None:
     with delay_server("none") as (target, process):
         process.kill()
         process.wait()
@@ -163,14 +164,14 @@
     assert record.outcomes == {"consulta unreachable": 25} and record.attempt_outcomes == {"unreachable": 75}
 
 
-def test_refused_clients_wait_as_long_as_retry_after_says() -> None:
-    moments: list[float] = []
+def test_refused_client_waits_for_retry_after() -> None:
+    request_times: list[float] = []
 
     async def main() -> Record:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while await reader.readuntil(b"\r\n\r\n"):
-                moments.append(time.monotonic())
-                if len(moments) == 1:
+                request_times.append(time.monotonic())
+                if len(request_times) == 1:
                     writer.write(b"HTTP/1.1 503 X\r\nRetry-After: 0.3\r\nContent-Length: 0\r\n\r\n")
                 else:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
@@ -188,19 +189,19 @@
         "refused": 1,
         "served": 1,
     }
-    assert 0.28 <= moments[1] - moments[0] < 2.0
-    # From the intended send of the first attempt.
+    assert 0.28 <= request_times[1] - request_times[0] < 2.0
+    # The latency counts from the intended send of the first attempt.
     assert histogram_summary(record.complete(record.latency))["max"] >= 300
 
 
-def test_a_response_that_no_request_waits_for_is_counted() -> None:
+def test_unexpected_response_is_counted() -> None:
     async def main() -> Record:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-            writer.write(answer)
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+            writer.write(response)
             await asyncio.sleep(0.02)
-            writer.write(answer)
+            writer.write(response)
 
         listening = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
@@ -220,8 +221,10 @@
     assert uvloop.run(main()).counts["answered twice"] >= 1
 
 
-@pytest.mark.parametrize(("number", "said"), [(errno.EADDRNOTAVAIL, True), (errno.ECONNREFUSED, False)])
-def test_ports_that_run_out_are_distinguished_from_an_unreachable_server(number: int, said: bool) -> None:
+@pytest.mark.parametrize(
+    ("error_number", "reported"), [(errno.EADDRNOTAVAIL, True), (errno.ECONNREFUSED, False)]
+)
+def test_port_exhaustion_is_distinguished_from_unreachable_server(error_number: int, reported: bool) -> None:
     async def main() -> str:
         loop, record = asyncio.get_running_loop(), Record(ONE_CLASS)
         load = LoadOptions(
@@ -234,11 +237,11 @@
                 return getattr(loop, name)
 
             async def create_connection(self, *arguments: Any) -> Any:
-                raise OSError(number, os.strerror(number))
+                raise OSError(error_number, os.strerror(error_number))
 
         driver.loop = Loop()  # type: ignore[assignment]
         await driver.run()
         assert set(record.outcomes) == {"consulta unreachable"}
         return driver.starved
 
-    assert ("out of descriptors or ports" in uvloop.run(main())) == said
+    assert ("out of descriptors or ports" in uvloop.run(main())) == reported
