--- a/quartzford/load/connection.py
+++ b/quartzford/load/connection.py
@@ -30,22 +30,22 @@
     def connection_closed(self) -> None:
         """Handle the close of a connection."""
 
-    def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
-        """Send the attempt on a new connection. fresh: close that connection after the response."""
+    def connect(self, attempt: ClientAttempt, single_use: bool = False) -> None:
+        """Send the attempt on a new connection. single_use: close that connection after the response."""
 
     def serve_waiting_attempts(self) -> None:
         """Assign connections that have become available to waiting attempts."""
 
 
 class TargetConnection(asyncio.Protocol):
-    """A client connection. fresh: True if it is closed after its first response."""
+    """A client connection. single_use: True if it is closed after its first response."""
 
     transport: asyncio.Transport
 
     def __init__(self, driver: ConnectionOwner) -> None:
         self.driver = driver
         self.attempt: ClientAttempt | None = None
-        self.fresh = False
+        self.single_use = False
         self.closed = False
         self._parser: Any = None
         self._retry_after_s = 0.0
@@ -105,7 +105,7 @@
         if attempt is None:
             self.driver.unexpected_response()
             return
-        if self.fresh or not self._parser.should_keep_alive():
+        if self.single_use or not self._parser.should_keep_alive():
             self.transport.abort()
         else:
             self.driver.connection_idle(self)
--- a/quartzford/load/driver.py
+++ b/quartzford/load/driver.py
@@ -199,8 +199,8 @@
     def _begin_attempt(self, request: ClientRequest, intended_at: float) -> None:
         attempt = self._new_attempt(request, intended_at)
         share = self.behaviour.new_connection_share
-        fresh = share > 0 and self.rng.random() < share
-        while self.idle and not fresh:
+        single_use = share > 0 and self.rng.random() < share
+        while self.idle and not single_use:
             connection = self.idle.pop()
             if connection.is_usable():
                 return self._send_attempt(attempt, connection)
@@ -208,7 +208,7 @@
             self._waiting.append(attempt)
             self._schedule_timeout(attempt, None)
             return
-        self.connect(attempt, fresh)
+        self.connect(attempt, single_use)
 
     def _send_attempt(self, attempt: ClientAttempt, connection: TargetConnection) -> None:
         attempt.sent_at = monotonic()
@@ -269,19 +269,19 @@
 
     # ---- connections
 
-    def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
-        """Send an attempt on a new connection. fresh: close that connection after the response."""
+    def connect(self, attempt: ClientAttempt, single_use: bool = False) -> None:
+        """Send an attempt on a new connection. single_use: close that connection after the response."""
         self.open_connections += 1
-        self._keep_task(self.loop.create_task(self._connect(attempt, fresh)))
+        self._keep_task(self.loop.create_task(self._connect(attempt, single_use)))
 
     def _keep_task(self, task: asyncio.Task[None]) -> None:
         """Keep a reference to a connecting task until it is done; the event loop holds only a weak one."""
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
-    async def _connect(self, attempt: ClientAttempt, fresh: bool) -> None:
+    async def _connect(self, attempt: ClientAttempt, single_use: bool) -> None:
         connection = TargetConnection(self)
-        connection.fresh = fresh
+        connection.single_use = single_use
         try:
             limit_s = max(MIN_CONNECT_TIMEOUT_S, attempt.timeout_at - monotonic())
             await connect_within(self.loop, connection, self.target.host, self.target.port, limit_s)
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -131,7 +131,7 @@
         identity = self.attempt_id(attempt.request)
         self.lost_attempts[identity] = LostAttempt(connection.balancer, connection.made_at, monotonic())
 
-    def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
+    def connect(self, attempt: ClientAttempt, single_use: bool = False) -> None:
         """Open a connection for an attempt, to a balancer that the pool picks."""
         self._start_connecting(attempt, self.pool.pick())
 
--- a/tests/test_load_sockets.py
+++ b/tests/test_load_sockets.py
@@ -99,8 +99,8 @@
 class DelayedDriver(Driver):
     """A driver whose process is delayed while its first connection is being established."""
 
-    def connect(self, attempt: ClientAttempt, fresh: bool = False) -> None:
-        super().connect(attempt, fresh)
+    def connect(self, attempt: ClientAttempt, single_use: bool = False) -> None:
+        super().connect(attempt, single_use)
         if attempt.request.number == 1 and attempt.request.attempts == 1:
             self.loop.call_soon(self.loop.call_soon, time.sleep, 0.5)
 
