--- a/quartzford/fronts/extproc/attempt_result.py
+++ b/quartzford/fronts/extproc/attempt_result.py
@@ -26,7 +26,7 @@
     "upstream_per_try_timeout",
     "request_overall_timeout",
 )
-# A caller that respects a decision's validity reports this when the decision expired before it sent anything.
+# The details that a caller reports if it discarded an expired decision without sending anything.
 EXPIRED_DETAILS = ("decision_expired",)
 RESET_DETAILS = ("upstream_reset", "upstream_response_header")
 
--- a/quartzford/fronts/extproc/server.py
+++ b/quartzford/fronts/extproc/server.py
@@ -74,8 +74,8 @@
         self.number = number
         self.opens = opens
         self.opened_at = now
-        self.decision_sent = False  # the caller has got a decision or a token; a result may follow
-        self.reply_pending = False  # the link owes a reply to the last message
+        self.decision_sent = False  # a decision or a token was sent to the caller; a result may follow
+        self.reply_pending = False  # the stream waits for the link's reply to its last message
         self.headers_sent = False  # the response headers were sent
         self.half_closed = False  # the caller has finished writing
         self.buffer = b""
@@ -112,20 +112,20 @@
 
     def _handle_message(self, request: Any) -> None:
         processor = self.caller.processor
-        kind = request.WhichOneof("request")
-        if kind is None:
+        phase = request.WhichOneof("request")
+        if phase is None:
             raise DecodeError("no phase is set")
-        if kind == "request_headers" and not self.decision_sent:
+        if phase == "request_headers" and not self.decision_sent:
             decision_request = processor.reader.read_request(request.request_headers, self.opens)
             if isinstance(decision_request, Failed):
                 return self._send(processor.writer.write(decision_request, processor.clock.now()))
             self.reply_pending = True
             return processor.link.request_decision(self, decision_request)
-        if kind == "response_headers" and self.decision_sent and not self.opens:
+        if phase == "response_headers" and self.decision_sent and not self.opens:
             self.decision_sent = False
             self.reply_pending = True
             return processor.link.report_result(self, processor.reader.read_response(request))
-        return self._send(processor.writer.neutral_replies[kind])
+        return self._send(processor.writer.neutral_replies[phase])
 
     def _replied(self, reply: Reply) -> None:
         if isinstance(reply, DeadlineExceeded):
@@ -318,7 +318,7 @@
         """Close the streams that are older than max_stream_s, whatever their callers do."""
         opened_before = self.clock.now() - self.max_stream_s
         for caller in list(self.callers):
-            # Streams are in the order of their opening: all after the first young one are younger.
+            # Streams are in the order of their opening: the first one that may stay open ends the search.
             for extproc_stream in list(caller.extproc_streams.values()):
                 if extproc_stream.opened_at > opened_before:
                     break
--- a/quartzford/fronts/extproc/token.py
+++ b/quartzford/fronts/extproc/token.py
@@ -39,7 +39,7 @@
     def read(self, text: str, identity: str, now_ms: float) -> int | InvalidToken:
         """Return the request's number, or why the token is invalid; now_ms: Unix ms.
 
-        A token of an earlier incarnation is told from a forged one only if the key has stayed the same.
+        An earlier incarnation's token reads as stale only if the key is still the same, otherwise as forged.
         """
         try:
             decoded = base64.b64decode(text + "=" * (-len(text) % 4), b"-_", validate=True)
