--- a/quartzford/demo.py
+++ b/quartzford/demo.py
@@ -1,8 +1,8 @@
 """`quartzford demo`: a balancer, twelve stand-in upstreams, a surge of requests, and the report.
 
-All of it is on loopback. During the surge one upstream dies, one is drained and one stops answering; each
-comes back in slow start. The report compares what the clients saw with what the upstreams saw. The exit
-status is 0 only if no rule was broken and the measurements can be relied on.
+All processes use the loopback interface. During the surge one upstream crashes, one is drained and one stops
+answering; each returns to service in slow start. The report checks the clients' attempt log against the
+upstreams' account. The exit status is 0 only if no rule was broken and the measurements are reliable.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 from quartzford.load.cli import EXIT_USAGE, exit_status, fetch_account, reconcile, write_result
 from quartzford.load.cli_options import UsageError
 from quartzford.load.options import LoadOptions, Target
-from quartzford.load.result import show
+from quartzford.load.result import format_result
 from quartzford.load.run import play
 from quartzford.load.worker import Progress
 
 HOST = "127.0.0.1"
-UPSTREAMS = 12
-CAPACITY = 90.0  # of each upstream, in requests a second
-SHAPE = "constant:300+surge:650@{at:g}+{span:g}"
-SURGE_AT, SURGE_SPAN = 0.25, 0.6  # as shares of the demo's length
+UPSTREAM_COUNT = 12
+UPSTREAM_CAPACITY_RPS = 90.0  # requests a second of each upstream
+SHAPE_TEMPLATE = "constant:300+surge:650@{at:g}+{span:g}"
+SURGE_START_SHARE, SURGE_DURATION_SHARE = 0.25, 0.6  # start and length of the surge / the demo's length
 TENANTS = (("lima", 0.5), ("callao", 0.3), ("ate", 0.2))
 STARTUP_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 15.0
@@ -44,19 +44,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The stand-in upstreams, in one process. port: of their list service. listing: the endpoint list."""
+    """The process that runs the stand-in upstreams.
+
+    port: port of their list service. endpoint_list: the list that this service returns.
+    """
 
     process: subprocess.Popen[str]
     port: int
-    listing: dict[str, Any]
+    endpoint_list: dict[str, Any]
 
     @property
     def address(self) -> str:
-        """Where the upstreams' account is."""
+        """The host:port from which the upstreams' account can be read."""
         return f"{HOST}:{self.port}"
 
-    def begin(self) -> None:
-        """Start the clock of the faults."""
+    def start_faults(self) -> None:
+        """Start the clock to which the times of the fault script refer."""
         assert self.process.stdin is not None
         self.process.stdin.write("go\n")
         self.process.stdin.flush()
@@ -76,20 +79,21 @@
     except (UsageError, OSError) as error:
         print(f"quartzford: {error}", file=sys.stderr)
         return EXIT_USAGE
-    print(show(result))
+    print(format_result(result))
     print(f"the page: {options.html}")
     return exit_status(result)
 
 
 def run_demo(seconds: float, live: bool) -> dict[str, Any]:
-    """Play the surge against a balancer and its upstreams, and return the reconciled result.
+    """Run the surge against a balancer and its upstreams; return the result with the verdict on the rules.
 
-    live: show it while it goes on. Raises UsageError if it can't be done.
+    seconds: length of the run. live: show the live view. Raises UsageError if the stand-ins are not
+    installed, the balancer does not start or the account can't be read.
     """
     _check_stand_ins()
     with running_fleet(seconds) as fleet, running_balancer(fleet) as port:
-        load = _load(seconds, port, live)
-        result = _play_shown(load, fleet) if live else play(load, fleet.begin)
+        load = _load_options(seconds, port, live)
+        result = _play_with_live_view(load, fleet) if live else play(load, fleet.start_faults)
         reconcile(result, fetch_account(fleet.address), load)
     return result
 
@@ -101,8 +105,8 @@
 
 @contextmanager
 def running_fleet(seconds: float) -> Iterator[Fleet]:
-    """Run the stand-in upstreams within the block. seconds: the demo's length."""
-    plan = {"nodos": UPSTREAMS, "capacity": CAPACITY, "trouble": fault_script(seconds)}
+    """Run the stand-in upstreams during the `with` block. seconds: the demo's length."""
+    plan = {"nodos": UPSTREAM_COUNT, "capacity": UPSTREAM_CAPACITY_RPS, "trouble": fault_script(seconds)}
     pipe = subprocess.PIPE
     with _running("-m", "standins.fleet", json.dumps(plan), stdin=pipe, stdout=pipe) as process:
         assert process.stdout is not None
@@ -112,12 +116,12 @@
 
 @contextmanager
 def running_balancer(fleet: Fleet) -> Iterator[int]:
-    """Run a balancer in front of the fleet within the block, and yield its port."""
+    """Run a balancer in front of the fleet during the `with` block, and yield its port."""
     from standins.site import config, reserved_port
 
     with tempfile.TemporaryDirectory(prefix="quartzford-demo-") as folder:
         port, path = reserved_port(), Path(folder) / "balancer.json"
-        path.write_text(json.dumps(config(port, fleet.port, fleet.listing)))
+        path.write_text(json.dumps(config(port, fleet.port, fleet.endpoint_list)))
         environment = {**os.environ, "EDGE_CONFIG": str(path)}
         with _running("-m", "quartzford", env=environment, stderr=subprocess.DEVNULL) as balancer:
             wait_until_healthy(port, balancer)
@@ -139,27 +143,30 @@
 
 
 def wait_until_healthy(port: int, balancer: subprocess.Popen[str]) -> None:
-    """Wait until the balancer answers its health check; raises UsageError if it does not in time."""
-    end = time.monotonic() + STARTUP_TIMEOUT_S
-    while time.monotonic() < end and balancer.poll() is None:
+    """Wait until the balancer answers its health check.
+
+    Raises UsageError if the balancer exits or does not answer within STARTUP_TIMEOUT_S.
+    """
+    deadline = time.monotonic() + STARTUP_TIMEOUT_S
+    while time.monotonic() < deadline and balancer.poll() is None:
         try:
             with urllib.request.urlopen(f"http://{HOST}:{port}/_health", timeout=HEALTH_TIMEOUT_S):
                 return
-        except OSError:  # an HTTPError is one too
+        except OSError:  # HTTPError is a subclass: the balancer is not healthy yet
             time.sleep(HEALTH_INTERVAL_S)
-    raise UsageError("demo: the balancer did not come up")
+    raise UsageError("demo: the balancer did not start")
 
 
 def fault_script(seconds: float) -> str:
-    """Return the faults of the upstreams, timed to come during the surge."""
+    """Return the upstreams' fault script: the time and the server of each fault, all during the surge."""
     third = seconds / 3
     return f"die@{third:g}:2 drain@{third + 1:g}:5 silent@{third + 2:g}:9"
 
 
-def _load(seconds: float, port: int, live: bool) -> LoadOptions:
+def _load_options(seconds: float, port: int, live: bool) -> LoadOptions:
     return LoadOptions(
         Target(HOST, port),
-        SHAPE.format(at=seconds * SURGE_AT, span=seconds * SURGE_SPAN),
+        SHAPE_TEMPLATE.format(at=seconds * SURGE_START_SHARE, span=seconds * SURGE_DURATION_SHARE),
         seconds,
         tenants=TENANTS,
         keep_attempt_log=True,
@@ -167,16 +174,16 @@
     )
 
 
-def _play_shown(load: LoadOptions, fleet: Fleet) -> dict[str, Any]:
-    """Play it with the live view, which also shows what happens to the fleet."""
+def _play_with_live_view(load: LoadOptions, fleet: Fleet) -> dict[str, Any]:
+    """Run the load with the live view, which also shows the events of the fleet."""
     from quartzford.load.live import View
 
     with View() as view:
-        view.notes.append(f"{UPSTREAMS} nodos, one balancer; a surge, a death, a drain, a silence")
+        view.notes.append(f"{UPSTREAM_COUNT} nodos, one balancer; a surge, a death, a drain, a silence")
 
         def show_progress(reports: Sequence[Progress]) -> None:
             events = fetch_account(fleet.address)["events"]
             view.notes[1:] = [f"{event}: {server}" for _, event, server in events]
             view.show(reports)
 
-        return play(load, fleet.begin, show_progress)
+        return play(load, fleet.start_faults, show_progress)
--- a/quartzford/load/cli.py
+++ b/quartzford/load/cli.py
@@ -1,9 +1,12 @@
-"""`quartzford load`: drive a target, make and replay traces, compare two results.
-
-Exit status: 0 measured; 1 measured, and a rule was broken according to the servers' account; 2 what the
-command line asks for can't be done; 3 measured, but the measurements can't be relied on (the generator was
-late, or out of descriptors or ports, a request was answered twice, a worker gave no result); 130 interrupted:
-what was measured until then is printed.
+"""`quartzford load`: send load to a target, make and replay traces, compare two results.
+
+Exit status:
+0: the run was measured.
+1: the run was measured, and the servers' account shows that a rule was broken.
+2: the command line is invalid, or a file or an address that it names can't be used.
+3: the run was measured, but the measurements are unreliable: the generator was late, it ran out of
+descriptors or ports, a request was answered twice, or a worker returned no result.
+130: the run was interrupted. The measurements up to the interruption are printed.
 """
 
 from __future__ import annotations
@@ -20,14 +23,14 @@
 from quartzford.load.page import page
 from quartzford.load.plan import make_trace
 from quartzford.load.reconciliation import check_rules
-from quartzford.load.result import RESULT_VERSION, show
+from quartzford.load.result import RESULT_VERSION, format_result
 from quartzford.load.run import play
 from quartzford.load.trace import write_trace
 
 EXIT_SUCCESS = 0
 EXIT_RULE_BROKEN = 1
 EXIT_USAGE = 2
-EXIT_UNSOUND = 3
+EXIT_UNRELIABLE = 3
 EXIT_INTERRUPTED = 130
 ACCOUNT_VERSION = 1
 ACCOUNT_TIMEOUT_S = 30.0
@@ -53,29 +56,36 @@
     except (UsageError, OSError) as error:
         print(f"quartzford: {error}", file=sys.stderr)
         return EXIT_USAGE
-    print(show(result), flush=True)
+    print(format_result(result), flush=True)
     write_result(result, options.json, options.html)
     return exit_status(result)
 
 
 def run(load: LoadOptions, live: bool) -> dict[str, Any]:
-    """Play a run and return its result. live: show it while it goes on."""
+    """Run the load and return its result. live: show the live view during the run.
+
+    Raises UsageError if live is set and the package rich is not installed.
+    """
 
-    def started() -> None:
+    def report_start() -> None:
         print("playing; Ctrl-C ends it", file=sys.stderr, flush=True)
 
     if not live:
-        return play(load, started)
+        return play(load, report_start)
     try:
         from quartzford.load.live import View
     except ImportError:
-        raise UsageError("--live: the package rich is wanted: pip install .[load]") from None
+        raise UsageError("--live: the package rich is not installed: pip install .[load]") from None
     with View() as view:
-        return play(load, started, view.show)
+        return play(load, report_start, view.show)
 
 
 def fetch_account(address: str) -> dict[str, Any]:
-    """Return what the servers of a stand-in fleet saw. address: host:port of its list service."""
+    """Return the account of a stand-in fleet: the requests and drains that its servers recorded.
+
+    address: host:port of the fleet's list service. Raises UsageError if the account can't be read or has
+    another version.
+    """
     try:
         with urllib.request.urlopen(f"http://{address}/books", timeout=ACCOUNT_TIMEOUT_S) as response:
             account: dict[str, Any] = json.load(response)
@@ -87,7 +97,10 @@
 
 
 def reconcile(result: dict[str, Any], account: dict[str, Any], load: LoadOptions) -> None:
-    """Compare the attempt log with the servers' account, and put the verdict into the result in its place."""
+    """Check the attempt log against the servers' account.
+
+    The verdict is stored in the result under "rules". The attempt log is removed from the result.
+    """
     record = result["record"]
     unexpected_responses = record["counts"].get("answered twice", 0)
     attempts = record.pop("book")
@@ -95,7 +108,7 @@
 
 
 def write_result(result: dict[str, Any], json_path: str | None, html_path: str | None) -> None:
-    """Write a result to the files that are given."""
+    """Write a result to a JSON file and to an HTML page; a path that is None or empty is skipped."""
     if json_path:
         Path(json_path).write_text(json.dumps(result) + "\n")
     if html_path:
@@ -103,11 +116,11 @@
 
 
 def exit_status(result: dict[str, Any]) -> int:
-    """Return the exit status that tells a result's kind."""
+    """Return the exit status for a result, as the module's docstring lists them."""
     if result["interrupted"]:
         return EXIT_INTERRUPTED
     if result["trouble"]:
-        return EXIT_UNSOUND
+        return EXIT_UNRELIABLE
     if result["rules"] and not result["rules"]["kept"]:
         return EXIT_RULE_BROKEN
     return EXIT_SUCCESS
@@ -115,7 +128,7 @@
 
 def _compare_files(paths: list[str]) -> int:
     if len(paths) != 2:
-        raise UsageError("compare: two results are wanted")
+        raise UsageError("compare: expected the paths of two results")
     first, second = (_read_result(path) for path in paths)
     print(compare(first, second))
     return EXIT_SUCCESS
--- a/quartzford/load/cli_options.py
+++ b/quartzford/load/cli_options.py
@@ -1,4 +1,4 @@
-"""The command line of `quartzford load`, and the LoadOptions that it stands for."""
+"""The command line of `quartzford load`, and its conversion to LoadOptions."""
 
 from __future__ import annotations
 
@@ -10,74 +10,77 @@
 from quartzford.load.shapes import ShapeError, read_shape
 from quartzford.load.trace import TraceError, TraceRow, read_trace
 
-MAX_SHARE = 1e9
+MAX_SHARE = 1e9  # exclusive bound of a share in --mix and --tenants; shares are relative to each other
 MAX_PORT = 65535
-MIN_SPEED, MAX_SPEED = 0.1, 100
+MIN_SPEED, MAX_SPEED = 0.1, 100  # factors by which a replay is sped up
 SHAPE_HELP = "parts joined by '+': constant:R ramp:A-B/S step:R@T burst:R@T+S sine:R/P surge:R@T+S"
 
 
 class UsageError(Exception):
-    """What the command line asks for can't be done; the text says why."""
+    """The command line is invalid or can't be carried out; the message gives the reason."""
 
 
 def parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    result = argparse.ArgumentParser(prog="quartzford load", description="Open-loop load.")
-    _add_arrivals(result)
-    _add_clients(result)
-    _add_replay(result)
-    _add_outputs(result)
-    return result
+    argument_parser = argparse.ArgumentParser(prog="quartzford load", description="Open-loop load.")
+    _add_arrivals(argument_parser)
+    _add_clients(argument_parser)
+    _add_replay(argument_parser)
+    _add_outputs(argument_parser)
+    return argument_parser
 
 
-def _add_arrivals(result: argparse.ArgumentParser) -> None:
-    add = result.add_argument
+def _add_arrivals(argument_parser: argparse.ArgumentParser) -> None:
+    add = argument_parser.add_argument
     add("--target", default="127.0.0.1:8080", metavar="HOST:PORT")
     add("--path", default="/api")
     add("--shape", default="constant:100", help=SHAPE_HELP)
     add("--seconds", type=float, default=10.0)
-    add("--warm-up", type=float, default=0.0, help="seconds at the beginning that are played, not measured")
+    add("--warm-up", type=float, default=0.0, help="initial seconds of the run that are not measured")
     add("--spacing", choices=("poisson", "fixed"), default="poisson")
     add("--seed", type=int, default=1)
-    add("--workers", type=int, default=1, help="processes; each keeps a core busy")
+    add("--workers", type=int, default=1, help="worker processes; each uses one CPU core")
     add("--mix", default="consulta=0.6,reserva=0.3,cobro=0.1", metavar="CLASS=SHARE,...")
     add("--tenants", default="", metavar="NAME=SHARE,...")
-    add("--keys", type=int, default=0, help="so many keys, drawn evenly")
-    add("--size", type=int, default=0, help="bytes of a body, where a request has one")
+    add("--keys", type=int, default=0, help="number of session keys, drawn uniformly; 0: no keys")
+    add("--size", type=int, default=0, help="size of request bodies in bytes, for requests that have a body")
 
 
-def _add_clients(result: argparse.ArgumentParser) -> None:
-    add = result.add_argument
-    add("--tries", type=int, default=4, help="of a request, the first included")
-    add("--wait-ms", type=float, default=0.0, help="before a further try")
-    add("--patience", default="0.30-0.55", help="share of the deadline after which a try is given up")
+def _add_clients(argument_parser: argparse.ArgumentParser) -> None:
+    add = argument_parser.add_argument
+    add("--tries", type=int, default=4, help="maximum attempts of a request, including the first")
+    add("--wait-ms", type=float, default=0.0, help="wait before a retry, in milliseconds")
+    add("--patience", default="0.30-0.55", help="attempt timeout as share of the deadline, or a range")
     add("--heeds", type=float, default=1.0, help="share of clients that follow Retry-After")
-    add("--fresh", type=float, default=0.0, help="share of tries on a connection of their own")
-    add("--connections", type=int, default=0, help="at most, of each worker; 0: as many as it takes")
-    add("--open", type=int, default=0, help="connections of each worker that stand before the first request")
+    add("--fresh", type=float, default=0.0, help="share of attempts that use a new connection")
+    add("--connections", type=int, default=0, help="maximum connections of each worker; 0: no limit")
+    add("--open", type=int, default=0, help="connections that each worker opens before its first request")
 
 
-def _add_replay(result: argparse.ArgumentParser) -> None:
-    add = result.add_argument
-    add("--trace", metavar="FILE", help="replay this instead of a shape")
-    add("--speed", type=float, default=1.0, help="of the replay")
-    think = "replay: a tenant's key waits for its answers, its gaps are kept"
+def _add_replay(argument_parser: argparse.ArgumentParser) -> None:
+    add = argument_parser.add_argument
+    add("--trace", metavar="FILE", help="replay this trace instead of a shape")
+    add("--speed", type=float, default=1.0, help="factor by which the replay is sped up")
+    think = "replay: requests of one tenant and key wait for the previous response and keep their gaps"
     add("--think", action="store_true", help=think)
-    add("--closed", type=int, default=0, help="so many clients of each worker that wait, instead of arrivals")
-    add("--make-trace", metavar="FILE", help="write the trace that the shape makes, and send nothing")
+    add("--closed", type=int, default=0, help="closed loop: clients of each worker")
+    add("--make-trace", metavar="FILE", help="write the requests of the shape to a trace, and send nothing")
 
 
-def _add_outputs(result: argparse.ArgumentParser) -> None:
-    add = result.add_argument
-    add("--late-ms", type=float, default=MAX_LATENESS_MS, help="p99 of its own lateness that is borne")
-    add("--books", metavar="HOST:PORT", help="stand-in nodos' padron: reconcile with what they saw")
-    add("--live", action="store_true", help="show the run while it goes on")
-    add("--html", metavar="FILE", help="write the result as a page")
+def _add_outputs(argument_parser: argparse.ArgumentParser) -> None:
+    add = argument_parser.add_argument
+    add("--late-ms", type=float, default=MAX_LATENESS_MS, help="limit of its own p99 lateness in ms")
+    add("--books", metavar="HOST:PORT", help="list service of the stand-in fleet, for its account")
+    add("--live", action="store_true", help="show the progress of the run in the terminal")
+    add("--html", metavar="FILE", help="write the result as an HTML page")
     add("--json", metavar="FILE")
 
 
 def load_options(options: argparse.Namespace) -> LoadOptions:
-    """Check the command line and return what is to be played; reads the trace. Raises UsageError."""
+    """Return the options of the run that the parsed command line describes.
+
+    Reads the trace file, if one is given. Raises UsageError if an option is invalid.
+    """
     rows = _trace_rows(options.trace) if options.trace else ()
     _check(options)
     return LoadOptions(
@@ -117,9 +120,9 @@
     except ShapeError as error:
         raise UsageError(f"--shape: {error}") from None
     if options.think and not options.trace:
-        raise UsageError("--think: goes with --trace")
+        raise UsageError("--think: requires --trace")
     if options.closed < 0 or (options.closed and options.trace):
-        raise UsageError("--closed: 0 or more clients, and no --trace")
+        raise UsageError("--closed: must be 0 or more, and excludes --trace")
     if not MIN_SPEED <= options.speed <= MAX_SPEED or options.workers < 1 or options.seconds <= 0:
         raise UsageError("--speed: 0.1 to 100; --workers: 1 or more; --seconds: above 0")
 
@@ -132,13 +135,18 @@
 
 
 def _request_classes(mix: str) -> tuple[RequestClass, ...]:
-    known = {one.name: one for one in DEFAULT_CLASSES}
+    default_classes = {request_class.name: request_class for request_class in DEFAULT_CLASSES}
     shares = _shares(mix, "--mix")
-    return tuple(replace(known.get(name, RequestClass(name)), share=share) for name, share in shares)
+    return tuple(
+        replace(default_classes.get(name, RequestClass(name)), share=share) for name, share in shares
+    )
 
 
 def _shares(text: str, option: str) -> tuple[tuple[str, float], ...]:
-    """Read NAME=SHARE,NAME=SHARE; a share that is left out is 1."""
+    """Return the names and shares of a text NAME=SHARE,NAME=SHARE.
+
+    A name without a share gets share 1. Raises UsageError with the name of the option.
+    """
     shares = []
     for part in text.split(","):
         name, _, share_text = part.partition("=")
@@ -153,17 +161,17 @@
 
 
 def _behaviour(options: argparse.Namespace) -> ClientBehaviour:
-    least_text, _, most_text = options.patience.partition("-")
+    min_text, _, max_text = options.patience.partition("-")
     try:
-        least, most = float(least_text), float(most_text or least_text)
+        min_share, max_share = float(min_text), float(max_text or min_text)
     except ValueError:
         raise UsageError(f"--patience: {options.patience!r} is not LEAST-MOST") from None
-    if not 0 < least <= most <= 1 or options.tries < 1:
+    if not 0 < min_share <= max_share <= 1 or options.tries < 1:
         raise UsageError("--patience: shares of the deadline, above 0 and at most 1; --tries: 1 or more")
     return ClientBehaviour(
         max_attempts=options.tries,
         retry_wait_s=options.wait_ms / 1000.0,
-        timeout_share=(least, most),
+        timeout_share=(min_share, max_share),
         retry_after_share=options.heeds,
         new_connection_share=options.fresh,
     )
--- a/quartzford/load/comparison.py
+++ b/quartzford/load/comparison.py
@@ -1,4 +1,4 @@
-"""Two results of the load generator side by side. No I/O."""
+"""The table that compares two results of the load generator. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def compare(first: dict[str, Any], second: dict[str, Any]) -> str:
-    """Return a table of two results, with the second as a ratio to the first."""
+    """Return a text table of two results A and B with the ratio B/A, and the problems of each."""
     lines = [f"{'':28}{'A':>12}{'B':>12}{'B/A':>9}"]
     lines += [row.line() for row in _rows(first, second)]
     for name, result in (("A", first), ("B", second)):
@@ -30,9 +30,9 @@
 def _rows(first: dict[str, Any], second: dict[str, Any]) -> Iterator[_Row]:
     yield _Row("ended a second", first["rate"], second["rate"])
     for key in ("latency_ms", "service_ms"):
-        ours, theirs = first[key]["all"], second[key]["all"]
+        first_percentiles, second_percentiles = first[key]["all"], second[key]["all"]
         for p in PERCENTILES:
-            if p in ours and p in theirs:
-                yield _Row(f"{key} {p}", ours[p], theirs[p])
+            if p in first_percentiles and p in second_percentiles:
+                yield _Row(f"{key} {p}", first_percentiles[p], second_percentiles[p])
     for name in first["goodput"]:
         yield _Row(f"goodput {name}", first["goodput"][name], second["goodput"][name])
--- a/quartzford/load/live.py
+++ b/quartzford/load/live.py
@@ -1,4 +1,4 @@
-"""A run while it goes on, shown in a terminal (rich)."""
+"""The live view of a run in a terminal; needs the package rich."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from quartzford.load.record import SecondProgress, Weights, quantile_ms
 from quartzford.load.worker import Progress
 
-BAR_MARKS = " .:-=+*#%@"  # from none to the most
+BAR_MARKS = " .:-=+*#%@"  # from zero to the maximum value
 MAX_SECONDS_SHOWN = 60
 MAX_NOTES_SHOWN = 6
 REFRESHES_PER_SECOND = 4
 
 
 class SecondSummary(NamedTuple):
-    """What became of the requests that were due in one second, over all workers."""
+    """Goodput, served requests and latencies of the requests due in one second, over all workers."""
 
     goodput: float
     served: int
@@ -31,7 +31,10 @@
 
 
 class ProgressTotals:
-    """The workers' reports added up, by the second. in_flight: requests that have not ended."""
+    """The totals of the workers' progress reports, and the progress by second and worker.
+
+    in_flight: requests that were sent and have no outcome yet.
+    """
 
     def __init__(self) -> None:
         self.sent = 0
@@ -40,7 +43,10 @@
         self.seconds: dict[int, dict[int, SecondProgress]] = {}  # by second, by worker
 
     def update(self, reports: Sequence[Progress]) -> None:
-        """Take in the latest report of each worker, in the same order each time."""
+        """Replace the totals by those of the latest reports, one for each worker.
+
+        The reports must be in the same order of workers at each call.
+        """
         self.sent = sum(report.sent for report in reports)
         self.in_flight = sum(report.in_flight for report in reports)
         self.outcomes = Counter()
@@ -50,7 +56,7 @@
                 self.seconds.setdefault(second, {})[worker] = progress
 
     def summary(self, second: int) -> SecondSummary:
-        """Sum up one second; all 0 if nothing is known of it."""
+        """Return the summary of one second over all workers; all values are 0 if no report covers it."""
         workers = self.seconds.get(second, {}).values()
         steps: Counter[int] = sum((Counter(one.latency_steps) for one in workers), Counter())
         weights = Weights(sum(one.offered for one in workers), sum(one.earned for one in workers))
@@ -59,19 +65,25 @@
         )
 
 
-def bars(values: Sequence[float], most: float) -> str:
-    """Return a line with one mark for each value. most: the value of the densest mark."""
-    if not most:
+def bars(values: Sequence[float], max_value: float) -> str:
+    """Return a line of text with one mark per value; a denser mark stands for a higher value.
+
+    max_value: the value that gets the densest mark; higher values get it too.
+    """
+    if not max_value:
         return " " * len(values)
-    top = len(BAR_MARKS) - 1
-    return "".join(BAR_MARKS[min(top, round(top * value / most))] for value in values)
+    max_mark = len(BAR_MARKS) - 1
+    return "".join(BAR_MARKS[min(max_mark, round(max_mark * value / max_value))] for value in values)
 
 
 class View:
-    """The live view, shown within a `with` block. notes: lines below it, of whoever runs the load."""
+    """The live view, shown within a `with` block.
+
+    notes: lines below the figures, set by the caller; the last MAX_NOTES_SHOWN are shown.
+    """
 
     def __init__(self, console: Console | None = None) -> None:
-        """console: where to show it; None: the terminal."""
+        """Create a view that is not shown yet. console: the output; None: the terminal."""
         self.totals = ProgressTotals()
         self.notes: list[str] = []
         self._live = Live(
@@ -83,18 +95,24 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
-        self._live.__exit__(kind, error, trace)
+        self._live.__exit__(error_type, error, traceback)
 
     def show(self, reports: Sequence[Progress]) -> None:
-        """Show the latest report of each worker."""
+        """Update the view with the latest report of each worker; an empty sequence changes nothing."""
         if reports:
             self.totals.update(reports)
             self._live.update(self.table())
 
     def table(self) -> Table:
-        """Return what is shown. It ends with the last second that is over."""
+        """Return the content of the view, up to the second before the latest reported one.
+
+        The latest reported second is left out because it may not be over.
+        """
         last = max(0, max(self.totals.seconds, default=0) - 1)
         table = Table.grid()
         table.add_row(self._figures(last))
--- a/quartzford/load/page.py
+++ b/quartzford/load/page.py
@@ -1,4 +1,4 @@
-"""A result as one HTML page that needs nothing else: no script, no font, no network. No I/O."""
+"""The HTML page of a result. The page is self-contained: no script, font or network access. No I/O."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 text{font:12px system-ui,sans-serif;fill:#444}"""
 LATENCY_COLUMNS = ("p50", "p90", "p99", "p99.9", "max", "count")
 LABELLED_PERCENTILES = (0, 90, 99, 99.9, 99.99)
-LAST_PERCENTILE = 99.9999  # the scale of percentiles has no 100%
+MAX_PERCENTILE = 99.9999  # 100% has no place on the logarithmic scale of percentiles
 
 
 def page(result: dict[str, Any]) -> str:
-    """Return the page of a result."""
+    """Return the HTML page of a result, as summary() in result.py returns it."""
     return "".join(
         (
             '<!doctype html><html lang="en"><meta charset="utf-8"><title>quartzford load</title>',
@@ -42,9 +42,9 @@
     )
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Return an HTML table."""
-    headings = "".join(f"<th>{escape(str(cell))}</th>" for cell in head)
+def table(column_titles: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
+    """Return an HTML table; all titles and cells are escaped."""
+    headings = "".join(f"<th>{escape(str(cell))}</th>" for cell in column_titles)
     body = "".join(
         "<tr>" + "".join(f"<td>{escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows
     )
@@ -57,7 +57,7 @@
 
 
 def _rules(verdict: dict[str, Any]) -> str:
-    """Return the section of the rules; nothing where no server's account was read."""
+    """Return the section of the rules; empty if no servers' account was read."""
     if not verdict:
         return ""
     kept = "kept" if verdict["kept"] else '<span class="bad">broken</span>'
@@ -81,18 +81,21 @@
 
 
 def _nines(percentile: float) -> float:
-    """Return how many nines a percentile has, so that the tail of a curve has its room."""
-    return -math.log10(1 - min(percentile, LAST_PERCENTILE) / 100.0)
+    """Return the number of nines of a percentile, such as 2 for 99%.
+
+    This logarithmic scale gives the tail of a curve enough space on the x axis.
+    """
+    return -math.log10(1 - min(percentile, MAX_PERCENTILE) / 100.0)
 
 
 def _latency_chart(seconds: Sequence[dict[str, float]]) -> str:
     lines = [
-        Line(name, [(one["second"], one[name]) for one in seconds if one["served"]])
+        Line(name, [(row["second"], row[name]) for row in seconds if row["served"]])
         for name in ("p50", "p99")
     ]
     return chart(lines, Axes("s", "ms", log_y=True))
 
 
 def _goodput_chart(seconds: Sequence[dict[str, float]]) -> str:
-    points = [(one["second"], one["goodput"]) for one in seconds]
+    points = [(row["second"], row["goodput"]) for row in seconds]
     return chart([Line("goodput", points)], Axes("s", "share"))
--- a/quartzford/load/record.py
+++ b/quartzford/load/record.py
@@ -1,4 +1,4 @@
-"""The measurements of a run: HdrHistograms to 3 significant digits, counts, goodput by the second. No I/O."""
+"""The measurements of a run: HdrHistograms with 3 significant digits, counts, goodput by second. No I/O."""
 
 from __future__ import annotations
 
@@ -16,46 +16,51 @@
 SUMMARY_PERCENTILES = (50.0, 90.0, 99.0, 99.9, 99.99)
 CURVE_PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.95, 99.99, 99.999)
 GOODPUT_WINDOW_S = 10
-STEPS_PER_DOUBLING = 20  # of the latencies that are kept by the second: a step is some 3.5%
+# Resolution of the latencies that are counted by second: one step is a factor of about 1.035.
+STEPS_PER_DOUBLING = 20
 
 
 def histogram() -> Any:
-    """Return an empty histogram of microseconds, up to two minutes, to 3 significant digits."""
+    """Return an empty histogram of durations in microseconds, up to two minutes, 3 significant digits."""
     return HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
 
 
-def _record_seconds(one: Any, seconds: float) -> None:
+def _record_duration(one: Any, seconds: float) -> None:
     one.record_value(max(MIN_US, min(MAX_US, round(seconds * 1e6))))
 
 
 def _record_by_class(histograms: dict[str, Any], name: str, seconds: float) -> None:
     if name not in histograms:
         histograms[name] = histogram()
-    _record_seconds(histograms[name], seconds)
+    _record_duration(histograms[name], seconds)
 
 
 @dataclass(slots=True)
 class Weights:
-    """Sums of priority weights. offered: of all requests; earned: of those served in time, by their class."""
+    """Sums of priority weights.
+
+    offered: the sum over all requests. earned: the sum over the served requests; a late response earns only
+    the part that its request class gives for it.
+    """
 
     offered: float = 0.0
     earned: float = 0.0
 
     def add(self, offered: float, earned: float) -> None:
-        """Add a request's weights, or another sum of them."""
+        """Add the weights of one request, or another sum of weights."""
         self.offered += offered
         self.earned += earned
 
     @property
     def goodput(self) -> float:
-        """The share of the offered weight that was earned; 0 where nothing was offered."""
+        """The share of the offered weight that was earned; 0 if no weight was offered."""
         return self.earned / self.offered if self.offered else 0.0
 
 
 class SecondProgress(NamedTuple):
-    """What is known so far of the requests that were due in one second.
+    """The results so far of the requests that were due in one second.
 
-    latency_steps: how many were served at each step of latency_step().
+    offered, earned: as in Weights. latency_steps: number of served requests by latency_step().
     """
 
     offered: float
@@ -72,13 +77,13 @@
 
 
 class Record:
-    """The measurements of one worker, or those of several workers merged. Requests are counted by class.
+    """The measurements of one worker, or the merged measurements of several workers.
 
-    latency: from the intended send of the first attempt to the end of the request, where it was served.
-    service: from the moment at which an attempt was sent to its end, where it was served. lateness: from an
-    attempt's intended send to the moment at which it was sent. outcomes: requests by "class outcome".
-    attempt_outcomes: attempts by outcome. latency_steps: by the second of the intended send, those served at
-    each step of latency_step(). attempt_log: None where it is not kept.
+    latency: by class, time from the intended send of a request's first attempt to the request's end; only
+    served requests. service: by class, time from the actual send of an attempt to its end; only served
+    attempts. lateness: time from the intended to the actual send of an attempt. outcomes: number of requests
+    by "class outcome". attempt_outcomes: number of attempts by outcome. latency_steps: by the second of the
+    intended send, number of served requests by latency_step(). attempt_log: None if it is not kept.
     """
 
     def __init__(self, request_classes: Iterable[RequestClass]) -> None:
@@ -96,11 +101,11 @@
         self.attempt_log: list[AttemptLogEntry] | None = None
 
     def attempt_sent(self, lateness_s: float) -> None:
-        """An attempt was sent so long after its intended send."""
-        _record_seconds(self.lateness, lateness_s)
+        """Record the send of an attempt. lateness_s: time since its intended send."""
+        _record_duration(self.lateness, lateness_s)
 
     def attempt_ended(self, name: str, outcome: Outcome, service_s: float, attempt_id: str = "") -> None:
-        """An attempt has ended. name: of its class. service_s: since it was sent."""
+        """Record the outcome of an attempt. name: its request class. service_s: time since it was sent."""
         self.attempt_outcomes[outcome] += 1
         if self.attempt_log is not None:
             self.attempt_log.append(AttemptLogEntry(attempt_id, name, outcome))
@@ -108,9 +113,10 @@
             _record_by_class(self.service, name, service_s)
 
     def request_ended(self, name: str, tenant: str, outcome: Outcome, second: int, latency_s: float) -> None:
-        """A request has ended, however it did; each is counted once.
+        """Record the final outcome of a request; call it once for each request.
 
-        name: of its class. second: of its intended send, from the start of the run.
+        name: its request class. second: second of its intended send since the start of the run.
+        latency_s: time since its intended send.
         """
         self.outcomes[f"{name} {outcome}"] += 1
         request_class = self.request_classes.get(name) or RequestClass(name)
@@ -127,10 +133,10 @@
         _record_by_class(self.latency, name, latency_s)
         self.latency_steps.setdefault(second, Counter())[latency_step(latency_s)] += 1
 
-    # ---- between processes
+    # ---- transfer between processes
 
     def dump(self) -> dict[str, Any]:
-        """Return all of it, ready for JSON."""
+        """Return all measurements as a JSON-serializable map."""
         by_second = self.weights_by_second
         return {
             "latency": {name: one.encode().decode() for name, one in self.latency.items()},
@@ -151,7 +157,7 @@
         }
 
     def merge(self, dumped: dict[str, Any]) -> None:
-        """Add the measurements of another worker, as dump() gave them."""
+        """Add the measurements of another worker. dumped: the map that its dump() returned."""
         for histograms, key in ((self.latency, "latency"), (self.service, "service")):
             for name, text in dumped[key].items():
                 histograms.setdefault(name, histogram()).decode_and_add(text)
@@ -174,34 +180,37 @@
     # ---- figures
 
     def complete(self, histograms: dict[str, Any]) -> Any:
-        """Return the histograms of all classes as one."""
+        """Return one histogram that holds the values of all classes' histograms."""
         total = histogram()
         for one in histograms.values():
             total.add(one)
         return total
 
     def goodput(self) -> dict[str, float]:
-        """Return the goodput of the run, of its worst 10 s, of the worst class and of the worst tenant."""
+        """Return the goodput of the whole run, its worst 10 s, its worst class and its worst tenant."""
         return {
-            "whole": _total(self.weights_by_second.values()).goodput,
+            "whole": _weight_sum(self.weights_by_second.values()).goodput,
             "worst_10s": min(self._window_goodputs(), default=0.0),
-            "worst_class": _worst(self.weights_by_class.values()),
-            "worst_tenant": _worst(self.weights_by_tenant.values()),
+            "worst_class": _min_goodput(self.weights_by_class.values()),
+            "worst_tenant": _min_goodput(self.weights_by_tenant.values()),
         }
 
     def _window_goodputs(self) -> Iterator[float]:
-        """Yield the goodput of each span of 10 s; of the whole run if it is shorter."""
+        """Yield the goodput of each window of 10 s; if the run is shorter, the goodput of the whole run."""
         if not self.weights_by_second:
             return
         first, last = min(self.weights_by_second), max(self.weights_by_second)
         for start in range(first, max(first, last - GOODPUT_WINDOW_S + 1) + 1):
             seconds = range(start, start + GOODPUT_WINDOW_S)
-            window = _total(self.weights_by_second.get(second, Weights()) for second in seconds)
+            window = _weight_sum(self.weights_by_second.get(second, Weights()) for second in seconds)
             if window.offered > 0:
                 yield window.goodput
 
     def recent(self, count: int) -> dict[int, SecondProgress]:
-        """Return the last seconds as they stand, by second."""
+        """Return the progress of the last seconds, up to the latest one with a finished request.
+
+        count: number of seconds.
+        """
         last = max(self.weights_by_second, default=0)
         progress = {}
         for second in range(max(0, last - count + 1), last + 1):
@@ -211,7 +220,7 @@
         return progress
 
     def seconds(self) -> list[dict[str, float]]:
-        """Return goodput, served requests and latencies in ms, by the second of the intended send."""
+        """Return goodput, served requests and latencies (ms) for each second of the intended send."""
         rows = []
         for second, weights in sorted(self.weights_by_second.items()):
             steps = self.latency_steps.get(second, Counter())
@@ -239,12 +248,12 @@
     return {name: [one.offered, one.earned] for name, one in weights.items()}
 
 
-def _total(weights: Iterable[Weights]) -> Weights:
+def _weight_sum(weights: Iterable[Weights]) -> Weights:
     rows = list(weights)
     return Weights(sum(one.offered for one in rows), sum(one.earned for one in rows))
 
 
-def _worst(weights: Iterable[Weights]) -> float:
+def _min_goodput(weights: Iterable[Weights]) -> float:
     return min((one.goodput for one in weights if one.offered > 0), default=0.0)
 
 
@@ -253,25 +262,28 @@
     return round(STEPS_PER_DOUBLING * math.log2(max(1.0, latency_s * 1e6)))
 
 
-def quantile_ms(steps: Counter[int], q: float) -> float:
-    """Return a quantile in ms of latencies that are counted by step, exact to half a step: 1.8%."""
-    left = q * sum(steps.values())
+def quantile_ms(steps: Counter[int], quantile: float) -> float:
+    """Return a quantile, in ms, of latencies that are counted by latency_step().
+
+    The error is up to half a step: 1.8%. The result is 0 if there are no latencies.
+    """
+    remaining = quantile * sum(steps.values())
     for step in sorted(steps):
-        left -= steps[step]
-        if left <= 0:
+        remaining -= steps[step]
+        if remaining <= 0:
             return float(round(2.0 ** (step / STEPS_PER_DOUBLING) / 1000.0, 3))
     return 0.0
 
 
-def curve(one: Any) -> list[tuple[float, float]]:
-    """Return a histogram's latency in ms by percentile; empty if it is."""
+def percentile_curve(one: Any) -> list[tuple[float, float]]:
+    """Return percentiles and their latencies in ms; empty if the histogram is empty."""
     if not one.get_total_count():
         return []
     return [(p, one.get_value_at_percentile(p) / 1000.0) for p in CURVE_PERCENTILES]
 
 
 def histogram_summary(one: Any) -> dict[str, float]:
-    """Return a histogram's percentiles, mean, maximum and count, times in ms; empty if it is."""
+    """Return percentiles, mean and maximum in ms, and the count; empty if the histogram is empty."""
     if not one.get_total_count():
         return {}
     summary = {f"p{p:g}": one.get_value_at_percentile(p) / 1000.0 for p in SUMMARY_PERCENTILES}
--- a/quartzford/load/result.py
+++ b/quartzford/load/result.py
@@ -1,4 +1,4 @@
-"""The result of a run, out of the records of its workers: a map for JSON, and text for a terminal. No I/O."""
+"""The result of a run, merged from its workers' records: a map for JSON and text for a terminal. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 from quartzford.load.options import LoadOptions
-from quartzford.load.record import Record, curve, histogram_summary
+from quartzford.load.record import Record, histogram_summary, percentile_curve
 
 RESULT_VERSION = 1
 LATENCY_PERCENTILES = ("p50", "p90", "p99", "p99.9", "max")
@@ -16,10 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerResult:
-    """What a worker measured.
+    """The measurements of one worker.
 
-    record: as Record.dump() gave it. starved: why it could not open connections; empty: it could. sent:
-    requests. in_flight: requests that had not ended. cpu_s: its processor time.
+    record: the value that Record.dump() returned. starved: the reason why the worker could not open
+    connections; empty if it could. sent: number of requests sent. in_flight: requests without an outcome at
+    the end of the run. cpu_s: processor time of the worker in seconds.
     """
 
     record: dict[str, Any]
@@ -31,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResults:
-    """What is known of a run at its end.
+    """The results of all workers of a run.
 
-    seconds: from the start to the last worker's result. interrupted: by SIGINT. silent_workers: those that
-    gave no result.
+    seconds: time from the start to the last worker's result. interrupted: whether SIGINT ended the run.
+    silent_workers: number of workers that returned no result.
     """
 
     workers: Sequence[WorkerResult]
@@ -44,7 +45,10 @@
 
 
 def summary(load: LoadOptions, run: RunResults) -> dict[str, Any]:
-    """Merge the workers' records into one result, ready for JSON. Its keys are described in docs/load.md."""
+    """Return the result of a run as a JSON-serializable map, with the workers' records merged.
+
+    docs/load.md describes its keys.
+    """
     record = Record(load.request_classes)
     for worker in run.workers:
         record.merge(worker.record)
@@ -58,16 +62,16 @@
         "ended": ended,
         "rate": round(ended / measured_s, 1),
         "interrupted": run.interrupted,
-        "starved": _starved(run),
+        "starved": _starvation_reason(run),
         "late": _is_late(load, record),
-        "trouble": _problems(load, run, record),
+        "trouble": _reliability_problems(load, run, record),
         **_latencies(record),
         "ends": dict(sorted(record.outcomes.items())),
         "tries": dict(sorted(record.attempt_outcomes.items())),
         "goodput": {name: round(value, 4) for name, value in record.goodput().items()},
         "cpu_s": [round(worker.cpu_s, 2) for worker in run.workers],
         "by_second": record.seconds(),
-        "curve": _by_class(record, record.latency, curve),
+        "curve": _by_class(record, record.latency, percentile_curve),
         "rules": {},
         "record": record.dump(),
     }
@@ -82,12 +86,12 @@
 
 
 def _by_class(record: Record, histograms: dict[str, Any], describe: Any) -> dict[str, Any]:
-    """Describe all classes' histograms together, and each one's."""
+    """Apply describe to the merged histogram (key "all") and to the histogram of each request class."""
     described = {"all": describe(record.complete(histograms))}
     return described | {name: describe(one) for name, one in sorted(histograms.items())}
 
 
-def _starved(run: RunResults) -> str:
+def _starvation_reason(run: RunResults) -> str:
     return next((worker.starved for worker in run.workers if worker.starved), "")
 
 
@@ -96,28 +100,30 @@
     return bool(lateness) and lateness["p99"] > load.max_lateness_ms
 
 
-def _problems(load: LoadOptions, run: RunResults, record: Record) -> list[str]:
-    """Say why the measurements can't be relied on; empty if they can."""
-    problems = [_starved(run)] if _starved(run) else []
+def _reliability_problems(load: LoadOptions, run: RunResults, record: Record) -> list[str]:
+    """Return the reasons why the measurements are unreliable; empty if they are reliable."""
+    problems = [_starvation_reason(run)] if _starvation_reason(run) else []
     if _is_late(load, record):
         p99 = histogram_summary(record.lateness)["p99"]
-        problems.append(f"the generator was late: p99 {p99:.1f} ms, {load.max_lateness_ms:g} are allowed")
+        problems.append(f"the generator was late: p99 {p99:.1f} ms, the limit is {load.max_lateness_ms:g} ms")
     if run.silent_workers:
         problems.append(f"{run.silent_workers} workers gave no result")
-    twice = record.counts["answered twice"]
-    if twice:
-        problems.append(f"answered twice: {twice}")
+    duplicate_count = record.counts["answered twice"]
+    if duplicate_count:
+        problems.append(f"answered twice: {duplicate_count}")
     return problems
 
 
-def show(result: dict[str, Any]) -> str:
-    """Return a result as lines for a terminal."""
+def format_result(result: dict[str, Any]) -> str:
+    """Return a result as text of several lines for a terminal."""
     lines = [f"{result['sent']} requests in {result['seconds']:.1f} s, {result['rate']:.0f} ended a second"]
     lines += _latency_lines("latency from the intended send", result["latency_ms"])
     lines += _latency_lines("service time", result["service_ms"])
     lateness = result["lateness_ms"]
     if lateness:
-        lines.append(f"the generator's own lateness (ms): {_figures(lateness, LATENESS_PERCENTILES)}")
+        lines.append(
+            f"the generator's own lateness (ms): {_format_percentiles(lateness, LATENESS_PERCENTILES)}"
+        )
     lines.append("ends: " + ", ".join(f"{name} {count}" for name, count in result["ends"].items()))
     lines.append("goodput: " + ", ".join(f"{name} {value:.3f}" for name, value in result["goodput"].items()))
     lines += _rule_lines(result["rules"])
@@ -127,18 +133,18 @@
 
 def _latency_lines(title: str, by_class: dict[str, dict[str, float]]) -> list[str]:
     return [
-        f"{title}, {name} (ms): {_figures(row, LATENCY_PERCENTILES)}  of {row['count']}"
+        f"{title}, {name} (ms): {_format_percentiles(row, LATENCY_PERCENTILES)}  of {row['count']}"
         for name, row in by_class.items()
         if row
     ]
 
 
-def _figures(row: dict[str, float], percentiles: tuple[str, ...]) -> str:
+def _format_percentiles(row: dict[str, float], percentiles: tuple[str, ...]) -> str:
     return "  ".join(f"{p} {row[p]:.2f}" for p in percentiles)
 
 
 def _rule_lines(verdict: dict[str, Any]) -> list[str]:
-    """Say which rules were broken; nothing where no server's account was read."""
+    """Return the lines with the breaches of each rule; empty if no servers' account was read."""
     if not verdict:
         return []
     broken = ", ".join(f"{name} {count}" for name, count in verdict["rules"].items())
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -35,7 +35,7 @@
 from quartzford.load.page import page
 from quartzford.load.plan import make_trace, plan_requests, plan_sessions
 from quartzford.load.record import Record, histogram, histogram_summary
-from quartzford.load.result import RunResults, WorkerResult, show, summary
+from quartzford.load.result import RunResults, WorkerResult, format_result, summary
 from quartzford.load.shapes import ShapeError, evenly_spaced_arrivals, poisson_arrivals, read_shape
 from quartzford.load.trace import TraceError, TraceRow, read_trace, write_trace
 from quartzford.load.worker import Progress
@@ -275,7 +275,7 @@
     load = LoadOptions(Target("h", 1), max_lateness_ms=5.0)
     good = recorded(1)
     fine = summary(load, RunResults([worker_result(good)], 10.0))
-    assert not fine["trouble"] and fine["ended"] == 500 and "goodput" in show(fine)
+    assert not fine["trouble"] and fine["ended"] == 500 and "goodput" in format_result(fine)
     for _ in range(20):
         good.attempt_sent(0.05)
     good.counts["answered twice"] = 1
