--- a/tests/test_load_command.py
+++ b/tests/test_load_command.py
@@ -1,4 +1,4 @@
-"""The command `quartzford load`: interruption, descriptors that run out, usage errors and traces."""
+"""The command `quartzford load`: interruption, exhausted descriptors, usage errors and traces."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from load_helpers import delay_server, start_load_command
 
 
-def test_interruption_prints_what_was_measured(tmp_path: Path) -> None:
+def test_load_interrupted_prints_the_measurements(tmp_path: Path) -> None:
     def default_sigint() -> None:
-        signal.signal(signal.SIGINT, signal.SIG_DFL)  # a shell starts background jobs with it ignored
+        signal.signal(signal.SIGINT, signal.SIG_DFL)  # a shell starts background jobs with SIGINT ignored
 
     with delay_server("none") as (target, _):
         path = tmp_path / "r.json"
@@ -39,7 +39,7 @@
     assert result["interrupted"] and 0 < result["ended"] < 6000
 
 
-def test_descriptors_that_run_out_are_one_line_and_a_clean_end() -> None:
+def test_load_out_of_descriptors_reports_one_line_and_exits_cleanly() -> None:
     def few_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))
 
@@ -77,15 +77,15 @@
         (["compare", "/nonexistent", "/nonexistent"], b"compare: /nonexistent"),
     ],
 )
-def test_what_cannot_be_done_is_one_line(arguments: list[str], reason: bytes) -> None:
+def test_load_usage_error_prints_one_line(arguments: list[str], reason: bytes) -> None:
     process = start_load_command(*arguments)
     out, errors = process.communicate(timeout=60)
     errors = errors.replace(b"playing; Ctrl-C ends it\n", b"")
     assert process.returncode == 2 and reason in errors and errors.count(b"\n") == 1 and not out
 
 
-def test_a_trace_is_made_and_replayed_by_command(tmp_path: Path) -> None:
-    path, a = tmp_path / "t.trace", tmp_path / "a.json"
+def test_load_makes_and_replays_a_trace(tmp_path: Path) -> None:
+    path, result_path = tmp_path / "t.trace", tmp_path / "a.json"
     made = start_load_command("--shape", "constant:100", "--seconds", "2", "--make-trace", str(path))
     assert made.wait(60) == 0
     with delay_server("none") as (target, _):
@@ -97,14 +97,14 @@
             "--speed",
             "4",
             "--json",
-            str(a),
+            str(result_path),
             "--late-ms",
             "1e6",
         )
         out, errors = process.communicate(timeout=60)
     assert process.returncode == 0, (out, errors)
-    result = json.loads(a.read_text())
+    result = json.loads(result_path.read_text())
     assert result["ended"] == len(path.read_text().splitlines()) - 2 and result["seconds"] < 2.0
-    compared = start_load_command("compare", str(a), str(a))
+    compared = start_load_command("compare", str(result_path), str(result_path))
     out, _ = compared.communicate(timeout=60)
     assert compared.returncode == 0 and b"1.000" in out
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -1,4 +1,4 @@
-"""The load generator without I/O: arrivals, traces, what clients do, and the figures."""
+"""The load generator without I/O: arrivals, traces, client behaviour, measurements and their output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as budget
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from rich.console import Console
 
@@ -54,21 +54,21 @@
         ("constant:50+burst:500@2+1+step:10@9.5", 1005),
     ],
 )
-def test_arrivals_are_as_many_as_the_area_under_the_rate(text: str, area: float) -> None:
-    even = list(evenly_spaced_arrivals(read_shape(text), 10.0))
-    drawn = list(poisson_arrivals(read_shape(text), 10.0, random.Random(3)))
-    assert abs(len(even) - area) <= 2 and abs(len(drawn) - area) < 5 * area**0.5
-    for moments in (even, drawn):
+def test_arrivals_number_matches_the_integral_of_the_rate(text: str, area: float) -> None:
+    even_arrivals = list(evenly_spaced_arrivals(read_shape(text), 10.0))
+    random_arrivals = list(poisson_arrivals(read_shape(text), 10.0, random.Random(3)))
+    assert abs(len(even_arrivals) - area) <= 2 and abs(len(random_arrivals) - area) < 5 * area**0.5
+    for moments in (even_arrivals, random_arrivals):
         assert moments == sorted(moments) and all(0 <= at < 10.0 for at in moments)
 
 
-def test_even_spacing_is_even() -> None:
+def test_evenly_spaced_arrivals_have_equal_gaps() -> None:
     moments = list(evenly_spaced_arrivals(read_shape("constant:250"), 4.0))
     gaps = [b - a for a, b in itertools.pairwise(moments)]
     assert len(moments) == 1000 and max(abs(gap - 0.004) for gap in gaps) < 1e-9
 
 
-def test_poisson_gaps_are_exponential() -> None:
+def test_poisson_arrivals_have_exponential_gaps() -> None:
     moments = list(poisson_arrivals(read_shape("constant:1000"), 30.0, random.Random(1)))
     gaps = [b - a for a, b in itertools.pairwise(moments)]
     mean = sum(gaps) / len(gaps)
@@ -95,14 +95,14 @@
         "constant:5++constant:5",
     ],
 )
-def test_a_shape_that_cannot_be_read_is_said_to_be_so(text: str) -> None:
+def test_read_shape_invalid_text_raises_a_one_line_error(text: str) -> None:
     with pytest.raises(ShapeError) as error:
         read_shape(text)
     assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("spacing", ["poisson", "fixed"])
-def test_workers_together_play_the_complete_plan(spacing: str) -> None:
+def test_plan_requests_of_all_workers_make_up_the_complete_load(spacing: str) -> None:
     load = LoadOptions(
         Target("h", 1), "constant:400", 5.0, spacing, 7, workers=4, keys=10, tenants=(("a", 1), ("b", 3))
     )
@@ -118,14 +118,14 @@
 
 # ---- traces
 
-TEXT = st.text(max_size=12)
-ROWS = st.lists(
+FIELD_TEXTS = st.text(max_size=12)
+TRACE_ROWS = st.lists(
     st.builds(
         TraceRow,
         st.floats(0, 1e6),
-        TEXT.filter(bool),
-        TEXT,
-        TEXT,
+        FIELD_TEXTS.filter(bool),
+        FIELD_TEXTS,
+        FIELD_TEXTS,
         st.integers(0, 10**6),
         st.integers(0, 10**6),
     ),
@@ -133,16 +133,16 @@
 )
 
 
-@given(ROWS)
-@budget(max_examples=200, deadline=None, derandomize=True, database=None)
-def test_a_trace_comes_back_as_it_was_written(rows: list[TraceRow]) -> None:
+@given(TRACE_ROWS)
+@hypothesis_settings(max_examples=200, deadline=None, derandomize=True, database=None)
+def test_trace_round_trip_preserves_the_rows(rows: list[TraceRow]) -> None:
     rows = sorted(r._replace(offset=round(r.offset, 6), left_ms=float(f"{r.left_ms:g}")) for r in rows)
-    back = list(read_trace(write_trace(rows)))
-    assert [r._replace(offset=0.0) for r in back] == [r._replace(offset=0.0) for r in rows]
-    assert all(abs(a.offset - b.offset) < 1e-5 for a, b in zip(rows, back, strict=True))
+    read_back = list(read_trace(write_trace(rows)))
+    assert [r._replace(offset=0.0) for r in read_back] == [r._replace(offset=0.0) for r in rows]
+    assert all(abs(a.offset - b.offset) < 1e-5 for a, b in zip(rows, read_back, strict=True))
 
 
-GOOD = list(
+VALID_TRACE_LINES = list(
     write_trace([TraceRow(0.0, "read", "t", "k", 5, 100), TraceRow(0.5, "pay"), TraceRow(0.5, "a b\tc")])
 )
 
@@ -152,26 +152,29 @@
     [
         ([], "not a trace"),
         (["hello\n"], "line 1: not a trace"),
-        (["#quartzford-trace 2\n", *GOOD[1:]], "version '2'"),
-        (GOOD[:-1], "cut off"),
-        (GOOD[:3], "cut off"),
-        ([*GOOD[:-1], "#end 7\n"], "3 requests, 7"),
-        ([GOOD[0], GOOD[2], GOOD[1], *GOOD[3:]], "line 3: earlier"),
-        ([*GOOD, GOOD[1]], "more follows"),
-        ([GOOD[0], "1\tread\n", *GOOD[1:]], "line 2: 2 fields"),
-        ([GOOD[0], "x\tread\t-\t-\t0\t0\n", *GOOD[1:]], "line 2: offset"),
-        ([GOOD[0], "1\t-\t-\t-\t0\t0\n", *GOOD[1:]], "line 2: no class"),
-        ([GOOD[0], "1\tread\t-\t-\t-5\t0\n", *GOOD[1:]], "out of bounds"),
-        ([GOOD[0], "1\tread\t-\t-\t0\tnan\n", *GOOD[1:]], "out of bounds"),
+        (["#quartzford-trace 2\n", *VALID_TRACE_LINES[1:]], "version '2'"),
+        (VALID_TRACE_LINES[:-1], "cut off"),
+        (VALID_TRACE_LINES[:3], "cut off"),
+        ([*VALID_TRACE_LINES[:-1], "#end 7\n"], "3 requests, 7"),
+        (
+            [VALID_TRACE_LINES[0], VALID_TRACE_LINES[2], VALID_TRACE_LINES[1], *VALID_TRACE_LINES[3:]],
+            "line 3: earlier",
+        ),
+        ([*VALID_TRACE_LINES, VALID_TRACE_LINES[1]], "more follows"),
+        ([VALID_TRACE_LINES[0], "1\tread\n", *VALID_TRACE_LINES[1:]], "line 2: 2 fields"),
+        ([VALID_TRACE_LINES[0], "x\tread\t-\t-\t0\t0\n", *VALID_TRACE_LINES[1:]], "line 2: offset"),
+        ([VALID_TRACE_LINES[0], "1\t-\t-\t-\t0\t0\n", *VALID_TRACE_LINES[1:]], "line 2: no class"),
+        ([VALID_TRACE_LINES[0], "1\tread\t-\t-\t-5\t0\n", *VALID_TRACE_LINES[1:]], "out of bounds"),
+        ([VALID_TRACE_LINES[0], "1\tread\t-\t-\t0\tnan\n", *VALID_TRACE_LINES[1:]], "out of bounds"),
     ],
 )
-def test_a_trace_that_is_broken_gets_one_plain_line(lines: list[str], reason: str) -> None:
+def test_read_trace_invalid_trace_raises_a_one_line_error(lines: list[str], reason: str) -> None:
     with pytest.raises(TraceError) as error:
         list(read_trace(lines))
     assert reason in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_shape_made_into_a_trace_and_replayed_faster_is_the_same_load() -> None:
+def test_make_trace_replayed_faster_gives_the_same_requests() -> None:
     load = LoadOptions(Target("h", 1), "constant:200", 5.0, seed=3, workers=2)
     rows = make_trace(load)
     fast = LoadOptions(Target("h", 1), rows=tuple(rows), speed=5.0, workers=3)
@@ -184,25 +187,27 @@
 
 # ---- clients
 
-FREE, CELL, UNSAFE = DEFAULT_CLASSES
-WIDE = RequestClass("note", effect="keyed", group="all")
+IDEMPOTENT, CELL_KEYED, UNSAFE_CLASS = DEFAULT_CLASSES
+GLOBALLY_KEYED = RequestClass("note", effect="keyed", group="all")
 
 
-@pytest.mark.parametrize("request_class", [FREE, CELL, UNSAFE, WIDE])
+@pytest.mark.parametrize("request_class", [IDEMPOTENT, CELL_KEYED, UNSAFE_CLASS, GLOBALLY_KEYED])
 @pytest.mark.parametrize("outcome", [REFUSED, FAILED, NO_ANSWER, UNREACHABLE])
-def test_which_requests_are_retried_after_which_outcome(
+def test_plan_retry_depends_on_request_class_and_outcome(
     request_class: RequestClass, outcome: Outcome
 ) -> None:
     result = AttemptResult(outcome, attempts=1, time_left_s=1.0)
     retry = plan_retry(request_class, ClientBehaviour(), result, random.Random(1))
-    assert (retry is not None) == (request_class in (FREE, WIDE) or outcome in (REFUSED, UNREACHABLE))
+    assert (retry is not None) == (
+        request_class in (IDEMPOTENT, GLOBALLY_KEYED) or outcome in (REFUSED, UNREACHABLE)
+    )
 
 
-def test_attempts_time_and_retry_after_bound_what_a_client_does() -> None:
+def test_plan_retry_respects_max_attempts_deadline_and_retry_after() -> None:
     rng = random.Random(1)
 
     def retry(behaviour: ClientBehaviour, result: AttemptResult) -> Any:
-        return plan_retry(FREE, behaviour, result, rng)
+        return plan_retry(IDEMPOTENT, behaviour, result, rng)
 
     assert retry(ClientBehaviour(), AttemptResult(SERVED, 1, 1.0)) is None
     assert retry(ClientBehaviour(max_attempts=4), AttemptResult(FAILED, 4, 1.0)) is None
@@ -210,11 +215,11 @@
     refused = AttemptResult(REFUSED, 1, 1.0, retry_after_s=0.4)
     assert retry(ClientBehaviour(retry_after_share=1.0), refused) == (0.4,)
     assert retry(ClientBehaviour(retry_after_share=0.0), refused) == (0.0,)
-    spans = [attempt_timeout_s(FREE, ClientBehaviour(), rng) for _ in range(500)]
+    spans = [attempt_timeout_s(IDEMPOTENT, ClientBehaviour(), rng) for _ in range(500)]
     assert 0.6 <= min(spans) < 0.65 and 1.05 < max(spans) <= 1.1
 
 
-# ---- figures
+# ---- measurements
 
 
 def recorded(seed: int) -> Record:
@@ -231,7 +236,7 @@
     return WorkerResult(record.dump(), starved, sent=500, in_flight=0, cpu_s=1.0)
 
 
-def test_records_merge_into_what_one_would_have_been() -> None:
+def test_record_merge_equals_one_record_of_all_requests() -> None:
     one, other, both = recorded(1), recorded(2), Record(DEFAULT_CLASSES)
     both.merge(one.dump())
     both.merge(other.dump())
@@ -245,16 +250,16 @@
     )
 
 
-def test_histograms_keep_three_digits() -> None:
+def test_histogram_percentiles_are_exact_to_three_digits() -> None:
     one = histogram()
     for value in range(1, 100_001):
         one.record_value(value)
-    got = histogram_summary(one)
-    for p, wanted in (("p50", 50.0), ("p99", 99.0), ("p99.9", 99.9), ("max", 100.0)):
-        assert got[p] == pytest.approx(wanted, rel=0.002)
+    actual = histogram_summary(one)
+    for p, expected in (("p50", 50.0), ("p99", 99.0), ("p99.9", 99.9), ("max", 100.0)):
+        assert actual[p] == pytest.approx(expected, rel=0.002)
 
 
-def test_goodput_names_the_worst_window_class_and_tenant() -> None:
+def test_goodput_reports_the_worst_window_class_and_tenant() -> None:
     record = Record(
         (
             RequestClass("a", latency_objective_s=0.1, priority_weight=2.0),
@@ -265,29 +270,29 @@
         late = 10 <= second < 20
         record.request_ended("a", "x", SERVED, second, 0.5 if late else 0.05)
         record.request_ended("b", "y", SERVED, second, 0.5)
-    got = record.goodput()
-    assert got["whole"] == pytest.approx((20 * 2 + 30 * 0.5) / 90)
-    assert got["worst_10s"] == pytest.approx(5 / 30) and got["worst_class"] == 0.5
-    assert got["worst_tenant"] == 0.5
+    actual = record.goodput()
+    assert actual["whole"] == pytest.approx((20 * 2 + 30 * 0.5) / 90)
+    assert actual["worst_10s"] == pytest.approx(5 / 30) and actual["worst_class"] == 0.5
+    assert actual["worst_tenant"] == 0.5
 
 
-def test_a_result_says_what_was_wrong_with_its_instrument() -> None:
+def test_summary_lists_the_reasons_for_unreliable_measurements() -> None:
     load = LoadOptions(Target("h", 1), max_lateness_ms=5.0)
-    good = recorded(1)
-    fine = summary(load, RunResults([worker_result(good)], 10.0))
-    assert not fine["trouble"] and fine["ended"] == 500 and "goodput" in format_result(fine)
+    record = recorded(1)
+    reliable = summary(load, RunResults([worker_result(record)], 10.0))
+    assert not reliable["trouble"] and reliable["ended"] == 500 and "goodput" in format_result(reliable)
     for _ in range(20):
-        good.attempt_sent(0.05)
-    good.counts["answered twice"] = 1
-    good.counts["warm-up"] = 3
-    starved = worker_result(good, starved="out of descriptors")
-    bad = summary(load, RunResults([starved], 10.0, silent_workers=1))
-    assert bad["warm_up"] == 3 and bad["late"] and len(bad["trouble"]) == 4
-    text = compare(fine, bad)
+        record.attempt_sent(0.05)
+    record.counts["answered twice"] = 1
+    record.counts["warm-up"] = 3
+    starved = worker_result(record, starved="out of descriptors")
+    unreliable = summary(load, RunResults([starved], 10.0, silent_workers=1))
+    assert unreliable["warm_up"] == 3 and unreliable["late"] and len(unreliable["trouble"]) == 4
+    text = compare(reliable, unreliable)
     assert "latency_ms p99" in text and text.count("! B:") == 4 and "! A:" not in text
 
 
-def test_latencies_by_the_second_are_merged_and_close() -> None:
+def test_record_seconds_after_merge_approximate_the_quantiles() -> None:
     record, other = Record(DEFAULT_CLASSES), Record(DEFAULT_CLASSES)
     for n in range(1, 1001):
         (record if n % 2 else other).request_ended("consulta", "", SERVED, n % 2, n / 1000)
@@ -306,7 +311,7 @@
     return summary(LoadOptions(Target("h", 1)), RunResults([worker_result(record)], 10.0))
 
 
-def test_the_page_stands_alone_and_says_what_the_result_says() -> None:
+def test_page_is_self_contained_and_shows_the_result() -> None:
     result = result_of(recorded(1))
     result["trouble"] = ["a <script> was late"]
     result["rules"] = {"rules": {"drain breaches": 3, "cold breaches": 0}, "kept": False}
@@ -315,7 +320,7 @@
     assert len(svgs) == 3
     for svg in svgs:
         root = ElementTree.fromstring(svg)
-        assert root.findall("polyline"), "a chart with nothing in it"
+        assert root.findall("polyline"), "a chart without lines"
     assert "a &lt;script&gt; was late" in text and "<script" not in text
     assert not re.search(r"(src|href)=|https?://|@import|url\(", text)
     for name in ("consulta", "reserva", "cobro", "worst 10s", "drain breaches"):
@@ -323,11 +328,11 @@
     assert f"{result['latency_ms']['all']['p99']:g}" in text and "broken" in text
 
 
-def test_a_page_of_nothing_is_a_page() -> None:
+def test_page_of_an_empty_record_says_that_nothing_was_measured() -> None:
     assert "nothing was measured" in page(result_of(Record(DEFAULT_CLASSES)))
 
 
-def test_the_live_view_adds_up_its_workers() -> None:
+def test_live_view_sums_the_reports_of_all_workers() -> None:
     first, second = recorded(1), recorded(2)
     reports = [Progress(10, 1, dict(record.outcomes), record.recent(4)) for record in (first, second)]
     out = io.StringIO()
@@ -343,14 +348,14 @@
     assert "drain: s0001" in out.getvalue() and "consulta served" in out.getvalue()
 
 
-def test_bars_span_from_none_to_all() -> None:
+def test_bars_map_values_to_marks_from_zero_to_the_maximum() -> None:
     assert bars([0.0, 0.5, 1.0, 2.0], 1.0) == " =@@" and bars([0.0], 0.0) == " "
 
 
 # ---- sessions
 
 
-def test_sessions_are_complete_on_one_worker_and_keep_their_gaps() -> None:
+def test_plan_sessions_keeps_a_session_on_one_worker_with_its_gaps() -> None:
     rows = tuple(TraceRow(n * 0.1, "consulta", "t", f"k{n % 7}" if n % 10 else "") for n in range(200))
     load = LoadOptions(Target("h", 1), rows=rows, speed=5.0, workers=3, keep_think_times=True)
     firsts, gaps = 0, []
@@ -360,4 +365,5 @@
         assert {planned.session for planned in first_requests} >= set(followers)
         gaps += [planned.offset for session in followers.values() for planned in session]
     assert firsts + len(gaps) == 200 and firsts == 20 + 7
-    assert min(gaps) >= 0.7 - 1e-9  # a key comes every 7 rows, 0.1 s each: not divided by the speed
+    # A key recurs every 7 rows of 0.1 s; the speed of the replay does not shorten think times.
+    assert min(gaps) >= 0.7 - 1e-9
