--- a/quartzford/protocols/http2/frames.py
+++ b/quartzford/protocols/http2/frames.py
@@ -10,14 +10,14 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"  # section 3.4
+PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"  # the client connection preface (section 3.4)
 FRAME_HEADER_BYTES = 9  # section 4.1
 PRIORITY_FIELDS_BYTES = 5  # stream dependency and weight (section 6.2)
 PING_BYTES = 8  # payload of a PING frame (section 6.7)
 MAX_STREAM_ID = 2**31 - 1  # section 4.1; the highest of the 32 bits is reserved
 DEFAULT_FRAME_BYTES = 16_384  # also the minimum value of SETTINGS_MAX_FRAME_SIZE (section 6.5.2)
-MAX_FRAME_BYTES = 2**24 - 1  # section 6.5.2
-DEFAULT_WINDOW_BYTES = 65_535  # section 6.9.2
+MAX_FRAME_BYTES = 2**24 - 1  # the maximum value of SETTINGS_MAX_FRAME_SIZE (section 6.5.2)
+DEFAULT_WINDOW_BYTES = 65_535  # the initial flow-control window (section 6.9.2)
 MAX_WINDOW_BYTES = 2**31 - 1  # section 6.9.1
 
 _FRAME_HEADER = struct.Struct(">BHBBL")  # length in 24 bits, type, flags, stream identifier
@@ -141,7 +141,10 @@
         return int.from_bytes(self.payload, "big")
 
     def settings(self) -> Iterable[tuple[int, int]]:
-        """Return identifiers and values of a SETTINGS frame (section 6.5). Raises ProtocolError."""
+        """Return identifiers and values of a SETTINGS frame (section 6.5).
+
+        Raise ProtocolError if the frame is malformed.
+        """
         if self.stream_id or len(self.payload) % _SETTING.size or (self.ack and self.payload):
             raise ProtocolError(ErrorCode.FRAME_SIZE_ERROR, "SETTINGS of a wrong form")
         return _SETTING.iter_unpack(self.payload)
