--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,5 @@
-"""Real peers over loopback sockets, with scripted faults and journals of their own: for tests and benchmarks.
+"""Stand-ins for the balancer's peers over loopback sockets, for tests and benchmarks.
 
-None of them is gentler than its specification. They know nothing of the balancer's internals.
+They play scripted faults and record journals of what they observe. No stand-in is more lenient than its
+specification, and none depends on the balancer's internals.
 """
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,13 +1,13 @@
 """A stand-in calling proxy: requests a decision of the external processor for every attempt, as Envoy does.
 
 Sources: Envoy's ext_proc.proto (the filter, v3), external_processor.proto, mutation_rules.proto, and the page
-on the router filter. What it keeps to: headers phases only; message_timeout on each message;
-failure_mode_allow off (no reply, or a broken stream, is an error to the client and nothing is sent on);
-x-envoy- headers may be set only with allow_envoy; append_action as written, appending by default; a route
-time-out of its own, shortened by x-envoy-upstream-rq-timeout-ms; a retry policy with retriable_headers and
-nothing else; each attempt a new stream over the same request headers; channels that obey GOAWAY.
-A caller written for this processor may also keep to x-quartzford-within (docs/operators/extproc.md), which
-Envoy can't: `honours`.
+on the router filter. Its behaviour: it uses the headers phases only; message_timeout applies to each message;
+failure_mode_allow off (without a reply, or after a stream error, the client gets an error and nothing is
+sent upstream); x-envoy- headers may be set only with allow_envoy; append_action is applied as given, and
+appends by default; it has a route time-out, shortened by x-envoy-upstream-rq-timeout-ms; a retry policy with
+retriable_headers and no other condition; each attempt opens a new stream and shares the request headers; its
+channels obey GOAWAY. With the policy field `honours` it also obeys x-quartzford-within
+(docs/operators/extproc.md), which a caller written for this processor can and Envoy can't.
 """
 
 from __future__ import annotations
@@ -45,14 +45,14 @@
 PROCESS = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 CHANNEL_OPTIONS = (("grpc.use_local_subchannel_pool", 1), ("grpc.enable_http_proxy", 0))
 OPENING_METADATA = (("x-quartzford-role", "open"),)
-ATTRIBUTES = "envoy.filters.http.ext_proc"
+ATTRIBUTES_NAMESPACE = "envoy.filters.http.ext_proc"
 ROUTE_TIMEOUT_HEADER = "x-envoy-upstream-rq-timeout-ms"
-LEAVING_S = 0.001  # from an attempt's send until the client leaves
-BACK_OFF_SPREAD = (0.5, 1.5)  # of the policy's back-off
+CLIENT_LEAVE_DELAY_S = 0.001  # from sending an attempt until its client disconnects
+BACK_OFF_FACTOR_RANGE = (0.5, 1.5)  # random factor of the policy's back-off before a retry
 
 
 class LocalReplyError(Exception):
-    """The caller responds to its client itself."""
+    """The caller responds to its client itself, without a response from an upstream."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -60,7 +60,7 @@
 
 
 class ClientLeftError(Exception):
-    """The client has left; the caller drops all that it holds for it."""
+    """The client has disconnected; the caller abandons its request."""
 
 
 class AttemptResult(NamedTuple):
@@ -90,7 +90,11 @@
     async def handle(
         self, exchange: Exchange, rows: list[tuple[str, str]], time_left_s: float, drop: str = ""
     ) -> Exchange:
-        """Handle one client request until its response; drop: the DropStage at which the client leaves."""
+        """Handle one client request until it is answered or abandoned, and return its record.
+
+        time_left_s: the time-out of the whole request; drop: the DropStage at which the client
+        disconnects, or an empty string.
+        """
         self.exchanges.append(exchange)
         headers = Headers(list(rows))
         try:
@@ -109,18 +113,18 @@
         return exchange
 
     async def _route(self, exchange: Exchange, headers: Headers, drop: str) -> int:
-        """Make attempts as long as the retry policy allows; the last one's status."""
+        """Make as many attempts as the retry policy allows; return the status of the last one."""
         if self.policy.opener:
             await self._open(exchange, headers)
         for number in range(self.policy.retries + 1):
             result = await self._attempt(exchange, headers, drop)
             if not result.retriable or number == self.policy.retries:
                 return result.status
-            await asyncio.sleep(self.policy.back_off_s * self.rng.uniform(*BACK_OFF_SPREAD))
+            await asyncio.sleep(self.policy.back_off_s * self.rng.uniform(*BACK_OFF_FACTOR_RANGE))
         raise AssertionError("unreachable")
 
     async def _open(self, exchange: Exchange, headers: Headers) -> None:
-        """The filter of the downstream chain: its mutation stays in the headers of every attempt."""
+        """Call the processor as a filter of the downstream chain; its mutation applies to all attempts."""
         call = self.process(metadata=OPENING_METADATA)
         try:
             reply = await self._round_trip(call, self._request_message(headers))
@@ -131,7 +135,7 @@
             call.cancel()
 
     async def _attempt(self, exchange: Exchange, headers: Headers, drop: str) -> AttemptResult:
-        """One attempt on a stream of its own: the decision, the send, and the report of its outcome."""
+        """Make one attempt on its own stream: request the decision, send, and report the outcome."""
         call = self.process()
         try:
             attempt = await self._request_decision(call, exchange, headers, drop)
@@ -151,7 +155,7 @@
             call.cancel()
 
     async def _request_decision(self, call: Any, exchange: Exchange, headers: Headers, drop: str) -> Attempt:
-        """The attempt that the processor decides on; the headers are mutated."""
+        """Request a decision and apply its header mutation; return the attempt with the chosen address."""
         message = self._request_message(headers)
         if drop == DropStage.BEFORE_DECISION:
             await call.write(message)
@@ -171,14 +175,14 @@
         return Attempt(-1.0, address, requested_at, decided_at)
 
     async def _report(self, call: Any, exchange: Exchange, response: UpstreamResponse) -> AttemptResult:
-        """Report an attempt's response; the processor may change it before it goes to the client."""
-        begun = monotonic()
+        """Report an attempt's response to the processor and apply its mutation of the response headers."""
+        report_started = monotonic()
         headers = response.headers
         message = proto.ProcessingRequest(response_headers=headers.message(self.policy.raw_values, True))
-        fields = message.attributes[ATTRIBUTES].fields
+        fields = message.attributes[ATTRIBUTES_NAMESPACE].fields
         fields["response.code_details"].string_value = response.details
         reply = await self._round_trip(call, message)
-        exchange.report_s += monotonic() - begun
+        exchange.report_s += monotonic() - report_started
         self._raise_if_immediate(reply, exchange)
         headers.mutate(reply.response_headers.response.header_mutation, self.policy.allow_envoy)
         await call.done_writing()
@@ -190,7 +194,7 @@
         return proto.ProcessingRequest(request_headers=headers.message(self.policy.raw_values, True))
 
     async def _round_trip(self, call: Any, message: Any) -> Any:
-        """The processor's reply to a message; LocalReplyError if there is none in time."""
+        """Return the processor's reply to a message; raise LocalReplyError if none arrives in time."""
         try:
             async with asyncio.timeout(self.policy.message_timeout_s):
                 await call.write(message)
@@ -206,7 +210,7 @@
         return reply
 
     def _raise_if_immediate(self, reply: Any, exchange: Exchange) -> None:
-        """Raise LocalReplyError if the processor has the client answered at once."""
+        """Raise LocalReplyError if the reply is an ImmediateResponse."""
         if reply.WhichOneof("response") == "immediate_response":
             headers = Headers([])
             headers.mutate(reply.immediate_response.headers, self.policy.allow_envoy)
@@ -214,7 +218,7 @@
             raise LocalReplyError(reply.immediate_response.status.code, "immediate")
 
     async def _send(self, attempt: Attempt, headers: Headers, drop: str) -> UpstreamResponse:
-        """Send an attempt to its upstream; its response, or what takes its place."""
+        """Send an attempt to its upstream; return the response, or a local one if the attempt failed."""
         try:
             response = await self._exchange_with_upstream(attempt, headers, drop)
         except SendError as error:
@@ -226,7 +230,7 @@
     async def _exchange_with_upstream(
         self, attempt: Attempt, headers: Headers, drop: str
     ) -> UpstreamResponse:
-        """The upstream's response; SendError if there is none."""
+        """Send the request and return the upstream's response; raise SendError if there is none."""
         timeout_s = self._route_timeout(headers)
         connection = await self.pool.take(attempt.address, self.policy.connect_timeout_s)
         request = headers.http_request()
@@ -237,7 +241,7 @@
         attempt.at = now
         status = connection.send(request)
         if drop == DropStage.BEFORE_OUTCOME:
-            await asyncio.sleep(LEAVING_S)
+            await asyncio.sleep(CLIENT_LEAVE_DELAY_S)
             connection.transport.abort()
             status.cancel()
             raise ClientLeftError
@@ -246,14 +250,14 @@
         return response
 
     def _route_timeout(self, headers: Headers) -> float:
-        """The time-out of an attempt, in seconds."""
+        """Return the time-out of an attempt, in seconds."""
         timeout_ms = headers.get(ROUTE_TIMEOUT_HEADER)
         if timeout_ms:
             return min(self.policy.route_timeout_s, int(timeout_ms) / 1000.0)
         return self.policy.route_timeout_s
 
     def _has_expired(self, attempt: Attempt, headers: Headers, now: float) -> bool:
-        """Whether the decision may no longer be sent on, for a caller that keeps to that."""
+        """Return whether the decision has expired; always False if the policy's `honours` is off."""
         within_ms = headers.get(self.policy.within)
         if not self.policy.honours or not within_ms:
             return False
--- a/standins/caller_connection.py
+++ b/standins/caller_connection.py
@@ -10,25 +10,25 @@
 from standins.caller_headers import Headers
 
 VIA_UPSTREAM = "via_upstream"
-BROKEN = "upstream_reset_before_response_started"
+RESET_BEFORE_RESPONSE = "upstream_reset_before_response_started"
 
 
 class SendFailure(NamedTuple):
-    """Why an attempt has no response of its upstream's."""
+    """The reason why an attempt received no response from its upstream, and how it is reported."""
 
     outcome: str
-    status: int  # that Envoy gives it
-    details: str  # its response.code_details
+    status: int  # of the local response that Envoy sends instead
+    details: str  # Envoy's response.code_details for the failure
 
 
-CONNECT_FAILED = SendFailure("connect", 503, BROKEN + "{remote_connection_failure}")
-RESET = SendFailure("reset", 503, BROKEN + "{connection_termination}")
+CONNECT_FAILED = SendFailure("connect", 503, RESET_BEFORE_RESPONSE + "{remote_connection_failure}")
+RESET = SendFailure("reset", 503, RESET_BEFORE_RESPONSE + "{connection_termination}")
 TIMED_OUT = SendFailure("timeout", 504, "response_timeout")
 EXPIRED = SendFailure("expired", 503, "decision_expired")
 
 
 class SendError(Exception):
-    """An attempt has no response of its upstream's."""
+    """An attempt received no response from its upstream."""
 
     def __init__(self, failure: SendFailure) -> None:
         super().__init__(failure.outcome)
@@ -36,7 +36,7 @@
 
 
 class UpstreamResponse(NamedTuple):
-    """An attempt's response, or what takes its place."""
+    """An attempt's response: the upstream's, or a local one if the attempt failed."""
 
     status: int
     headers: Headers
@@ -44,7 +44,7 @@
 
 
 def failed_response(failure: SendFailure) -> UpstreamResponse:
-    """What takes the place of the response of a failed attempt."""
+    """Return the local response for a failed attempt."""
     return UpstreamResponse(failure.status, Headers([(":status", str(failure.status))]), failure.details)
 
 
@@ -63,13 +63,13 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail the request that waits for its response."""
+        """Fail the request in flight, if there is one."""
         self.closed = True
         if self.status is not None and not self.status.done():
             self.status.set_exception(ConnectionResetError())
 
     def send(self, request: bytes) -> asyncio.Future[int]:
-        """Send a request; the response's status once it is complete, or ConnectionResetError."""
+        """Send a request; return a future of the response's status, which fails with ConnectionResetError."""
         self.fields = []
         self.parser: Any = httptools.HttpResponseParser(self)
         self.status = asyncio.get_running_loop().create_future()
@@ -77,23 +77,23 @@
         return self.status
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a response; what isn't HTTP resets the connection."""
+        """Parse received bytes of a response; reset the connection if they are not valid HTTP."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header; names in lower case."""
+        """Store a response header, with its name in lower case."""
         self.fields.append((name.decode("latin-1").lower(), value.decode("latin-1")))
 
     def on_message_complete(self) -> None:
-        """Complete the request."""
+        """Resolve the request's future with the response's status."""
         if self.status is not None and not self.status.done():
             self.status.set_result(self.parser.get_status_code())
 
     async def receive(self, status: asyncio.Future[int], timeout_s: float) -> UpstreamResponse:
-        """Wait for the response to a request; SendError if it isn't complete in time."""
+        """Wait for the response to a request; raise SendError if it isn't complete in time."""
         try:
             async with asyncio.timeout(timeout_s):
                 code = await status
@@ -109,13 +109,13 @@
 
 
 class ConnectionPool:
-    """Connections to upstreams that are idle, by address."""
+    """A pool of idle connections to upstreams, by address."""
 
     def __init__(self) -> None:
         self.idle: dict[str, list[UpstreamConnection]] = {}
 
     async def take(self, address: str, timeout_s: float) -> UpstreamConnection:
-        """An idle connection, or a new one; SendError if there is none within the time-out."""
+        """Return an idle connection or open a new one; raise SendError if that fails or times out."""
         idle = self.idle.get(address)
         while idle:
             connection = idle.pop()
@@ -125,13 +125,13 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout_s):
-                _, made = await loop.create_connection(UpstreamConnection, host, int(port))
+                _, new_connection = await loop.create_connection(UpstreamConnection, host, int(port))
         except (OSError, TimeoutError):
             raise SendError(CONNECT_FAILED) from None
-        return made
+        return new_connection
 
     def put(self, address: str, connection: UpstreamConnection) -> None:
-        """Keep a connection for later requests."""
+        """Return a connection to the pool, unless it is closed."""
         if not connection.closed:
             self.idle.setdefault(address, []).append(connection)
 
--- a/standins/caller_headers.py
+++ b/standins/caller_headers.py
@@ -7,17 +7,17 @@
 from envoy.config.core.v3 import base_pb2 as core
 from envoy.service.ext_proc.v3 import external_processor_pb2 as proto
 
-READING_CLASSES = ("consulta", "read")  # their requests are GET
+GET_CLASSES = ("consulta", "read")  # service classes whose requests use GET; others use POST
 
 
 class Headers:
-    """A request's or a response's headers, in order."""
+    """The headers of a request or a response, in order, as (name, value) rows."""
 
     def __init__(self, rows: list[tuple[str, str]]) -> None:
         self.rows = rows
 
     def get(self, name: str) -> str:
-        """The first value of a header; empty if there is none."""
+        """Return the first value of a header, or an empty string."""
         return next((value for key, value in self.rows if key == name), "")
 
     def remove(self, name: str) -> None:
@@ -25,7 +25,7 @@
         self.rows = [row for row in self.rows if row[0] != name]
 
     def mutate(self, mutation: Any, allow_envoy: bool) -> None:
-        """Apply a HeaderMutation; allow_envoy: also to x-envoy- headers."""
+        """Apply a HeaderMutation; allow_envoy: whether it may change x-envoy- headers."""
         for name in mutation.remove_headers:
             if self._may_change(name, allow_envoy):
                 self.remove(name)
@@ -34,16 +34,16 @@
                 self._set(option)
 
     def _set(self, option: Any) -> None:
-        """Apply one HeaderValueOption, by its append_action."""
+        """Apply one HeaderValueOption according to its append_action."""
         name = option.header.key
         value = option.header.raw_value.decode("latin-1") or option.header.value
-        action, kind = option.append_action, core.HeaderValueOption
+        action, actions = option.append_action, core.HeaderValueOption
         exists = any(key == name for key, _ in self.rows)
-        if action == kind.ADD_IF_ABSENT and exists:
+        if action == actions.ADD_IF_ABSENT and exists:
             return
-        if action == kind.OVERWRITE_IF_EXISTS and not exists:
+        if action == actions.OVERWRITE_IF_EXISTS and not exists:
             return
-        if action in (kind.OVERWRITE_IF_EXISTS_OR_ADD, kind.OVERWRITE_IF_EXISTS):
+        if action in (actions.OVERWRITE_IF_EXISTS_OR_ADD, actions.OVERWRITE_IF_EXISTS):
             self.remove(name)
         self.rows.append((name, value))
 
@@ -54,7 +54,10 @@
         return allow_envoy or not name.startswith("x-envoy-")
 
     def message(self, raw: bool, end: bool) -> Any:
-        """These headers as an HttpHeaders message; raw: values in raw_value; end: no body follows."""
+        """Return these headers as an HttpHeaders message.
+
+        raw: put values into raw_value instead of value; end: no body follows.
+        """
         if raw:
             rows = [core.HeaderValue(key=k, raw_value=v.encode("latin-1")) for k, v in self.rows]
         else:
@@ -62,20 +65,20 @@
         return proto.HttpHeaders(headers=core.HeaderMap(headers=rows), end_of_stream=end)
 
     def http_request(self) -> bytes:
-        """These request headers as an HTTP/1.1 request without a body, as it goes to an upstream."""
-        kept = [(k, v) for k, v in self.rows if not k.startswith((":", "x-envoy-"))]
-        fields = "".join(f"{k}: {v}\r\n" for k, v in kept)
-        line = f"{self.get(':method')} {self.get(':path')} HTTP/1.1\r\n"
-        head = f"{line}Host: {self.get(':authority')}\r\n{fields}Content-Length: 0\r\n\r\n"
+        """Return the HTTP/1.1 request, without a body, that is sent to an upstream."""
+        sent_rows = [(k, v) for k, v in self.rows if not k.startswith((":", "x-envoy-"))]
+        fields = "".join(f"{k}: {v}\r\n" for k, v in sent_rows)
+        request_line = f"{self.get(':method')} {self.get(':path')} HTTP/1.1\r\n"
+        head = f"{request_line}Host: {self.get(':authority')}\r\n{fields}Content-Length: 0\r\n\r\n"
         return head.encode("latin-1")
 
 
 def request_rows(
     identity: str, service_class: str, left_s: float, tenant: str = "", key: str = "", path: str = "/api"
 ) -> list[tuple[str, str]]:
-    """The headers of a client's request as the caller has them; left_s: its time left, in seconds."""
+    """Return the header rows of a client's request; left_s: the remaining time that it states, in seconds."""
     rows = [
-        (":method", "GET" if service_class in READING_CLASSES else "POST"),
+        (":method", "GET" if service_class in GET_CLASSES else "POST"),
         (":path", path),
         (":authority", "reservas.lima.example.org"),
         (":scheme", "http"),
--- a/standins/caller_types.py
+++ b/standins/caller_types.py
@@ -1,4 +1,4 @@
-"""What a stand-in calling proxy is told to do, and what it records of its clients' requests."""
+"""Configuration of a stand-in calling proxy, and its records of client requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DropStage(StrEnum):
-    """When a client leaves: before or after the decision on its attempt, or before the attempt's outcome."""
+    """The stage of an attempt at which the client disconnects."""
 
     BEFORE_DECISION = "before decision"
     AFTER_DECISION = "after decision"
@@ -19,7 +19,7 @@
 
 @dataclass
 class CallerPolicy:
-    """The caller's own configuration. Times in seconds."""
+    """Configuration of the calling proxy. Times in seconds."""
 
     # Names of headers.
     destination: str = "x-quartzford-destination"
@@ -33,37 +33,37 @@
     retries: int = 3
     back_off_s: float = 0.002  # before a retry, on average
     allow_envoy: bool = True  # x-envoy- headers may be set
-    opener: bool = False  # a stream in the downstream chain opens the request before its attempts
-    raw_values: bool = True  # raw_value or value: a runtime flag of Envoy's
-    honours: bool = False  # sends nothing on a decision that has expired
-    stall_s: float = 0.0  # between the first decision and its send, as in a proxy whose loop is overloaded
-    retries_resets: bool = False  # retries resets on its own, against what the operators' page requires
+    opener: bool = False  # a filter in the downstream chain calls the processor once before the attempts
+    raw_values: bool = True  # header values go into raw_value, else value; a runtime flag in Envoy
+    honours: bool = False  # obeys the `within` header: an expired decision is not sent
+    stall_s: float = 0.0  # delay of the first send, as in a proxy with an overloaded event loop
+    retries_resets: bool = False  # retries connection resets itself, which the operators' page forbids
 
 
 @dataclass
 class Attempt:
-    """One attempt that the caller made. Times in seconds on the monotonic clock."""
+    """Record of one attempt. Times in seconds on the monotonic clock."""
 
-    at: float  # its first byte is sent; -1: none was
+    at: float  # the request was sent; -1: it was not sent
     address: str
-    requested_at: float = 0.0  # the request for its decision was written
-    decided_at: float = 0.0  # the decision was read
+    requested_at: float = 0.0  # the decision was requested
+    decided_at: float = 0.0  # the decision was received
     outcome: str = ""  # the upstream's status, or the name of a SendFailure
-    ended: float = 0.0  # its connection is free again or closed
+    ended: float = 0.0  # its connection was returned to the pool or closed
 
 
 @dataclass
 class Exchange:
-    """One client request as the caller records it. Moments in seconds on the monotonic clock."""
+    """Record of one client request. Points in time are in seconds on the monotonic clock."""
 
     identity: str
     service_class: str
-    intended: float  # when the request was due
+    intended: float  # the scheduled start of the request
     attempts: list[Attempt] = field(default_factory=list)
-    statuses: list[int] = field(default_factory=list)  # of all responses to the client: one, if all is well
+    statuses: list[int] = field(default_factory=list)  # of responses to the client; one in a correct run
     ended: float = 0.0
-    decision_s: float = -1.0  # from the intended moment to the first decision; -1: there was none
-    report_s: float = 0.0  # spent in response phases
+    decision_s: float = -1.0  # from `intended` to the first decision; -1: no decision was received
+    report_s: float = 0.0  # total duration of the reports to the processor
     retry_after: str = ""
-    dropped: str = ""  # the DropStage at which the client left
-    reason: str = ""  # of a response that is the caller's own
+    dropped: str = ""  # the DropStage at which the client disconnected; empty: it did not
+    reason: str = ""  # why the caller responded itself; empty: the response is an upstream's
--- a/standins/delay.py
+++ b/standins/delay.py
@@ -1,9 +1,10 @@
-"""An HTTP server of known delay: python -m standins.delay SPEC, which prints its port.
+"""An HTTP server with known response delays: python -m standins.delay SPEC. It prints its port.
 
-SPEC: constant:MS, two:MS,MS,SHARE (the second for that share), exponential:MEAN_MS, never (accepts, and
-answers nothing) or none (answers at once). Delays are drawn from a seed and kept to within some 50 us: the
-loop's timers are exact to a millisecond only, so for the last of them it polls the clock. On SIGTERM it
-prints as JSON the delays as it really made them, in seconds, in order of arrival.
+SPEC: constant:MS, two:MS,MS,SHARE (the second delay for that share of requests), exponential:MEAN_MS, never
+(accepts requests and does not respond) or none (responds at once). Delays are drawn with a fixed seed and
+are accurate to about 50 us: the event loop's timers are accurate only to a millisecond, so the server polls
+the clock for the last millisecond of a delay. On SIGTERM it prints the actual delays as a JSON list, in
+seconds, in order of arrival.
 """
 
 from __future__ import annotations
@@ -23,30 +24,30 @@
 import uvloop
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-SPIN_S = 0.0015  # before a response is due: from here on the clock is polled
-TIMER_S = 0.001  # a timer's wait at most
-BACKLOG = 4096  # connections that wait to be accepted
+POLLING_S = 0.0015  # the clock is polled during this time before a response is due
+MAX_TIMER_WAIT_S = 0.001  # longest wait of one timer
+BACKLOG = 4096  # connections that wait_s to be accepted
 SEED = 1
 NEVER = -1.0
 
 
 def read_delay(spec: str, rng: random.Random) -> Callable[[], float]:
-    """A function that draws delays, in seconds; NEVER: no response."""
+    """Return a function that draws delays in seconds; NEVER means no response."""
     name, _, text = spec.partition(":")
-    figures = [float(part) for part in text.split(",") if part]
+    parameters = [float(part) for part in text.split(",") if part]
     if name == "constant":
-        return lambda: figures[0] / 1000.0
+        return lambda: parameters[0] / 1000.0
     if name == "two":
-        return lambda: figures[1 if rng.random() < figures[2] else 0] / 1000.0
+        return lambda: parameters[1 if rng.random() < parameters[2] else 0] / 1000.0
     if name == "exponential":
-        return lambda: rng.expovariate(1000.0 / figures[0])
+        return lambda: rng.expovariate(1000.0 / parameters[0])
     return lambda: NEVER if name == "never" else 0.0
 
 
 class PendingResponse(NamedTuple):
-    """A response that is due later; times in seconds on the monotonic clock.
+    """A scheduled response; times in seconds on the monotonic clock.
 
-    Those that are due first sort first.
+    The order of the fields sorts responses by due time.
     """
 
     due: float
@@ -56,7 +57,7 @@
 
 
 class Delay(NamedTuple):
-    """A delay as it was made, in seconds, and when its request arrived on the monotonic clock."""
+    """An actual delay in seconds, and the arrival of its request on the monotonic clock."""
 
     arrived: float
     seconds: float
@@ -71,34 +72,34 @@
         self.pending: list[PendingResponse] = []  # a heap
         self.delays: list[Delay] = []
         self.numbers = itertools.count()
-        self.scheduled = False  # the next look at the clock
+        self.write_scheduled = False  # whether a call of _write_due is scheduled
 
     def accept(self, connection: Connection) -> None:
-        """Respond to a request, or schedule the response."""
+        """Draw the delay of a request, and respond at once or schedule the response."""
         delay = self.draw_delay()
         if delay == 0:
             connection.transport.write(RESPONSE)
         elif delay > 0:
             now = monotonic()
             heapq.heappush(self.pending, PendingResponse(now + delay, next(self.numbers), connection, now))
-            if not self.scheduled:
-                self.scheduled = True
+            if not self.write_scheduled:
+                self.write_scheduled = True
                 self.loop.call_soon(self._write_due)
 
     def _write_due(self) -> None:
-        """Write the responses that are due, and schedule the next look at the clock."""
+        """Write the responses that are due, and schedule the next call if responses are pending."""
         now = monotonic()
         while self.pending and self.pending[0].due <= now:
             response = heapq.heappop(self.pending)
             if not response.connection.transport.is_closing():
                 response.connection.transport.write(RESPONSE)
                 self.delays.append(Delay(response.arrived, monotonic() - response.arrived))
-        self.scheduled = bool(self.pending)
-        if not self.scheduled:
+        self.write_scheduled = bool(self.pending)
+        if not self.write_scheduled:
             return
-        wait = self.pending[0].due - now
-        if wait > SPIN_S:
-            self.loop.call_later(min(wait - SPIN_S, TIMER_S), self._write_due)
+        wait_s = self.pending[0].due - now
+        if wait_s > POLLING_S:
+            self.loop.call_later(min(wait_s - POLLING_S, MAX_TIMER_WAIT_S), self._write_due)
         else:
             self.loop.call_soon(self._write_due)
 
@@ -117,7 +118,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a request; what isn't HTTP resets the connection."""
+        """Parse received bytes of a request; reset the connection if they are not valid HTTP."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -129,7 +130,7 @@
 
 
 async def serve(spec: str, seed: int) -> None:
-    """Serve until SIGTERM; prints the port, and at the end the delays."""
+    """Serve until SIGTERM; print the port at the start and the delays at the end."""
     loop = asyncio.get_running_loop()
     server = Server(read_delay(spec, random.Random(seed)))
     listening = await loop.create_server(lambda: Connection(server), "127.0.0.1", 0, backlog=BACKLOG)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,9 +1,10 @@
-"""A fleet of stand-in upstreams in a process of its own, with scripted or random faults.
+"""A fleet of stand-in upstreams in a separate process, with scripted or random faults.
 
     python -m standins.fleet [PLAN as JSON]
 
-prints its registry's port and the complete list as one line of JSON, and ends on SIGTERM. The faults begin
-with a line on standard input. GET /books at the registry's port gives what the fleet saw.
+prints the registry's port and the complete list as one line of JSON, and exits on SIGTERM. The faults start
+when a line arrives on standard input. GET /books at the registry's port returns the fleet's account
+(Registry.account).
 """
 
 from __future__ import annotations
@@ -27,16 +28,16 @@
 
 FAULTS = ("die", "drain", "hang", *(mode for mode in Mode if mode != Mode.OK))
 RANDOM_FAULTS = ("die", "drain", "drain", Mode.SILENT, Mode.SWALLOW)
-RANDOM_INTERVAL_S = (0.3, 0.9)  # between random faults, at RANDOM_UPSTREAMS and pace 1
-RANDOM_UPSTREAMS = 24
-FAULTY_PART = 5  # random faults leave all but one in so many upstreams alone
+RANDOM_INTERVAL_S = (0.3, 0.9)  # between random faults, with RANDOM_INTERVAL_UPSTREAMS upstreams and pace 1
+RANDOM_INTERVAL_UPSTREAMS = 24
+UPSTREAMS_PER_FAULT = 5  # at most one in this many upstreams has a random fault at a time
 UPSTREAMS_PER_BLOCK = 4
-SLOW_FACTOR = 4  # of the latency of the plan's slow upstreams
-SLOW_MODE_FACTOR = 8.0  # of an upstream's times in the mode "slow"
-DRAIN_S = 1.0  # from the notice that an upstream drains until it stops
-NOTICE_DELAY_S = (0.3, 1.0)  # from a crash until the registry knows
-FAULTY_MODE_S = (1.0, 2.0)
-DOWN_S = (0.5, 1.5)  # from the notice that an upstream is gone until its successor starts
+SLOW_FACTOR = 4  # multiplies the latency of the plan's slow upstreams
+SLOW_MODE_FACTOR = 8.0  # multiplies an upstream's execution time and latency in the mode "slow"
+DRAIN_S = 1.0  # from the notification of a drain until the upstream stops
+CRASH_NOTICE_DELAY_S = (0.3, 1.0)  # from a crash until the registry lists it
+FAULTY_MODE_S = (1.0, 2.0)  # from the start of a faulty mode until the upstream stops
+DOWNTIME_S = (0.5, 1.5)  # from the notification that an upstream is gone until its successor starts
 SETTLE_S = 4.0  # from a successor's start until it may become faulty again
 
 # Keys of the command line's JSON that differ from the plan's fields.
@@ -45,13 +46,16 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """A fleet. Times in seconds. faults: 'random', or fault@when:upstream, such as 'die@5:3 drain@8:4'."""
+    """Configuration of a fleet. Times in seconds.
+
+    faults: 'random', or a list of fault@seconds:upstream, such as 'die@5:3 drain@8:4'.
+    """
 
     upstreams: int = 12
-    capacity: float = 150.0  # of each, requests a second when warm
+    capacity: float = 150.0  # of each upstream when warm, in requests a second
     cores: int = 2
     latency_s: float = 0.005
-    slow: int = 0  # so many of them take SLOW_FACTOR times as long
+    slow: int = 0  # number of upstreams with SLOW_FACTOR times the latency
     queue: int = 60
     start_share: float = 0.13
     warm_s: float = 24.0
@@ -60,29 +64,29 @@
     idle_s: float = 15.0
     seed: int = 1
     faults: str = ""
-    pace: float = 1.0  # of random faults: 1 is one in 0.3 to 0.9 s at 24 upstreams
-    fresh: int = 0  # so many of them restart, cold, when the faults begin
+    pace: float = 1.0  # rate of random faults; 1: one every 0.3 to 0.9 s with 24 upstreams
+    fresh: int = 0  # number of upstreams that restart, cold, when the faults start
 
 
 def plan_from_json(table: dict[str, Any]) -> Plan:
-    """The plan of a command line's JSON object; TypeError if it has an unknown key."""
+    """Return the plan for the command line's JSON object; raise TypeError if it has an unknown key."""
     return Plan(**{PLAN_KEYS.get(key, key): value for key, value in table.items()})
 
 
 def plan_to_json(plan: Plan) -> dict[str, Any]:
-    """The JSON object that plan_from_json reads."""
+    """Return the JSON object that plan_from_json reads."""
     keys = {field: key for key, field in PLAN_KEYS.items()}
     return {keys.get(field, field): value for field, value in asdict(plan).items()}
 
 
 class Fleet:
-    """The upstreams, and the faults that happen to them."""
+    """The upstreams, and the tasks that inject faults into them."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.rng = random.Random(plan.seed)
         self.events: list[FaultEvent] = []
-        self.faulty: set[str] = set()  # names of upstreams in a fault, or settling after it
+        self.faulty: set[str] = set()  # names of upstreams with a fault, or not yet settled after a restart
         self.tasks: set[asyncio.Task[None]] = set()
 
     def _make_upstream(self, number: int, journal: ExecutionJournal) -> StandInUpstream:
@@ -111,21 +115,21 @@
         self.registry.events = self.events
 
     def begin(self) -> None:
-        """Begin with the plan's faults; ValueError if there is no such fault."""
+        """Start the plan's faults; raise ValueError for an unknown fault."""
         for upstream in self.upstreams[: self.plan.fresh]:
             self._start_task(self._restart(upstream))
         if self.plan.faults == "random":
             self._start_task(self._inject_random_faults())
             return
-        for word in self.plan.faults.split():
-            fault, _, rest = word.partition("@")
+        for fault_spec in self.plan.faults.split():
+            fault, _, rest = fault_spec.partition("@")
             at, _, number = rest.partition(":")
             if fault not in FAULTS:
-                raise ValueError(f"{word!r}: no such trouble; there are {', '.join(FAULTS)}")
+                raise ValueError(f"{fault_spec!r} names an unknown fault; known faults: {', '.join(FAULTS)}")
             self._start_task(self._inject_at(float(at), self.upstreams[int(number)], fault))
 
     def stop(self) -> None:
-        """End all faults as they are."""
+        """Cancel all fault tasks; upstreams stay in their present state."""
         for task in list(self.tasks):
             task.cancel()
 
@@ -143,21 +147,21 @@
         await self.inject(upstream, fault)
 
     async def inject(self, upstream: StandInUpstream, fault: str) -> None:
-        """Play one upstream's fault from its beginning until its cold successor has settled, some 8 s."""
+        """Inject a fault into an upstream, and wait until its cold successor has settled, about 8 s."""
         self.faulty.add(upstream.name)
         self.events.append(FaultEvent(time.monotonic(), fault, upstream.name))
-        if fault == "hang":  # for good, and the registry knows nothing
+        if fault == "hang":  # permanent, and the registry is not updated
             upstream.mode = Mode.SWALLOW
             return
         if fault == "drain":
             await self._drain(upstream)
         elif fault == "die":
             await upstream.stop()
-            await asyncio.sleep(self.rng.uniform(*NOTICE_DELAY_S))
+            await asyncio.sleep(self.rng.uniform(*CRASH_NOTICE_DELAY_S))
         else:
             await self._misbehave(upstream, fault)
         self.registry.notify(upstream, health="gone")
-        await asyncio.sleep(self.rng.uniform(*DOWN_S))
+        await asyncio.sleep(self.rng.uniform(*DOWNTIME_S))
         await self._restart(upstream)
         self.events.append(FaultEvent(time.monotonic(), "cold", upstream.name))
         await asyncio.sleep(SETTLE_S)
@@ -176,32 +180,32 @@
         await upstream.stop()
 
     async def _inject_random_faults(self) -> None:
-        """Play random faults, on at most one in FAULTY_PART upstreams at a time, until cancelled."""
+        """Inject random faults, at most one per UPSTREAMS_PER_FAULT upstreams at a time, until cancelled."""
         plan, rng = self.plan, self.rng
         while True:
             interval_s = rng.uniform(*RANDOM_INTERVAL_S)
-            await asyncio.sleep(interval_s * RANDOM_UPSTREAMS / plan.upstreams / plan.pace)
+            await asyncio.sleep(interval_s * RANDOM_INTERVAL_UPSTREAMS / plan.upstreams / plan.pace)
             healthy = [upstream for upstream in self.upstreams if upstream.name not in self.faulty]
-            if len(self.faulty) < max(1, plan.upstreams // FAULTY_PART):
+            if len(self.faulty) < max(1, plan.upstreams // UPSTREAMS_PER_FAULT):
                 fault = rng.choice(RANDOM_FAULTS)
                 self._start_task(self.inject(rng.choice(healthy), fault))
 
     def account(self) -> dict[str, Any]:
-        """The registry's account, with the plan."""
+        """Return the registry's account, with the plan added."""
         return self.registry.account() | {"plan": plan_to_json(self.plan)}
 
 
 async def run(plan: Plan) -> None:
-    """Run a fleet until SIGTERM; prints its registry's port and list as a line of JSON."""
+    """Run a fleet until SIGTERM; print the registry's port and list as a line of JSON."""
     loop = asyncio.get_running_loop()
     fleet = Fleet(plan)
     await fleet.start()
     ended: asyncio.Future[None] = loop.create_future()
     loop.add_signal_handler(signal.SIGTERM, ended.cancel)
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the whole group; the starter sends SIGTERM
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C reaches the whole group; the parent sends SIGTERM
     print(json.dumps({"port": fleet.registry.port, "list": fleet.registry.complete()}), flush=True)
-    begun = loop.run_in_executor(None, sys.stdin.readline)
-    begun.add_done_callback(lambda line: fleet.begin() if line.result() else None)
+    begin_line = loop.run_in_executor(None, sys.stdin.readline)
+    begin_line.add_done_callback(lambda read: fleet.begin() if read.result() else None)
     await asyncio.wait((ended,))
     fleet.stop()
     await fleet.registry.stop()
@@ -210,7 +214,7 @@
 
 
 def main() -> int:
-    """Run the plan of the command line; the exit status."""
+    """Run the plan of the command line; return the exit status."""
     plan = plan_from_json(json.loads(sys.argv[1] if len(sys.argv) > 1 else "{}"))
     uvloop.run(run(plan))
     return 0
--- a/standins/listservice.py
+++ b/standins/listservice.py
@@ -1,17 +1,22 @@
-"""A stand-in list service that a whole fleet polls: one worker, a queue before it, and scripted faults.
+"""A stand-in list service that a whole fleet polls: a call queue, one worker, and scripted faults.
 
     python -m standins.listservice '{"per_s": 50, "line": "queues", ...}'
 
-prints {"port": N} and then takes lines of JSON on standard input: {"hosts": [...]} is the list from now on
-(sent to every watch), {"change": [...]} rows that are new, changed or gone (health "gone"), {"begin": T} the
-release on the machine's monotonic clock, from which the spans of the plan count, {"down": S} that it is down
-from now on for so many seconds. {"count": 1} requests a line of counts by the first half of the callers'
-addresses. GET /books gives what it saw; SIGTERM ends it.
+prints {"port": N} and then reads commands from standard input, one JSON object a line:
 
-It speaks the platform's discovery (GET /catalog/members, with stream=1&index=N a watch). Calls are worked
-through one at a time, `per_s` a second, each as long as its bytes take besides. What waits there goes on
-being worked on though its caller has left ("queues"), or is rejected at once with a 503 where it would wait
-for over MAX_WAIT_S ("turns away"). While it is down nobody listens, and open connections are reset.
+    {"hosts": [...]}   replaces the list and sends the changes to every watch
+    {"change": [...]}  adds or changes these rows, and removes those with health "gone"
+    {"begin": T}       sets the release, on the machine's monotonic clock; the plan's spans count from it
+    {"down": S}        starts an outage of S seconds
+    {"count": 1}       prints a line of counts by the first two numbers of the callers' addresses
+
+GET /books returns its account (Service.account); SIGTERM stops it.
+
+It implements the platform's discovery protocol (GET /catalog/members; stream=1&index=N opens a watch). The
+worker processes one call at a time; a call takes 1 / per_s seconds plus a time proportional to its answer's
+length. With the overload policy "queues", queued calls are processed even if their callers have
+disconnected; with "turns away", a call that would wait for over MAX_QUEUE_WAIT_S is rejected at once with a
+503. During an outage the service doesn't listen, and open connections are reset.
 """
 
 from __future__ import annotations
@@ -31,15 +36,15 @@
 from standins.listservice_connection import Connection, address_prefix
 
 BACKLOG = 4096  # connections that wait to be accepted
-MAX_WAIT_S = 1.0  # in the queue of a service that rejects
-FLUSH_S = 0.02  # from a truncated answer to the crash, so that the half is on its way before the reset
-COMMAND_LIMIT = 2**26  # bytes of a line on standard input
+MAX_QUEUE_WAIT_S = 1.0  # longest expected wait in the queue with Overload.REJECTS
+CRASH_DELAY_S = 0.02  # from a truncated answer to the crash, so that its bytes are sent before the reset
+MAX_COMMAND_BYTES = 2**26  # longest line on standard input, in bytes
 
 Span = tuple[float, float]
 
 
 class Overload(StrEnum):
-    """What a service does with calls that it can't answer soon."""
+    """Policy for calls that the service can't answer soon."""
 
     QUEUES = "queues"
     REJECTS = "turns away"
@@ -47,19 +52,19 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What the service does. Times in seconds, spans as (begin, end) from the release."""
+    """Configuration of the service. Times in seconds; spans are (begin, end) after the release."""
 
     per_s: float = 50.0  # calls a second
     overload: str = Overload.QUEUES
     outages: tuple[Span, ...] = ()
-    unresponsive: tuple[Span, ...] = ()  # accepts calls and answers nothing
-    retry_after: str = ""  # the field that a 503 carries
-    trickle_s: float = 0.0  # for how long an answer's bytes are on their way
-    always_complete: bool = False  # a watch is sent the complete list at each change
-    crash_after: int = 0  # answers; it crashes in the middle of the next, once
-    crash_s: float = 2.0  # for how long it is down then
-    versions_restart: bool = False  # its versions begin anew after an outage
-    bytes_per_s: float = 50e6  # what an answer's length costs
+    unresponsive: tuple[Span, ...] = ()  # spans in which it accepts calls and doesn't answer
+    retry_after: str = ""  # the Retry-After value of a 503; empty: none
+    trickle_s: float = 0.0  # time over which the bytes of an answer are spread
+    always_complete: bool = False  # each change sends the complete list to watches
+    crash_after: int = 0  # it crashes once, in the middle of the answer with this number; 0: never
+    crash_s: float = 2.0  # length of the outage after the crash
+    versions_restart: bool = False  # list versions restart at 1 after an outage
+    bytes_per_s: float = 50e6  # bytes that the worker processes a second
     address: str = "127.0.0.1"
 
 
@@ -78,7 +83,7 @@
 
 
 def plan_from_json(table: dict[str, Any]) -> Plan:
-    """The plan of a command line's JSON object; TypeError if it has an unknown key."""
+    """Return the plan for the command line's JSON object; raise TypeError if it has an unknown key."""
     fields = {PLAN_KEYS.get(key, key): value for key, value in table.items()}
     for name in SPAN_FIELDS:
         if name in fields:
@@ -87,14 +92,14 @@
 
 
 class CallKind(StrEnum):
-    """What a call requests."""
+    """What a call requests: the list once, or a watch of it."""
 
     LIST = "whole"
     WATCH = "changes"
 
 
 class Call(NamedTuple):
-    """A call that came, in seconds on the monotonic clock."""
+    """A received call. `at` is in seconds on the monotonic clock."""
 
     at: float
     caller: str  # its address
@@ -102,15 +107,15 @@
 
 
 class AnswerOutcome(StrEnum):
-    """How a call ended."""
+    """The outcome of a call."""
 
     ANSWERED = "answered"
     REJECTED = "turned away"
-    ABANDONED = "for nobody"  # worked on, but its caller had left
+    ABANDONED = "for nobody"  # processed after its caller had disconnected
 
 
 class Answer(NamedTuple):
-    """The end of a call, in seconds on the monotonic clock."""
+    """The completion of a call. `at` is in seconds on the monotonic clock."""
 
     at: float
     caller: str  # its address
@@ -134,15 +139,15 @@
         self.server: asyncio.Server | None = None
         self.port = 0
         self.began = float("inf")
-        self.busy = False  # a call is being worked on
+        self.busy = False  # whether the worker processes a call
         self.crashed = False
         self.calls: list[Call] = []
         self.answers: list[Answer] = []
-        self.bytes = 0  # of all lists and changes sent
-        self.encoded_whole: tuple[int, bytes] = 0, b""  # the complete list's text, and of which version
-        self.encoded_changes: dict[int, bytes] = {}  # texts of changes, by the version that they follow
-        self.sent: Counter[str] = Counter()  # bytes of lists and changes, by the receiver's role
-        self.lines: Counter[str] = Counter()  # lists and changes, likewise
+        self.bytes = 0  # total length of all lists and changes sent
+        self.encoded_whole: tuple[int, bytes] = 0, b""  # version and JSON text of the complete list
+        self.encoded_changes: dict[int, bytes] = {}  # JSON texts of changes, by the version before them
+        self.sent: Counter[str] = Counter()  # bytes of lists and changes sent, by the caller's role
+        self.lines: Counter[str] = Counter()  # number of lists and changes sent, by the caller's role
 
     async def start(self) -> None:
         """Listen at the plan's address; the port stays the same after an outage."""
@@ -173,7 +178,7 @@
             self.stop()
 
     def end_outage(self) -> None:
-        """Listen again, unless it does."""
+        """Listen again, if the service doesn't."""
         if self.server is None:
             if self.plan.versions_restart:
                 self.version, self.changed_at, self.removed = 1, dict.fromkeys(self.rows, 1), {}
@@ -181,14 +186,14 @@
             asyncio.ensure_future(self.start())
 
     def is_unresponsive(self) -> bool:
-        """Whether it answers nothing at this moment."""
+        """Return whether the service is in an unresponsive span now."""
         since = monotonic() - self.began
         return any(begin <= since < end for begin, end in self.plan.unresponsive)
 
     # ---- the list
 
     def replace_list(self, hosts: list[dict[str, Any]]) -> None:
-        """The list as it is from now on; watches are sent what has changed."""
+        """Replace the list, and send the changes to all watches."""
         self.version += 1
         self.encoded_changes.clear()
         names = {row["host"] for row in hosts}
@@ -201,7 +206,7 @@
         self._send_to_all()
 
     def change_rows(self, rows: list[dict[str, Any]]) -> None:
-        """Single rows of the list, at a cost that does not grow with the list."""
+        """Change single rows and send them to all watches; the cost doesn't grow with the list."""
         self.version += 1
         for row in rows:
             name = row["host"]
@@ -220,7 +225,7 @@
             self.send_changes(watch, self.version - 1)
 
     def encoded(self, since: int | None) -> bytes:
-        """The text of the complete list, or of what changed after a version."""
+        """Return the JSON text of the complete list, or of the changes after the version `since`."""
         if since is None or since <= 0 or since > self.version or self.plan.always_complete:
             if self.encoded_whole[0] != self.version:
                 self.encoded_whole = self.version, self._encode(True, list(self.rows.values()))
@@ -235,12 +240,12 @@
         return json.dumps({"seq": self.version, "whole": complete, "hosts": rows}).encode() + b"\n"
 
     def send_changes(self, watch: Connection, since: int | None) -> None:
-        """Write what changed after a version to a watch, as one chunk."""
+        """Write the changes after the version `since` to a watch, as one chunk."""
         text = self.encoded(since)
-        self._count(watch, text)
+        self._count_sent(watch, text)
         watch.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
-    def _count(self, connection: Connection, text: bytes) -> None:
+    def _count_sent(self, connection: Connection, text: bytes) -> None:
         self.bytes += len(text)
         self.sent[connection.role] += len(text)
         self.lines[connection.role] += 1
@@ -248,18 +253,18 @@
     # ---- calls
 
     def accept(self, connection: Connection) -> None:
-        """Note a call and put it into the queue, or reject it where the queue is too long."""
+        """Record a call, and queue it, or reject it if the queue is too long."""
         kind = CallKind.LIST if connection.since is None else CallKind.WATCH
         self.calls.append(Call(monotonic(), connection.peer, kind))
         if self.is_unresponsive():
             return
-        if self.plan.overload == Overload.REJECTS and len(self.queue) / self.plan.per_s > MAX_WAIT_S:
+        if self.plan.overload == Overload.REJECTS and len(self.queue) / self.plan.per_s > MAX_QUEUE_WAIT_S:
             return self.reject(connection)
         self.queue.append(connection)
         self.serve_next()
 
     def reject(self, connection: Connection) -> None:
-        """Answer 503, with Retry-After where the plan has it, and close."""
+        """Answer 503, with Retry-After if the plan has one, and close the connection."""
         self.answers.append(Answer(monotonic(), connection.peer, AnswerOutcome.REJECTED))
         field = f"Retry-After: {self.plan.retry_after}\r\n" if self.plan.retry_after else ""
         connection.transport.write(
@@ -268,40 +273,40 @@
         connection.transport.close()
 
     def serve_next(self) -> None:
-        """Begin with the first call of the queue, unless one is being worked on."""
+        """Start to process the first call of the queue, unless the worker is busy."""
         if self.busy or not self.queue:
             return
         self.busy = True
         connection = self.queue.popleft()
         text, connection.version = self.encoded(connection.since), self.version
-        took = 1.0 / self.plan.per_s + len(text) / self.plan.bytes_per_s
-        asyncio.get_running_loop().call_later(took, self.finish, connection, text)
+        processing_s = 1.0 / self.plan.per_s + len(text) / self.plan.bytes_per_s
+        asyncio.get_running_loop().call_later(processing_s, self.finish, connection, text)
 
     def finish(self, connection: Connection, text: bytes) -> None:
-        """Answer the call that was worked on, if its caller is still there; or crash in the middle of it."""
+        """Answer the processed call if its caller is still connected, or crash in mid-answer."""
         self.busy = False
-        gone = connection.transport.is_closing()
-        outcome = AnswerOutcome.ABANDONED if gone else AnswerOutcome.ANSWERED
+        disconnected = connection.transport.is_closing()
+        outcome = AnswerOutcome.ABANDONED if disconnected else AnswerOutcome.ANSWERED
         self.answers.append(Answer(monotonic(), connection.peer, outcome))
         if 0 < self.plan.crash_after <= len(self.answers) and not self.crashed:
             self._crash(connection, text)
             return
-        if not gone:
-            self._count(connection, text)
+        if not disconnected:
+            self._count_sent(connection, text)
             connection.answer(text)
         self.serve_next()
 
     def _crash(self, connection: Connection, text: bytes) -> None:
-        """Go down for a while in the middle of an answer."""
+        """Send half of an answer, then stop for the plan's crash_s."""
         self.crashed = True
         if not connection.transport.is_closing():
             connection.answer(text[: len(text) // 2], truncated=True)
         loop = asyncio.get_running_loop()
-        loop.call_later(FLUSH_S, self.stop)
-        loop.call_later(FLUSH_S + self.plan.crash_s, self.end_outage)
+        loop.call_later(CRASH_DELAY_S, self.stop)
+        loop.call_later(CRASH_DELAY_S + self.plan.crash_s, self.end_outage)
 
     def account(self) -> dict[str, Any]:
-        """What it saw, as GET /books gives it: moments on the monotonic clock in seconds."""
+        """Return the account that GET /books sends; times are in seconds on the monotonic clock."""
         return {
             "began": self.began,
             "calls": self.calls,
@@ -312,14 +317,14 @@
         }
 
     def counts(self) -> dict[str, Any]:
-        """Bytes, calls and lines so far, by the callers' roles."""
+        """Return the numbers of bytes, calls and lines so far, by the callers' roles."""
         calls = Counter(address_prefix(call.caller) for call in self.calls)
         return {"bytes": self.sent, "calls": calls, "lines": self.lines, "watches": len(self.watches)}
 
 
 async def _read_commands(service: Service) -> None:
-    """Carry out the lines of standard input, until it ends."""
-    reader = asyncio.StreamReader(limit=COMMAND_LIMIT)
+    """Execute the commands on standard input until end of file."""
+    reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
@@ -339,12 +344,12 @@
 
 
 async def run(plan: Plan) -> None:
-    """Serve until SIGTERM; prints the port as a line of JSON."""
+    """Serve until SIGTERM; print the port as a line of JSON."""
     service = Service(plan)
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[None] = loop.create_future()
     loop.add_signal_handler(signal.SIGTERM, ended.cancel)
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the whole group; the starter sends SIGTERM
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C reaches the whole group; the parent sends SIGTERM
     await service.start()
     print(json.dumps({"port": service.port}), flush=True)
     commands = asyncio.ensure_future(_read_commands(service))
@@ -354,7 +359,7 @@
 
 
 def main() -> int:
-    """Serve the plan of the command line; the exit status."""
+    """Serve the plan of the command line; return the exit status."""
     plan = plan_from_json(json.loads(sys.argv[1] if len(sys.argv) > 1 else "{}"))
     uvloop.run(run(plan))
     return 0
--- a/standins/registry.py
+++ b/standins/registry.py
@@ -1,7 +1,7 @@
-"""A stand-in discovery service: notifies each watcher of every change, and records when it did.
+"""A stand-in discovery service: notifies each watcher of every change, and records the times.
 
-It speaks the platform's discovery (GET /catalog/members, with stream=1 a watch). GET /books gives the fleet's
-account: what its upstreams and the registry itself have seen.
+It implements the platform's discovery protocol (GET /catalog/members; stream=1 opens a watch). GET /books
+returns the fleet's account: the records of its upstreams and of the registry.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ListedUpstream(Protocol):
-    """An upstream as the registry needs it."""
+    """The part of an upstream that the registry uses."""
 
     name: str
     capacity: float
@@ -28,21 +28,21 @@
     warm_s: float
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """Its row in the list, with these fields changed."""
+        """Return the upstream's row in the list, with these fields changed."""
 
 
 @dataclass
 class Drain:
-    """A span for which an upstream was listed as draining or gone, in seconds on the monotonic clock."""
+    """A span in which an upstream is listed as draining or gone, in seconds on the monotonic clock."""
 
     upstream: str
     address: str
     notified_at: float
-    until: float | None = None  # None: still
+    until: float | None = None  # None: the upstream is still draining or gone
 
 
 class FaultEvent(NamedTuple):
-    """The beginning of a fault, or of a cold successor ("cold"), in seconds on the monotonic clock."""
+    """The start of a fault, or of a cold successor ("cold"), in seconds on the monotonic clock."""
 
     at: float
     fault: str
@@ -59,10 +59,10 @@
         self.port = 0
         self.watchers: set[asyncio.Transport] = set()
         self.drains: list[Drain] = []
-        self.events: list[FaultEvent] = []  # of whoever injects faults
+        self.events: list[FaultEvent] = []  # set by the component that injects faults
 
     async def start(self) -> None:
-        """Listen on the loopback interface, at the same port as before if there was one."""
+        """Listen on the loopback interface; a restart uses the same port."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: RegistryConnection(self), "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
@@ -76,17 +76,17 @@
             transport.abort()
 
     def _heartbeat(self) -> None:
-        """Write an empty line to each watcher, and again later, until the server stops."""
+        """Write an empty line to each watcher now and every HEARTBEAT_S, until the server stops."""
         if self.server is not None and self.server.is_serving():
             self.broadcast(b"\n")
             asyncio.get_running_loop().call_later(HEARTBEAT_S, self._heartbeat)
 
     def complete(self) -> dict[str, Any]:
-        """The complete list, as discovery sends it."""
+        """Return the complete list, as the discovery protocol sends it."""
         return {"seq": self.version, "whole": True, "hosts": [u.entry() for u in self.upstreams]}
 
     def notify(self, upstream: ListedUpstream, **changes: Any) -> None:
-        """Notify all watchers now of an upstream's row, with these fields changed."""
+        """Send an upstream's row, with these fields changed, to all watchers."""
         self.version += 1
         entry = upstream.entry(**changes)
         line = {"seq": self.version, "whole": False, "hosts": [entry]}
@@ -94,7 +94,7 @@
         self._record_drain(upstream.name, entry)
 
     def _record_drain(self, name: str, entry: dict[str, Any]) -> None:
-        """Open or close the upstream's drain by what its watchers have just been sent."""
+        """Start or end the upstream's drain, according to the row that was just sent to the watchers."""
         now = monotonic()
         open_drains = [drain for drain in self.drains if drain.upstream == name and drain.until is None]
         if entry["health"] == "ready":
@@ -104,7 +104,7 @@
             self.drains.append(Drain(name, entry["dial"], now))
 
     def account(self) -> dict[str, Any]:
-        """All that the fleet saw, as quartzford/load/reconciliation.py reads it; GET /books gives it too."""
+        """Return the fleet's account, which quartzford/load/reconciliation.py reads and GET /books sends."""
         journal = self.journal
         return {
             "version": ACCOUNT_VERSION,
@@ -119,7 +119,7 @@
         }
 
     def _restart_rows(self) -> list[list[Any]]:
-        """All cold starts as rows: upstream, incarnation, when, and by which figures it warms up."""
+        """Return all cold starts as rows: upstream, incarnation, time, capacity, start share, warm_s."""
         return [
             [*restart, upstream.capacity, upstream.start_share, upstream.warm_s]
             for restart in self.journal.restarts
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,23 +1,23 @@
-"""A made-up site: a balancer's configuration in the platform's form, and ports for processes on loopback."""
+"""An example site: a balancer's configuration in the platform's form, and reserved loopback ports."""
 
 from __future__ import annotations
 
 import socket
 from typing import Any
 
-_reservations: list[socket.socket] = []
+_reserved_sockets: list[socket.socket] = []
 
 
 def reserved_port(host: str = "127.0.0.1") -> int:
-    """A loopback port for a server in another process, which has to be named before it listens.
+    """Return a loopback port for a server in another process, which must know the port before it listens.
 
-    It stays bound until this process ends, so that the kernel gives it to nobody else; whoever sets
-    SO_REUSEADDR, as servers do, may listen there.
+    The port stays bound until this process exits, so that the kernel assigns it to no other socket; a server
+    that sets SO_REUSEADDR, as servers usually do, can still listen on it.
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, 0))
-    _reservations.append(sock)
+    _reserved_sockets.append(sock)
     return int(sock.getsockname()[1])
 
 
@@ -34,18 +34,18 @@
     },
     {"name": "cobro", "sloMs": 600.0, "deadlineMs": 2000.0, "value": 8.0, "effect": "single_shot"},
 ]
-MIX = (("consulta", 0.6), ("reserva", 0.3), ("cobro", 0.1))  # classes and their share of requests
+MIX = (("consulta", 0.6), ("reserva", 0.3), ("cobro", 0.1))  # service classes and their shares of requests
 START_SHARE = 0.13  # fraction of its capacity at which a cold upstream starts
-WARM_S = 24.0  # until a cold upstream has its full capacity
-OVERLOAD_WINDOW_S = 2.0  # the window over which an upstream's overload counts ...
-OVERLOAD_MULTIPLE = 4.0  # ... from this multiple of its capacity on
-DRAIN_S = 0.25  # from the notice of a drain to the last request that may be sent
+WARM_S = 24.0  # time until a cold upstream has its full capacity
+OVERLOAD_WINDOW_S = 2.0  # window over which an upstream's load is compared with its capacity
+OVERLOAD_MULTIPLE = 4.0  # an upstream is overloaded from this multiple of its capacity on
+DRAIN_S = 0.25  # from the notification of a drain until no request may be sent any more
 
 
 def config(listen: int, discovery: int, known: dict[str, Any]) -> dict[str, Any]:
-    """A balancer's configuration in the platform's form.
+    """Return a balancer's configuration in the platform's form.
 
-    listen, discovery: ports on the loopback interface; known: the endpoint list at the start.
+    listen, discovery: loopback ports; known: the initial endpoint list.
     """
     return {
         "name": "n0",
@@ -59,7 +59,7 @@
 
 
 def _settings() -> dict[str, Any]:
-    """The settings of the site's balancers, in the platform's form."""
+    """Return the settings of the site's balancers, in the platform's form."""
     return {
         "blend": {"whole": 0.55, "worstWindow": 0.15, "worstClass": 0.05, "worstTenant": 0.25},
         "classes": CLASSES,
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,12 +1,13 @@
-"""Stand-in upstreams: HTTP/1.1 servers by the platform's protocol, with a journal of what they executed.
-
-An upstream executes `capacity` requests a second when warm, on a number of cores with one queue before
-them. A fresh one starts at a fraction of that and warms up. A request that finds the queue full, the
-upstream draining, or too many connections, is answered 503 with X-Unprocessed: 1. Waiting work whose client
-has left is dropped, running work is not. What an upstream accepts counts as executed, whether or not its
-response arrives. A repeat of a keyed request is dropped by the upstreams of one block for a while: answered
-at once, without a second effect. A new connection costs a core some work, and the first request on it as
-much time; an idle one is closed. A request with X-Answer-Bytes gets a response body of that length.
+"""Stand-in upstreams: HTTP/1.1 servers of the platform's protocol, with a journal of executed requests.
+
+A warm upstream executes `capacity` requests a second, on a number of cores that share one queue. A
+restarted upstream starts at a fraction of that capacity and warms up. If the queue is full, the upstream is
+draining, or it has too many connections, a request is answered 503 with X-Unprocessed: 1. A waiting request
+is dropped when its client disconnects; a running request is not. An accepted request counts as executed,
+whether or not its response arrives. The upstreams of one block drop repeats of an idempotency key within
+the journal's window_s: a repeat is answered at once, without a second effect. A new connection occupies a
+core for connect_s and delays its first response by as much; idle connections are closed. A request with
+X-Answer-Bytes gets a response body of that length.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 ]
 
 BACKLOG = 1024  # connections that wait to be accepted
-LATENCY_SPREAD = (0.8, 1.2)  # of an upstream's latency, drawn for each response
+LATENCY_SPREAD = (0.8, 1.2)  # random factor of the upstream's latency, drawn for each response
 
 
 class Work(NamedTuple):
@@ -47,7 +48,7 @@
 
 
 class StandInUpstream:
-    """One upstream at one address; restart() gives it a new, cold incarnation there.
+    """One upstream at one address; restart() starts a new, cold incarnation at the same address.
 
     capacity is in requests a second, all times are in seconds.
     """
@@ -73,25 +74,25 @@
         self.name, self.journal, self.site, self.block = name, journal, site, block
         self.capacity, self.latency_s, self.queue = capacity, latency_s, queue
         self.start_share, self.warm_s = start_share, warm_s
-        self.cores, self.most_connections = cores, most_connections  # 0 connections: no limit
-        self.connect_s, self.idle_s = connect_s, idle_s  # 0: costs nothing; never closed
+        self.cores, self.most_connections = cores, most_connections  # most_connections 0: no limit
+        self.connect_s, self.idle_s = connect_s, idle_s  # connect_s 0: no cost; idle_s 0: no idle time-out
         self.rng = rng or random.Random(name)
         self.mode: str = Mode.OK
         self.slowness = 1.0
         self.health = "ready"
         self.incarnation = 0
-        self.started_at: float | None = None  # None: long ago
+        self.started_at: float | None = None  # last restart; None: not restarted, so the upstream is warm
         self.started_at_ms = 0
         self.backlog: deque[Work] = deque()
-        self.cores_free_at = [0.0] * cores  # a heap
+        self.cores_free_at = [0.0] * cores  # a heap: when each core is free, monotonic seconds
         self.next_start: asyncio.TimerHandle | None = None
         self.server: asyncio.Server | None = None
         self.port = 0
         self.connections: set[Connection] = set()
-        self.gate: asyncio.Event | None = None  # responses wait for it, if there is one
+        self.gate: asyncio.Event | None = None  # if set, responses wait until the event is set
 
     async def start(self) -> None:
-        """Listen on the loopback interface, at the same port as before if there was one."""
+        """Listen on the loopback interface; a restart uses the same port."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             lambda: Connection(self), "127.0.0.1", self.port, backlog=BACKLOG, reuse_address=True
@@ -99,7 +100,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Crash: connections are reset, and new ones refused."""
+        """Stop like a crash: reset open connections and refuse new ones."""
         server, self.server = self.server, None
         if server is not None:
             server.close()
@@ -121,7 +122,7 @@
         await self.start()
 
     def capacity_at(self, now: float) -> float:
-        """Requests a second that it can execute at this moment."""
+        """Return the requests a second that the upstream can execute at the time `now`."""
         if self.started_at is None or self.warm_s <= 0:
             warm = 1.0
         else:
@@ -129,15 +130,15 @@
         return self.capacity * warm / self.slowness
 
     def waiting(self) -> int:
-        """Requests that no core has begun."""
+        """Return the number of requests that wait for a core."""
         return len(self.backlog)
 
     def busy(self, now: float) -> int:
-        """Cores that are at work at this moment."""
+        """Return the number of cores that are busy at the time `now`."""
         return sum(at > now for at in self.cores_free_at)
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """Its row in the list of discovery, with these fields changed."""
+        """Return the upstream's row in the endpoint list, with these fields changed."""
         return {
             "host": self.name,
             "dial": f"127.0.0.1:{self.port}",
@@ -165,12 +166,12 @@
             self._execute(now, identity, connection, fields)
 
     def _rejects(self) -> bool:
-        crowded = 0 < self.most_connections < len(self.connections)
-        busy = self.mode == Mode.FULL or self.waiting() >= self.queue
-        return busy or crowded or self.health == "draining"
+        over_connection_limit = 0 < self.most_connections < len(self.connections)
+        queue_full = self.mode == Mode.FULL or self.waiting() >= self.queue
+        return queue_full or over_connection_limit or self.health == "draining"
 
     def _execute(self, now: float, identity: str, connection: Connection, fields: dict[str, str]) -> None:
-        """Record a request as executed, and queue its work; a dropped repeat takes no core."""
+        """Record a request as executed, and queue it; a dropped repeat is answered without a core."""
         service_class, key = fields.get("x-service-class", ""), fields.get("idempotency-key", "")
         run = Execution(now, identity, service_class, key, self.block, self.incarnation)
         self.journal.record_execution(run, connection)
@@ -188,46 +189,46 @@
             self._start_waiting()
 
     def drop_waiting(self, connection: Connection) -> None:
-        """Drop the request that waits on a connection whose client has left."""
+        """Drop the waiting request of a connection whose client has disconnected."""
         for work in self.backlog:
             if work.connection is connection:
                 self.backlog.remove(work)
                 return
 
     def spend(self, now: float, seconds: float) -> None:
-        """Occupy a core with work that is no request."""
+        """Occupy a core with work other than a request, such as a handshake."""
         heapq.heapreplace(self.cores_free_at, max(now, self.cores_free_at[0]) + seconds)
 
     def _start_waiting(self) -> None:
         """Start waiting requests on free cores.
 
-        A request's start is computed, not read off the clock: lateness of timers must not add up.
+        A request's start time is computed, not read from the clock, so that timer delays don't accumulate.
         """
         self.next_start = None
         now = monotonic()
         while self.backlog and self.cores_free_at[0] <= now:
             work = self.backlog.popleft()
-            done = max(self.cores_free_at[0], work.at) + self.cores / self.capacity_at(now)
-            heapq.heapreplace(self.cores_free_at, done)
-            self._respond_at(done, now, work)
+            done_at = max(self.cores_free_at[0], work.at) + self.cores / self.capacity_at(now)
+            heapq.heapreplace(self.cores_free_at, done_at)
+            self._respond_at(done_at, now, work)
         if self.backlog:
-            wait = self.cores_free_at[0] - now
-            self.next_start = asyncio.get_running_loop().call_later(wait, self._start_waiting)
+            wait_s = self.cores_free_at[0] - now
+            self.next_start = asyncio.get_running_loop().call_later(wait_s, self._start_waiting)
 
-    def _respond_at(self, done: float, now: float, work: Work) -> None:
-        """Schedule the response to a request that a core is done with at this moment."""
+    def _respond_at(self, done_at: float, now: float, work: Work) -> None:
+        """Schedule the response to a request that a core completes at the time `done_at`."""
         connection = work.connection
-        connect_s, connection.first = self.connect_s if connection.first else 0.0, False
-        done += connect_s + self.latency_s * self.slowness * self.rng.uniform(*LATENCY_SPREAD)
+        connect_s, connection.unused = self.connect_s if connection.unused else 0.0, False
+        done_at += connect_s + self.latency_s * self.slowness * self.rng.uniform(*LATENCY_SPREAD)
         asyncio.get_running_loop().call_later(
-            max(0.0, done - now), connection.finish, work.identity, work.mode
+            max(0.0, done_at - now), connection.finish, work.identity, work.mode
         )
 
 
 async def start_upstreams(
     count: int, make: Callable[[int, ExecutionJournal], StandInUpstream]
 ) -> tuple[list[StandInUpstream], ExecutionJournal, Registry]:
-    """Start a number of upstreams with a journal and a registry of their own."""
+    """Start `count` upstreams, made by `make`, that share a new journal and a new registry."""
     journal = ExecutionJournal()
     upstreams = [make(number, journal) for number in range(count)]
     for upstream in upstreams:
--- a/standins/upstream_connection.py
+++ b/standins/upstream_connection.py
@@ -16,33 +16,33 @@
 
 
 class Mode(StrEnum):
-    """How an upstream treats requests."""
+    """How an upstream handles requests."""
 
     OK = "ok"
-    SILENT = "silent"  # reads them and neither executes nor answers them
-    SWALLOW = "swallow"  # executes them without an answer
+    SILENT = "silent"  # reads requests, and neither executes nor answers them
+    SWALLOW = "swallow"  # executes requests without answering them
     SLOW = "slow"
-    ERROR = "error"  # executes them and answers 500
-    FULL = "full"  # rejects them
-    GARBLE = "garble"  # executes them and answers what isn't HTTP
+    ERROR = "error"  # executes requests and answers 500
+    FULL = "full"  # rejects requests as if its queue were full
+    GARBLE = "garble"  # executes requests and answers with invalid HTTP
 
 
 class Connection(asyncio.Protocol):
-    """One client of an upstream."""
+    """One client's connection to an upstream."""
 
     transport: asyncio.Transport
 
     def __init__(self, upstream: StandInUpstream) -> None:
         self.upstream = upstream
         self.parser: Any = None
-        self.response_length = 0  # its response's body is the request's id, padded to this many bytes
-        self.running = ""  # the request that the client still waits for
+        self.response_length = 0  # minimum length of the body, in bytes; the body is the request's id, padded
+        self.running = ""  # id of the executed request that the client waits for
         self.closed = False
-        self.first = True  # no request has been executed on it
+        self.unused = True  # no request on this connection has been executed yet
         self.idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the upstream, which may have to work for the handshake."""
+        """Register with the upstream and charge it for the handshake."""
         self.transport = cast(asyncio.Transport, transport)
         self.upstream.connections.add(self)
         if self.upstream.connect_s:
@@ -56,7 +56,7 @@
             )
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Drop the request that waits on it; one that runs goes on without it."""
+        """Drop the connection's waiting request; a running request continues."""
         self.closed = True
         self.upstream.connections.discard(self)
         self.upstream.drop_waiting(self)
@@ -70,21 +70,21 @@
             self.upstream.journal.client_stopped_waiting(identity, self)
 
     def still_open(self) -> bool:
-        """Whether the client holds it open, also by what the loop has yet to read."""
+        """Return whether the client keeps the connection open; an unread close counts as closed."""
         if self.closed or self.transport.is_closing():
             return False
         try:
             with socket.fromfd(
                 self.transport.get_extra_info("socket").fileno(), socket.AF_INET, socket.SOCK_STREAM
-            ) as same:
-                return same.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b""
+            ) as duplicate:
+                return duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b""
         except BlockingIOError:
             return True
         except OSError:
             return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a request; what isn't HTTP resets the connection."""
+        """Parse received bytes of a request; reset the connection if they are not valid HTTP."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
             self.idle_timer = None
@@ -97,7 +97,7 @@
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header; names in lower case."""
+        """Store a request header, with its name in lower case."""
         self.fields[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
@@ -106,7 +106,7 @@
         self.upstream.accept(self, self.fields)
 
     def finish(self, identity: str, mode: str) -> None:
-        """Answer an executed request if its client still waits, once the upstream's gate is open."""
+        """Answer an executed request once the upstream's gate is set, if the client still waits for it."""
         gate = self.upstream.gate
         if gate is not None and not gate.is_set():
             task = asyncio.ensure_future(gate.wait())
@@ -123,7 +123,7 @@
         self.respond(status, identity.encode().ljust(self.response_length, b"."))
 
     def respond(self, status: int, body: bytes = b"", *, unprocessed: bool = False) -> None:
-        """Write a response with the upstream's load; unprocessed: it tells that the request has not run."""
+        """Write a response with a load report; unprocessed: add X-Unprocessed (request not executed)."""
         if self.closed:
             return
         upstream = self.upstream
