--- a/quartzford/load/chart.py
+++ b/quartzford/load/chart.py
@@ -81,7 +81,7 @@
             f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img">',
             *_y_axis(scale),
             *_x_axis(scale, axes.x_labels),
-            *(part for number, line in enumerate(lines) for part in _line(scale, number, line)),
+            *(part for index, line in enumerate(lines) for part in _line(scale, index, line)),
             f'<text x="{WIDTH - 10}" y="{HEIGHT - 1}" text-anchor="end">{escape(axes.x_title)}</text>',
             f'<text x="2" y="12">{escape(axes.y_title)}</text></svg>',
         ]
@@ -105,11 +105,11 @@
     ]
 
 
-def _line(scale: _Scale, number: int, line: Line) -> list[str]:
-    """Return the SVG elements of a line and its name in the legend. number: its position in the legend."""
-    colour = COLOURS[number % len(COLOURS)]
+def _line(scale: _Scale, index: int, line: Line) -> list[str]:
+    """Return the SVG elements of a line and its name in the legend. index: its position in the legend."""
+    colour = COLOURS[index % len(COLOURS)]
     path = " ".join(f"{scale.x(x):.1f},{scale.y(y):.1f}" for x, y in line.points)
-    name_x = LEFT_MARGIN + 8 + LEGEND_ENTRY_WIDTH * number
+    name_x = LEFT_MARGIN + 8 + LEGEND_ENTRY_WIDTH * index
     return [
         f'<polyline points="{path}" fill="none" stroke="{colour}" stroke-width="1.6"/>',
         f'<text x="{name_x}" y="12" style="fill:{colour}">{escape(line.name)}</text>',
@@ -127,4 +127,4 @@
     span = max_value - min_value
     step = 10.0 ** math.floor(math.log10(span / 4)) if span > 0 else 1.0
     step *= next((factor for factor in (1, 2, 5, 10) if span / (step * factor) <= MAX_TICKS), 10)
-    return [number * step for number in range(math.ceil(min_value / step), int(max_value / step) + 1)]
+    return [multiple * step for multiple in range(math.ceil(min_value / step), int(max_value / step) + 1)]
--- a/quartzford/load/reconciliation.py
+++ b/quartzford/load/reconciliation.py
@@ -3,7 +3,7 @@
 The account holds the events that a stand-in fleet recorded. Registry.account() in standins/registry.py
 returns it, and the fleet serves it by HTTP at /books. It is a map with the keys
 version;
-runs, drains, births: rows of Run, Drain and Birth;
+runs, drains, births: rows of Run, Drain and IncarnationStart;
 arrivals: by server, rows of the time at which an attempt reached the server and the server's incarnation;
 turned_away;
 overlapping: number of runs of a request that started while the client of another run still waited;
@@ -46,7 +46,7 @@
     until: float | None
 
 
-class Birth(NamedTuple):
+class IncarnationStart(NamedTuple):
     """The start of a server's incarnation.
 
     capacity: requests a second after warm-up. start_share: share of the capacity at the start, which rises
@@ -79,9 +79,10 @@
     """Return the number of late sends to draining servers, and the delay of the latest send in seconds.
 
     A send is late if it comes more than bound_s after the drain was announced and before the drain ended.
-    The delay is measured from the announcement, over all sends to draining servers, late or not. drains:
-    rows of server (or address, if sends has addresses), announcement time, end time. sends: rows of server,
-    time.
+    The delay is the time since the announcement; all sends to draining servers count, late or not.
+
+    drains: rows of server, announcement time and end time. sends: rows of server and time. A server may be
+    given by its address if both drains and sends do so.
     """
     drain_spans: dict[str, list[tuple[float, float]]] = {}
     for server, announced_at, until in drains:
@@ -103,31 +104,31 @@
 ) -> dict[str, float]:
     """Return how many incarnations were overloaded during slow start.
 
-    births: rows of Birth. arrivals: by server, rows of time and incarnation, in order of time. The result has
-    the keys lives: number of incarnations; over: number of those that received more than max_multiple times
-    their capacity in some window of window_s; worst_multiple: the highest multiple.
+    births: rows of IncarnationStart. arrivals: by server, rows of time and incarnation, in order of time.
+    Keys of the result: lives: number of incarnations; over: number of those that received more than
+    max_multiple times their capacity in some window of window_s; worst_multiple: the highest multiple.
     """
     count, overloaded, worst = 0, 0, 0.0
-    for birth in (Birth(*row) for row in births):
-        multiple = _worst_multiple(birth, arrivals.get(birth.server, ()), window_s)
+    for start in (IncarnationStart(*row) for row in births):
+        multiple = _worst_multiple(start, arrivals.get(start.server, ()), window_s)
         count += 1
         overloaded += multiple > max_multiple
         worst = max(worst, multiple)
     return {"lives": count, "worst_multiple": round(worst, 2), "over": overloaded}
 
 
-def _worst_multiple(birth: Birth, arrivals: Iterable[Any], window_s: float) -> float:
+def _worst_multiple(start: IncarnationStart, arrivals: Iterable[Any], window_s: float) -> float:
     """Return the highest number of arrivals in a window, as a multiple of the capacity in that window."""
     times = [
         at
         for at, incarnation in arrivals
-        if incarnation == birth.incarnation and at - birth.at < birth.warm_up_s
+        if incarnation == start.incarnation and at - start.at < start.warm_up_s
     ]
     worst, first = 0.0, 0
     for last, at in enumerate(times):
         while times[first] < at - window_s:
             first += 1
-        servable = birth.capacity_at(at - window_s / 2) * window_s
+        servable = start.capacity_at(at - window_s / 2) * window_s
         worst = max(worst, (last - first + 1) / servable)
     return worst
 
--- a/quartzford/load/record.py
+++ b/quartzford/load/record.py
@@ -12,7 +12,7 @@
 
 from quartzford.load.clients import SERVED, Outcome, RequestClass
 
-MIN_US, MAX_US, SIGNIFICANT_DIGITS = 1, 120_000_000, 3
+MIN_US, MAX_US, SIGNIFICANT_DIGITS = 1, 120_000_000, 3  # range and precision of the histograms
 SUMMARY_PERCENTILES = (50.0, 90.0, 99.0, 99.9, 99.99)
 CURVE_PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.95, 99.99, 99.999)
 GOODPUT_WINDOW_S = 10
@@ -177,7 +177,7 @@
             for name, (offered, earned) in dumped[key].items():
                 weights.setdefault(name, Weights()).add(offered, earned)
 
-    # ---- figures
+    # ---- evaluation
 
     def complete(self, histograms: dict[str, Any]) -> Any:
         """Return one histogram that holds the values of all classes' histograms."""
